--- a/bench/address_set.cc
+++ b/bench/address_set.cc
@@ -1,7 +1,7 @@
 // Whether an address lies in one of 10, 1,000 or 100,000 networks: the trie that is used, and a
 // plain list of networks that is gone through from its start. Half of the addresses lie in one.
 //
-//   cmake --build build --target silverpin_bench_address_set && build/silverpin_bench_address_set
+//   cmake --build build --target balancer_bench_address_set && build/balancer_bench_address_set
 #include "net/address_set.h"
 
 #include <benchmark/benchmark.h>
@@ -13,7 +13,7 @@
 
 namespace {
 
-using namespace silverpin;
+using namespace balancer;
 namespace ip = boost::asio::ip;
 
 constexpr std::size_t kAsked = 4096;
--- a/bench/cost.cc
+++ b/bench/cost.cc
@@ -1,7 +1,7 @@
-// What silverpin costs beside a relay that parses nothing: the same clients, the same bytes, the
+// What balancer costs beside a relay that parses nothing: the same clients, the same bytes, the
 // same cache host, in one run. Prints CPU time a request and median latency, and their ratios.
 //
-//   build/silverpin_bench_cost [SECONDS for each measurement, 3 unless given] [another silverpin]
+//   build/balancer_bench_cost [SECONDS for each measurement, 3 unless given] [another balancer]
 //                              [CONNECTIONS, all three unless given]
 //
 // The relay gives each client's connection one of its own to the host and copies bytes both ways,
@@ -246,7 +246,7 @@
   const double length = argc > 1 ? std::clamp(std::atof(argv[1]), 0.2, 60.0) : 3;
   std::vector<pid_t> children;
   int code = 0;
-  char folder[] = "/tmp/silverpin-cost-XXXXXX";
+  char folder[] = "/tmp/balancer-cost-XXXXXX";
   try {
     if (!::mkdtemp(folder)) throw std::runtime_error("no folder for the balancer's files");
     int host_port = 0, relay_port = 0, discovery_port = 0;
@@ -258,10 +258,10 @@
     children.push_back(start([&] { run_discovery(discovery, host_port); }));
     pid_t balancer = 0;
     const int port =
-        start_balancer(argc > 2 ? argv[2] : SILVERPIN_PROGRAM, folder, discovery_port, balancer);
+        start_balancer(argc > 2 ? argv[2] : BALANCER_PROGRAM, folder, discovery_port, balancer);
     children.push_back(balancer);
     std::printf(
-        "connections   relay: us CPU  p50 us  p99 us   silverpin: us CPU  p50 us  p99 us   "
+        "connections   relay: us CPU  p50 us  p99 us   balancer: us CPU  p50 us  p99 us   "
         "ratios: CPU   p50   added p50 us\n");
     std::vector<int> counts = {1, 32, 256};
     if (argc > 3) counts = {std::clamp(std::atoi(argv[3]), 1, 1000)};
@@ -282,7 +282,7 @@
                   s.cpu_us / r.cpu_us, s.p50_us / r.p50_us, s.p50_us - r.p50_us);
     }
   } catch (const std::exception& e) {
-    std::fprintf(stderr, "silverpin_bench_cost: %s\n", e.what());
+    std::fprintf(stderr, "balancer_bench_cost: %s\n", e.what());
     code = 1;
   }
   for (const pid_t pid : children) {
--- a/bench/dissemination.cc
+++ b/bench/dissemination.cc
@@ -1,8 +1,8 @@
 // Changes to every balancer under one simulated clock, with the real module: times, bytes and
 // messages by role, beside what polling would cost for the same changes.
 //
-//   cmake --build build --target silverpin_bench_dissemination
-//   build/silverpin_bench_dissemination [MEMBERS [SITES [REGIONS [SECONDS [SEED [LOSS [DAY]]]]]]]
+//   cmake --build build --target balancer_bench_dissemination
+//   build/balancer_bench_dissemination [MEMBERS [SITES [REGIONS [SECONDS [SEED [LOSS [DAY]]]]]]]
 //
 // Without arguments: 11,000 members, 870 sites, 49 regions, 60 s, seed 1, no loss, no failures.
 // With DAY above 0: 2,400 restarts and 44 failures (five minutes each) times DAY a day, and in the
@@ -17,8 +17,8 @@
 
 namespace {
 
-using namespace silverpin;
-using namespace silverpin::dissemination;
+using namespace balancer;
+using namespace balancer::dissemination;
 
 struct Spread {
   double median = 0, p99 = 0, max = 0;
--- a/bench/resp.cc
+++ b/bench/resp.cc
@@ -1,9 +1,9 @@
-// What silverpin costs RESP clients: the same pipelines straight at an emulated node, through a
+// What balancer costs RESP clients: the same pipelines straight at an emulated node, through a
 // relay that parses nothing, and through the balancer, in one run. Then the p99 of quick answers
 // beside slow ones, with shared connections and with one each; that of a pool beside a jam in
 // another; and what idle clients take.
 //
-//   build/silverpin_bench_resp [SECONDS for each measurement, 2 unless given]
+//   build/balancer_bench_resp [SECONDS for each measurement, 2 unless given]
 //
 // GET and SET in turn on 1,000 keys, values of 100 bytes.
 #include "proto/resp.h"
@@ -26,12 +26,12 @@
 #include <vector>
 
 #include "processes.h"
-#include "rig/servers/resp_cluster.h"
+#include "testbed/servers/resp_cluster.h"
 
 namespace {
 
 using Clock = std::chrono::steady_clock;
-using namespace silverpin;
+using namespace balancer;
 using namespace bench;
 
 [[noreturn]] void run_relay(int listener, int to) {
@@ -144,7 +144,7 @@
     FILE* out = std::freopen(log.c_str(), "w", stderr);
     if (!out) return;
     ::unsetenv("ROUTER_CONFIG");
-    ::execl(SILVERPIN_PROGRAM, SILVERPIN_PROGRAM, "--operator", (folder + "/operator.toml").c_str(),
+    ::execl(BALANCER_PROGRAM, BALANCER_PROGRAM, "--operator", (folder + "/operator.toml").c_str(),
             static_cast<char*>(nullptr));
   });
   for (int i = 0; i < 500; ++i) {
@@ -179,11 +179,11 @@
   check(::pipe(pipe), "pipe");
   const pid_t pid = start([&] {
     boost::asio::io_context io(1);
-    rig::RespCluster node(io, 1, 0);
+    testbed::RespCluster node(io, 1, 0);
     node.fault = [](int, const resp::Command& c) {
-      if (c.size() > 1 && c[1] == "slow") return rig::RespCluster::Fault::kSlow;
-      if (c.size() > 1 && c[1] == "jam") return rig::RespCluster::Fault::kSilent;
-      return rig::RespCluster::Fault::kNone;
+      if (c.size() > 1 && c[1] == "slow") return testbed::RespCluster::Fault::kSlow;
+      if (c.size() > 1 && c[1] == "jam") return testbed::RespCluster::Fault::kSilent;
+      return testbed::RespCluster::Fault::kNone;
     };
     const int mine = std::atoi(node.address(0).c_str() + 10);
     if (::write(pipe[1], &mine, sizeof mine) == sizeof mine) io.run();
@@ -281,7 +281,7 @@
   const double length = argc > 1 ? std::clamp(std::atof(argv[1]), 0.2, 60.0) : 2;
   std::vector<pid_t> children;
   int code = 0;
-  char folder[] = "/tmp/silverpin-resp-XXXXXX";
+  char folder[] = "/tmp/balancer-resp-XXXXXX";
   try {
     if (!::mkdtemp(folder)) throw std::runtime_error("no folder for the balancer's files");
     int node_port = 0, relay_port = 0;
@@ -303,7 +303,7 @@
     children.push_back(balancer);
     ::usleep(500'000);
     std::printf(
-        "clients pipeline   direct: per s  p50 us   relay: per s  CPU us  p50 us   silverpin: per s"
+        "clients pipeline   direct: per s  p50 us   relay: per s  CPU us  p50 us   balancer: per s"
         "  CPU us  p50 us  p99 us   CPU to the relay's\n");
     for (const auto& [clients, depth] :
          {std::pair(1, 1), std::pair(1, 16), std::pair(1, 128), std::pair(4, 16)}) {
@@ -375,7 +375,7 @@
                   (resident_kb(balancer) - before) / wanted, resident_kb(balancer) / 1024);
     }
   } catch (const std::exception& e) {
-    std::fprintf(stderr, "silverpin_bench_resp: %s\n", e.what());
+    std::fprintf(stderr, "balancer_bench_resp: %s\n", e.what());
     code = 1;
   }
   for (const pid_t pid : children) {
--- a/bench/sketches.cc
+++ b/bench/sketches.cc
@@ -2,7 +2,7 @@
 // counts exactly; and quantiles of as many values: the sketch, and all of them kept and sorted.
 // Time of one step; memory and errors as counters.
 //
-//   cmake --build build --target silverpin_bench_sketches && build/silverpin_bench_sketches
+//   cmake --build build --target balancer_bench_sketches && build/balancer_bench_sketches
 //
 // Keys are Zipf-like: each next one is the integer part of distinct^u, u uniform.
 #include <benchmark/benchmark.h>
@@ -19,7 +19,7 @@
 
 namespace {
 
-using namespace silverpin::trace;
+using namespace balancer::trace;
 
 std::vector<std::string> keys(std::int64_t distinct) {
   std::mt19937_64 random(1);
@@ -54,7 +54,7 @@
     worst = std::max(worst, static_cast<double>(top[static_cast<std::size_t>(t)].count) / n - 1);
     found += exact[top[static_cast<std::size_t>(t)].text] >= counts[19];
   }
-  state.counters["KiB"] = static_cast<double>(whole.most_bytes()) / 1024;
+  state.counters["KiB"] = static_cast<double>(whole.max_bytes()) / 1024;
   state.counters["worst_%"] = 100 * worst;
   state.counters["found_of_20"] = found;
 }
--- a/bench/store.cc
+++ b/bench/store.cc
@@ -2,7 +2,7 @@
 // two plain ways to the same end: a file that is written, synced and renamed, and a record that is
 // written over itself and synced. Say where: the folder decides.
 //
-//   cmake --build build --target silverpin_bench_store && build/silverpin_bench_store /some/folder
+//   cmake --build build --target balancer_bench_store && build/balancer_bench_store /some/folder
 #include "store/store.h"
 
 #include <benchmark/benchmark.h>
@@ -17,7 +17,7 @@
 
 namespace {
 
-using silverpin::store::Store;
+using balancer::store::Store;
 
 std::string folder;
 const std::string kRecord(200, 'r');
@@ -72,7 +72,7 @@
 
 int main(int argc, char** argv) {
   benchmark::Initialize(&argc, argv);
-  std::string made = std::string(argc > 1 ? argv[1] : ".") + "/silverpin-store-XXXXXX";
+  std::string made = std::string(argc > 1 ? argv[1] : ".") + "/balancer-store-XXXXXX";
   if (!::mkdtemp(made.data())) {
     std::perror(made.c_str());
     return 2;
--- a/bench/timers.cc
+++ b/bench/timers.cc
@@ -2,7 +2,7 @@
 // pending: the wheel that is used, a binary heap that keeps what was taken back until it is due,
 // and asio's timers, one a request.
 //
-//   cmake --build build --target silverpin_bench_timers && build/silverpin_bench_timers
+//   cmake --build build --target balancer_bench_timers && build/balancer_bench_timers
 //
 // The time of one step: a timer is set, an old one is taken back or has come due. The first two run
 // on a simulated clock on which a timer lives for a second; asio's on the real one, where those
@@ -18,11 +18,11 @@
 #include <unordered_set>
 #include <vector>
 
-#include "core/timing_wheel.h"
+#include "dispatch/timing_wheel.h"
 
 namespace {
 
-using namespace silverpin;
+using namespace balancer;
 
 constexpr Duration kLife = std::chrono::seconds(1);
 constexpr std::uint64_t kDueOnce = 20;  // one in so many comes due
--- a/src/cluster/commands.cc
+++ b/src/cluster/commands.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <string>
 
-namespace silverpin::cluster {
+namespace balancer::cluster {
 namespace {
 
 char upper(char c) { return c >= 'a' && c <= 'z' ? static_cast<char>(c - 'a' + 'A') : c; }
@@ -264,4 +264,4 @@
   return false;
 }
 
-}  // namespace silverpin::cluster
+}  // namespace balancer::cluster
--- a/src/cluster/commands.h
+++ b/src/cluster/commands.h
@@ -9,7 +9,7 @@
 
 // The data commands of the public reference (redis.io/docs/latest/commands): how many words each
 // has, which of them are keys, and whether it writes.
-namespace silverpin::cluster {
+namespace balancer::cluster {
 
 enum class Kind {
   kRead,
@@ -50,4 +50,4 @@
 // ASCII only, as names of commands are.
 bool same_word(std::string_view word, std::string_view upper);
 
-}  // namespace silverpin::cluster
+}  // namespace balancer::cluster
--- a/src/cluster/router.cc
+++ b/src/cluster/router.cc
@@ -6,7 +6,7 @@
 
 #include "policy/hash_ring.h"
 
-namespace silverpin::cluster {
+namespace balancer::cluster {
 namespace {
 
 constexpr std::uint64_t kSlotMask = kSlots - 1;
@@ -37,7 +37,7 @@
 }  // namespace
 
 Router::Router(RouterSettings settings)
-    : settings_(std::move(settings)), table_(settings_.most_nodes) {
+    : settings_(std::move(settings)), table_(settings_.max_nodes) {
   for (const auto& seed : settings_.seeds) table_.add(seed);
 }
 
@@ -68,8 +68,7 @@
     ++counters_.loops;
     return later(&trip);
   }
-  if (trip.hops.size() >= static_cast<std::size_t>(settings_.most_redirections))
-    return later(&trip);
+  if (trip.hops.size() >= static_cast<std::size_t>(settings_.max_redirections)) return later(&trip);
   trip.hops.push_back(hop);
   trip.next = to;
   trip.ask = ask;
@@ -235,4 +234,4 @@
   return known;
 }
 
-}  // namespace silverpin::cluster
+}  // namespace balancer::cluster
--- a/src/cluster/router.h
+++ b/src/cluster/router.h
@@ -12,12 +12,12 @@
 #include "policy/placement.h"
 #include "policy/policy.h"
 
-namespace silverpin::cluster {
+namespace balancer::cluster {
 
 struct RouterSettings {
   std::vector<std::string> seeds;  // "host:port"; asked for the slots first
-  std::size_t most_nodes = 2048;
-  int most_redirections = 5;  // per request
+  std::size_t max_nodes = 2048;
+  int max_redirections = 5;  // per request
   // Between two refreshes of the slots, at least; after failed ones it doubles, up to the other.
   Duration refresh_interval = std::chrono::milliseconds(100);
   Duration refresh_backoff = std::chrono::seconds(5);
@@ -116,4 +116,4 @@
   Counters counters_;
 };
 
-}  // namespace silverpin::cluster
+}  // namespace balancer::cluster
--- a/src/cluster/scan.cc
+++ b/src/cluster/scan.cc
@@ -1,6 +1,6 @@
 #include "cluster/scan.h"
 
-namespace silverpin::cluster {
+namespace balancer::cluster {
 
 void ScanPlan::keep_owned(const SlotTable& table) {
   const auto node = table.find(node_);
@@ -15,7 +15,7 @@
     std::optional<NodeIndex> node;
     for (std::uint32_t s = 0; s < kSlots && !node; ++s)
       if (!covered_[s]) node = table.owner(static_cast<Slot>(s));
-    if (!node || ++walks_ > kMostWalks) return std::nullopt;
+    if (!node || ++walks_ > kMaxWalks) return std::nullopt;
     node_ = table.nodes()[*node].address;
     cursor_ = 0;
     mine_.set();
@@ -33,4 +33,4 @@
   node_.clear();
 }
 
-}  // namespace silverpin::cluster
+}  // namespace balancer::cluster
--- a/src/cluster/scan.h
+++ b/src/cluster/scan.h
@@ -7,7 +7,7 @@
 
 #include "cluster/slot_table.h"
 
-namespace silverpin::cluster {
+namespace balancer::cluster {
 
 // A walk over all keys of a cluster by SCAN, node by node, while slots move. No I/O.
 //
@@ -27,11 +27,11 @@
   // The page that next() named has come, and the node's own cursor with it; 0: the node's end.
   void on_page(const SlotTable& table, std::uint64_t cursor);
   // Slots have moved faster than nodes could be walked.
-  bool given_up() const { return walks_ > kMostWalks; }
+  bool given_up() const { return walks_ > kMaxWalks; }
 
  private:
   // Far above what a cluster of some hundred nodes needs while a few slots move.
-  static constexpr int kMostWalks = 4096;
+  static constexpr int kMaxWalks = 4096;
 
   // Of the slots in `mine_`, those that the node still owns.
   void keep_owned(const SlotTable& table);
@@ -43,4 +43,4 @@
   int walks_ = 0;
 };
 
-}  // namespace silverpin::cluster
+}  // namespace balancer::cluster
--- a/src/cluster/slot_table.cc
+++ b/src/cluster/slot_table.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace silverpin::cluster {
+namespace balancer::cluster {
 
 std::optional<NodeIndex> SlotTable::find(std::string_view address) const {
   const auto it = by_address_.find(address);
@@ -12,7 +12,7 @@
 
 std::optional<NodeIndex> SlotTable::add(std::string_view address) {
   if (const auto known = find(address)) return known;
-  if (address.empty() || by_address_.size() >= most_nodes_) return std::nullopt;
+  if (address.empty() || by_address_.size() >= max_nodes_) return std::nullopt;
   const auto free =
       std::find_if(nodes_.begin(), nodes_.end(), [](const Node& n) { return n.address.empty(); });
   const auto index = static_cast<NodeIndex>(free - nodes_.begin());
@@ -109,4 +109,4 @@
   return assign(slot, to, slots_[slot].epoch);
 }
 
-}  // namespace silverpin::cluster
+}  // namespace balancer::cluster
--- a/src/cluster/slot_table.h
+++ b/src/cluster/slot_table.h
@@ -10,7 +10,7 @@
 
 #include "cluster/view.h"
 
-namespace silverpin::cluster {
+namespace balancer::cluster {
 
 // A node's place in the table; used again once the node is gone.
 using NodeIndex = std::uint16_t;
@@ -21,8 +21,8 @@
 // last view wins.
 class SlotTable {
  public:
-  // `most_nodes`: what is beyond is left out.
-  explicit SlotTable(std::size_t most_nodes) : most_nodes_(most_nodes) {}
+  // `max_nodes`: what is beyond is left out.
+  explicit SlotTable(std::size_t max_nodes) : max_nodes_(max_nodes) {}
 
   struct Node {
     std::string address;  // empty: the place is free
@@ -56,7 +56,7 @@
   bool assign(Slot slot, NodeIndex owner, std::uint64_t epoch);
   bool drop_unlisted(const View& view);
 
-  const std::size_t most_nodes_;
+  const std::size_t max_nodes_;
   std::array<Entry, kSlots> slots_;
   std::vector<Node> nodes_;
   std::map<std::string, NodeIndex, std::less<>> by_address_;
@@ -64,4 +64,4 @@
   std::uint64_t epoch_ = 0;  // the newest of any claim taken
 };
 
-}  // namespace silverpin::cluster
+}  // namespace balancer::cluster
--- a/src/cluster/slots.cc
+++ b/src/cluster/slots.cc
@@ -2,7 +2,7 @@
 
 #include <array>
 
-namespace silverpin::cluster {
+namespace balancer::cluster {
 namespace {
 
 constexpr std::array<std::uint16_t, 256> make_table() {
@@ -36,4 +36,4 @@
   return crc16(key) % kSlots;
 }
 
-}  // namespace silverpin::cluster
+}  // namespace balancer::cluster
--- a/src/cluster/slots.h
+++ b/src/cluster/slots.h
@@ -5,7 +5,7 @@
 
 // Slots of the cluster dialect, after the public cluster specification
 // (redis.io/docs/latest/operate/oss_and_stack/reference/cluster-spec).
-namespace silverpin::cluster {
+namespace balancer::cluster {
 
 using Slot = std::uint16_t;
 inline constexpr std::uint32_t kSlots = 16384;
@@ -16,4 +16,4 @@
 // else of the whole key.
 Slot slot_of(std::string_view key);
 
-}  // namespace silverpin::cluster
+}  // namespace balancer::cluster
--- a/src/cluster/view.cc
+++ b/src/cluster/view.cc
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <map>
 
-namespace silverpin::cluster {
+namespace balancer::cluster {
 namespace {
 
 std::optional<std::uint64_t> number(std::string_view text) {
@@ -177,4 +177,4 @@
   return 0;
 }
 
-}  // namespace silverpin::cluster
+}  // namespace balancer::cluster
--- a/src/cluster/view.h
+++ b/src/cluster/view.h
@@ -10,7 +10,7 @@
 #include "proto/resp.h"
 
 // What one node says of its cluster. Nodes may be behind, cut off, or lie: a view is a claim.
-namespace silverpin::cluster {
+namespace balancer::cluster {
 
 struct Range {
   Slot first = 0, last = 0;  // both included
@@ -44,4 +44,4 @@
 // `cluster_current_epoch` of CLUSTER INFO; 0 if it is not there.
 std::uint64_t read_epoch(std::string_view info);
 
-}  // namespace silverpin::cluster
+}  // namespace balancer::cluster
--- a/src/pool/sharing.cc
+++ b/src/connection_pool/connection_selector.cc
@@ -1,9 +1,9 @@
-#include "pool/sharing.h"
+#include "connection_pool/connection_selector.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace silverpin::pool {
+namespace balancer::connection_pool {
 namespace {
 
 using std::chrono::milliseconds;
@@ -24,29 +24,32 @@
 
 }  // namespace
 
-Duration Sharing::slow_after() const { return std::max(settings_.slow_after, kSlowTimes * usual_); }
+Duration ConnectionSelector::slow_after() const {
+  return std::max(settings_.slow_after, kSlowTimes * usual_);
+}
 
-std::size_t Sharing::shared_depth() const {
+std::size_t ConnectionSelector::shared_depth() const {
   if (!settings_.shared) return 1;
   const double depth = 1 + std::floor(settings_.stall_share / std::max(slow_share_, 1e-6));
-  return static_cast<std::size_t>(std::min(depth, static_cast<double>(settings_.most_depth)));
+  return static_cast<std::size_t>(std::min(depth, static_cast<double>(settings_.max_depth)));
 }
 
-bool Sharing::overdue(ConnectionId id, Time now) const {
+bool ConnectionSelector::overdue(ConnectionId id, Time now) const {
   const Connection& c = all_[id];
   return c.up && !c.out.empty() && now - std::max(c.out.front().at, c.since) > slow_after();
 }
 
-bool Sharing::holds(const Connection& c, std::uint64_t order) const {
+bool ConnectionSelector::holds(const Connection& c, std::uint64_t order) const {
   return std::any_of(c.out.begin(), c.out.end(),
                      [order](const Out& o) { return o.want.order == order; });
 }
 
 // Whether the attempt may go behind what is out on a connection that is in use. `others`: so many
 // of other clients may be there.
-bool Sharing::fits(const Connection& c, Time now, const Want& want, std::size_t others) const {
-  if (!c.open || !c.keeps_open || c.out.size() >= settings_.most_depth) return false;
-  if (want.unsafe && c.unsafe >= settings_.most_unsafe) return false;
+bool ConnectionSelector::fits(const Connection& c, Time now, const AttemptTraits& want,
+                              std::size_t others) const {
+  if (!c.open || !c.keeps_open || c.out.size() >= settings_.max_depth) return false;
+  if (want.unsafe && c.unsafe >= settings_.max_unsafe) return false;
   if (c.up && now - std::max(c.out.front().at, c.since) > slow_after()) return false;
   std::size_t foreign = c.out.size();
   if (want.flow != 0)
@@ -60,7 +63,8 @@
 // all that can be known. Where it must not be tried again, only such a one will do, or one that has
 // stayed open behind answers. So too where answers do not tell whose they are: a host that answers
 // twice has mostly done so by then, and the connection has been closed for it.
-std::optional<ConnectionId> Sharing::pick_idle(Time now, const Want& want) const {
+std::optional<ConnectionId> ConnectionSelector::pick_idle(Time now,
+                                                          const AttemptTraits& want) const {
   const Duration longest =
       want.unsafe ? std::min(kFresh, settings_.retire_idle) : settings_.retire_idle;
   for (std::size_t i = idle_.size(); i-- > 0;) {
@@ -74,7 +78,8 @@
   return idle_.back();
 }
 
-Sharing::Choice Sharing::choose(Time now, const Want& want, bool may_open) const {
+ConnectionSelector::Choice ConnectionSelector::choose(Time now, const AttemptTraits& want,
+                                                      bool may_open) const {
   using Kind = Choice::Kind;
   if (want.ordered) {
     // Behind those that it must not overtake; they can be on several connections only where they
@@ -86,8 +91,8 @@
       behind = id;
     }
     if (behind)
-      return fits(all_[*behind], now, want, settings_.most_depth) ? Choice{Kind::kUse, *behind}
-                                                                  : Choice{Kind::kWait};
+      return fits(all_[*behind], now, want, settings_.max_depth) ? Choice{Kind::kUse, *behind}
+                                                                 : Choice{Kind::kWait};
   }
   if (settings_.shared && want.flow != 0) {
     // Where its client has others out it waits behind nobody else's.
@@ -112,13 +117,13 @@
   if (least) return {Kind::kUse, *least};
   if (may_open) return {Kind::kOpen};
   // An answer may have to wait behind another, which is better than none.
-  if (!heavy(want.kind)) consider(settings_.most_depth);
+  if (!heavy(want.kind)) consider(settings_.max_depth);
   return least ? Choice{Kind::kUse, *least} : Choice{Kind::kWait};
 }
 
 // ---- events
 
-ConnectionId Sharing::on_open(Time now) {
+ConnectionId ConnectionSelector::on_open(Time now) {
   ConnectionId id;
   if (free_.empty()) {
     id = static_cast<ConnectionId>(all_.size());
@@ -134,20 +139,20 @@
   return id;
 }
 
-void Sharing::rest(ConnectionId id, Time now) {
+void ConnectionSelector::rest(ConnectionId id, Time now) {
   all_[id].since = now;
   std::erase(idle_, id);
   idle_.push_back(id);
 }
 
-void Sharing::on_up(ConnectionId id, Time now) {
+void ConnectionSelector::on_up(ConnectionId id, Time now) {
   Connection& c = all_[id];
   c.up = true;
   c.since = now;
   if (c.out.empty()) rest(id, now);
 }
 
-void Sharing::on_assigned(ConnectionId id, Time now, const Want& want) {
+void ConnectionSelector::on_assigned(ConnectionId id, Time now, const AttemptTraits& want) {
   Connection& c = all_[id];
   if (c.out.empty()) std::erase(idle_, id);
   c.out.push_back({want, now});
@@ -155,7 +160,7 @@
   c.heavy += heavy(want.kind);
 }
 
-void Sharing::drop(Connection& c, std::size_t place) {
+void ConnectionSelector::drop(Connection& c, std::size_t place) {
   const auto at = c.out.begin() + static_cast<std::ptrdiff_t>(place);
   c.unsafe -= at->want.unsafe;
   c.out.erase(at);
@@ -165,7 +170,7 @@
     for (const Out& o : c.out) c.heavy += heavy(o.want.kind);
 }
 
-void Sharing::on_answered(ConnectionId id, Time now, bool keeps_open) {
+void ConnectionSelector::on_answered(ConnectionId id, Time now, bool keeps_open) {
   Connection& c = all_[id];
   if (c.out.empty()) return;
   const Out front = c.out.front();
@@ -189,22 +194,22 @@
   if (c.out.empty() && keeps_open) rest(id, now);
 }
 
-void Sharing::on_taken_back(ConnectionId id, std::size_t place, Time now) {
+void ConnectionSelector::on_taken_back(ConnectionId id, std::size_t place, Time now) {
   Connection& c = all_[id];
   drop(c, place);
   if (c.out.empty() && c.up && c.keeps_open) rest(id, now);
 }
 
-void Sharing::on_retired(ConnectionId id) {
+void ConnectionSelector::on_retired(ConnectionId id) {
   all_[id].keeps_open = false;
   std::erase(idle_, id);
 }
 
-void Sharing::on_closed(ConnectionId id) {
+void ConnectionSelector::on_closed(ConnectionId id) {
   std::erase(idle_, id);
   all_[id] = {};
   free_.push_back(id);
   --open_;
 }
 
-}  // namespace silverpin::pool
+}  // namespace balancer::connection_pool
--- a/src/pool/sharing.h
+++ b/src/connection_pool/connection_selector.h
@@ -9,12 +9,12 @@
 #include "structures/time.h"
 
 // Which connection to a host takes an attempt, and how many at once. No I/O, no clock, no threads.
-namespace silverpin::pool {
+namespace balancer::connection_pool {
 
 using ConnectionId = std::uint32_t;  // a place in the caller's table; given out by on_open()
 
 // What an attempt asks of its connection.
-struct Want {
+struct AttemptTraits {
   // Who asks; 0: nobody in particular. Answers go back to a client in the order of its requests, so
   // one that waits behind another of its own client loses nothing by it.
   std::uint64_t flow = 0;
@@ -29,14 +29,14 @@
   bool unnamed = false;
 };
 
-struct SharingSettings {
+struct ConnectionSelectorSettings {
   // Attempts out on one connection. With `shared` false a second one is written behind another only
   // where no connection can be had.
-  std::size_t most_depth = 1;
+  std::size_t max_depth = 1;
   bool shared = false;
   // Of them those that must never run twice: if the connection breaks, each one written may have
   // run, and none can be tried again.
-  std::size_t most_unsafe = 64;
+  std::size_t max_unsafe = 64;
   // Connections that are opened before clients share any: what one that breaks takes with it.
   std::size_t spread = 4;
   // The share of attempts that may come to wait behind another client's slow one.
@@ -55,9 +55,9 @@
 // `stall_share`. A slow answer is one that took far longer than is usual, counted from when its
 // turn came. Kinds that are mostly slow are told apart and travel alone. A connection whose front
 // attempt is overdue gets nothing more.
-class Sharing {
+class ConnectionSelector {
  public:
-  explicit Sharing(const SharingSettings& settings) : settings_(settings) {}
+  explicit ConnectionSelector(const ConnectionSelectorSettings& settings) : settings_(settings) {}
 
   struct Choice {
     enum class Kind { kUse, kOpen, kWait } kind = Kind::kWait;
@@ -65,13 +65,13 @@
   };
   // `may_open`: whether a further connection could be had. Where the connection that is named
   // proves to be closed already, on_closed() and another call.
-  Choice choose(Time now, const Want& want, bool may_open) const;
+  Choice choose(Time now, const AttemptTraits& want, bool may_open) const;
 
   // ---- what the caller has done and seen
 
   ConnectionId on_open(Time now);  // being dialled
   void on_up(ConnectionId id, Time now);
-  void on_assigned(ConnectionId id, Time now, const Want& want);
+  void on_assigned(ConnectionId id, Time now, const AttemptTraits& want);
   // The front attempt has been answered. `keeps_open`: further answers may follow.
   void on_answered(ConnectionId id, Time now, bool keeps_open);
   // The attempt at this place was taken back before a byte of it was written.
@@ -101,7 +101,7 @@
   static constexpr double kHeavyShare = 0.2;
 
   struct Out {
-    Want want;
+    AttemptTraits want;
     Time at;
   };
   struct Connection {
@@ -112,13 +112,13 @@
     Time since{0};  // it last went idle, answered or came up
   };
 
-  bool fits(const Connection& c, Time now, const Want& want, std::size_t others) const;
-  std::optional<ConnectionId> pick_idle(Time now, const Want& want) const;
+  bool fits(const Connection& c, Time now, const AttemptTraits& want, std::size_t others) const;
+  std::optional<ConnectionId> pick_idle(Time now, const AttemptTraits& want) const;
   bool holds(const Connection& c, std::uint64_t order) const;
   void drop(Connection& c, std::size_t place);
   void rest(ConnectionId id, Time now);
 
-  const SharingSettings settings_;
+  const ConnectionSelectorSettings settings_;
   std::vector<Connection> all_;
   std::vector<ConnectionId> free_;
   std::vector<ConnectionId> idle_;
@@ -130,4 +130,4 @@
   int heavy_kinds_ = 0;  // of them
 };
 
-}  // namespace silverpin::pool
+}  // namespace balancer::connection_pool
--- a/src/core/server_pool.cc
+++ b/src/dispatch/server_pool.cc
@@ -1,10 +1,10 @@
-#include "core/server_pool.h"
+#include "dispatch/server_pool.h"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
 #include <utility>
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 using boost::system::error_code;
@@ -27,12 +27,12 @@
   constexpr Duration kConnect = std::chrono::seconds(1), kIdle = std::chrono::seconds(15);
   UpstreamTimes times;
   times.connect_timeout = site.connect_timeout > Duration{0} ? site.connect_timeout : kConnect;
-  times.most = site.most_connections;
+  times.most = site.max_connections;
   times.sharing.retire_idle =
       (site.idle_close > Duration{0} ? site.idle_close : kIdle) / kRetirePart;
-  times.sharing.most_depth = static_cast<std::size_t>(std::max(1, site.streams_per_connection));
-  times.sharing.shared = site.shared_connections && times.sharing.most_depth > 1;
-  times.sharing.most_unsafe = site.most_unsafe;
+  times.sharing.max_depth = static_cast<std::size_t>(std::max(1, site.streams_per_connection));
+  times.sharing.shared = site.shared_connections && times.sharing.max_depth > 1;
+  times.sharing.max_unsafe = site.max_unsafe;
   times.sharing.slow_after = site.slow_after;
   return times;
 }
@@ -41,16 +41,17 @@
 
 ServerPool::ServerPool(boost::asio::io_context& io, const Clock& clock, const SiteSettings& site,
                        std::uint64_t seed, Limits& limits, Dial dial,
-                       std::function<void()> subscribe, Steering* steering)
+                       std::function<void()> subscribe, RoutingExtension* routing_extension)
     : io_(io),
       clock_(clock),
       site_(site),
       subscribe_(std::move(subscribe)),
-      steering_(steering),
+      routing_extension_(routing_extension),
       host_ages_(clock.wall_offset()),
       due_(clock.now(), kTimerTick),
       timer_(io),
-      policy_(site.policy, seed, clock.now(), *this, steering ? &steering->placement() : nullptr),
+      policy_(site.policy, seed, clock.now(), *this,
+              routing_extension ? &routing_extension->placement() : nullptr),
       upstreams_(io, limits, *this, times_of(site), std::move(dial)),
       look_timer_(io),
       hold_timer_(io) {}
@@ -72,12 +73,13 @@
   attempt->payload = call.payload;
   attempt->until = until;
   attempt->unsafe = call.unsafe;
-  if (steering_) steering_->prepare(*attempt);
+  if (routing_extension_) routing_extension_->prepare(*attempt);
   if (const auto* host_now = policy_.host(host)) attempt->host_born = host_now->born();
-  const RequestClass& klass = site_.policy.classes[static_cast<std::size_t>(call.klass)];
-  if (klass.repeat == Repeat::kKeyed) {
+  const RequestClass& request_class =
+      site_.policy.classes[static_cast<std::size_t>(call.request_class)];
+  if (request_class.idempotency == Idempotency::kIdempotencyKey) {
     if (call.may_run_since) {
-      attempt->begin_by = *call.may_run_since + klass.repeat_window;
+      attempt->begin_by = *call.may_run_since + request_class.deduplication_window;
     } else {
       call.may_run_since = now();
     }
@@ -85,19 +87,19 @@
   ++call.out;
   // Decided on what was known before a standstill.
   look();
-  attempt->parked = standing_ && standing_->holds() && host != origin_;
+  attempt->held = stall_guard_ && stall_guard_->is_holding() && host != origin_;
   const auto timer = due_.set(until, {attempt, 0});
   attempt->timer = {timer.place, timer.life};
   arm_timer();
-  if (attempt->parked) {
-    parked_.push_back(std::move(attempt));
+  if (attempt->held) {
+    held_.push_back(std::move(attempt));
   } else {
     upstreams_.start(std::move(attempt), host);
   }
 }
 
-void ServerPool::refuse(RequestId id, Duration retry_after) {
-  finish(id, {Final::Kind::kRefused, {}, retry_after, nullptr});
+void ServerPool::reject(RequestId id, Duration retry_after) {
+  finish(id, {Response::Kind::kRejected, {}, retry_after, nullptr});
 }
 
 void ServerPool::fail(RequestId id) { finish(id, {}); }
@@ -167,9 +169,9 @@
 
 // ---- standstills
 
-void ServerPool::mind_standstills(std::function<void()> confirm,
-                                  std::function<void(const std::string&)> log) {
-  standing_.emplace(now());
+void ServerPool::enable_stall_guard(std::function<void()> confirm,
+                                    std::function<void(const std::string&)> log) {
+  stall_guard_.emplace(now());
   confirm_ = std::move(confirm);
   log_ = std::move(log);
   watch();
@@ -184,48 +186,52 @@
 }
 
 void ServerPool::look() {
-  if (!standing_ || !standing_->look(now())) return;
+  if (!stall_guard_ || !stall_guard_->observe(now())) return;
   confirm_();
-  hold_timer_.expires_at(clock_.steady(standing_->until()));
+  hold_timer_.expires_at(clock_.steady(stall_guard_->until()));
   hold_timer_.async_wait([this](const error_code& e) {
     if (e) return;
     look();
-    if (standing_->on_hold_over(now())) let_go("no list came; what was known goes on");
+    if (stall_guard_->on_hold_over(now())) let_go("no list came; what was known goes on");
   });
 }
 
 void ServerPool::on_confirmed(Duration took) {
   look();
-  if (standing_ && standing_->on_word(now() - took)) let_go("the list is confirmed");
+  if (stall_guard_ && stall_guard_->on_discovery_answer(now() - took))
+    let_go("the list is confirmed");
 }
 
 // What was held back had been decided on an old list, so it is decided anew, which costs no host
 // anything and counts as no retry.
 void ServerPool::let_go(const char* why) {
   hold_timer_.cancel();
-  const auto parked = std::exchange(parked_, {});
-  log_("stood still for " + ms(standing_->stood_still()) + "; " + why + " after " +
-       ms(now() - standing_->woken()) + ", " + std::to_string(parked.size()) +
+  const auto held = std::exchange(held_, {});
+  log_("stood still for " + ms(stall_guard_->stood_still()) + "; " + why + " after " +
+       ms(now() - stall_guard_->woken()) + ", " + std::to_string(held.size()) +
        " attempt(s) held back");
-  for (const AttemptPtr& attempt : parked)
-    on_end(attempt, permit(*attempt) == Permit::kOver ? Result::kNotSent : Result::kTakenBack, {});
+  for (const AttemptPtr& attempt : held)
+    on_end(attempt,
+           may_send(*attempt) == SendPermission::kOver ? Result::kNotSent : Result::kWithdrawn, {});
 }
 
 // ---- requests
 
-void ServerPool::submit(const std::shared_ptr<Caller>& caller, Ticket ticket, Ask ask) {
+void ServerPool::submit(const std::shared_ptr<ResponseSink>& caller, ResponseSlot ticket,
+                        RequestSpec ask) {
   look();
-  const Duration unnoticed = standing_ ? standing_->unnoticed(now()) : Duration{0};
+  const Duration unnoticed = stall_guard_ ? stall_guard_->unnoticed(now()) : Duration{0};
   if (unnoticed >= ask.budget ||
-      (site_.most_held > 0 && open_ >= static_cast<std::size_t>(site_.most_held)) ||
-      !caller->may_go_out() || !caller->is_there()) {
+      (site_.max_held > 0 && open_ >= static_cast<std::size_t>(site_.max_held)) ||
+      !caller->may_forward() || !caller->is_connected()) {
     ask.payload->released();
-    caller->on_final(ticket, *ask.payload, {Final::Kind::kRefused, {}, Duration{0}, nullptr});
+    caller->on_response(ticket, *ask.payload,
+                        {Response::Kind::kRejected, {}, Duration{0}, nullptr});
     return;
   }
   Request q;
   q.id = next_id_++;
-  q.klass = ask.klass;
+  q.request_class = ask.request_class;
   q.tenant = ask.tenant;
   q.key = ask.key;
   q.write = ask.write;
@@ -238,18 +244,19 @@
   call.caller = caller;
   call.ticket = ticket;
   call.payload = std::move(ask.payload);
-  call.klass = q.klass;
-  call.unsafe = site_.policy.classes[static_cast<std::size_t>(q.klass)].repeat == Repeat::kUnsafe;
+  call.request_class = q.request_class;
+  call.unsafe = site_.policy.classes[static_cast<std::size_t>(q.request_class)].idempotency ==
+                Idempotency::kNone;
   call.seen_at = now();
   call.place = caller->open_.size();
   caller->open_.push_back(q.id);
   ++open_;
-  if (steering_) steering_->on_request(q.id, *call.payload);
+  if (routing_extension_) routing_extension_->on_request(q.id, *call.payload);
   policy_.on_request(now(), q);
   forget_finished();
 }
 
-void ServerPool::withdraw(Caller& caller) {
+void ServerPool::withdraw(ResponseSink& caller) {
   for (const RequestId id : std::vector(caller.open_)) {
     end_call(id, calls_.at(id));
     policy_.on_withdrawn(now(), id);
@@ -268,14 +275,14 @@
   forget_finished();
 }
 
-void ServerPool::finish(RequestId id, Final final) {
+void ServerPool::finish(RequestId id, Response final) {
   const auto it = calls_.find(id);
   if (it == calls_.end() || it->second.over) return;
   const auto caller = it->second.caller;
   const auto payload = it->second.payload;
-  const Ticket ticket = it->second.ticket;
+  const ResponseSlot ticket = it->second.ticket;
   end_call(id, it->second);
-  caller->on_final(ticket, *payload, std::move(final));
+  caller->on_response(ticket, *payload, std::move(final));
 }
 
 void ServerPool::end_call(RequestId id, Call& call) {
@@ -296,7 +303,7 @@
     const auto it = calls_.find(id);
     if (it == calls_.end() || it->second.out > 0) continue;
     it->second.payload->released();
-    if (steering_) steering_->on_forgotten(id);
+    if (routing_extension_) routing_extension_->on_forgotten(id);
     calls_.erase(it);
   }
 }
@@ -304,23 +311,23 @@
 // ---- attempts
 
 // Where this process is late, what lets a request go on may be read before its client's close.
-bool ServerPool::is_there(const Call& call) const {
+bool ServerPool::is_connected(const Call& call) const {
   if (now() - call.seen_at <= kSeenLately) return true;
-  if (!call.caller->is_there()) return false;
+  if (!call.caller->is_connected()) return false;
   call.seen_at = now();
   return true;
 }
 
 // Hosts are asked for in the module's own book, which has heard of them first.
-Permit ServerPool::permit(const Attempt& attempt) const {
+SendPermission ServerPool::may_send(const Attempt& attempt) const {
   const auto it = calls_.find(attempt.request);
   // Behind a standstill its time may have passed before its time-out has come round.
   if (it == calls_.end() || it->second.over || attempt.until - now() < kMinAttemptTime ||
-      now() >= attempt.begin_by || !it->second.caller->may_go_out() || !is_there(it->second))
-    return Permit::kOver;
+      now() >= attempt.begin_by || !it->second.caller->may_forward() || !is_connected(it->second))
+    return SendPermission::kOver;
   const auto* host = policy_.host(attempt.host);
   const bool same = host && host->takes_new() && host->born() == attempt.host_born;
-  return same ? Permit::kGo : Permit::kElsewhere;
+  return same ? SendPermission::kGo : SendPermission::kElsewhere;
 }
 
 // The first byte is the answer: no other attempt may serve from here on. From now on both sides'
@@ -329,7 +336,7 @@
   const auto it = calls_.find(attempt->request);
   if (attempt->ended || it == calls_.end() || it->second.over) return stream->abandon();
   due_.take_back({attempt->timer.place, attempt->timer.life});
-  Final final{Final::Kind::kServed, {}, Duration{0}, stream};
+  Response final{Response::Kind::kServed, {}, Duration{0}, stream};
   finish(attempt->request, std::move(final));
   policy_.on_first_byte(now(), attempt->request, attempt->number);
   forget_finished();
@@ -343,14 +350,14 @@
     const auto connection = attempt->connection.lock();
     if (connection ? connection->abandon(attempt) : !attempt->assigned) result = Result::kNotSent;
   }
-  if (steering_) result = steering_->judge(*attempt, result, value);
+  if (routing_extension_) result = routing_extension_->judge(*attempt, result, value);
   const RequestId id = attempt->request;
   Call& call = calls_.at(id);
   --call.out;
   call.may_have_run = call.may_have_run || !(never_ran(result) || result == Result::kMiss);
   if (call.out == 0 && !call.may_have_run) call.may_run_since.reset();
   if (result == Result::kOk && !call.over)
-    finish(id, {Final::Kind::kServed, std::move(value), Duration{0}, nullptr});
+    finish(id, {Response::Kind::kServed, std::move(value), Duration{0}, nullptr});
   if (call.over) finished_.push_back(id);
   policy_.on_outcome(now(), {id, attempt->number, result, call.over});
   forget_finished();
@@ -396,14 +403,14 @@
   return known;
 }
 
-void ServerPool::restore(std::string_view host, Policy::Word word) {
+void ServerPool::restore(std::string_view host, Policy::OperatorOverride word) {
   policy_.restore(now(), host, word);
   upstreams_.review();
 }
 
 void ServerPool::on_list_refused() {
-  policy_.on_hosts(now(), ListKind::kRefused, {});
+  policy_.on_hosts(now(), ListKind::kRejected, {});
   forget_finished();
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/core/server_pool.h
+++ b/src/dispatch/server_pool.h
@@ -10,26 +10,26 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/timing_wheel.h"
+#include "dispatch/timing_wheel.h"
 #include "net/attempt.h"
 #include "net/clock.h"
 #include "net/limits.h"
 #include "net/request.h"
 #include "net/upstream_pool.h"
 #include "policy/policy.h"
-#include "recovery/host_age.h"
-#include "recovery/standing.h"
+#include "recovery/host_age_estimator.h"
+#include "recovery/stall_guard.h"
 #include "settings/settings.h"
 
-namespace silverpin {
+namespace balancer {
 
 // What a pool whose servers send requests on to each other keeps beside its policy. Called from the
 // event loop only.
-class Steering {
+class RoutingExtension {
  public:
-  virtual ~Steering() = default;
+  virtual ~RoutingExtension() = default;
   virtual Placement& placement() = 0;
-  virtual void on_request(RequestId id, const Payload& payload) = 0;
+  virtual void on_request(RequestId id, const RequestPayload& payload) = 0;
   virtual void on_forgotten(RequestId id) = 0;
   virtual void prepare(Attempt& attempt) = 0;  // before it goes out
   // What a result means; `value` is what came with it.
@@ -48,7 +48,7 @@
   // loop, whose last handlers hold leases; so does `site`.
   ServerPool(boost::asio::io_context& io, const Clock& clock, const SiteSettings& site,
              std::uint64_t seed, Limits& limits, Dial dial, std::function<void()> subscribe,
-             Steering* steering = nullptr);
+             RoutingExtension* routing_extension = nullptr);
 
   void on_list(const HostList& list);
   void on_list_refused();
@@ -57,19 +57,23 @@
   // From now on what would go to hosts other than the origin waits after a standstill, until a list
   // has come that was asked for since; see recovery::Standing. `confirm` asks for one, from the
   // event loop and not before it returns; `log` gets a line at the end of each standstill.
-  void mind_standstills(std::function<void()> confirm, std::function<void(const std::string&)> log);
+  void enable_stall_guard(std::function<void()> confirm,
+                          std::function<void(const std::string&)> log);
   // Discovery has answered a call that took so long, and what it told has been taken.
   void on_confirmed(Duration took);
   // An operator's words on hosts; see Policy.
   bool maintain(std::string_view host, bool out);
-  const std::map<std::string, Policy::Word, std::less<>>& words() const { return policy_.words(); }
-  Policy::Learnt learnt() const { return policy_.learnt(clock_.now()); }
-  void take_up(const Policy::Learnt& from) { policy_.take_up(now(), from); }
-  void restore(std::string_view host, Policy::Word word);
+  const std::map<std::string, Policy::OperatorOverride, std::less<>>& overrides() const {
+    return policy_.overrides();
+  }
+  Policy::PolicyCheckpoint checkpoint() const { return policy_.checkpoint(clock_.now()); }
+  void restore(const Policy::PolicyCheckpoint& from) { policy_.restore(now(), from); }
+  void restore(std::string_view host, Policy::OperatorOverride word);
 
   // RequestSink
-  void submit(const std::shared_ptr<Caller>& caller, Ticket ticket, Ask ask) override;
-  void withdraw(Caller& caller) override;
+  void submit(const std::shared_ptr<ResponseSink>& caller, ResponseSlot ticket,
+              RequestSpec ask) override;
+  void withdraw(ResponseSink& caller) override;
 
   void shed() { upstreams_.shed(); }
   std::size_t open() const { return open_; }
@@ -83,12 +87,12 @@
 
  private:
   struct Call {
-    std::shared_ptr<Caller> caller;
-    Ticket ticket;
+    std::shared_ptr<ResponseSink> caller;
+    ResponseSlot ticket;
     std::size_t place = 0;  // in the caller's list
-    PayloadPtr payload;
+    RequestPayloadPtr payload;
     bool unsafe = false;
-    int klass = 0;
+    int request_class = 0;
     bool over = false;  // had its final answer, or the client has gone
     int attempts = 0;
     int out = 0;  // of them
@@ -100,7 +104,7 @@
 
   // ActionSink
   void send(RequestId id, std::string_view host, Time until) override;
-  void refuse(RequestId id, Duration retry_after) override;
+  void reject(RequestId id, Duration retry_after) override;
   void fail(RequestId id) override;
   void set_timer(Time at, std::uint64_t tag) override;
   void drop_timer(std::uint64_t tag) override;
@@ -111,11 +115,11 @@
   Time now() const override { return clock_.now(); }
   void learn_unix_time(const HostList& list);
   std::optional<HostStart> start_of(const ListedHost& host) const;
-  Permit permit(const Attempt& attempt) const override;
+  SendPermission may_send(const Attempt& attempt) const override;
   void on_begin(const AttemptPtr& attempt, const StreamPtr& stream) override;
   void on_end(const AttemptPtr& attempt, Result result, std::string value) override;
 
-  bool is_there(const Call& call) const;
+  bool is_connected(const Call& call) const;
   void look();
   void watch();
   void let_go(const char* why);
@@ -123,7 +127,7 @@
   void on_timer();
   void work_off();
   void forget_timer(std::uint64_t tag);
-  void finish(RequestId id, Final final);
+  void finish(RequestId id, Response final);
   void end_call(RequestId id, Call& call);
   void forget_finished();
 
@@ -131,7 +135,7 @@
   const Clock& clock_;
   const SiteSettings& site_;
   const std::function<void()> subscribe_;
-  Steering* const steering_;
+  RoutingExtension* const routing_extension_;
   // What comes due: an attempt's time-out, or a timer of the module.
   struct Due {
     AttemptPtr attempt;
@@ -153,12 +157,12 @@
   std::vector<RequestId> finished_;
   RequestId next_id_ = 1;
   std::optional<Time> drain_end_;
-  std::optional<recovery::Standing> standing_;  // none: nothing is held back
+  std::optional<recovery::StallGuard> stall_guard_;  // none: nothing is held back
   std::function<void()> confirm_;
   std::function<void(const std::string&)> log_;
   boost::asio::steady_timer look_timer_, hold_timer_;
-  std::vector<AttemptPtr> parked_;  // bounded by the requests that are open
+  std::vector<AttemptPtr> held_;  // bounded by the requests that are open
   std::string origin_;
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/core/timing_wheel.h
+++ b/src/dispatch/timing_wheel.h
@@ -10,7 +10,7 @@
 
 #include "structures/time.h"
 
-namespace silverpin {
+namespace balancer {
 
 // Timers by the thousand, most of which are taken back before they are due: a hierarchical timing
 // wheel (Varghese and Lauck 1987, scheme 7) of kLevels wheels with 64 slots each. Setting and
@@ -191,4 +191,4 @@
   std::size_t size_ = 0;
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/dissemination/change_log.cc
+++ b/src/dissemination/change_log.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace silverpin::dissemination {
+namespace balancer::dissemination {
 
 bool ChangeLog::append(EntryPtr entry) {
   if (entry->sequence != last_ + 1) return false;
@@ -61,4 +61,4 @@
   return piece;
 }
 
-}  // namespace silverpin::dissemination
+}  // namespace balancer::dissemination
--- a/src/dissemination/change_log.h
+++ b/src/dissemination/change_log.h
@@ -8,7 +8,7 @@
 
 #include "dissemination/messages.h"
 
-namespace silverpin::dissemination {
+namespace balancer::dissemination {
 
 // The newest consecutive entries of one channel, in bounded memory: the oldest are dropped.
 class ChangeLog {
@@ -61,4 +61,4 @@
   std::unordered_map<std::string, Sequence> by_key_;
 };
 
-}  // namespace silverpin::dissemination
+}  // namespace balancer::dissemination
--- a/src/dissemination/hop_retransmit.cc
+++ b/src/dissemination/hop_retransmit.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-namespace silverpin::dissemination {
+namespace balancer::dissemination {
 
 void HopRetransmit::sent(Time now, const Relays& relays, const Batch& batch) {
   if (batch.entries.empty()) return;  // a heartbeat; another follows
@@ -33,4 +33,4 @@
   return resends;
 }
 
-}  // namespace silverpin::dissemination
+}  // namespace balancer::dissemination
--- a/src/dissemination/hop_retransmit.h
+++ b/src/dissemination/hop_retransmit.h
@@ -8,7 +8,7 @@
 #include "dissemination/relay_tree.h"
 #include "structures/time.h"
 
-namespace silverpin::dissemination {
+namespace balancer::dissemination {
 
 // Batches that were sent to the relay of a region or site and not acknowledged yet. One lost there
 // is missing at all members below, who would each ask for it; so it is sent again, at last to the
@@ -44,4 +44,4 @@
   std::deque<Unacked> unacked_;  // by time due: the interval is the same for all
 };
 
-}  // namespace silverpin::dissemination
+}  // namespace balancer::dissemination
--- a/src/dissemination/messages.cc
+++ b/src/dissemination/messages.cc
@@ -1,6 +1,6 @@
 #include "dissemination/messages.h"
 
-namespace silverpin::dissemination {
+namespace balancer::dissemination {
 namespace {
 
 // Protocol buffers: a tag and a varint.
@@ -45,4 +45,4 @@
   return kDatagramOverhead + std::visit([](const auto& body) { return size_of(body); }, message);
 }
 
-}  // namespace silverpin::dissemination
+}  // namespace balancer::dissemination
--- a/src/dissemination/messages.h
+++ b/src/dissemination/messages.h
@@ -14,7 +14,7 @@
 // A change has a position: a channel, and a sequence number there. Numbers are given by one source
 // at a time, under its term; the next source has the next term and goes on behind the last number
 // that it knows.
-namespace silverpin::dissemination {
+namespace balancer::dissemination {
 
 using Term = std::uint64_t;      // of a source; 0: none yet
 using Sequence = std::uint64_t;  // within a channel, from 1; 0: before the first
@@ -119,4 +119,4 @@
 // An upper bound on a message's bytes on the wire, with kDatagramOverhead.
 std::size_t wire_size(const Message& message);
 
-}  // namespace silverpin::dissemination
+}  // namespace balancer::dissemination
--- a/src/dissemination/range_repair.cc
+++ b/src/dissemination/range_repair.cc
@@ -4,7 +4,7 @@
 
 #include "structures/stable_hash.h"
 
-namespace silverpin::dissemination {
+namespace balancer::dissemination {
 
 std::uint32_t repair_stripe(Channel channel, Sequence cursor, std::uint32_t stripes) {
   return static_cast<std::uint32_t>(mix(cursor, index(channel)) % stripes);
@@ -25,4 +25,4 @@
   return answer;
 }
 
-}  // namespace silverpin::dissemination
+}  // namespace balancer::dissemination
--- a/src/dissemination/range_repair.h
+++ b/src/dissemination/range_repair.h
@@ -5,7 +5,7 @@
 #include "dissemination/change_log.h"
 #include "dissemination/messages.h"
 
-namespace silverpin::dissemination {
+namespace balancer::dissemination {
 
 // The answer to a request for a range, from the log of the asked one's own term. An asker of an
 // earlier term gets no entries, only word of the present source: what it lacks may be of another
@@ -17,4 +17,4 @@
 // The stripe whose relays look after the repair of what follows `cursor`.
 std::uint32_t repair_stripe(Channel channel, Sequence cursor, std::uint32_t stripes);
 
-}  // namespace silverpin::dissemination
+}  // namespace balancer::dissemination
--- a/src/dissemination/relay_tree.cc
+++ b/src/dissemination/relay_tree.cc
@@ -7,7 +7,7 @@
 
 #include "structures/stable_hash.h"
 
-namespace silverpin::dissemination {
+namespace balancer::dissemination {
 namespace {
 
 const std::vector<std::string> kNoNames;
@@ -118,4 +118,4 @@
   return it == groups.end() ? kNoRelays : it->second.relays[stripe % it->second.relays.size()];
 }
 
-}  // namespace silverpin::dissemination
+}  // namespace balancer::dissemination
--- a/src/dissemination/relay_tree.h
+++ b/src/dissemination/relay_tree.h
@@ -8,7 +8,7 @@
 
 #include "dissemination/messages.h"
 
-namespace silverpin::dissemination {
+namespace balancer::dissemination {
 
 // A member and where it is. Names of sites are unique over all regions.
 struct MemberPlace {
@@ -62,4 +62,4 @@
   std::map<std::string, Group> regions_, sites_;
 };
 
-}  // namespace silverpin::dissemination
+}  // namespace balancer::dissemination
--- a/src/dissemination/replica.cc
+++ b/src/dissemination/replica.cc
@@ -5,7 +5,7 @@
 #include "dissemination/range_repair.h"
 #include "structures/stable_hash.h"
 
-namespace silverpin::dissemination {
+namespace balancer::dissemination {
 namespace {
 
 using Urgency = SendQueue::Urgency;
@@ -407,4 +407,4 @@
   return now_known;
 }
 
-}  // namespace silverpin::dissemination
+}  // namespace balancer::dissemination
--- a/src/dissemination/replica.h
+++ b/src/dissemination/replica.h
@@ -16,7 +16,7 @@
 #include "dissemination/watermark.h"
 #include "structures/time.h"
 
-namespace silverpin::dissemination {
+namespace balancer::dissemination {
 
 struct ReplicaSettings {
   MemberId id;
@@ -169,4 +169,4 @@
   Time report_at_;
 };
 
-}  // namespace silverpin::dissemination
+}  // namespace balancer::dissemination
--- a/src/dissemination/send_queue.cc
+++ b/src/dissemination/send_queue.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace silverpin::dissemination {
+namespace balancer::dissemination {
 namespace {
 
 constexpr auto kBulk = static_cast<std::size_t>(SendQueue::Urgency::kBulk);
@@ -85,4 +85,4 @@
   at_ = std::max(at_, now);
 }
 
-}  // namespace silverpin::dissemination
+}  // namespace balancer::dissemination
--- a/src/dissemination/send_queue.h
+++ b/src/dissemination/send_queue.h
@@ -9,7 +9,7 @@
 #include "dissemination/messages.h"
 #include "structures/time.h"
 
-namespace silverpin::dissemination {
+namespace balancer::dissemination {
 
 struct SendLimits {
   double bytes_per_second = 5000;  // sent and received together
@@ -70,4 +70,4 @@
   std::uint64_t dropped_ = 0;
 };
 
-}  // namespace silverpin::dissemination
+}  // namespace balancer::dissemination
--- a/src/dissemination/source.cc
+++ b/src/dissemination/source.cc
@@ -4,7 +4,7 @@
 
 #include "dissemination/range_repair.h"
 
-namespace silverpin::dissemination {
+namespace balancer::dissemination {
 namespace {
 
 using Urgency = SendQueue::Urgency;
@@ -187,4 +187,4 @@
   return answer;
 }
 
-}  // namespace silverpin::dissemination
+}  // namespace balancer::dissemination
--- a/src/dissemination/source.h
+++ b/src/dissemination/source.h
@@ -12,7 +12,7 @@
 #include "dissemination/watermark.h"
 #include "structures/time.h"
 
-namespace silverpin::dissemination {
+namespace balancer::dissemination {
 
 struct SourceSettings {
   MemberId id;
@@ -106,4 +106,4 @@
   bool superseded_ = false;
 };
 
-}  // namespace silverpin::dissemination
+}  // namespace balancer::dissemination
--- a/src/dissemination/watermark.cc
+++ b/src/dissemination/watermark.cc
@@ -4,7 +4,7 @@
 #include <set>
 #include <utility>
 
-namespace silverpin::dissemination {
+namespace balancer::dissemination {
 namespace {
 
 // Those furthest behind first, no more than a report holds.
@@ -52,4 +52,4 @@
   std::erase_if(reports_, [&](const auto& report) { return names.count(report.first) == 0; });
 }
 
-}  // namespace silverpin::dissemination
+}  // namespace balancer::dissemination
--- a/src/dissemination/watermark.h
+++ b/src/dissemination/watermark.h
@@ -7,7 +7,7 @@
 
 #include "dissemination/messages.h"
 
-namespace silverpin::dissemination {
+namespace balancer::dissemination {
 
 // What is in force at all of a site's members, a region's sites or all regions: the least of what
 // they report. One that has never reported in the present term holds nothing, whether it is
@@ -29,4 +29,4 @@
   std::map<std::string, Report> reports_;  // by who reported
 };
 
-}  // namespace silverpin::dissemination
+}  // namespace balancer::dissemination
--- a/src/model/bound.cc
+++ b/src/fleet_simulation/bound.cc
@@ -1,23 +1,24 @@
-#include "model/bound.h"
+#include "fleet_simulation/bound.h"
 
 #include <algorithm>
 
-#include "rig/model/arrivals.h"
+#include "testbed/model/arrivals.h"
 
-namespace silverpin::model {
+namespace balancer::fleet_simulation {
 
-double most_worth(const rig::Scenario& scenario, Time from, Time to) {
+double max_worth(const testbed::Scenario& scenario, Time from, Time to) {
   double can = 0;  // seconds of hits' work that hosts do in a second
-  rig::Random speeds(scenario.seed, 1);
-  for (const rig::KindSpec& kind : scenario.kinds)
+  testbed::Random speeds(scenario.seed, 1);
+  for (const testbed::KindSpec& kind : scenario.kinds)
     for (int i = 0; i < kind.count; ++i) can += kind.host.cores * kind.speed.draw(speeds);
 
-  rig::Arrivals arrivals(scenario);
+  testbed::Arrivals arrivals(scenario);
   double reads = 0, read_work = 0, read_worth = 0, write_worth = 0, origin_taken = 0;
   Duration aim{0};
-  for (rig::Wish w = arrivals.next(); w.due < std::min(to, scenario.length); w = arrivals.next()) {
+  for (testbed::Wish w = arrivals.next(); w.due < std::min(to, scenario.length);
+       w = arrivals.next()) {
     if (w.due < from) continue;
-    const rig::ClassSpec& c = scenario.classes[static_cast<std::size_t>(w.klass)];
+    const testbed::ClassSpec& c = scenario.classes[static_cast<std::size_t>(w.request_class)];
     const double worth = c.worth * w.work / (1e-3 * c.work_ms);
     if (c.write()) {
       write_worth += worth;
@@ -30,7 +31,7 @@
     }
   }
   if (read_worth + write_worth <= 0) return 1;
-  const rig::HostSpec& origin = scenario.origin.host;
+  const testbed::HostSpec& origin = scenario.origin.host;
   const double origin_can = origin.cores * origin.speed * seconds(to - from);
   const double writes_share = std::min(1.0, origin_can / std::max(origin_taken, 1e-9));
   const double left = std::max(0.0, origin_can - origin_taken);
@@ -42,4 +43,4 @@
   return (share * read_worth + writes_share * write_worth) / (read_worth + write_worth);
 }
 
-}  // namespace silverpin::model
+}  // namespace balancer::fleet_simulation
--- a/src/model/bound.h
+++ b/src/fleet_simulation/bound.h
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "rig/model/scenario.h"
 #include "structures/time.h"
+#include "testbed/model/scenario.h"
 
-namespace silverpin::model {
+namespace balancer::fleet_simulation {
 
 // The part of the worth asked for from `from` up to `to` that no policy can exceed which knows each
 // host's speed, but not how heavy a request is before it has run: the hosts work all the time and
@@ -11,6 +11,6 @@
 // as the mean, and nothing is done for those who have gone. Work may end an aim behind `to`.
 // Incidents other than demand and bursts are left out: they only lower what can be had.
 // In [0, 1]; 1 where nothing is asked for.
-double most_worth(const rig::Scenario& scenario, Time from, Time to);
+double max_worth(const testbed::Scenario& scenario, Time from, Time to);
 
-}  // namespace silverpin::model
+}  // namespace balancer::fleet_simulation
--- a/src/model/group_sim.h
+++ b/src/fleet_simulation/group_sim.h
@@ -10,12 +10,12 @@
 #include <string>
 #include <vector>
 
-#include "group/instance.h"
+#include "group/group_node.h"
 
 // A group of instances under one simulated clock: each with a clock of its own that runs at its own
 // speed, a network that loses, delays, doubles and reorders, and a router that hears of
 // announcements. Everything follows from the seed.
-namespace silverpin::group {
+namespace balancer::group {
 
 class GroupSim {
  public:
@@ -23,12 +23,12 @@
     double loss = 0, twice = 0, late = 0;  // of datagrams; late: up to 200 ms
   };
   struct Router {
-    std::map<std::string, std::map<std::string, address::Term>> routes;  // address, instance
+    std::map<std::string, std::map<std::string, lease::Term>> routes;  // address, instance
     // Whom the route leads to: the newest term.
     std::string owner(const std::string& address) const {
       const auto it = routes.find(address);
       std::string best;
-      address::Term term = 0;
+      lease::Term term = 0;
       if (it != routes.end())
         for (const auto& [name, t] : it->second)
           if (best.empty() || t > term) best = name, term = t;
@@ -37,10 +37,11 @@
   };
 
   GroupSim(std::uint64_t seed, int instances, int addresses, int voters = 3,
-           address::KeeperSettings keeper = {})
+           lease::LeaseManagerSettings lease_manager = {})
       : random_(seed) {
-    for (int i = 0; i < addresses; ++i) keeper.addresses.push_back({"svc" + std::to_string(i), {}});
-    keeper_ = keeper;
+    for (int i = 0; i < addresses; ++i)
+      lease_manager.addresses.push_back({"svc" + std::to_string(i), {}});
+    lease_manager_ = lease_manager;
     for (int v = 0; v < voters; ++v) founding_.names.push_back(name_of(v));
     std::sort(founding_.names.begin(), founding_.names.end());
     for (int i = 0; i < instances; ++i) {
@@ -48,7 +49,7 @@
       n.name = name_of(i);
       n.rate = std::uniform_real_distribution<>(0.99, 1.01)(random_);
       n.offset = Duration(static_cast<Duration::rep>(random_() % 1'000'000'000'000));
-      n.disk = address::VoterRecord{founding_, {}};
+      n.disk = lease::VoterRecord{founding_, {}};
     }
     for (auto& [name, n] : nodes_) start(n);
   }
@@ -61,7 +62,7 @@
   // One way, by name; a router is "router".
   std::set<std::pair<std::string, std::string>> cut;
   std::function<void()> check;  // after each event
-  std::uint64_t datagrams = 0, bytes = 0, writes = 0, most_datagram = 0;
+  std::uint64_t datagrams = 0, bytes = 0, writes = 0, max_datagram = 0;
 
   Time now() const { return now_; }
   void at(Time when, std::function<void()> then) {
@@ -126,14 +127,14 @@
     // Sessions come back and tell all that is announced.
     for (auto& [name, n] : nodes_)
       if (n.instance && !n.paused)
-        for (const auto& [address, term] : n.instance->keeper().holds())
+        for (const auto& [address, term] : n.instance->lease_manager().holds())
           router.routes[address][name] = term;
   }
   void set_disk_full(const std::string& name, bool full) { nodes_.at(name).disk_full = full; }
-  void set_able(const std::string& name, bool able) {
+  void set_able(const std::string& name, bool eligible) {
     Node& n = nodes_.at(name);
-    n.able = able;
-    if (n.instance) n.instance->on_able(local(n), able, "told so");
+    n.eligible = eligible;
+    if (n.instance) n.instance->on_eligible(local(n), eligible, "told so");
     if (n.instance) work(n);
   }
   void leave(const std::string& name) {
@@ -150,7 +151,7 @@
   }
 
   // ---- what is seen
-  Instance* instance(const std::string& name) { return nodes_.at(name).instance.get(); }
+  GroupNode* instance(const std::string& name) { return nodes_.at(name).instance.get(); }
   bool paused(const std::string& name) const { return nodes_.at(name).paused; }
   std::vector<std::string> names() const {
     std::vector<std::string> all;
@@ -162,7 +163,8 @@
     std::vector<std::string> all;
     for (const auto& [name, n] : nodes_)
       if (n.instance)
-        if (const auto* t = n.instance->keeper().tenure(address); t && t->holds(local(n)))
+        if (const auto* t = n.instance->lease_manager().lease_holder(address);
+            t && t->holds(local(n)))
           all.push_back(name);
     return all;
   }
@@ -170,10 +172,10 @@
   std::vector<std::string> serving(const std::string& address) const {
     std::vector<std::string> all;
     for (const auto& [name, n] : nodes_) {
-      const auto* t = n.instance ? n.instance->keeper().tenure(address) : nullptr;
+      const auto* t = n.instance ? n.instance->lease_manager().lease_holder(address) : nullptr;
       if (!t || n.paused || !t->may_serve(local(n), Duration{0})) continue;
       const auto since = t->giving_up_since();
-      if (!since || local(n) - *since >= keeper_.times.overlap) all.push_back(name);
+      if (!since || local(n) - *since >= lease_manager_.times.overlap) all.push_back(name);
     }
     return all;
   }
@@ -186,7 +188,7 @@
     const auto owner = router.owner(address);
     if (owner.empty()) return false;
     const Node& n = nodes_.at(owner);
-    const auto* t = n.instance ? n.instance->keeper().tenure(address) : nullptr;
+    const auto* t = n.instance ? n.instance->lease_manager().lease_holder(address) : nullptr;
     return t && !n.paused && t->holds(local(n)) && cut.count({owner, "router"}) == 0;
   }
   const std::vector<std::string>& lines() const { return lines_; }
@@ -197,14 +199,14 @@
     std::string name;
     double rate = 1;
     Duration offset{0};
-    std::unique_ptr<Instance> instance;
-    std::optional<address::VoterRecord> disk;
+    std::unique_ptr<GroupNode> instance;
+    std::optional<lease::VoterRecord> disk;
     std::uint64_t life = 0, epoch = 0;
     Time armed = Time::max();
-    bool paused = false, able = true, disk_full = false;
+    bool paused = false, eligible = true, disk_full = false;
     std::vector<std::pair<std::string, Datagram>> inbox;
     GroupSim* sim = nullptr;
-    bool keep(const address::VoterRecord& record) override {
+    bool keep(const lease::VoterRecord& record) override {
       if (disk_full) return false;
       ++sim->writes;
       disk = record;
@@ -234,15 +236,15 @@
     ++n.epoch;
     n.paused = false;
     n.inbox.clear();
-    InstanceSettings s;
+    GroupNodeSettings s;
     s.name = n.name;
     s.endpoint = n.name + ":1";
     s.life = ++n.life;
     for (int i = 0; i < 3; ++i) s.group.seeds.push_back(name_of(i) + ":1");
-    s.keeper = keeper_;
+    s.lease_manager = lease_manager_;
     s.founding = founding_;
-    n.instance = std::make_unique<Instance>(s, n.disk, n, random_(), local(n));
-    n.instance->on_able(local(n), n.able, "starts");
+    n.instance = std::make_unique<GroupNode>(s, n.disk, n, random_(), local(n));
+    n.instance->on_eligible(local(n), n.eligible, "starts");
     n.armed = Time::max();
     work(n);
   }
@@ -250,7 +252,7 @@
   // Carries out what the instance wants, and calls it again when it is due.
   void work(Node& n) {
     for (auto& s : n.instance->take_sends()) send(n, std::move(s));
-    for (const auto& c : n.instance->take_carries()) carry(n, c);
+    for (const auto& c : n.instance->take_route_actions()) carry(n, c);
     for (auto& line : n.instance->take_lines())
       lines_.push_back(std::to_string(now_.count() / 1'000'000) + " ms " + n.name + " " + line);
     arm(n, true_time(n, n.instance->next()));
@@ -266,14 +268,14 @@
       work(n);
     });
   }
-  void send(Node& from, Instance::Send s) {
+  void send(Node& from, GroupNode::Send s) {
     const std::string to = s.endpoint.substr(0, s.endpoint.find(':'));
     const auto it = nodes_.find(to);
     ++datagrams;
     Datagram d{from.name, from.life, ++sequence_, s.to, std::move(s.body)};
     const auto size = encode(d).size();
     bytes += size;
-    most_datagram = std::max<std::uint64_t>(most_datagram, size);
+    max_datagram = std::max<std::uint64_t>(max_datagram, size);
     if (it == nodes_.end() || cut.count({from.name, to}) > 0 || chance(faults.loss)) return;
     const int copies = chance(faults.twice) ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
@@ -293,8 +295,8 @@
     n.instance->on_datagram(local(n), endpoint, d);
     work(n);
   }
-  void carry(Node& n, const address::Keeper::Carry& c) {
-    using Kind = address::Tenure::Carry::Kind;
+  void carry(Node& n, const lease::LeaseManager::RouteAction& c) {
+    using Kind = lease::LeaseHolder::RouteAction::Kind;
     const Duration takes = std::chrono::microseconds(500 + random_() % 5000);
     const auto epoch = n.epoch;
     if (c.what.kind == Kind::kFade) return;
@@ -302,7 +304,7 @@
       if (epoch != n.epoch || !n.instance || n.paused) return;
       const bool reaches = cut.count({n.name, "router"}) == 0;
       if (c.what.kind == Kind::kAnnounce) {
-        if (reaches && n.instance->keeper().tenure(c.address)->listens())
+        if (reaches && n.instance->lease_manager().lease_holder(c.address)->listens())
           router.routes[c.address][n.name] = c.what.term;
         n.instance->on_announced(local(n), c.address);
       } else {
@@ -323,8 +325,8 @@
   bool chance(double p) { return p > 0 && std::uniform_real_distribution<>(0, 1)(random_) < p; }
 
   std::mt19937_64 random_;
-  address::KeeperSettings keeper_;
-  address::Voters founding_;
+  lease::LeaseManagerSettings lease_manager_;
+  lease::Voters founding_;
   std::map<std::string, Node> nodes_;
   std::priority_queue<Event> events_;
   Time now_{std::chrono::seconds(1000)};
@@ -332,4 +334,4 @@
   std::vector<std::string> lines_;
 };
 
-}  // namespace silverpin::group
+}  // namespace balancer::group
--- a/src/model/plant.cc
+++ b/src/fleet_simulation/plant.cc
@@ -1,47 +1,47 @@
-#include "model/plant.h"
+#include "fleet_simulation/plant.h"
 
 #include <algorithm>
 #include <cmath>
 #include <stdexcept>
 #include <utility>
 
-namespace silverpin::model {
+namespace balancer::fleet_simulation {
 namespace {
 
-using rig::End;
-using rig::What;
+using testbed::End;
+using testbed::What;
 
-constexpr Duration kLeastBudget = std::chrono::milliseconds(5);
+constexpr Duration kMinBudget = std::chrono::milliseconds(5);
 constexpr Duration kHeld = std::chrono::milliseconds(10);
-constexpr std::size_t kStoredAt = 2;         // hosts that keep what was fetched for them
-constexpr std::size_t kMostMissed = 50'000;  // requests whose misses are remembered
+constexpr std::size_t kStoredAt = 2;        // hosts that keep what was fetched for them
+constexpr std::size_t kMaxMissed = 50'000;  // requests whose misses are remembered
 constexpr Duration kRestartTime = std::chrono::seconds(1);
 
 std::size_t index(int n) { return static_cast<std::size_t>(n); }
 
 // As the platform tells a balancer, in the words of `Fleet::settings_json`.
-Settings settings_of(const rig::Scenario& s) {
+Settings settings_of(const testbed::Scenario& s) {
   Settings out;
   out.balancers = s.balancers;
-  for (const rig::ClassSpec& c : s.classes) {
+  for (const testbed::ClassSpec& c : s.classes) {
     RequestClass k;
     k.aim = c.aim;
     k.deadline = c.deadline;
-    k.repeat = c.effect == rig::Effect::kSafe    ? Repeat::kSafe
-               : c.effect == rig::Effect::kKeyed ? Repeat::kKeyed
-                                                 : Repeat::kUnsafe;
-    k.repeat_window = c.window;
+    k.idempotency = c.effect == testbed::Effect::kSafe    ? Idempotency::kIdempotent
+                    : c.effect == testbed::Effect::kKeyed ? Idempotency::kIdempotencyKey
+                                                          : Idempotency::kNone;
+    k.deduplication_window = c.window;
     out.classes.push_back(k);
   }
-  for (const rig::TenantSpec& t : s.tenants)
+  for (const testbed::TenantSpec& t : s.tenants)
     out.tenant_quotas.push_back(t.quota_per_s > 0 ? t.quota_per_s : 1e9);
-  out.look_aside = true;
-  out.list_on_request = false;
-  out.second_copies = true;
+  out.cache_aside = true;
+  out.discovery_is_polled = false;
+  out.hedging = true;
   out.max_attempts = s.max_attempts;
   out.max_retry_after = s.max_retry_after;
   out.cold.start_capacity = 1;
-  for (const rig::KindSpec& k : s.kinds) {
+  for (const testbed::KindSpec& k : s.kinds) {
     out.cold.start_capacity = std::min(out.cold.start_capacity, k.host.cold_share);
     out.cold.warm_after = std::max(out.cold.warm_after, k.host.cold_time);
   }
@@ -51,8 +51,8 @@
 }  // namespace
 
 struct Plant::Call {
-  rig::Wish wish;
-  rig::Random random{0};
+  testbed::Wish wish;
+  testbed::Random random{0};
   bool honours = true;
   Time ends{0};
   double worth = 0;
@@ -87,7 +87,7 @@
   void send(RequestId id, std::string_view host, Time until) override {
     plant.send(number, id, host, until);
   }
-  void refuse(RequestId id, Duration wait) override { plant.finish(id, End::kRefused, wait); }
+  void reject(RequestId id, Duration wait) override { plant.finish(id, End::kRefused, wait); }
   void fail(RequestId id) override { plant.finish(id, End::kFailed, Duration{0}); }
   void set_timer(Time time, std::uint64_t tag) override { plant.set_timer(number, time, tag); }
   void subscribe() override {}
@@ -105,11 +105,11 @@
   std::string id;
   int zone = 0;
   bool origin = false;
-  rig::HostSpec spec;
+  testbed::HostSpec spec;
   double miss_work = 0;
   std::size_t memory = 0;
-  std::optional<rig::HostModel> model;
-  rig::ObjectStore objects{0};
+  std::optional<testbed::HostModel> model;
+  testbed::ObjectStore objects{0};
   std::optional<Time> started_at;
   HostState state = HostState::kServing;
   int life = 0;
@@ -117,7 +117,7 @@
   double done_before = 0;
 };
 
-Plant::Plant(const rig::Scenario& scenario, const Options& options)
+Plant::Plant(const testbed::Scenario& scenario, const Options& options)
     : scenario_(scenario),
       options_(options),
       settings_(settings_of(scenario)),
@@ -125,7 +125,7 @@
       arrivals_(scenario),
       tally_(scenario),
       cold_loads_(scenario) {
-  for (const rig::IncidentSpec& i : scenario.incidents) {
+  for (const testbed::IncidentSpec& i : scenario.incidents) {
     switch (i.what) {
       case What::kKill:
       case What::kRestart:
@@ -142,9 +142,9 @@
     }
   }
   if (options.ignores_warmth) settings_.cold = {};
-  rig::Random speeds(scenario.seed, 1);
+  testbed::Random speeds(scenario.seed, 1);
   int number = 0;
-  for (const rig::KindSpec& kind : scenario.kinds)
+  for (const testbed::KindSpec& kind : scenario.kinds)
     for (int i = 0; i < kind.count; ++i, ++number) {
       auto host = std::make_unique<Host>();
       host->id = "h" + std::to_string(number);
@@ -167,13 +167,13 @@
         host->objects.put(
             key, static_cast<std::size_t>(
                      (scenario.load.value_bytes.low + scenario.load.value_bytes.high) / 2));
-  rig::Random parts(scenario.seed, 21);
+  testbed::Random parts(scenario.seed, 21);
   for (int b = 0; b < scenario.balancers; ++b) {
     balancers_.push_back(std::make_unique<Balancer>(*this, b));
     balancers_.back()->part = parts.lognormal(1, options_.unevenness);
     start_balancer(b);
   }
-  for (const rig::IncidentSpec& i : scenario_.incidents) at(i.at, [this, &i] { strike(i); });
+  for (const testbed::IncidentSpec& i : scenario_.incidents) at(i.at, [this, &i] { strike(i); });
   at(options_.sampled, [this] { sample(); });
   if (options_.origin_held || options_.caches_held) hold();
   arrive();
@@ -201,18 +201,18 @@
 // ---- clients
 
 void Plant::arrive() {
-  rig::Wish wish = arrivals_.next();
+  testbed::Wish wish = arrivals_.next();
   if (wish.due > scenario_.length) return;
   const Time due = wish.due;
   at(due, [this, wish = std::move(wish)]() mutable {
-    const rig::ClassSpec& klass = scenario_.classes[index(wish.klass)];
+    const testbed::ClassSpec& request_class = scenario_.classes[index(wish.request_class)];
     auto call = std::make_shared<Call>();
-    call->random = rig::Random(wish.seed);
+    call->random = testbed::Random(wish.seed);
     call->honours = call->random.chance(scenario_.load.honour);
-    call->ends = wish.due + klass.deadline;
-    call->worth = tally_.worth_of(wish.due, wish.klass, wish.tenant, wish.work);
+    call->ends = wish.due + request_class.deadline;
+    call->worth = tally_.worth_of(wish.due, wish.request_class, wish.tenant, wish.work);
     call->wish = std::move(wish);
-    tally_.on_asked(call->wish.due, call->wish.klass, call->wish.tenant, call->worth);
+    tally_.on_asked(call->wish.due, call->wish.request_class, call->wish.tenant, call->worth);
     start_try(call);
     arrive();
   });
@@ -237,13 +237,13 @@
 }
 
 void Plant::start_try(const CallPtr& call) {
-  const rig::ClassSpec& klass = scenario_.classes[index(call->wish.klass)];
-  const rig::Range& share = scenario_.load.try_share;
+  const testbed::ClassSpec& request_class = scenario_.classes[index(call->wish.request_class)];
+  const testbed::Range& share = scenario_.load.try_share;
   const Duration patience =
-      from_seconds(seconds(klass.deadline) * call->random.uniform(share.low, share.high));
+      from_seconds(seconds(request_class.deadline) * call->random.uniform(share.low, share.high));
   const Time until = std::min(call->ends, now_ + patience);
   ++call->tries;
-  if (until - now_ < kLeastBudget) return end(call, End::kFailed);
+  if (until - now_ < kMinBudget) return end(call, End::kFailed);
   const int b = deal(call->wish.zone);
   if (b < 0 || !balancers_[index(b)]->policy) return try_over(call, End::kFailed, Duration{0});
   tally_.on_try();
@@ -258,28 +258,29 @@
 }
 
 void Plant::try_over(const CallPtr& call, End how, Duration retry_after) {
-  const rig::ClassSpec& klass = scenario_.classes[index(call->wish.klass)];
+  const testbed::ClassSpec& request_class = scenario_.classes[index(call->wish.request_class)];
   if (how == End::kInAim)
-    return end(call, now_ <= call->wish.due + klass.aim ? End::kInAim
-                     : now_ <= call->ends               ? End::kLate
-                                                        : End::kFailed);
-  const bool harmless =
-      how == End::kRefused || klass.effect == rig::Effect::kSafe ||
-      (klass.effect == rig::Effect::kKeyed && now_ < call->wish.due + klass.window);
-  const rig::LoadSpec& load = scenario_.load;
+    return end(call, now_ <= call->wish.due + request_class.aim ? End::kInAim
+                     : now_ <= call->ends                       ? End::kLate
+                                                                : End::kFailed);
+  const bool harmless = how == End::kRefused || request_class.effect == testbed::Effect::kSafe ||
+                        (request_class.effect == testbed::Effect::kKeyed &&
+                         now_ < call->wish.due + request_class.window);
+  const testbed::LoadSpec& load = scenario_.load;
   double pause = 0;
-  if (load.backoff == rig::Backoff::kFixed) pause = load.backoff_ms;
-  if (load.backoff == rig::Backoff::kExponential)
+  if (load.backoff == testbed::Backoff::kFixed) pause = load.backoff_ms;
+  if (load.backoff == testbed::Backoff::kExponential)
     pause = load.backoff_ms * std::pow(2, call->tries - 1) * call->random.uniform(0.5, 1.5);
   Duration wait = from_seconds(1e-3 * pause);
   if (call->honours) wait = std::max(wait, std::min(retry_after, scenario_.max_retry_after));
-  if (!harmless || call->tries > load.retries || now_ + wait + kLeastBudget > call->ends)
+  if (!harmless || call->tries > load.retries || now_ + wait + kMinBudget > call->ends)
     return end(call, how);
   after(wait, [this, call] { start_try(call); });
 }
 
 void Plant::end(const CallPtr& call, End how) {
-  tally_.on_end(call->wish.due, now_, call->wish.klass, call->wish.tenant, call->worth, how);
+  tally_.on_end(call->wish.due, now_, call->wish.request_class, call->wish.tenant, call->worth,
+                how);
 }
 
 // ---- balancers
@@ -306,8 +307,8 @@
   Balancer& balancer = *balancers_[index(b)];
   ++balancer.life;
   balancer.policy.emplace(
-      settings_, rig::Random(scenario_.seed * 1000 + index(b), index(balancer.life)).next(), now_,
-      balancer);
+      settings_, testbed::Random(scenario_.seed * 1000 + index(b), index(balancer.life)).next(),
+      now_, balancer);
   balancer.listed = true;
   balancer.policy->on_hosts(now_, ListKind::kWhole, whole_list());
 }
@@ -339,10 +340,10 @@
   if (t == tries_.end() || t->second.life != balancer.life) return;  // killed meanwhile
   Request q;
   q.id = id;
-  q.klass = call->wish.klass;
+  q.request_class = call->wish.request_class;
   q.tenant = call->wish.tenant;
   q.key = call->wish.key;
-  q.write = scenario_.classes[index(q.klass)].write();
+  q.write = scenario_.classes[index(q.request_class)].write();
   if (call->wish.hint > 0) q.work = from_seconds(call->wish.hint);
   q.budget = until - now_ - 2 * options_.way;
   ++present_.tries;
@@ -371,7 +372,7 @@
   a.host = h;
   a.key = t.call->wish.key;
   a.work = t.call->wish.work;
-  a.write = scenario_.classes[index(t.call->wish.klass)].write();
+  a.write = scenario_.classes[index(t.call->wish.request_class)].write();
   a.sent = now_;
   attempts_.emplace(number, std::move(a));
   after(options_.way, [this, number] { take(number); });
@@ -430,7 +431,7 @@
   Host& host = *hosts_[h];
   ++host.life;
   host.model.emplace(host.spec, now_, cold);
-  if (!host.origin) host.objects = rig::ObjectStore(host.memory);
+  if (!host.origin) host.objects = testbed::ObjectStore(host.memory);
   host.state = HostState::kServing;
   if (!cold) return;
   host.started_at = now_;
@@ -464,7 +465,7 @@
   a.host_life = host.life;
   double work = 0;
   if (host.origin) {
-    rig::Random draw(scenario_.seed ^ stable_hash(a.key) ^ a.request, 8);
+    testbed::Random draw(scenario_.seed ^ stable_hash(a.key) ^ a.request, 8);
     work = 1e-3 * draw.lognormal(a.write ? scenario_.origin.write_ms : scenario_.origin.read_ms,
                                  scenario_.origin.cv);
   } else {
@@ -474,12 +475,12 @@
                            a.balancer);
   }
   switch (host.model->submit(now_, number, work, a.balancer)) {
-    case rig::HostModel::Answer::kTaken:
+    case testbed::HostModel::Answer::kTaken:
       a.here = true;
       return step(a.host);
-    case rig::HostModel::Answer::kBusy:
+    case testbed::HostModel::Answer::kBusy:
       return answer(number, Result::kRejected);
-    case rig::HostModel::Answer::kDown: {
+    case testbed::HostModel::Answer::kDown: {
       ++fallen_;
       const std::size_t h = a.host;
       answer(number, Result::kReset);
@@ -495,11 +496,11 @@
   if (!host.model) return;
   const int life = host.life;
   for (const auto& event : host.model->advance(now_))
-    if (event.kind == rig::HostModel::Event::Kind::kDone) done(event.job);
+    if (event.kind == testbed::HostModel::Event::Kind::kDone) done(event.job);
   if (!host.model || host.life != life) return;
   const Time next = host.model->next();
   const std::uint64_t mine = ++host.step;
-  if (next == rig::kNever) return;
+  if (next == testbed::kNever) return;
   at(next, [this, h, mine] {
     if (hosts_[h]->step == mine) step(h);
   });
@@ -519,7 +520,7 @@
       if (missed.empty()) missed_order_.push_back(a.request);
       if (missed.size() < kStoredAt) missed.push_back(a.host);
       // What the origin does for those who gave up is stored as well.
-      for (; missed_order_.size() > kMostMissed; missed_order_.pop_front())
+      for (; missed_order_.size() > kMaxMissed; missed_order_.pop_front())
         missed_.erase(missed_order_.front());
     }
   } else if (a.write) {
@@ -531,7 +532,7 @@
     present_.origin_worst = std::max(present_.origin_worst, took);
     ++present_.fetches;
     if (const auto missed = missed_.find(a.request); missed != missed_.end()) {
-      const rig::Range& v = scenario_.load.value_bytes;
+      const testbed::Range& v = scenario_.load.value_bytes;
       for (const std::size_t h : missed->second)
         hosts_[h]->objects.put(a.key, static_cast<std::size_t>((v.low + v.high) / 2));
       missed_.erase(missed);
@@ -555,12 +556,12 @@
 
 // ---- incidents
 
-std::vector<std::size_t> Plant::struck(const rig::IncidentSpec& i) const {
+std::vector<std::size_t> Plant::struck(const testbed::IncidentSpec& i) const {
   std::vector<std::size_t> all;
   for (std::size_t h = 0; h + 1 < hosts_.size(); ++h) {
     int number = static_cast<int>(h);
     std::string kind;
-    for (const rig::KindSpec& k : scenario_.kinds) {
+    for (const testbed::KindSpec& k : scenario_.kinds) {
       if (number < k.count && kind.empty()) kind = k.name;
       number -= k.count;
     }
@@ -569,7 +570,7 @@
         (i.zone.empty() || i.zone == scenario_.zones[index(host.zone)].name))
       all.push_back(h);
   }
-  rig::Random draw(scenario_.seed, 1000 + static_cast<std::uint64_t>(i.line));
+  testbed::Random draw(scenario_.seed, 1000 + static_cast<std::uint64_t>(i.line));
   for (std::size_t n = all.size(); n > 1; --n) std::swap(all[n - 1], all[draw.below(n)]);
   all.resize(std::min(
       all.size(), static_cast<std::size_t>(std::ceil(i.share * static_cast<double>(all.size())))));
@@ -579,7 +580,7 @@
 
 void Plant::tell_all(const HostEntry& entry, const std::string& id) {
   for (std::size_t b = 0; b < balancers_.size(); ++b) {
-    const rig::Range& delay = scenario_.discovery.delay_ms;
+    const testbed::Range& delay = scenario_.discovery.delay_ms;
     after(from_seconds(1e-3 * delay.draw(random_)),
           [this, b, entry, id, life = balancers_[b]->life] {
             Balancer& balancer = *balancers_[b];
@@ -591,7 +592,7 @@
   }
 }
 
-void Plant::strike(const rig::IncidentSpec& i) {
+void Plant::strike(const testbed::IncidentSpec& i) {
   if (i.what == What::kBurst || i.what == What::kDemand) return;  // the arrivals know
   if (i.what == What::kBalancerKill) {
     Duration delay{0};
@@ -636,10 +637,10 @@
           });
           break;
         case What::kFlush: {
-          rig::Random draw(scenario_.seed, 5000 + static_cast<std::uint64_t>(i.line));
+          testbed::Random draw(scenario_.seed, 5000 + static_cast<std::uint64_t>(i.line));
           const auto salt = draw.next();
           host.objects.drop_if([&](const std::string& key) {
-            return rig::Random(stable_hash(key), salt).chance(i.factor);
+            return testbed::Random(stable_hash(key), salt).chance(i.factor);
           });
           break;
         }
@@ -664,8 +665,8 @@
 void Plant::hold() {
   for (const auto& b : balancers_) {
     if (!b->policy) continue;
-    const Policy::Learnt l = b->policy->learnt(now_);
-    b->policy->take_up(
+    const Policy::PolicyCheckpoint l = b->policy->checkpoint(now_);
+    b->policy->restore(
         now_,
         {0, options_.origin_held.value_or(l.origin), options_.caches_held.value_or(l.caches), {}});
   }
@@ -677,7 +678,7 @@
   for (const auto& b : balancers_) {
     if (!b->policy) continue;
     ++alive;
-    const Policy::Learnt l = b->policy->learnt(now_);
+    const Policy::PolicyCheckpoint l = b->policy->checkpoint(now_);
     present_.origin_open += l.origin;
     present_.caches_open += l.caches;
     present_.origin_least = std::min(present_.origin_least, l.origin);
@@ -704,4 +705,4 @@
   if (now_ < scenario_.length) after(options_.sampled, [this] { sample(); });
 }
 
-}  // namespace silverpin::model
+}  // namespace balancer::fleet_simulation
--- a/src/model/plant.h
+++ b/src/fleet_simulation/plant.h
@@ -11,17 +11,17 @@
 #include <vector>
 
 #include "policy/policy.h"
-#include "rig/judge/cold_load.h"
-#include "rig/judge/tally.h"
-#include "rig/model/arrivals.h"
-#include "rig/model/host_model.h"
-#include "rig/model/scenario.h"
+#include "testbed/audit/cold_load.h"
+#include "testbed/audit/counters.h"
+#include "testbed/model/arrivals.h"
+#include "testbed/model/host_model.h"
+#include "testbed/model/scenario.h"
 
 // The whole fleet under one simulated clock: clients, balancers with the real Policy each, hosts
 // and origin as the rig has them. No sockets, no threads: a scenario and its seed give one result
 // on any machine. Made to measure control loops on: their signals are kept by time beside what came
 // of it.
-namespace silverpin::model {
+namespace balancer::fleet_simulation {
 
 struct Options {
   // Loops held still, to see which of them swings against which: so far open, for the whole run.
@@ -53,15 +53,15 @@
   // `scenario` outlives it. Throws std::invalid_argument for incidents that it does not play: it
   // has hosts and origin that are killed, restarted, slow, hung or flushed, balancers that are
   // killed, and all that clients do.
-  Plant(const rig::Scenario& scenario, const Options& options);
+  Plant(const testbed::Scenario& scenario, const Options& options);
   ~Plant();
 
   void run();  // to the scenario's end, once
 
-  const rig::Tally& tally() const { return tally_; }
+  const testbed::Tally& tally() const { return tally_; }
   const std::vector<Sample>& samples() const { return samples_; }
   int fallen() const { return fallen_; }  // cold hosts that were pushed over
-  const rig::ColdLoads& cold_loads() const { return cold_loads_; }
+  const testbed::ColdLoads& cold_loads() const { return cold_loads_; }
   // Answers: each try has to get exactly one while its balancer lives.
   std::uint64_t tries() const { return tries_sent_; }
   std::uint64_t answers() const { return answers_; }
@@ -90,8 +90,8 @@
   // clients
   void arrive();
   void start_try(const CallPtr& call);
-  void try_over(const CallPtr& call, rig::End how, Duration retry_after);
-  void end(const CallPtr& call, rig::End how);
+  void try_over(const CallPtr& call, testbed::End how, Duration retry_after);
+  void end(const CallPtr& call, testbed::End how);
   int deal(int zone);
   // balancers
   void start_balancer(int b);
@@ -100,7 +100,7 @@
   std::vector<HostEntry> whole_list() const;
   void submit(int b, std::uint64_t id, const CallPtr& call, Time until);
   void send(int b, RequestId id, std::string_view host, Time until);
-  void finish(RequestId id, rig::End how, Duration retry_after);
+  void finish(RequestId id, testbed::End how, Duration retry_after);
   void attempt_over(std::uint64_t attempt, Result result);
   void set_timer(int b, Time time, std::uint64_t tag);
   // hosts
@@ -110,20 +110,20 @@
   void answer(std::uint64_t attempt, Result result);
   void start_host(std::size_t host, bool cold);
   void kill_host(std::size_t host);
-  void strike(const rig::IncidentSpec& incident);
-  std::vector<std::size_t> struck(const rig::IncidentSpec& incident) const;
+  void strike(const testbed::IncidentSpec& incident);
+  std::vector<std::size_t> struck(const testbed::IncidentSpec& incident) const;
   HostEntry entry_of(std::size_t host) const;
 
   void sample();
   void hold();
 
-  const rig::Scenario& scenario_;
+  const testbed::Scenario& scenario_;
   const Options options_;
   Settings settings_;
-  rig::Random random_;
-  rig::Arrivals arrivals_;
-  rig::Tally tally_;
-  rig::ColdLoads cold_loads_;
+  testbed::Random random_;
+  testbed::Arrivals arrivals_;
+  testbed::Tally tally_;
+  testbed::ColdLoads cold_loads_;
   Time now_{0};
   std::uint64_t next_event_ = 0, next_request_ = 1, next_attempt_ = 1;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
@@ -140,4 +140,4 @@
   int fallen_ = 0;
 };
 
-}  // namespace silverpin::model
+}  // namespace balancer::fleet_simulation
--- a/src/model/tables.cc
+++ b/src/fleet_simulation/tables.cc
@@ -1,12 +1,12 @@
-#include "model/tables.h"
+#include "fleet_simulation/tables.h"
 
 #include <algorithm>
 #include <cstdio>
 
-#include "model/bound.h"
-#include "rig/judge/service.h"
+#include "fleet_simulation/bound.h"
+#include "testbed/audit/service.h"
 
-namespace silverpin::model {
+namespace balancer::fleet_simulation {
 namespace {
 
 template <typename... T>
@@ -20,7 +20,7 @@
   add(out, "%6s %6s | %6s %6s %6s %6s | %5s %5s %6s %6s %5s | %5s %6s %6s %5s %5s\n", "s", "worth",
       "origin", "least", "most", "caches", "fetch", "write", "mean", "worst", "queue", "tries",
       "early", "later", "fail", "busy");
-  const auto worth = rig::worth_by_second(plant.tally().by_second());
+  const auto worth = testbed::worth_by_second(plant.tally().by_second());
   for (const Sample& s : plant.samples()) {
     const auto second = static_cast<std::size_t>(std::max(0.0, seconds(s.at) - 0.25));
     add(out,
@@ -34,9 +34,9 @@
 }
 
 // More demand than can be met: what was served of it from the third second on, beside the bound.
-void beside_bound(std::string& out, const rig::Scenario& scenario, const Plant& plant) {
-  for (const rig::IncidentSpec& i : scenario.incidents) {
-    if (i.what != rig::What::kDemand || i.length < std::chrono::seconds(4)) continue;
+void beside_bound(std::string& out, const testbed::Scenario& scenario, const Plant& plant) {
+  for (const testbed::IncidentSpec& i : scenario.incidents) {
+    if (i.what != testbed::What::kDemand || i.length < std::chrono::seconds(4)) continue;
     const Time from = i.at + std::chrono::seconds(2), to = i.at + i.length;
     const auto& by_second = plant.tally().by_second();
     double asked = 0, served = 0;
@@ -45,7 +45,7 @@
       asked += by_second[s].worth_asked;
       served += by_second[s].worth_served;
     }
-    const double got = asked > 0 ? served / asked : 1, most = most_worth(scenario, from, to);
+    const double got = asked > 0 ? served / asked : 1, most = max_worth(scenario, from, to);
     add(out,
         "       demand from %.0f to %.0f s: worth %.1f of the %.1f at most that could be had: "
         "%.0f%%\n",
@@ -55,12 +55,12 @@
 
 }  // namespace
 
-std::string table(rig::Scenario scenario, const TableOptions& options) {
+std::string table(testbed::Scenario scenario, const TableOptions& options) {
   std::string out;
   Time first = scenario.length, last{0};
-  for (const rig::IncidentSpec& i : scenario.incidents) {
+  for (const testbed::IncidentSpec& i : scenario.incidents) {
     first = std::min(first, i.at);
-    last = std::max(last, i.at + (i.what == rig::What::kDemand ? i.length : Duration{0}));
+    last = std::max(last, i.at + (i.what == testbed::What::kDemand ? i.length : Duration{0}));
   }
   const int at = static_cast<int>(seconds(first)), end = static_cast<int>(seconds(scenario.length));
   for (int n = 0; n < options.seeds; ++n, ++scenario.seed) {
@@ -71,9 +71,9 @@
       out +=
           "  seed before worst first5 area  full  swing | served: lookups writes  tries/call "
           "attempts/try fallen\n";
-    const auto worth = rig::worth_by_second(plant.tally().by_second());
-    const rig::Service s =
-        rig::service_after(worth, static_cast<int>(seconds(scenario.warm_up)), at, end);
+    const auto worth = testbed::worth_by_second(plant.tally().by_second());
+    const testbed::Service s =
+        testbed::service_after(worth, static_cast<int>(seconds(scenario.warm_up)), at, end);
     double asked[2] = {0, 0}, served[2] = {0, 0}, calls = 0;
     for (std::size_t c = 0; c < scenario.classes.size(); ++c) {
       const auto& g = plant.tally().classes()[c];
@@ -85,7 +85,7 @@
     add(out, "%6llu %6.1f %5.1f %6.1f %4.1f %5s %6.1f | %15.1f %6.1f %11.2f %12.2f %6d\n",
         static_cast<unsigned long long>(scenario.seed), 100 * s.before, 100 * s.worst,
         100 * s.first_five, s.area, s.full_after ? std::to_string(*s.full_after).c_str() : "never",
-        100 * rig::swing(worth, at + 5, std::max(at + 20, static_cast<int>(seconds(last)))),
+        100 * testbed::swing(worth, at + 5, std::max(at + 20, static_cast<int>(seconds(last)))),
         100 * served[0] / std::max(1.0, asked[0]), 100 * served[1] / std::max(1.0, asked[1]),
         static_cast<double>(plant.tries()) / std::max(1.0, calls),
         static_cast<double>(plant.attempts()) / std::max(1.0, static_cast<double>(plant.tries())),
@@ -95,4 +95,4 @@
   return out;
 }
 
-}  // namespace silverpin::model
+}  // namespace balancer::fleet_simulation
--- a/src/model/tables.h
+++ b/src/fleet_simulation/tables.h
@@ -2,9 +2,9 @@
 
 #include <string>
 
-#include "model/plant.h"
+#include "fleet_simulation/plant.h"
 
-namespace silverpin::model {
+namespace balancer::fleet_simulation {
 
 // Runs of one scenario on the plant, as text: loops and worth by half second of the first seed
 // (with `by_time`), and a line a seed with what the first incident cost.
@@ -13,6 +13,6 @@
   int seeds = 1;
   bool by_time = true;
 };
-std::string table(rig::Scenario scenario, const TableOptions& options);
+std::string table(testbed::Scenario scenario, const TableOptions& options);
 
-}  // namespace silverpin::model
+}  // namespace balancer::fleet_simulation
--- a/src/front/admin/admin_server.cc
+++ b/src/frontend/admin/admin_server.cc
@@ -1,4 +1,4 @@
-#include "front/admin/admin_server.h"
+#include "frontend/admin/admin_server.h"
 
 #include <algorithm>
 #include <array>
@@ -10,7 +10,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace silverpin::admin {
+namespace balancer::admin {
 namespace {
 
 namespace asio = boost::asio;
@@ -160,7 +160,7 @@
 
 void AdminServer::on_acceptable() {
   for (int i = 0; i < kAcceptBatch; ++i) {
-    if (sessions_.size() >= kMostCallers && !make_room()) return accept_later();
+    if (sessions_.size() >= kMaxCallers && !make_room()) return accept_later();
     asio::ip::tcp::socket socket(io_);
     error_code e;
     acceptor_.accept(socket, e);
@@ -200,4 +200,4 @@
   }
 }
 
-}  // namespace silverpin::admin
+}  // namespace balancer::admin
--- a/src/front/admin/admin_server.h
+++ b/src/frontend/admin/admin_server.h
@@ -6,9 +6,9 @@
 #include <list>
 #include <memory>
 
-#include "front/admin/calls.h"
+#include "frontend/admin/calls.h"
 
-namespace silverpin::admin {
+namespace balancer::admin {
 
 // Operators' HTTP/1.1: one call to a connection. Its descriptors and bytes are set aside from the
 // clients', so no crowd of those can use them up; its own callers are bounded in number and time,
@@ -16,8 +16,8 @@
 class AdminServer {
  public:
   // Of its connections, and with the listener of its descriptors.
-  static constexpr std::size_t kMostCallers = 15;
-  static constexpr std::size_t kDescriptors = kMostCallers + 1;
+  static constexpr std::size_t kMaxCallers = 15;
+  static constexpr std::size_t kDescriptors = kMaxCallers + 1;
 
   // Listens when it returns. Throws std::runtime_error if it cannot.
   AdminServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen,
@@ -43,4 +43,4 @@
   std::list<std::shared_ptr<Session>> sessions_;  // oldest first
 };
 
-}  // namespace silverpin::admin
+}  // namespace balancer::admin
--- a/src/front/admin/calls.cc
+++ b/src/frontend/admin/calls.cc
@@ -1,10 +1,10 @@
-#include "front/admin/calls.h"
+#include "frontend/admin/calls.h"
 
 #include <nlohmann/json.hpp>
 #include <optional>
 #include <vector>
 
-namespace silverpin::admin {
+namespace balancer::admin {
 namespace {
 
 using nlohmann::json;
@@ -91,4 +91,4 @@
   return error(404, "no such path");
 }
 
-}  // namespace silverpin::admin
+}  // namespace balancer::admin
--- a/src/front/admin/calls.h
+++ b/src/frontend/admin/calls.h
@@ -5,7 +5,7 @@
 #include <string_view>
 
 // What operators may call, and what each call is answered: paths and words, no sockets.
-namespace silverpin::admin {
+namespace balancer::admin {
 
 // What the calls act on. Each returns at once.
 struct Operations {
@@ -29,4 +29,4 @@
 Answer answer(std::string_view method, std::string_view target, const Operations& operations);
 Answer error(unsigned status, std::string_view reason);
 
-}  // namespace silverpin::admin
+}  // namespace balancer::admin
--- a/src/front/memcache/cache_connection.cc
+++ b/src/frontend/memcache/cache_connection.cc
@@ -1,9 +1,9 @@
-#include "front/memcache/cache_connection.h"
+#include "frontend/memcache/cache_connection.h"
 
-#include "front/memcache/deadline.h"
-#include "front/memcache/memcache_front.h"
+#include "frontend/memcache/deadline.h"
+#include "frontend/memcache/memcache_front.h"
 
-namespace silverpin {
+namespace balancer {
 
 using memcache::AnswerHead;
 using memcache::AnswerReader;
@@ -66,4 +66,4 @@
   }
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/front/memcache/cache_connection.h
+++ b/src/frontend/memcache/cache_connection.h
@@ -3,7 +3,7 @@
 #include "net/upstream_connection.h"
 #include "proto/memcache.h"
 
-namespace silverpin {
+namespace balancer {
 
 class CacheConnection : public UpstreamConnection {
  public:
@@ -19,4 +19,4 @@
   memcache::AnswerReader reader_;
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/front/memcache/deadline.h
+++ b/src/frontend/memcache/deadline.h
@@ -4,7 +4,7 @@
 
 #include "net/attempt.h"
 
-namespace silverpin {
+namespace balancer {
 
 // What an attempt that is written at `now` tells its server as `d`: how long the balancer will wait
 // for the answer, in whole milliseconds rounded down. Never more than is left of the attempt's
@@ -14,4 +14,4 @@
   return std::chrono::floor<std::chrono::milliseconds>(attempt.until - now);
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/front/memcache/memcache_front.cc
+++ b/src/frontend/memcache/memcache_front.cc
@@ -1,4 +1,4 @@
-#include "front/memcache/memcache_front.h"
+#include "frontend/memcache/memcache_front.h"
 
 #include <algorithm>
 #include <utility>
@@ -6,7 +6,7 @@
 
 #include "net/client_session.h"
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 using memcache::ClientError;
@@ -47,8 +47,8 @@
     return fault_.empty() ? Step::kTaken : Step::kFault;
   }
   std::string fault() const override { return "CLIENT_ERROR " + std::string(fault_) + "\r\n"; }
-  void on_final(ClientSession& session, Ticket ticket, const Payload& payload,
-                Final final) override {
+  void on_response(ClientSession& session, ResponseSlot ticket, const RequestPayload& payload,
+                   Response final) override {
     const Command& command = command_of(payload);
     if (final.stream)
       return session.answer(ticket.slot, head_of(command, final.stream->length()), final.stream,
@@ -67,14 +67,14 @@
   static std::string head_of(const Command& command, std::size_t length) {
     return "VA " + std::to_string(length) + " O" + command.id + "\r\n";
   }
-  static std::string text_of(const Command& command, Final final) {
-    if (final.kind == Final::Kind::kRefused) {
+  static std::string text_of(const Command& command, Response final) {
+    if (final.kind == Response::Kind::kRejected) {
       std::string text = "SERVER_ERROR busy";
       const auto ms = std::chrono::ceil<milliseconds>(final.retry_after).count();
       if (ms > 0) text += " " + std::to_string(ms);
       return text += "\r\n";
     }
-    if (final.kind == Final::Kind::kFailed) return "SERVER_ERROR failed\r\n";
+    if (final.kind == Response::Kind::kFailed) return "SERVER_ERROR failed\r\n";
     if (command.kind != Command::Kind::kGet)
       return "HD O" + command.id + " c" + final.value + "\r\n";
     std::string text = head_of(command, final.value.size());
@@ -93,20 +93,23 @@
   // Hosts tell requests apart by the clients' ids. Two with one id would get each other's answers,
   // be it a mistake or an attempt to steal one.
   if (ids_.count(command.id) > 0) return "id in use";
-  Ask ask;
-  ask.klass = index_of(site_.classes, command.prop("c"));
-  if (ask.klass < 0) return "unknown class";
-  const RequestClass& klass = site_.policy.classes[static_cast<std::size_t>(ask.klass)];
+  RequestSpec ask;
+  ask.request_class = index_of(site_.classes, command.prop("c"));
+  if (ask.request_class < 0) return "unknown class";
+  const RequestClass& request_class =
+      site_.policy.classes[static_cast<std::size_t>(ask.request_class)];
   ask.write = command.kind == Command::Kind::kSet;
-  if (ask.write && klass.repeat == Repeat::kKeyed && command.prop("k").empty())
+  if (ask.write && request_class.idempotency == Idempotency::kIdempotencyKey &&
+      command.prop("k").empty())
     return "keyed write without a key";
-  ask.budget = klass.deadline;
+  ask.budget = request_class.deadline;
   if (const auto d = command.prop("d"); !d.empty()) {
     const auto ms = memcache::parse_number(d);
     if (!ms) return "bad time";
     // No client waits longer than its class does; a larger figure would keep timers for hours.
     const Duration asked = milliseconds(std::min<std::uint64_t>(*ms, 3'600'000));
-    ask.budget = klass.deadline > Duration{0} ? std::min(asked, klass.deadline) : asked;
+    ask.budget =
+        request_class.deadline > Duration{0} ? std::min(asked, request_class.deadline) : asked;
   }
   if (const auto h = command.prop("h"); !h.empty()) {
     const auto us = memcache::parse_number(h);
@@ -125,4 +128,4 @@
   return {};
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/front/memcache/memcache_front.h
+++ b/src/frontend/memcache/memcache_front.h
@@ -10,10 +10,10 @@
 #include "proto/memcache.h"
 #include "settings/settings.h"
 
-namespace silverpin {
+namespace balancer {
 
 // A request as a memcache client has written it.
-struct MemcachePayload : Payload {
+struct MemcachePayload : RequestPayload {
   MemcachePayload(memcache::Command c, Lease b) : command(std::move(c)), body(std::move(b)) {}
   void released() const override;
 
@@ -22,7 +22,7 @@
   std::unordered_set<std::string_view>* ids = nullptr;
 };
 
-inline const memcache::Command& command_of(const Payload& payload) {
+inline const memcache::Command& command_of(const RequestPayload& payload) {
   return static_cast<const MemcachePayload&>(payload).command;
 }
 
@@ -50,4 +50,4 @@
   std::unordered_set<std::string_view> ids_;  // the clients' own, of open requests, which hold them
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/front/memcache/origin_connection.cc
+++ b/src/frontend/memcache/origin_connection.cc
@@ -1,13 +1,13 @@
-#include "front/memcache/origin_connection.h"
+#include "frontend/memcache/origin_connection.h"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/io_context.hpp>
 #include <sstream>
 
-#include "front/memcache/deadline.h"
-#include "front/memcache/memcache_front.h"
+#include "frontend/memcache/deadline.h"
+#include "frontend/memcache/memcache_front.h"
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 namespace asio = boost::asio;
@@ -176,4 +176,4 @@
   return complete(never_ran ? Result::kRejected : Result::kError);
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/front/memcache/origin_connection.h
+++ b/src/frontend/memcache/origin_connection.h
@@ -5,7 +5,7 @@
 
 #include "net/upstream_connection.h"
 
-namespace silverpin {
+namespace balancer {
 
 class OriginConnection : public UpstreamConnection {
  public:
@@ -39,4 +39,4 @@
   std::string receipt_;
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/front/resp/cluster_pool.cc
+++ b/src/frontend/resp/cluster_pool.cc
@@ -1,4 +1,4 @@
-#include "front/resp/cluster_pool.h"
+#include "frontend/resp/cluster_pool.h"
 
 #include <array>
 #include <boost/asio/ip/tcp.hpp>
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 namespace asio = boost::asio;
@@ -151,7 +151,7 @@
           io, clock, settings_.site, seed, limits,
           [this](bool, AttemptEvents& events,
                  UpstreamOwner& owner) -> std::shared_ptr<UpstreamConnection> {
-            const std::size_t most = settings_.most_value;
+            const std::size_t most = settings_.max_value;
             return std::make_shared<RespConnection>(io_, limits_, events, owner, login_,
                                                     resp::Bounds{.bulk = most,
                                                                  .elements = 256u << 10,
@@ -177,10 +177,10 @@
 
 // ---- requests
 
-void ClusterPool::on_request(RequestId id, const Payload& payload) {
+void ClusterPool::on_request(RequestId id, const RequestPayload& payload) {
   const auto& p = static_cast<const RespPayload&>(payload);
   if (!p.node.empty()) return router_.begin_at(id, p.node);
-  router_.begin(id, p.slot, settings_.classes[static_cast<std::size_t>(p.klass)].reads);
+  router_.begin(id, p.slot, settings_.classes[static_cast<std::size_t>(p.request_class)].reads);
 }
 
 void ClusterPool::prepare(Attempt& attempt) {
@@ -264,4 +264,4 @@
   schedule();
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/front/resp/cluster_pool.h
+++ b/src/frontend/resp/cluster_pool.h
@@ -5,16 +5,16 @@
 #include <memory>
 
 #include "cluster/router.h"
-#include "core/server_pool.h"
-#include "front/resp/resp_connection.h"
+#include "dispatch/server_pool.h"
+#include "frontend/resp/resp_connection.h"
 #include "net/clock.h"
 #include "settings/operator.h"
 
-namespace silverpin {
+namespace balancer {
 
 // A pool whose servers are a RESP cluster: carries out what the router decides. Asks nodes for the
 // slots, one at a time, and tells requests' redirections from answers.
-class ClusterPool : private Steering {
+class ClusterPool : private RoutingExtension {
  public:
   // `settings`, `clock` and `limits` outlive it. `settings` may change its password.
   ClusterPool(boost::asio::io_context& io, const Clock& clock, const RespPool& settings,
@@ -32,7 +32,7 @@
 
   // Steering
   Placement& placement() override { return router_; }
-  void on_request(RequestId id, const Payload& payload) override;
+  void on_request(RequestId id, const RequestPayload& payload) override;
   void on_forgotten(RequestId id) override { router_.end(id); }
   void prepare(Attempt& attempt) override;
   Result judge(const Attempt& attempt, Result result, const std::string& value) override;
@@ -56,4 +56,4 @@
   bool stopped_ = false;
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/front/resp/conversation.h
+++ b/src/frontend/resp/conversation.h
@@ -9,15 +9,15 @@
 #include <vector>
 
 #include "cluster/slots.h"
-#include "front/resp/replies.h"
-#include "front/resp/resp_front.h"
+#include "frontend/resp/replies.h"
+#include "frontend/resp/resp_front.h"
 #include "net/client_session.h"
 
-namespace silverpin {
+namespace balancer {
 
 // Requests that one client may have in work, parts of split commands counted: what the pool may
 // hold is there for all.
-inline constexpr std::size_t kMostOpen = 1024;
+inline constexpr std::size_t kMaxOpen = 1024;
 
 // One RESP client's side. Data commands (data_commands.cc) and transactions (transactions.cc)
 // become requests to the core, as do commands to nodes (node_commands.cc); what the balancer
@@ -47,8 +47,8 @@
     return step;
   }
   std::string fault() const override { return fault_; }
-  void on_final(ClientSession& session, Ticket ticket, const Payload& payload,
-                Final final) override;
+  void on_response(ClientSession& session, ResponseSlot ticket, const RequestPayload& payload,
+                   Response final) override;
   void forget() override {
     reader_.clear();
     waiting_.reset();
@@ -69,7 +69,7 @@
     std::size_t left;                                         // parts still out
     std::vector<std::pair<std::size_t, std::size_t>> places;  // of each key: part, place in it
     std::vector<std::string> replies;                         // of each part
-    std::vector<Final::Kind> kinds;
+    std::vector<Response::Kind> kinds;
     std::vector<std::vector<std::string>> keys;  // of each part of an MGET
     Time until{0};                               // its client's patience
     Duration retry_after{0};
@@ -100,11 +100,12 @@
   std::string command_info(const resp::Command& command) const;
   std::string describe(const cluster::CommandInfo& info) const;
   std::string join(Join& j) const;
-  void end_part(ClientSession& session, Ticket ticket, std::string reply, Final::Kind kind,
+  void end_part(ClientSession& session, ResponseSlot ticket, std::string reply, Response::Kind kind,
                 Duration retry_after);
-  void ask_one_by_one(ClientSession& session, Ticket ticket, cluster::Slot slot, int klass);
-  Duration deadline_of(int klass) const {
-    return front_.pool_.site.policy.classes[static_cast<std::size_t>(klass)].deadline;
+  void ask_one_by_one(ClientSession& session, ResponseSlot ticket, cluster::Slot slot,
+                      int request_class);
+  Duration deadline_of(int request_class) const {
+    return front_.pool_.site.policy.classes[static_cast<std::size_t>(request_class)].deadline;
   }
   void reset();
   void abort_multi() {
@@ -118,10 +119,11 @@
   }
   // Whether a request of this class need not wait for those of its slot that it conflicts with: all
   // go to the slot's owner, which takes what comes behind them on one connection in turn.
-  bool may_follow(cluster::Slot slot, int klass) const;
-  void submit(ClientSession& session, Ticket ticket, std::string wire, std::size_t replies,
-              cluster::Slot slot, int klass, bool write, std::string_view key, std::uint8_t kind,
-              std::optional<Duration> budget = std::nullopt, std::string node = {});
+  bool may_follow(cluster::Slot slot, int request_class) const;
+  void submit(ClientSession& session, ResponseSlot ticket, std::string wire, std::size_t replies,
+              cluster::Slot slot, int request_class, bool write, std::string_view key,
+              std::uint8_t kind, std::optional<Duration> budget = std::nullopt,
+              std::string node = {});
 
   RespFront& front_;
   resp::CommandReader reader_;
@@ -145,4 +147,4 @@
   std::map<std::uint64_t, Join> joins_;  // by place in the order of answers
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/front/resp/data_commands.cc
+++ b/src/frontend/resp/data_commands.cc
@@ -1,9 +1,9 @@
 #include <algorithm>
 #include <utility>
 
-#include "front/resp/conversation.h"
+#include "frontend/resp/conversation.h"
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 using cluster::CommandInfo;
@@ -22,13 +22,13 @@
 
 // ---- requests
 
-bool RespFront::Conversation::may_follow(Slot slot, int klass) const {
+bool RespFront::Conversation::may_follow(Slot slot, int request_class) const {
   const auto it = open_.find(slot);
-  return front_.primary_only(klass) && (it == open_.end() || it->second.replicas == 0);
+  return front_.primary_only(request_class) && (it == open_.end() || it->second.replicas == 0);
 }
 
-void RespFront::Conversation::submit(ClientSession& session, Ticket ticket, std::string wire,
-                                     std::size_t replies, Slot slot, int klass, bool write,
+void RespFront::Conversation::submit(ClientSession& session, ResponseSlot ticket, std::string wire,
+                                     std::size_t replies, Slot slot, int request_class, bool write,
                                      std::string_view key, std::uint8_t kind,
                                      std::optional<Duration> budget, std::string node) {
   auto payload = std::make_shared<RespPayload>();
@@ -37,7 +37,7 @@
   payload->replies = replies;
   payload->version = version_;
   payload->slot = slot;
-  payload->klass = klass;
+  payload->request_class = request_class;
   payload->write = write;
   payload->bytes = Lease(front_.limits_.bytes, payload->wire.size());
   // This object's address names its client, and has no more than 47 bits.
@@ -49,49 +49,50 @@
   ++open.requests;
   ++open_requests_;
   open.writes += write;
-  open.replicas += !front_.primary_only(klass);
-  Ask ask;
-  ask.klass = klass;
+  open.replicas += !front_.primary_only(request_class);
+  RequestSpec ask;
+  ask.request_class = request_class;
   ask.tenant = tenant_;
   ask.write = write;
   if (payload->node.empty()) ask.key = key;
-  ask.budget = budget.value_or(deadline_of(klass));
+  ask.budget = budget.value_or(deadline_of(request_class));
   ask.payload = std::move(payload);
   front_.core_.submit(session.shared_from_this(), ticket, std::move(ask));
 }
 
-void RespFront::Conversation::on_final(ClientSession& session, Ticket ticket,
-                                       const Payload& payload, Final final) {
+void RespFront::Conversation::on_response(ClientSession& session, ResponseSlot ticket,
+                                          const RequestPayload& payload, Response final) {
   const auto& p = static_cast<const RespPayload&>(payload);
   --open_requests_;
   if (const auto it = open_.find(p.slot); it != open_.end()) {
     it->second.writes -= p.write;
-    it->second.replicas -= !front_.primary_only(p.klass);
+    it->second.replicas -= !front_.primary_only(p.request_class);
     if (--it->second.requests == 0) open_.erase(it);
   }
-  std::string reply = final.kind == Final::Kind::kServed    ? std::move(final.value)
-                      : final.kind == Final::Kind::kRefused ? refused(final.retry_after)
-                                                            : failed();
+  std::string reply = final.kind == Response::Kind::kServed     ? std::move(final.value)
+                      : final.kind == Response::Kind::kRejected ? refused(final.retry_after)
+                                                                : failed();
   const auto it = joins_.find(ticket.slot);
-  if (const auto page = pages_.extract(ticket.slot); page && final.kind == Final::Kind::kServed)
+  if (const auto page = pages_.extract(ticket.slot); page && final.kind == Response::Kind::kServed)
     reply = turn_page(session.now(), std::move(page.mapped()), std::move(reply));
   if (it == joins_.end()) {
     session.answer(ticket.slot, std::move(reply));
     return session.wake();
   }
   Join& j = it->second;
-  if (final.kind == Final::Kind::kRefused && p.scattered && j.keys[ticket.part].size() > 1) {
+  if (final.kind == Response::Kind::kRejected && p.scattered && j.keys[ticket.part].size() > 1) {
     // The core may be in the middle of telling this: asked again from the event loop.
-    session.later([this, &session, ticket, slot = p.slot, klass = p.klass] {
-      ask_one_by_one(session, ticket, slot, klass);
+    session.later([this, &session, ticket, slot = p.slot, request_class = p.request_class] {
+      ask_one_by_one(session, ticket, slot, request_class);
     });
     return;
   }
   end_part(session, ticket, std::move(reply), final.kind, final.retry_after);
 }
 
-void RespFront::Conversation::end_part(ClientSession& session, Ticket ticket, std::string reply,
-                                       Final::Kind kind, Duration retry_after) {
+void RespFront::Conversation::end_part(ClientSession& session, ResponseSlot ticket,
+                                       std::string reply, Response::Kind kind,
+                                       Duration retry_after) {
   const auto it = joins_.find(ticket.slot);
   Join& j = it->second;
   j.replies[ticket.part] = std::move(reply);
@@ -106,14 +107,14 @@
 // A slot on its way: a node has told that the keys of this part of an MGET lie on two nodes, and so
 // takes none of them together. Each goes where it is. Not where a later write of this client's may
 // have overtaken it: the answer would tell of what was asked for after it.
-void RespFront::Conversation::ask_one_by_one(ClientSession& session, Ticket ticket, Slot slot,
-                                             int klass) {
+void RespFront::Conversation::ask_one_by_one(ClientSession& session, ResponseSlot ticket, Slot slot,
+                                             int request_class) {
   Join& j = joins_.at(ticket.slot);
   const std::vector<std::string> keys = std::move(j.keys[ticket.part]);
   const auto open = open_.find(slot);
   if ((open != open_.end() && open->second.writes > 0) || session.now() >= j.until ||
-      open_requests_ + keys.size() > kMostOpen)
-    return end_part(session, ticket, refused(Duration{0}), Final::Kind::kRefused, Duration{0});
+      open_requests_ + keys.size() > kMaxOpen)
+    return end_part(session, ticket, refused(Duration{0}), Response::Kind::kRejected, Duration{0});
   // The first key keeps the part's number, the others get new ones.
   const std::size_t first_new = j.replies.size() - 1;
   const auto part_of = [&](std::size_t i) { return i == 0 ? ticket.part : first_new + i; };
@@ -131,8 +132,8 @@
   // The last one's answer may come before this returns, and ends the join.
   for (std::size_t i = 0; i < keys.size(); ++i)
     submit(session, {ticket.slot, static_cast<std::uint32_t>(part_of(i))},
-           Command::of({"MGET", keys[i]}).wire(), 1, slot, klass, false, keys[i], kind_of(*info),
-           budget);
+           Command::of({"MGET", keys[i]}).wire(), 1, slot, request_class, false, keys[i],
+           kind_of(*info), budget);
 }
 
 // What all parts together come to. One that failed makes the whole fail; it says what ran, so that
@@ -140,8 +141,8 @@
 std::string RespFront::Conversation::join(Join& j) const {
   std::size_t ran = 0, refusals = 0;
   for (const auto kind : j.kinds) {
-    ran += kind == Final::Kind::kServed;
-    refusals += kind == Final::Kind::kRefused;
+    ran += kind == Response::Kind::kServed;
+    refusals += kind == Response::Kind::kRejected;
   }
   const std::size_t all = j.kinds.size();
   if (refusals == all || (refusals + ran == all && refusals > 0 && j.split == Split::kGet))
@@ -200,9 +201,9 @@
   joins_.emplace(place, std::move(j));
   // The last part's answer may come before this returns, and ends the join.
   for (const auto& [slot, part] : parts) {
-    const int klass = front_.class_of(info, first[part]);
+    const int request_class = front_.class_of(info, first[part]);
     submit(session, {place, static_cast<std::uint32_t>(part)}, Command::of(words[part]).wire(), 1,
-           slot, klass, write, first[part], kind_of(info));
+           slot, request_class, write, first[part], kind_of(info));
   }
   return Step::kTaken;
 }
@@ -219,15 +220,15 @@
   if (parts.empty()) parts.emplace(0, 0);  // a script without keys runs anywhere
   const bool write = info.kind == Kind::kWrite;
   const std::string_view key = keys->empty() ? std::string_view() : command[keys->front()];
-  const int klass = front_.class_of(info, key);
-  const RespClass& c = front_.pool_.classes[static_cast<std::size_t>(klass)];
+  const int request_class = front_.class_of(info, key);
+  const RespClass& c = front_.pool_.classes[static_cast<std::size_t>(request_class)];
   if (c.key_argument > 0 && write &&
       (c.key_argument >= command.size() || command[c.key_argument].empty())) {
     abort_multi();
     return say(session, error("ERR keyed write without a key"));
   }
   if (in_multi_) {
-    if (queued_.size() >= front_.settings_.most_queued ||
+    if (queued_.size() >= front_.settings_.max_queued ||
         queued_bytes_ + command.wire().size() > front_.bounds_.total) {
       abort_multi();
       return say(session, error("ERR too many commands in a transaction"));
@@ -238,20 +239,20 @@
   }
   if (parts.size() > 1 && info.split == Split::kNone)
     return say(session, error("CROSSSLOT Keys in request don't hash to the same slot"));
-  if (parts.size() > kMostOpen)
-    return say(session, error("ERR keys of more than " + std::to_string(kMostOpen) +
+  if (parts.size() > kMaxOpen)
+    return say(session, error("ERR keys of more than " + std::to_string(kMaxOpen) +
                               " slots in one command"));
-  if (open_requests_ + parts.size() > kMostOpen) return Step::kWait;
+  if (open_requests_ + parts.size() > kMaxOpen) return Step::kWait;
   for (const auto& [slot, part] : parts)
-    if (conflicts(slot, write) && (parts.size() > 1 || !may_follow(slot, klass)))
+    if (conflicts(slot, write) && (parts.size() > 1 || !may_follow(slot, request_class)))
       return Step::kWait;
   if (parts.size() > 1 || (info.split == Split::kGet && keys->size() > 1))
     return take_split(session, info, command, *keys, parts);
   const Slot slot = parts.begin()->first;
   const std::string held(key);  // it lies in what is handed over
-  submit(session, {session.open_slot()}, std::move(command).take_wire(), 1, slot, klass, write,
-         held, kind_of(info));
+  submit(session, {session.open_slot()}, std::move(command).take_wire(), 1, slot, request_class,
+         write, held, kind_of(info));
   return Step::kTaken;
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/front/resp/node_commands.cc
+++ b/src/frontend/resp/node_commands.cc
@@ -2,10 +2,10 @@
 #include <charconv>
 #include <utility>
 
-#include "front/resp/conversation.h"
+#include "frontend/resp/conversation.h"
 
 // Commands that are asked of nodes and not of keys: SCAN over all of them, DBSIZE of each.
-namespace silverpin {
+namespace balancer {
 namespace {
 
 using cluster::CommandInfo;
@@ -44,7 +44,7 @@
   std::erase_if(scans_, [now](const auto& s) { return now - s.second.used > kScanRests; });
   // One that has come to its end stays too, as its last page may be asked for again. The one that
   // has rested longest makes room.
-  if (scans_.size() >= kMostScans)
+  if (scans_.size() >= kMaxScans)
     scans_.erase(std::min_element(scans_.begin(), scans_.end(), [](const auto& a, const auto& b) {
       return a.second.used < b.second.used;
     }));
@@ -68,7 +68,7 @@
   if (command.size() < 2) return say(session, wrong_arity("scan"));
   const auto cursor = read_cursor(command[1]);
   if (!cursor) return say(session, error("ERR invalid cursor"));
-  if (open_requests_ >= kMostOpen) return Step::kWait;
+  if (open_requests_ >= kMaxOpen) return Step::kWait;
   const std::uint64_t id = *cursor == 0 ? front_.begin_scan(session.now()) : *cursor >> kPageBits;
   const std::uint64_t page = *cursor & kPageMask;
   Scan* const s = front_.find_scan(id, session.now());
@@ -116,7 +116,7 @@
   for (const auto& node : front_.slots_.nodes())
     if (!node.address.empty() && node.owned > 0) owners.push_back(node.address);
   if (owners.empty()) return say(session, refused(Duration{0}));
-  if (open_requests_ + owners.size() > kMostOpen) return Step::kWait;
+  if (open_requests_ + owners.size() > kMaxOpen) return Step::kWait;
   Join j;
   j.split = Split::kCount;
   j.left = owners.size();
@@ -132,4 +132,4 @@
   return Step::kTaken;
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/front/resp/own_commands.cc
+++ b/src/frontend/resp/own_commands.cc
@@ -1,9 +1,9 @@
 #include <algorithm>
 #include <utility>
 
-#include "front/resp/conversation.h"
+#include "frontend/resp/conversation.h"
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 using cluster::CommandInfo;
@@ -14,7 +14,7 @@
 
 // One name for all, as clients compare them with what they know of servers.
 constexpr std::string_view kVersion = "7.0.0";
-constexpr std::size_t kMostName = 256;
+constexpr std::size_t kMaxName = 256;
 
 }  // namespace
 
@@ -94,7 +94,7 @@
     return say(session,
                bulk("# Server\r\nredis_version:" + std::string(kVersion) +
                     "\r\nredis_mode:cluster\r\n# Clients\r\nmaxclients:" +
-                    std::to_string(front_.limits_.clients.most()) +
+                    std::to_string(front_.limits_.clients.max()) +
                     "\r\n# Replication\r\nrole:master\r\n# Cluster\r\ncluster_enabled:1\r\n"));
   if (info && info->kind == Kind::kBlocking)
     return say(session, error("ERR blocking commands are not carried here"));
@@ -136,7 +136,7 @@
       if (reply.starts_with('-')) return reply;
       i += 3;
     } else if (same_word(command[i], "SETNAME") && i + 1 < command.size() &&
-               command[i + 1].size() <= kMostName) {
+               command[i + 1].size() <= kMaxName) {
       name = command[i + 1];
       i += 2;
     } else {
@@ -175,7 +175,7 @@
     return same_word(command[1], word) && command.size() == words;
   };
   const auto clean = [](std::string_view text) {
-    return text.size() <= kMostName &&
+    return text.size() <= kMaxName &&
            std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c <= '~'; });
   };
   if (is("ID", 2)) return integer(id_);
@@ -328,4 +328,4 @@
                std::string(command[1].substr(0, 64)) + "'");
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/front/resp/replies.cc
+++ b/src/frontend/resp/replies.cc
@@ -1,8 +1,8 @@
-#include "front/resp/replies.h"
+#include "frontend/resp/replies.h"
 
 #include "proto/resp.h"
 
-namespace silverpin::reply {
+namespace balancer::reply {
 
 std::string lower(std::string_view text) {
   std::string out(text);
@@ -50,4 +50,4 @@
 // ERR is repeated by none.
 std::string failed() { return error("ERR failed, it may have run"); }
 
-}  // namespace silverpin::reply
+}  // namespace balancer::reply
--- a/src/front/resp/replies.h
+++ b/src/frontend/resp/replies.h
@@ -7,7 +7,7 @@
 #include "policy/policy.h"
 
 // Replies that the balancer words itself, as bytes of RESP2 and RESP3 alike.
-namespace silverpin::reply {
+namespace balancer::reply {
 
 std::string lower(std::string_view text);  // ASCII only
 std::string error(std::string_view text);
@@ -20,4 +20,4 @@
 // A failure: it may have run. No library repeats it.
 std::string failed();
 
-}  // namespace silverpin::reply
+}  // namespace balancer::reply
--- a/src/front/resp/resp_connection.cc
+++ b/src/frontend/resp/resp_connection.cc
@@ -1,10 +1,10 @@
-#include "front/resp/resp_connection.h"
+#include "frontend/resp/resp_connection.h"
 
 #include <string_view>
 #include <utility>
 #include <vector>
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 bool is_error(std::string_view reply) { return reply.starts_with('-') || reply.starts_with('!'); }
@@ -99,4 +99,4 @@
 
 bool RespConnection::between_answers() const { return reader_.between_replies() && reply_.empty(); }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/front/resp/resp_connection.h
+++ b/src/frontend/resp/resp_connection.h
@@ -6,7 +6,7 @@
 #include "net/upstream_connection.h"
 #include "proto/resp.h"
 
-namespace silverpin {
+namespace balancer {
 
 // How connections of a pool introduce themselves.
 struct RespLogin {
@@ -17,13 +17,13 @@
 std::string login_command(const RespLogin& login);
 
 // A request as it goes to a RESP server.
-struct RespPayload : Payload {
+struct RespPayload : RequestPayload {
   std::string wire;         // one command, or MULTI, commands and EXEC
   std::size_t replies = 1;  // that come to it
   int version = 2;          // of the protocol that the client speaks
   std::uint16_t slot = 0;
   std::string node;  // that it is for; empty: the owner of its slot, or who may stand in for it
-  int klass = 0;
+  int request_class = 0;
   bool write = false;
   mutable bool scattered = false;  // a node has told that its keys lie on two nodes
   Lease bytes;                     // what `wire` takes of the byte budget
@@ -64,4 +64,4 @@
   int version_ = 2;
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/front/resp/resp_front.cc
+++ b/src/frontend/resp/resp_front.cc
@@ -1,12 +1,12 @@
-#include "front/resp/resp_front.h"
+#include "frontend/resp/resp_front.h"
 
 #include <algorithm>
 #include <cstdio>
 
-#include "front/resp/conversation.h"
+#include "frontend/resp/conversation.h"
 #include "policy/hash_ring.h"
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 using cluster::CommandInfo;
@@ -34,14 +34,14 @@
       limits_(limits),
       core_(core),
       slots_(slots),
-      bounds_{.bulk = settings.most_bulk,
+      bounds_{.bulk = settings.max_bulk,
               .elements = 64u << 10,
-              .total = 2 * settings.most_bulk + (64u << 10),
+              .total = 2 * settings.max_bulk + (64u << 10),
               .line = 64u << 10,
               .depth = 8},
-      reply_bounds_{.bulk = pool.most_value,
+      reply_bounds_{.bulk = pool.max_value,
                     .elements = 256u << 10,
-                    .total = 2 * pool.most_value + (64u << 10),
+                    .total = 2 * pool.max_value + (64u << 10),
                     .line = 64u << 10,
                     .depth = 16} {
   std::vector<std::string> all = settings.peers;
@@ -73,4 +73,4 @@
   return static_cast<int>(pool_.classes.size()) - 1;  // all writes; not reached
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/front/resp/resp_front.h
+++ b/src/frontend/resp/resp_front.h
@@ -9,13 +9,13 @@
 
 #include "cluster/commands.h"
 #include "cluster/scan.h"
-#include "front/resp/resp_connection.h"
+#include "frontend/resp/resp_connection.h"
 #include "net/dialect.h"
 #include "net/limits.h"
 #include "proto/resp.h"
 #include "settings/operator.h"
 
-namespace silverpin {
+namespace balancer {
 
 // What RESP commands mean: which class and tenant each has, which the balancer answers itself,
 // which are split over slots, and what a final answer looks like. To clients in cluster mode this
@@ -42,8 +42,8 @@
   };
 
   // Whether none but its slot's owner answers what is of this class.
-  bool primary_only(int klass) const {
-    return pool_.classes[static_cast<std::size_t>(klass)].reads == cluster::Reads::kPrimary;
+  bool primary_only(int request_class) const {
+    return pool_.classes[static_cast<std::size_t>(request_class)].reads == cluster::Reads::kPrimary;
   }
   int class_of(const cluster::CommandInfo& info, std::string_view key) const;
 
@@ -54,7 +54,7 @@
     std::uint64_t page = 0;
     Time used{0};
   };
-  static constexpr std::size_t kMostScans = 256;
+  static constexpr std::size_t kMaxScans = 256;
   static constexpr Duration kScanRests = std::chrono::minutes(10);  // then it is forgotten
   std::uint64_t begin_scan(Time now);
   Scan* find_scan(std::uint64_t id, Time now);
@@ -73,4 +73,4 @@
   std::int64_t next_client_ = 1;
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/front/resp/transactions.cc
+++ b/src/frontend/resp/transactions.cc
@@ -1,8 +1,8 @@
 #include <utility>
 
-#include "front/resp/conversation.h"
+#include "frontend/resp/conversation.h"
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 using cluster::CommandInfo;
@@ -47,22 +47,22 @@
   const bool write = strictest->kind == Kind::kWrite;
   wire += Command::of({"EXEC"}).wire();
   // Of the classes of its commands the one that may be repeated least.
-  int klass = front_.class_of(*strictest, key);
+  int request_class = front_.class_of(*strictest, key);
   const auto& classes = front_.pool_.site.policy.classes;
   for (const auto& [info, command] : queued_) {
     const auto keys = *cluster::keys_of(*info, command);
     const int other = front_.class_of(*info, keys.empty() ? std::string_view() : command[keys[0]]);
-    if (classes[static_cast<std::size_t>(other)].repeat >
-        classes[static_cast<std::size_t>(klass)].repeat)
-      klass = other;
+    if (classes[static_cast<std::size_t>(other)].idempotency >
+        classes[static_cast<std::size_t>(request_class)].idempotency)
+      request_class = other;
   }
-  if (conflicts(slot.value_or(0), write) && !may_follow(slot.value_or(0), klass))
+  if (conflicts(slot.value_or(0), write) && !may_follow(slot.value_or(0), request_class))
     return Step::kWait;
   const std::string held(key);
   const std::size_t replies = queued_.size() + 2;
   reset();
-  submit(session, {session.open_slot()}, std::move(wire), replies, slot.value_or(0), klass, write,
-         held, kTransaction);
+  submit(session, {session.open_slot()}, std::move(wire), replies, slot.value_or(0), request_class,
+         write, held, kTransaction);
   return Step::kTaken;
 }
 
@@ -73,4 +73,4 @@
   queued_bytes_ = 0;
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/group/instance.h
+++ b/src/group/group_node.h
@@ -9,49 +9,49 @@
 #include <utility>
 #include <vector>
 
-#include "address/keeper.h"
-#include "address/succession.h"
-#include "address/voter.h"
-#include "membership/group.h"
+#include "lease/lease_manager.h"
+#include "lease/voter.h"
+#include "lease/voter_reconfiguration.h"
+#include "membership/membership_protocol.h"
 #include "proto/group_wire.h"
 
 // One member of a group of balancers: membership, its service addresses and, where it votes, its
 // vote, brought together. No I/O and no clock: whoever owns it carries datagrams, keeps the voter's
 // record, announces and withdraws.
-namespace silverpin::group {
+namespace balancer::group {
 
-struct InstanceSettings {
+struct GroupNodeSettings {
   std::string name, endpoint;
   std::uint64_t life = 0;  // larger with each start under this name
   membership::GroupSettings group;
-  address::KeeperSettings keeper;  // without addresses: it votes, or only watches
-  address::Voters founding;        // the voters of a new group
-  bool serves = true;              // false: a voter that holds nothing
+  lease::LeaseManagerSettings lease_manager;  // without addresses: it votes, or only watches
+  lease::Voters founding;                     // the voters of a new group
+  bool serves = true;                         // false: a voter that holds nothing
 };
 
 // Where a voter's record is kept. False: it is not on disk, and nothing may be answered.
 class Memory {
  public:
   virtual ~Memory() = default;
-  virtual bool keep(const address::VoterRecord& record) = 0;
+  virtual bool keep(const lease::VoterRecord& record) = 0;
 };
 
-class Instance {
+class GroupNode {
  public:
   // `remembered`: the record on disk, if there is one. `memory` outlives it.
-  Instance(const InstanceSettings& settings, const std::optional<address::VoterRecord>& remembered,
-           Memory& memory, std::uint64_t seed, Time now);
+  GroupNode(const GroupNodeSettings& settings, const std::optional<lease::VoterRecord>& remembered,
+            Memory& memory, std::uint64_t seed, Time now);
 
   // ---- told
   void on_datagram(Time now, const std::string& endpoint, const Datagram& datagram);
-  void on_able(Time now, bool able, std::string_view why);
+  void on_eligible(Time now, bool eligible, std::string_view why);
   void on_announced(Time now, const std::string& address);
   void on_withdrawn(Time now, const std::string& address);
   void on_claim_failed(Time now, const std::string& address);
   void on_timer(Time now);
   // The voter's record could not be read at the start, and can be now. It votes from here on as if
   // it had just started with it. Until then nothing was kept, and so nothing promised.
-  void restore_voter(Time now, const std::optional<address::VoterRecord>& remembered);
+  void restore_voter(Time now, const std::optional<lease::VoterRecord>& remembered);
   Time next() const;
   // Gives all up in order; done once idle().
   void leave(Time now);
@@ -70,16 +70,18 @@
     decltype(Datagram::body) body;
   };
   std::vector<Send> take_sends();
-  std::vector<address::Keeper::Carry> take_carries() { return keeper_.take_carries(); }
+  std::vector<lease::LeaseManager::RouteAction> take_route_actions() {
+    return lease_manager_.take_route_actions();
+  }
   // What operators should read, one line each.
   std::vector<std::string> take_lines() { return std::exchange(lines_, {}); }
 
   // ---- known
-  const membership::Group& group() const { return group_; }
-  const address::Keeper& keeper() const { return keeper_; }
-  const address::Voter* voter() const { return voter_ ? &*voter_ : nullptr; }
-  const address::Voters& voters() const { return voters_; }
-  bool idle() const { return keeper_.idle(); }
+  const membership::MembershipProtocol& group() const { return group_; }
+  const lease::LeaseManager& lease_manager() const { return lease_manager_; }
+  const lease::Voter* voter() const { return voter_ ? &*voter_ : nullptr; }
+  const lease::Voters& voters() const { return voters_; }
+  bool idle() const { return lease_manager_.idle(); }
   bool superseded() const { return group_.superseded(); }
 
  private:
@@ -87,30 +89,30 @@
   void send_to(const std::string& name, decltype(Send::body) body);
   void take(Time now, const Datagram& datagram);
   bool keep_record();
-  void answer(Time now, const std::string& from, const address::Ask& ask);
-  void hear_of(const std::string& voter, const address::Voters& voters);
+  void answer(Time now, const std::string& from, const lease::VoteRequest& ask);
+  void hear_of(const std::string& voter, const lease::Voters& voters);
   void mend_voters(Time now);
   void drive_change(Time now);
-  std::vector<address::Peer> peers(Time now);
+  std::vector<lease::Peer> peers(Time now);
   void note_states();
 
-  const InstanceSettings settings_;
+  const GroupNodeSettings settings_;
   Memory& memory_;
-  membership::Group group_;
-  address::Keeper keeper_;
-  std::optional<address::Voter> voter_;
-  address::Voters voters_;                       // the newest that was heard of
-  std::map<std::string, address::Voters> told_;  // what each voter last said that it goes by
+  membership::MembershipProtocol group_;
+  lease::LeaseManager lease_manager_;
+  std::optional<lease::Voter> voter_;
+  lease::Voters voters_;                       // the newest that was heard of
+  std::map<std::string, lease::Voters> told_;  // what each voter last said that it goes by
   Time mend_at_{0};
   std::uint64_t seen_revision_ = 0;
-  struct Ability {
+  struct Eligibility {
     std::uint64_t life = 0;
-    bool able = false;
+    bool eligible = false;
     Time since{0};
   };
-  std::map<std::string, Ability> abilities_;
-  std::map<std::string, address::Tenure::State> states_;
-  std::optional<address::Succession> change_;
+  std::map<std::string, Eligibility> eligibilities_;
+  std::map<std::string, lease::LeaseHolder::State> states_;
+  std::optional<lease::VoterReconfiguration> change_;
   std::function<void(bool done, const std::string& line)> changed_;
   bool unkept_ = false;  // the voter's record is newer than what is on disk
   bool mute_ = false;    // and could not be written
@@ -119,4 +121,4 @@
   std::vector<std::string> lines_;
 };
 
-}  // namespace silverpin::group
+}  // namespace balancer::group
--- a/src/member/bgp_links.cc
+++ b/src/group_runtime/bgp_links.cc
@@ -1,4 +1,4 @@
-#include "member/bgp_links.h"
+#include "group_runtime/bgp_links.h"
 
 #include <linux/sockios.h>
 #include <sys/ioctl.h>
@@ -11,7 +11,7 @@
 #include "net/host_list.h"
 #include "net/lease_clock.h"
 
-namespace silverpin::member {
+namespace balancer::group_runtime {
 namespace {
 
 namespace asio = boost::asio;
@@ -21,7 +21,7 @@
 // What a router has not taken yet is looked at again this often.
 constexpr Duration kLook = std::chrono::milliseconds(10);
 // More than this unread by a router: it is not written to any further.
-constexpr std::size_t kMostUnsent = 256u << 10;
+constexpr std::size_t kMaxUnsent = 256u << 10;
 
 std::vector<bgp::SessionSettings> sessions_of(const BgpFile& file) {
   std::vector<bgp::SessionSettings> all;
@@ -178,7 +178,7 @@
 
 void BgpLinks::send(std::size_t router, Way way, const std::string& bytes) {
   Link& l = link(router, way);
-  if (!l.socket || l.out.size() > kMostUnsent) return;
+  if (!l.socket || l.out.size() > kMaxUnsent) return;
   l.out += bytes;
   flush(router, way);
 }
@@ -261,4 +261,4 @@
   look_.cancel();
 }
 
-}  // namespace silverpin::member
+}  // namespace balancer::group_runtime
--- a/src/member/bgp_links.h
+++ b/src/group_runtime/bgp_links.h
@@ -9,10 +9,10 @@
 #include <string>
 #include <vector>
 
-#include "announce/speaker.h"
+#include "route_announcement/speaker.h"
 #include "settings/group_file.h"
 
-namespace silverpin::member {
+namespace balancer::group_runtime {
 
 // The connections of a bgp::Speaker: dials and accepts, carries bytes, and tells it how much of
 // them a router has not taken. Every connection belongs to one router and one way; all end with
@@ -68,4 +68,4 @@
   bool looking_ = false, stopped_ = false, carrying_ = false;
 };
 
-}  // namespace silverpin::member
+}  // namespace balancer::group_runtime
--- a/src/member/command.cc
+++ b/src/group_runtime/command.cc
@@ -1,4 +1,4 @@
-#include "member/command.h"
+#include "group_runtime/command.h"
 
 #include <signal.h>
 #include <spawn.h>
@@ -13,7 +13,7 @@
 #include <optional>
 #include <utility>
 
-namespace silverpin::member {
+namespace balancer::group_runtime {
 namespace {
 
 namespace asio = boost::asio;
@@ -118,4 +118,4 @@
   running_->kill_group();
 }
 
-}  // namespace silverpin::member
+}  // namespace balancer::group_runtime
--- a/src/member/command.h
+++ b/src/group_runtime/command.h
@@ -8,7 +8,7 @@
 
 #include "structures/time.h"
 
-namespace silverpin::member {
+namespace balancer::group_runtime {
 
 // One run of an operator's program, in a process group of its own, with an end: at `limit` all of
 // the group is killed. Ends with this object too.
@@ -31,4 +31,4 @@
   std::shared_ptr<Running> running_;
 };
 
-}  // namespace silverpin::member
+}  // namespace balancer::group_runtime
--- a/src/member/member.cc
+++ b/src/group_runtime/group_runtime.cc
@@ -1,4 +1,4 @@
-#include "member/member.h"
+#include "group_runtime/group_runtime.h"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
@@ -7,11 +7,11 @@
 #include <stdexcept>
 #include <utility>
 
-#include "member/status.h"
+#include "group_runtime/status.h"
 #include "net/host_list.h"
 #include "net/lease_clock.h"
 
-namespace silverpin::member {
+namespace balancer::group_runtime {
 namespace {
 
 namespace asio = boost::asio;
@@ -35,14 +35,14 @@
 
 }  // namespace
 
-Member::Member(asio::io_context& io, const GroupFile& file, bool serves, Owner owner)
+GroupRuntime::GroupRuntime(asio::io_context& io, const GroupFile& file, bool serves, Owner owner)
     : io_(io),
       file_(file),
       serves_(serves),
       owner_(std::move(owner)),
-      storage_(file.folder, file.keeper.times.lease, owner_.log),
+      storage_(file.folder, file.lease_manager.times.lease, owner_.log),
       keys_(group::read_keys(file.key_file), file.key_change),
-      ability_(file.ability),
+      eligibility_(file.eligibility),
       timer_(io),
       look_timer_(io),
       began_(lease_now()) {
@@ -59,47 +59,47 @@
     bgp_ = std::make_unique<BgpLinks>(
         io, *file.bgp, life_ + 1, [this] { work(); }, owner_.log);
     // Until a session is up this instance can announce nothing.
-    ability_.on_part(lease_now(), address::Ability::Part::kRouters, false);
+    eligibility_.on_part(lease_now(), lease::Eligibility::Part::kRouters, false);
   }
   look_at_ = lease_now();
   look();
 }
 
-Member::~Member() { end(); }
+GroupRuntime::~GroupRuntime() { end(); }
 
-void Member::make_instance() {
+void GroupRuntime::make_instance() {
   life_ = storage_.incarnation();
-  group::InstanceSettings s;
+  group::GroupNodeSettings s;
   s.name = file_.name;
   s.endpoint = file_.announce;
   s.life = life_;
   s.group = file_.membership;
-  s.keeper = file_.keeper;
-  if (!serves_) s.keeper.addresses.clear();
+  s.lease_manager = file_.lease_manager;
+  if (!serves_) s.lease_manager.addresses.clear();
   s.founding = file_.founding;
   s.serves = serves_;
   const std::uint64_t seed = life_ ^ std::hash<std::string>()(file_.name);
-  instance_.emplace(s, storage_.remembered(), storage_, seed, lease_now());
+  group_node_.emplace(s, storage_.remembered(), storage_, seed, lease_now());
 }
 
 // A voter that cannot remember gives no vote; all else goes on. Once its folder can be used it
 // votes like one that has just started: what it reads then is the last that it has promised.
-void Member::open_storage() {
+void GroupRuntime::open_storage() {
   const Time now = lease_now();
   if (!storage_.open(now)) return;
   // Where the wall clock was set back since, the others hear nothing of this incarnation: it holds
   // nothing, and begins again as a later one.
-  if (storage_.incarnation() != life_ && instance_->idle() && !left_) {
+  if (storage_.incarnation() != life_ && group_node_->idle() && !left_) {
     make_instance();
   } else {
-    instance_->restore_voter(now, storage_.remembered());
+    group_node_->restore_voter(now, storage_.remembered());
   }
   work();
 }
 
 // ---- datagrams
 
-void Member::on_datagram(const DatagramSocket::Endpoint& from, std::string_view bytes) {
+void GroupRuntime::on_datagram(const DatagramSocket::Endpoint& from, std::string_view bytes) {
   if (ended_) return;
   const auto plain = keys_.open(lease_now(), bytes);
   if (!plain) {
@@ -118,21 +118,21 @@
   }
   std::ostringstream endpoint;
   endpoint << from;
-  instance_->on_datagram(lease_now(), endpoint.str(), *datagram);
+  group_node_->on_datagram(lease_now(), endpoint.str(), *datagram);
   work();
 }
 
-void Member::send(const group::Instance::Send& out) {
+void GroupRuntime::send(const group::GroupNode::Send& out) {
   const auto to = parse_endpoint(out.endpoint);
   if (!to) return;
   send({to->address(), to->port()}, {file_.name, life_, 0, out.to, out.body});
 }
 
 // What does not fit one datagram goes in two.
-void Member::send(const DatagramSocket::Endpoint& to, group::Datagram d) {
+void GroupRuntime::send(const DatagramSocket::Endpoint& to, group::Datagram d) {
   d.sequence = ++sequence_;
   const std::string plain = encode(d);
-  if (plain.size() + group::kSealedOverhead <= group::kMostDatagram)
+  if (plain.size() + group::kSealedOverhead <= group::kMaxDatagram)
     return socket_->send(to, keys_.seal(lease_now(), plain));
   auto* const gossip = std::get_if<membership::Message>(&d.body);
   if (!gossip || gossip->updates.size() < 2) return;
@@ -152,7 +152,7 @@
 // ---- what the instance wants
 
 // May be called from inside any of what it calls.
-void Member::work() {
+void GroupRuntime::work() {
   if (ended_) return;
   if (std::exchange(working_, true)) {
     again_ = true;
@@ -166,9 +166,9 @@
   arm();
 }
 
-void Member::work_once(Time now) {
-  for (const auto& s : instance_->take_sends()) send(s);
-  for (const auto& c : instance_->take_carries()) carry(now, c);
+void GroupRuntime::work_once(Time now) {
+  for (const auto& s : group_node_->take_sends()) send(s);
+  for (const auto& c : group_node_->take_route_actions()) carry(now, c);
   for (auto& [address, carrier] : carriers_) {
     if (!carrier.spec->prefix) carry_commands(now, address, carrier);
     set_listening(now, address, carrier);
@@ -177,14 +177,14 @@
     bgp_->carry_out();
     take_bgp_events(now);
   }
-  for (const auto& line : instance_->take_lines()) owner_.log(line);
-  if (left_ && (instance_->idle() || now >= leave_by_)) {
+  for (const auto& line : group_node_->take_lines()) owner_.log(line);
+  if (left_ && (group_node_->idle() || now >= leave_by_)) {
     asio::post(io_, std::exchange(left_, nullptr));
   }
 }
 
-void Member::carry(Time now, const address::Keeper::Carry& what) {
-  using Kind = address::Tenure::Carry::Kind;
+void GroupRuntime::carry(Time now, const lease::LeaseManager::RouteAction& what) {
+  using Kind = lease::LeaseHolder::RouteAction::Kind;
   const auto it = carriers_.find(what.address);
   if (it == carriers_.end()) return;
   Carrier& c = it->second;
@@ -192,7 +192,7 @@
     // Nobody is led here before somebody listens.
     set_listening(now, what.address, c);
     if (!c.listening) {
-      instance_->on_claim_failed(now, what.address);
+      group_node_->on_claim_failed(now, what.address);
       again_ = true;
       return;
     }
@@ -210,22 +210,22 @@
   }
 }
 
-void Member::take_bgp_events(Time now) {
+void GroupRuntime::take_bgp_events(Time now) {
   using Kind = bgp::Speaker::Event::Kind;
   for (const auto& e : bgp_->speaker().take_events()) {
     again_ = true;
     if (e.kind == Kind::kAnnounced) {
-      instance_->on_announced(now, e.address);
+      group_node_->on_announced(now, e.address);
     } else if (e.kind == Kind::kWithdrawn) {
-      instance_->on_withdrawn(now, e.address);
+      group_node_->on_withdrawn(now, e.address);
     } else {
       owner_.log("address " + e.address + ": too few routers have taken it in time");
-      instance_->on_claim_failed(now, e.address);
+      group_node_->on_claim_failed(now, e.address);
     }
   }
 }
 
-void Member::carry_commands(Time now, const std::string& address, Carrier& carrier) {
+void GroupRuntime::carry_commands(Time now, const std::string& address, Carrier& carrier) {
   using Kind = CommandCarrier::Action::Kind;
   if (carrier.commands.next() <= now) carrier.commands.on_timer(now);
   for (const auto& a : carrier.commands.take_actions()) {
@@ -233,8 +233,8 @@
     const auto run = [&](const std::vector<std::string>& words, const char* what) {
       carrier.running = std::make_unique<Command>(
           io_, words,
-          std::vector<std::string>{"SILVERPIN_ADDRESS=" + address,
-                                   "SILVERPIN_TERM=" + std::to_string(carrier.commands.term())},
+          std::vector<std::string>{"BALANCER_ADDRESS=" + address,
+                                   "BALANCER_TERM=" + std::to_string(carrier.commands.term())},
           carrier.spec->command_limit, [this, address, what](const std::string& why) {
             if (!why.empty()) owner_.log("address " + address + ": " + what + " " + why);
             Carrier& c = carriers_.at(address);
@@ -254,48 +254,49 @@
         if (carrier.running) carrier.running->cut("was not needed any more");
         break;
       case Kind::kAnnounced:
-        instance_->on_announced(now, address);
+        group_node_->on_announced(now, address);
         break;
       case Kind::kWithdrawn:
-        instance_->on_withdrawn(now, address);
+        group_node_->on_withdrawn(now, address);
         break;
       case Kind::kFailed:
-        instance_->on_claim_failed(now, address);
+        group_node_->on_claim_failed(now, address);
         break;
       case Kind::kGivenUp:
         owner_.log("address " + address + ": release has failed " +
-                   std::to_string(CommandCarrier::kMostReleases) +
+                   std::to_string(CommandCarrier::kMaxReleases) +
                    " times and is not tried again: it may still be claimed here");
-        instance_->on_withdrawn(now, address);
+        group_node_->on_withdrawn(now, address);
         break;
     }
   }
 }
 
 // Listened on from the claim to the withdrawal.
-void Member::set_listening(Time now, const std::string& address, Carrier& carrier) {
-  const auto* tenure = instance_->keeper().tenure(address);
+void GroupRuntime::set_listening(Time now, const std::string& address, Carrier& carrier) {
+  const auto* lease_holder = group_node_->lease_manager().lease_holder(address);
   const bool wanted =
-      tenure && (tenure->listens() || tenure->state() == address::Tenure::State::kReleasing);
+      lease_holder &&
+      (lease_holder->listens() || lease_holder->state() == lease::LeaseHolder::State::kReleasing);
   if (wanted == carrier.listening) return;
   if (wanted) {
     carrier.listening = owner_.listen(address);
     return;
   }
   carrier.listening = false;
-  owner_.unlisten(address, tenure && tenure->may_serve(now, file_.drain));
+  owner_.unlisten(address, lease_holder && lease_holder->may_serve(now, file_.drain));
 }
 
-bool Member::may_serve(const std::string& address) const {
-  const auto* tenure = instance_->keeper().tenure(address);
-  return tenure && tenure->may_serve(lease_now(), file_.drain);
+bool GroupRuntime::may_serve(const std::string& address) const {
+  const auto* lease_holder = group_node_->lease_manager().lease_holder(address);
+  return lease_holder && lease_holder->may_serve(lease_now(), file_.drain);
 }
 
 // ---- time
 
-void Member::arm() {
+void GroupRuntime::arm() {
   if (ended_) return;
-  Time next = instance_->next();
+  Time next = group_node_->next();
   for (const auto& [address, c] : carriers_) next = std::min(next, c.commands.next());
   if (left_) next = std::min(next, leave_by_);
   if (next == timer_at_) return;
@@ -308,28 +309,28 @@
   timer_.async_wait([this](const error_code& e) {
     if (e || ended_) return;
     timer_at_ = Time::max();
-    instance_->on_timer(lease_now());
+    group_node_->on_timer(lease_now());
     work();
   });
 }
 
-void Member::look() {
+void GroupRuntime::look() {
   open_storage();
   const Time now = lease_now();
-  using Part = address::Ability::Part;
-  ability_.on_lateness(now, now - look_at_);
-  ability_.on_part(now, Part::kHosts, !owner_.hosts_listed || owner_.hosts_listed());
+  using Part = lease::Eligibility::Part;
+  eligibility_.on_lateness(now, now - look_at_);
+  eligibility_.on_part(now, Part::kHosts, !owner_.hosts_listed || owner_.hosts_listed());
   if (bgp_)
-    ability_.on_part(now, Part::kRouters,
-                     bgp_->speaker().up(now) >= file_.bgp->speaker.routers_needed);
-  const bool able = ability_.able(now);
-  instance_->on_able(now, able, ability_.why());
+    eligibility_.on_part(now, Part::kRouters,
+                         bgp_->speaker().up(now) >= file_.bgp->speaker.routers_needed);
+  const bool eligible = eligibility_.eligible(now);
+  group_node_->on_eligible(now, eligible, eligibility_.why());
   work();
   look_at_ = now + kLook;
   arm_look();
 }
 
-void Member::arm_look() {
+void GroupRuntime::arm_look() {
   look_timer_.expires_after(kLook);
   look_timer_.async_wait([this](const error_code& e) {
     if (!e && !ended_) look();
@@ -338,21 +339,21 @@
 
 // ---- ends
 
-void Member::reload() { keys_.reload(lease_now(), group::read_keys(file_.key_file)); }
+void GroupRuntime::reload() { keys_.reload(lease_now(), group::read_keys(file_.key_file)); }
 
-void Member::leave(std::function<void()> done) {
-  const auto& times = file_.keeper.times;
+void GroupRuntime::leave(std::function<void()> done) {
+  const auto& times = file_.lease_manager.times;
   leave_by_ = lease_now() + times.lease + times.overlap;
   left_ = std::move(done);
-  ability_.on_part(lease_now(), address::Ability::Part::kStays, false);
-  instance_->leave(lease_now());
+  eligibility_.on_part(lease_now(), lease::Eligibility::Part::kStays, false);
+  group_node_->leave(lease_now());
   work();
 }
 
-void Member::end() {
+void GroupRuntime::end() {
   if (ended_) return;
-  instance_->end(lease_now());
-  for (const auto& s : instance_->take_sends()) send(s);
+  group_node_->end(lease_now());
+  for (const auto& s : group_node_->take_sends()) send(s);
   ended_ = true;
   if (bgp_) bgp_->stop("it ends");
   timer_.cancel();
@@ -363,7 +364,8 @@
 
 // ---- what operators see
 
-void Member::command(const std::string& line, std::function<void(const std::string&)> answer) {
+void GroupRuntime::command(const std::string& line,
+                           std::function<void(const std::string&)> answer) {
   std::istringstream words(line);
   std::string verb, what, name, more;
   words >> verb;
@@ -371,7 +373,7 @@
   if (verb == "voters" && (words >> what >> name) && (what == "add" || what == "remove") &&
       !(words >> more)) {
     const bool add = what == "add";
-    instance_->change_voters(
+    group_node_->change_voters(
         lease_now(), name, add,
         [answer](bool done, const std::string& outcome) { answer(outcome_json(done, outcome)); });
     return work();
@@ -379,7 +381,7 @@
   if (verb == "move" && (words >> what)) {
     words >> name;
     if (!(words >> more)) {
-      const std::string why = instance_->move(lease_now(), what, name);
+      const std::string why = group_node_->move(lease_now(), what, name);
       answer(outcome_json(why.empty(), why.empty() ? "it is being handed over" : why));
       return work();
     }
@@ -388,12 +390,12 @@
       outcome_json(false, "status, move ADDRESS [INSTANCE], voters add NAME, voters remove NAME"));
 }
 
-std::string Member::status() const {
+std::string GroupRuntime::status() const {
   StatusFigures f;
   f.name = file_.name;
   f.life = life_;
   f.serves = serves_;
-  f.able = ability_.why();
+  f.eligible = eligibility_.why();
   f.up_for = lease_now() - began_;
   f.datagrams = socket_->counters();
   f.unsealed = unsealed_;
@@ -402,7 +404,7 @@
   f.writes = storage_.writes();
   f.longest_write = storage_.longest_write();
   f.remembers = storage_.is_open();
-  return status_json(f, *instance_, file_, bgp_ ? &bgp_->speaker() : nullptr, lease_now());
+  return status_json(f, *group_node_, file_, bgp_ ? &bgp_->speaker() : nullptr, lease_now());
 }
 
-}  // namespace silverpin::member
+}  // namespace balancer::group_runtime
--- a/src/member/member.h
+++ b/src/group_runtime/group_runtime.h
@@ -9,22 +9,22 @@
 #include <string>
 #include <vector>
 
-#include "address/ability.h"
-#include "announce/command_carrier.h"
-#include "group/instance.h"
-#include "member/bgp_links.h"
-#include "member/command.h"
-#include "member/voter_storage.h"
+#include "group/group_node.h"
+#include "group_runtime/bgp_links.h"
+#include "group_runtime/command.h"
+#include "group_runtime/voter_storage.h"
+#include "lease/eligibility.h"
 #include "net/datagram_socket.h"
 #include "proto/seal.h"
+#include "route_announcement/command_carrier.h"
 #include "settings/group_file.h"
 
-namespace silverpin::member {
+namespace balancer::group_runtime {
 
 // This process as one of a group of balancers: carries the datagrams of a group::Instance, keeps
 // its voter's record, carries addresses to routers or by commands, and tells whoever owns it when
 // one is to be listened on. Runs on lease_now().
-class Member {
+class GroupRuntime {
  public:
   struct Owner {
     // Opens the listeners of an address that this instance has just been given. False: it cannot.
@@ -38,8 +38,8 @@
 
   // `file` outlives it. `serves`: false for a voter that holds nothing. Throws std::runtime_error
   // (FileError, boost's system_error) with one line where it cannot begin.
-  Member(boost::asio::io_context& io, const GroupFile& file, bool serves, Owner owner);
-  ~Member();
+  GroupRuntime(boost::asio::io_context& io, const GroupFile& file, bool serves, Owner owner);
+  ~GroupRuntime();
 
   // Whether a request that came to this address may still go out to a host. Asked before each
   // attempt, by the clock and not by what the event loop has got to: a process that was stopped
@@ -55,7 +55,7 @@
 
   // One command of the status socket; the answer is JSON, one line.
   void command(const std::string& line, std::function<void(const std::string& json)> answer);
-  const group::Instance& instance() const { return *instance_; }
+  const group::GroupNode& group_node() const { return *group_node_; }
 
  private:
   // What carries one address.
@@ -69,11 +69,11 @@
   void make_instance();
   void open_storage();
   void on_datagram(const DatagramSocket::Endpoint& from, std::string_view bytes);
-  void send(const group::Instance::Send& out);
+  void send(const group::GroupNode::Send& out);
   void send(const DatagramSocket::Endpoint& to, group::Datagram datagram);
   void work();
   void work_once(Time now);
-  void carry(Time now, const address::Keeper::Carry& what);
+  void carry(Time now, const lease::LeaseManager::RouteAction& what);
   void carry_commands(Time now, const std::string& address, Carrier& carrier);
   void take_bgp_events(Time now);
   void set_listening(Time now, const std::string& address, Carrier& carrier);
@@ -90,8 +90,8 @@
   std::uint64_t life_ = 0, sequence_ = 0;
   group::KeyRing keys_;
   group::ReplayGuard replays_;
-  std::optional<group::Instance> instance_;
-  address::Ability ability_;
+  std::optional<group::GroupNode> group_node_;
+  lease::Eligibility eligibility_;
   std::map<std::string, Carrier> carriers_;
   std::unique_ptr<BgpLinks> bgp_;
   std::unique_ptr<DatagramSocket> socket_;
@@ -104,4 +104,4 @@
   const Time began_;
 };
 
-}  // namespace silverpin::member
+}  // namespace balancer::group_runtime
--- a/src/member/status.cc
+++ b/src/group_runtime/status.cc
@@ -1,4 +1,4 @@
-#include "member/status.h"
+#include "group_runtime/status.h"
 
 #include <sys/stat.h>
 #include <unistd.h>
@@ -17,7 +17,7 @@
 
 #include "structures/time.h"
 
-namespace silverpin::member {
+namespace balancer::group_runtime {
 namespace {
 
 namespace asio = boost::asio;
@@ -25,7 +25,7 @@
 using local = asio::local::stream_protocol;
 using nlohmann::json;
 
-constexpr std::size_t kMostTalks = 16, kMostLine = 1024;
+constexpr std::size_t kMaxTalks = 16, kMaxLine = 1024;
 constexpr Duration kTalk = std::chrono::seconds(10);  // a change of voters takes some seconds
 
 std::int64_t ms(Duration d) {
@@ -55,13 +55,13 @@
 
 }  // namespace
 
-std::string status_json(const StatusFigures& f, const group::Instance& instance,
+std::string status_json(const StatusFigures& f, const group::GroupNode& instance,
                         const GroupFile& file, const bgp::Speaker* speaker, Time now) {
   json out;
   out["name"] = f.name;
   out["life"] = f.life;
   out["up_ms"] = ms(f.up_for);
-  out["able"] = f.serves ? f.able : "a voter that serves nothing";
+  out["able"] = f.serves ? f.eligible : "a voter that serves nothing";
   json& voter = out["voter"];
   const auto& record = instance.voter()->record();
   voter["votes"] = record.voters.has(f.name);
@@ -71,11 +71,11 @@
   voter["longest_write_ms"] = 1e3 * seconds(f.longest_write);
   out["voters"] = {{"version", instance.voters().version}, {"names", instance.voters().names}};
   out["addresses"] = json::array();
-  for (const auto& [name, t] : instance.keeper().tenures()) {
+  for (const auto& [name, t] : instance.lease_manager().lease_holders()) {
     const bool holds = t.holds(now);
     json a;
     a["address"] = name;
-    a["state"] = address::name_of(t.state());
+    a["state"] = lease::name_of(t.state());
     a["since_ms"] = ms(now - t.since());
     a["term"] = t.term();
     a["newest_term"] = t.newest_term();
@@ -84,7 +84,7 @@
     a["voters"] = t.voters().names.size();
     a["why"] = t.why();
     std::string holder = holds ? f.name : "";
-    address::Term newest = holds ? t.term() : 0;
+    lease::Term newest = holds ? t.term() : 0;
     for (const auto& [other, m] : instance.group().members()) {
       if (m.state == membership::State::kDead || m.state == membership::State::kLeft) continue;
       const auto meta = group::decode_meta(m.meta);
@@ -95,7 +95,7 @@
       }
     }
     a["holder"] = holder;
-    a["tenures"] = t.tenures();
+    a["tenures"] = t.lease_holders();
     out["addresses"].push_back(std::move(a));
   }
   out["members"] = json::array();
@@ -105,7 +105,7 @@
                               {"endpoint", m.endpoint},
                               {"state", name_of(m.state)},
                               {"since_ms", ms(now - m.since)},
-                              {"able", meta && meta->able},
+                              {"able", meta && meta->eligible},
                               {"votes", instance.voters().has(name)}});
   }
   out["routers"] = json::array();
@@ -216,7 +216,7 @@
           self->in_.append(self->chunk_.data(), n);
           const auto line = self->in_.find('\n');
           if (line == std::string::npos)
-            return self->in_.size() > kMostLine ? self->end() : self->read();
+            return self->in_.size() > kMaxLine ? self->end() : self->read();
           self->owner_->command_(self->in_.substr(0, line),
                                  [self](const std::string& json) { self->answer(json + "\n"); });
         });
@@ -292,7 +292,7 @@
 void StatusSocket::accept() {
   acceptor_.async_accept([this](const error_code& e, local::socket s) {
     if (e == asio::error::operation_aborted) return;
-    if (!e && talks_.size() < kMostTalks) {
+    if (!e && talks_.size() < kMaxTalks) {
       const auto talk = std::make_shared<Talk>(*this, std::move(s));
       talks_.insert(talk);
       talk->start();
@@ -315,4 +315,4 @@
   return answer;
 }
 
-}  // namespace silverpin::member
+}  // namespace balancer::group_runtime
--- a/src/member/status.h
+++ b/src/group_runtime/status.h
@@ -8,20 +8,20 @@
 #include <set>
 #include <string>
 
-#include "announce/speaker.h"
-#include "group/instance.h"
+#include "group/group_node.h"
 #include "net/datagram_socket.h"
+#include "route_announcement/speaker.h"
 #include "settings/group_file.h"
 
 // What a running member tells operators: JSON over a socket in its folder, and the two ways in
-// which `silverpin address` prints it.
-namespace silverpin::member {
+// which `balancer address` prints it.
+namespace balancer::group_runtime {
 
 struct StatusFigures {
   std::string name;
   std::uint64_t life = 0;
   bool serves = true, remembers = true;
-  std::string able;  // "ready", or why not
+  std::string eligible;  // "ready", or why not
   Duration up_for{0};
   DatagramSocket::Counters datagrams;
   std::uint64_t unsealed = 0, replayed = 0, unreadable = 0;
@@ -29,7 +29,7 @@
   Duration longest_write{0};
 };
 
-std::string status_json(const StatusFigures& figures, const group::Instance& instance,
+std::string status_json(const StatusFigures& figures, const group::GroupNode& instance,
                         const GroupFile& file, const bgp::Speaker* speaker, Time now);
 std::string outcome_json(bool good, const std::string& line);
 // For people; what cannot be read is given as it is.
@@ -70,4 +70,4 @@
 // Asks the member whose socket this is. Throws std::runtime_error, one line.
 std::string ask_member(const std::string& path, const std::string& line);
 
-}  // namespace silverpin::member
+}  // namespace balancer::group_runtime
--- a/src/member/voter_storage.cc
+++ b/src/group_runtime/voter_storage.cc
@@ -1,4 +1,4 @@
-#include "member/voter_storage.h"
+#include "group_runtime/voter_storage.h"
 
 #include <algorithm>
 #include <chrono>
@@ -8,7 +8,7 @@
 #include "net/lease_clock.h"
 #include "proto/group_wire.h"
 
-namespace silverpin::member {
+namespace balancer::group_runtime {
 namespace {
 
 using std::chrono::milliseconds;
@@ -69,7 +69,7 @@
     log_("voter: " + store_->file() + ": its record makes no sense and is not used");
 }
 
-bool VoterStorage::keep(const address::VoterRecord& record) {
+bool VoterStorage::keep(const lease::VoterRecord& record) {
   if (!store_) return false;
   const Time before = lease_now();
   try {
@@ -89,4 +89,4 @@
   log_("voter: gives no vote: " + cause);
 }
 
-}  // namespace silverpin::member
+}  // namespace balancer::group_runtime
--- a/src/member/voter_storage.h
+++ b/src/group_runtime/voter_storage.h
@@ -6,11 +6,11 @@
 #include <optional>
 #include <string>
 
-#include "address/voter.h"
-#include "group/instance.h"
+#include "group/group_node.h"
+#include "lease/voter.h"
 #include "store/store.h"
 
-namespace silverpin::member {
+namespace balancer::group_runtime {
 
 // What one member keeps on disk: its incarnation and, as a voter, its record. A folder that cannot
 // be used is tried again, ever more rarely, for as long as the process lives; until then nothing is
@@ -31,9 +31,9 @@
   // Larger with each start, where what was kept of the starts before could be read.
   std::uint64_t incarnation() const { return incarnation_; }
   // Nothing where there was no record, or it could not be read.
-  const std::optional<address::VoterRecord>& remembered() const { return remembered_; }
+  const std::optional<lease::VoterRecord>& remembered() const { return remembered_; }
 
-  bool keep(const address::VoterRecord& record) override;
+  bool keep(const lease::VoterRecord& record) override;
   std::uint64_t writes() const { return writes_; }
   Duration longest_write() const { return longest_write_; }
 
@@ -47,7 +47,7 @@
   const Log log_;
   std::unique_ptr<store::Store> store_;
   std::uint64_t incarnation_;
-  std::optional<address::VoterRecord> remembered_;
+  std::optional<lease::VoterRecord> remembered_;
   Time next_attempt_ = Time::min();
   Duration retry_delay_;
   std::string last_cause_;
@@ -55,4 +55,4 @@
   Duration longest_write_{0};
 };
 
-}  // namespace silverpin::member
+}  // namespace balancer::group_runtime
--- a/src/roster/roster.h
+++ b/src/hosts/host_registry.h
@@ -13,7 +13,7 @@
 
 // Which hosts there are: what lists and operators have said of each, who came and who left. Facts
 // alone; what follows from them the policy decides. No I/O, no clock, no chance.
-namespace silverpin {
+namespace balancer {
 
 enum class HostState { kServing, kDraining, kGone };
 
@@ -36,9 +36,9 @@
   double weight = 1;
 };
 
-enum class ListKind { kChanges, kWhole, kRefused };
+enum class ListKind { kChanges, kWhole, kRejected };
 
-class Roster {
+class HostRegistry {
  public:
   // Operators' words that are kept at a time. A successor is told of as many at a hand-over.
   static constexpr std::size_t kMaxOverrides = 4096;
@@ -65,12 +65,12 @@
   };
 
   // An operator's word on a host.
-  struct Word {
+  struct OperatorOverride {
     bool out;
     Time at;  // it came to hold
   };
 
-  struct News {
+  struct HostChange {
     enum class Kind {
       kStarted,     // a list tells of another start, at `at`
       kOlder,       // the start that is known was earlier than thought, at `at`
@@ -86,17 +86,19 @@
 
   // `weights`: take the lists' weights; all weigh 1 without. Words are given up `remembered` after
   // they were taken back.
-  Roster(bool weights, Duration remembered) : weights_(weights), remembered_(remembered) {}
+  HostRegistry(bool weights, Duration remembered) : weights_(weights), remembered_(remembered) {}
 
   // Each returns what it changed, in the order in which it came.
-  std::vector<News> on_list(ListKind kind, const std::vector<HostEntry>& entries);
-  std::vector<News> restore(std::string_view id, Word word);
+  std::vector<HostChange> on_list(ListKind kind, const std::vector<HostEntry>& entries);
+  std::vector<HostChange> restore(std::string_view id, OperatorOverride word);
   // False if neither lists nor operators know the host, or there are too many words.
   bool may_speak_of(Time now, std::string_view id);
   // Whether `out` differs from the word in force.
   bool differs(std::string_view id, bool out) const;
   // In force; of hosts called back as long as they may be cold. At most kMaxOverrides.
-  const std::map<std::string, Word, std::less<>>& words() const { return words_; }
+  const std::map<std::string, OperatorOverride, std::less<>>& overrides() const {
+    return overrides_;
+  }
 
   void hold(Index i) { ++hosts_[i].held; }
   bool release(Index i);  // true if it is forgotten with that
@@ -108,8 +110,8 @@
   double weight() const { return placed_weight_; }    // of all that have a place
 
  private:
-  void take_start(Index i, const std::optional<HostStart>& start, std::vector<News>& news);
-  void heed(Index i, const Word& word, std::vector<News>& news);
+  void take_start(Index i, const std::optional<HostStart>& start, std::vector<HostChange>& news);
+  void heed(Index i, const OperatorOverride& word, std::vector<HostChange>& news);
   bool forget_if_gone(Index i);
 
   const bool weights_;
@@ -117,10 +119,10 @@
   NamedSlots<Host> hosts_;
   double placed_weight_ = 0;
   std::uint64_t lists_ = 0;  // that have come
-  std::map<std::string, Word, std::less<>> words_;
+  std::map<std::string, OperatorOverride, std::less<>> overrides_;
 };
 
 // Odd weights must neither drop a host from a placement nor let it flood it.
 double bounded_weight(double weight);
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/handover/turn.h
+++ b/src/hot_restart/hot_restart_state.h
@@ -4,10 +4,10 @@
 #include <cstdint>
 #include <optional>
 
-#include "proto/handover_wire.h"
+#include "proto/hot_restart_wire.h"
 
 // Which of two processes that run beside each other as one balancer may do what. No I/O, no clock.
-namespace silverpin::handover {
+namespace balancer::hot_restart {
 
 // One process's part. It may take the place of a predecessor, and later give its own to a
 // successor, one at a time: it is asked to come back while it is still coming of age.
@@ -20,17 +20,17 @@
 //                                                              its work
 //
 // While a successor is there, what this one may hold never grows: the other counts on it.
-class Turn {
+class HotRestartState {
  public:
   enum class Successor { kNone, kStarting, kServing };
 
   // `total`: what both together may hold.
-  explicit Turn(Share total) : total_(total) {}
+  explicit HotRestartState(ResourceShare total) : total_(total) {}
 
   // ---- a predecessor
 
   // It answered, and holds so much at most.
-  void on_predecessor(Share held);
+  void on_predecessor(ResourceShare held);
   // Something listens here and could not be asked: it is presumed to hold its half until then.
   void on_predecessor_presumed(Time until);
   void on_predecessor_ended();
@@ -52,15 +52,15 @@
   bool passes_connections() const { return leaving_ && successor_ == Successor::kServing; }
   // What this process may hold at most. `used`: what it does hold; `needs`: what it may come to
   // need for the requests it has taken.
-  Share share(Time now, Share used, Share needs);
+  ResourceShare share(Time now, ResourceShare used, ResourceShare needs);
 
  private:
-  const Share total_;
-  std::optional<Share> predecessor_;
+  const ResourceShare total_;
+  std::optional<ResourceShare> predecessor_;
   std::optional<Time> presumed_until_;
   Successor successor_ = Successor::kNone;
-  std::optional<Share> ceiling_;  // while a successor is there
+  std::optional<ResourceShare> ceiling_;  // while a successor is there
   bool leaving_ = false;
 };
 
-}  // namespace silverpin::handover
+}  // namespace balancer::hot_restart
--- a/src/address/deal.cc
+++ b/src/lease/address_assignment.cc
@@ -1,4 +1,4 @@
-#include "address/deal.h"
+#include "lease/address_assignment.h"
 
 #include <algorithm>
 #include <cstddef>
@@ -8,7 +8,7 @@
 
 #include "policy/hash_ring.h"
 
-namespace silverpin::address {
+namespace balancer::lease {
 namespace {
 
 constexpr std::size_t kNobody = SIZE_MAX;
@@ -33,22 +33,22 @@
 
 }  // namespace
 
-std::map<std::string, std::vector<std::string>> deal(
-    const std::vector<Wanted>& addresses, const std::vector<Able>& able,
+std::map<std::string, std::vector<std::string>> assign_addresses(
+    const std::vector<Wanted>& addresses, const std::vector<EligibleInstance>& eligible,
     const std::map<std::string, std::string>& holders, std::size_t most) {
-  const std::size_t n = able.size();
+  const std::size_t n = eligible.size();
   std::vector<std::uint64_t> hashes;
   std::map<std::string_view, std::size_t> by_name;
   for (std::size_t i = 0; i < n; ++i) {
-    hashes.push_back(stable_hash(able[i].name));
-    by_name.emplace(able[i].name, i);
+    hashes.push_back(stable_hash(eligible[i].name));
+    by_name.emplace(eligible[i].name, i);
   }
   std::vector<std::size_t> count(n, 0);
   std::vector<Place> places;
   for (const Wanted& w : addresses) {
     Place p{&w, stable_hash(w.address)};
     if (!w.prefer.empty())
-      for (const Able& a : able) p.preferences.push_back(preference(w, a.name));
+      for (const EligibleInstance& a : eligible) p.preferences.push_back(preference(w, a.name));
     places.push_back(std::move(p));
   }
   std::sort(places.begin(), places.end(),
@@ -63,7 +63,7 @@
   // Better ones are smaller.
   const auto rank = [&](const Place& p, std::size_t i) {
     return std::tuple(p.preference_of(i), count[i], ~mix(p.hash, hashes[i]),
-                      std::string_view(able[i].name));
+                      std::string_view(eligible[i].name));
   };
   const auto best = [&](const Place& p, auto&& allowed) {
     std::size_t choice = kNobody;
@@ -80,7 +80,7 @@
   // Where one is preferred.
   for (Place& p : places) {
     if (p.home == kNobody || p.preferences.empty()) continue;
-    const auto choice = best(p, [&able](std::size_t i) { return able[i].settled; });
+    const auto choice = best(p, [&eligible](std::size_t i) { return eligible[i].settled; });
     if (choice == kNobody || p.preference_of(choice) >= p.preference_of(p.home)) continue;
     --count[p.home];
     ++count[choice];
@@ -94,7 +94,7 @@
     for (Place& p : places) {
       if (p.home == kNobody || count[p.home] < 2) continue;
       for (std::size_t i = 0; i < n; ++i) {
-        if (!able[i].settled || count[p.home] < count[i] + 2 ||
+        if (!eligible[i].settled || count[p.home] < count[i] + 2 ||
             p.preference_of(i) != p.preference_of(p.home))
           continue;
         const std::tuple gain(count[p.home] - count[i],
@@ -119,9 +119,9 @@
       return std::pair(a != p.home, rank(p, a)) < std::pair(b != p.home, rank(p, b));
     });
     auto& names = order[p.wanted->address];
-    for (auto it = all.begin(); it != some; ++it) names.push_back(able[*it].name);
+    for (auto it = all.begin(); it != some; ++it) names.push_back(eligible[*it].name);
   }
   return order;
 }
 
-}  // namespace silverpin::address
+}  // namespace balancer::lease
--- a/src/address/deal.h
+++ b/src/lease/address_assignment.h
@@ -8,18 +8,18 @@
 // Which instance is to hold which service address, from what one instance knows of the others.
 // Views may differ for a while: that costs a move or a moment, never two holders, which the leases
 // see to.
-namespace silverpin::address {
+namespace balancer::lease {
 
 struct Wanted {
   std::string address;
   std::vector<std::string> prefer;  // instances, the most wanted first; others are alike
 };
 
-struct Able {
+struct EligibleInstance {
   std::string name;
   // For long enough that something may be moved to it; else it takes only what nobody holds.
   bool settled = false;
-  bool operator==(const Able&) const = default;
+  bool operator==(const EligibleInstance&) const = default;
 };
 
 // For each address, who is to hold it and who is next, the best first, `most` of them. No instance
@@ -31,8 +31,8 @@
 // the most preferred, of these to whoever holds least, and of those by the address's own order
 // (rendezvous hashing, Thaler and Ravishankar 1998), so that a dead one's part is dealt out evenly,
 // and by all alike.
-std::map<std::string, std::vector<std::string>> deal(
-    const std::vector<Wanted>& addresses, const std::vector<Able>& able,
+std::map<std::string, std::vector<std::string>> assign_addresses(
+    const std::vector<Wanted>& addresses, const std::vector<EligibleInstance>& eligible,
     const std::map<std::string, std::string>& holders, std::size_t most = 8);
 
-}  // namespace silverpin::address
+}  // namespace balancer::lease
--- a/src/address/ability.h
+++ b/src/lease/eligibility.h
@@ -8,9 +8,9 @@
 
 #include "structures/time.h"
 
-namespace silverpin::address {
+namespace balancer::lease {
 
-struct AbilitySettings {
+struct EligibilitySettings {
   // What is missing for less than this is not missed: lists are exchanged, sessions come back.
   Duration grace{std::chrono::milliseconds(300)};
   // After it could not, an instance must have been well for so long before it says that it can. At
@@ -25,37 +25,37 @@
 // Whether an instance can do the work behind a service address, from what is seen of its parts: so
 // that one that cannot gives its addresses up in order, and one that comes and goes gets none. No
 // I/O and no clock; `now` comes with every call and never goes back.
-class Ability {
+class Eligibility {
  public:
   // What must be there; a part that is told nothing of is.
   enum class Part { kHosts, kListener, kRouters, kStays };
   static constexpr std::size_t kParts = 4;
 
-  explicit Ability(const AbilitySettings& settings) : settings_(settings) {}
+  explicit Eligibility(const EligibilitySettings& settings) : settings_(settings) {}
 
   // kListener and kStays count at once, the others after the grace.
   void on_part(Time now, Part part, bool there);
   // How late the event loop was with something that it had to do at a time; told regularly.
   void on_lateness(Time now, Duration late);
 
-  bool able(Time now);
+  bool eligible(Time now);
   const std::string& why() const { return why_; }  // not, or "ready"
   Time next() const;                               // when able() may differ without further news
 
  private:
   std::string_view missing(Time now) const;
 
-  const AbilitySettings settings_;
+  const EligibilitySettings settings_;
   struct State {
     bool there = true;
     Time since{0};
   };
   std::array<State, kParts> parts_;
   std::deque<Time> late_at_;
-  bool able_ = false, ever_ = false;
+  bool eligible_ = false, ever_ = false;
   Time well_at_{Time::max()};  // when nothing will have been missing for long enough
   std::deque<Time> relapses_;
   std::string why_ = "starts";
 };
 
-}  // namespace silverpin::address
+}  // namespace balancer::lease
--- a/src/address/tenure.cc
+++ b/src/lease/lease_holder.cc
@@ -1,9 +1,9 @@
-#include "address/tenure.h"
+#include "lease/lease_holder.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace silverpin::address {
+namespace balancer::lease {
 namespace {
 
 using std::chrono::milliseconds;
@@ -11,7 +11,7 @@
 // A lease is renewed this often within its length.
 constexpr int kRenewals = 4;
 // Renewals whose answers are still waited for.
-constexpr std::size_t kMostRounds = 4;
+constexpr std::size_t kMaxRounds = 4;
 // Those behind the first wait so much longer for each before them, and all by chance as much.
 constexpr Duration kRankStep = milliseconds(60);
 constexpr Duration kChance = milliseconds(30);
@@ -20,25 +20,25 @@
 
 }  // namespace
 
-const char* name_of(Tenure::State state) {
+const char* name_of(LeaseHolder::State state) {
   switch (state) {
-    case Tenure::State::kIdle:
+    case LeaseHolder::State::kIdle:
       return "idle";
-    case Tenure::State::kCandidate:
+    case LeaseHolder::State::kCandidate:
       return "candidate";
-    case Tenure::State::kHolder:
+    case LeaseHolder::State::kHolder:
       return "holder";
-    case Tenure::State::kHandingOver:
+    case LeaseHolder::State::kHandingOver:
       return "handing over";
-    case Tenure::State::kReleasing:
+    case LeaseHolder::State::kReleasing:
       return "releasing";
     default:
       return "cut off";
   }
 }
 
-Tenure::Tenure(std::string address, Holder self, const LeaseTimes& times, Voters voters,
-               std::uint64_t seed, Time now)
+LeaseHolder::LeaseHolder(std::string address, Holder self, const LeaseTimes& times, Voters voters,
+                         std::uint64_t seed, Time now)
     : address_(std::move(address)),
       self_(std::move(self)),
       times_(times),
@@ -47,12 +47,12 @@
       since_(now),
       try_at_(now) {}
 
-Duration Tenure::jitter(Duration most) {
+Duration LeaseHolder::jitter(Duration most) {
   return Duration(static_cast<Duration::rep>(static_cast<double>(most.count()) * times_.chance *
                                              std::uniform_real_distribution<>()(random_)));
 }
 
-void Tenure::enter(Time now, State state, std::string_view why) {
+void LeaseHolder::enter(Time now, State state, std::string_view why) {
   state_ = state;
   since_ = now;
   why_ = why;
@@ -60,7 +60,7 @@
 
 // ---- what it is told to do
 
-void Tenure::want(Time now, bool wanted, int rank) {
+void LeaseHolder::want(Time now, bool wanted, int rank) {
   if (wanted && !wanted_ && state_ == State::kIdle)
     try_at_ = std::max(try_at_, now + rank * kRankStep + jitter(kChance));
   wanted_ = wanted;
@@ -68,7 +68,7 @@
   if (!wanted && state_ == State::kCandidate) give_up_election(now, "not wanted any more");
 }
 
-void Tenure::invite(Time now, Term term) {
+void LeaseHolder::invite(Time now, Term term) {
   newest_ = std::max(newest_, term);
   if (state_ != State::kIdle) return;
   wanted_ = invited_ = true;
@@ -76,7 +76,7 @@
   try_at_ = now;
 }
 
-void Tenure::hand_over(Time now, const std::string& successor) {
+void LeaseHolder::hand_over(Time now, const std::string& successor) {
   if (state_ != State::kHolder || successor == self_.name) return;
   if (!holds(now)) return lose(now, "the lease had ended");
   in_order_at_ = now;
@@ -88,21 +88,21 @@
   tell_voters_released(successor);
   overlap_ends_ = now + times_.overlap;
   enter(now, State::kHandingOver, "handed over to " + successor);
-  carries_.push_back({Carry::Kind::kFade, term_});
+  route_actions_.push_back({RouteAction::Kind::kFade, term_});
 }
 
-void Tenure::on_successor_announces(Time now) {
+void LeaseHolder::on_successor_announces(Time now) {
   if (state_ != State::kHandingOver) return;
   end_known_ = true;
   stop_announcing(now);
 }
 
-void Tenure::stop_announcing(Time now) {
+void LeaseHolder::stop_announcing(Time now) {
   enter(now, State::kReleasing, why_);
-  carries_.push_back({Carry::Kind::kWithdraw, term_});
+  route_actions_.push_back({RouteAction::Kind::kWithdraw, term_});
 }
 
-void Tenure::release(Time now, std::string_view why) {
+void LeaseHolder::release(Time now, std::string_view why) {
   wanted_ = false;
   if (state_ == State::kCandidate) return give_up_election(now, why);
   if (state_ != State::kHolder) return;
@@ -110,15 +110,15 @@
   serves_until_ = valid_until_;
   rounds_.clear();
   enter(now, State::kReleasing, why);
-  carries_.push_back({Carry::Kind::kWithdraw, term_});
+  route_actions_.push_back({RouteAction::Kind::kWithdraw, term_});
 }
 
 // ---- elections and renewals
 
-void Tenure::begin_round(Time now, Ask::Kind kind) {
-  if (rounds_.size() >= kMostRounds) rounds_.pop_front();
+void LeaseHolder::begin_round(Time now, VoteRequest::Kind kind) {
+  if (rounds_.size() >= kMaxRounds) rounds_.pop_front();
   rounds_.push_back({next_number_++, now, {}, {}});
-  Ask ask;
+  VoteRequest ask;
   ask.kind = kind;
   ask.address = address_;
   ask.term = term_;
@@ -128,25 +128,25 @@
   for (const auto& voter : voters_.names) sends_.push_back({voter, ask});
 }
 
-void Tenure::begin_election(Time now, bool known_free) {
+void LeaseHolder::begin_election(Time now, bool known_free) {
   enter(now, State::kCandidate, "the address is free, as far as is known");
   if (known_free) return ask_for_votes(now);
   looking_ = true;
   rounds_.clear();
-  begin_round(now, Ask::Kind::kQuery);
+  begin_round(now, VoteRequest::Kind::kQuery);
   election_ends_ = now + times_.patience;
 }
 
-void Tenure::ask_for_votes(Time now) {
+void LeaseHolder::ask_for_votes(Time now) {
   looking_ = false;
   rounds_.clear();
   term_ = ++newest_;
-  begin_round(now, Ask::Kind::kLease);
+  begin_round(now, VoteRequest::Kind::kLease);
   election_ends_ = now + times_.patience;
 }
 
 // What was granted is given back, so that others need not wait for its end.
-void Tenure::give_up_election(Time now, std::string_view why) {
+void LeaseHolder::give_up_election(Time now, std::string_view why) {
   const std::size_t answered = rounds_.empty() ? 0 : rounds_.back().answered.size();
   const bool any = !rounds_.empty() && !rounds_.back().granted.empty();
   reached_ = answered;
@@ -165,20 +165,20 @@
       std::max(later, free_at_ > now ? free_at_ + rank_ * kRankStep + jitter(kChance) : later);
 }
 
-void Tenure::renew(Time now) {
+void LeaseHolder::renew(Time now) {
   if (now >= raise_at_) {
     raise_at_ = Time::max();
     term_ = ++newest_;
-    carries_.push_back({Carry::Kind::kAnnounce, term_});
+    route_actions_.push_back({RouteAction::Kind::kAnnounce, term_});
   }
-  begin_round(now, Ask::Kind::kLease);
+  begin_round(now, VoteRequest::Kind::kLease);
   renew_at_ = now + times_.lease / kRenewals;
 }
 
 // What was asked of the set before says nothing of a majority of this one: half the votes of four
 // could pass for most of three. A lease that is held goes on: majorities of the two sets share a
 // voter.
-void Tenure::take_voters(Time now, const Voters& voters) {
+void LeaseHolder::take_voters(Time now, const Voters& voters) {
   if (voters.version <= voters_.version || voters.names.empty()) return;
   if (state_ == State::kCandidate) give_up_election(now, "the voters have changed");
   voters_ = voters;
@@ -187,8 +187,8 @@
   if (state_ == State::kCutOff) poll_at_ = now;
 }
 
-void Tenure::on_reply(Time now, const std::string& voter, const Reply& r) {
-  using Verdict = Reply::Verdict;
+void LeaseHolder::on_reply(Time now, const std::string& voter, const VoteReply& r) {
+  using Verdict = VoteReply::Verdict;
   if (r.address != address_ || !voters_.has(voter)) return;
   newest_ = std::max(newest_, r.term);
   if (r.verdict != Verdict::kGranted && r.term >= newest_) believed_ = r.holder;
@@ -224,12 +224,12 @@
         return give_up_election(now, "the lease came too late");
       }
       believed_ = self_;
-      ++tenures_;
+      ++lease_holders_;
       in_order_at_.reset();
       end_known_ = false;
       raise_at_ = Time::max();
       enter(now, State::kHolder, "elected");
-      carries_.push_back({Carry::Kind::kAnnounce, term_});
+      route_actions_.push_back({RouteAction::Kind::kAnnounce, term_});
     } else if (denied + majority() > voters_.names.size()) {
       give_up_election(now, r.holder.none() || r.holder == self_
                                 ? std::string("another candidate has votes")
@@ -252,8 +252,8 @@
 }
 
 // An answer to "who holds it?".
-void Tenure::on_look(Time now, Round& round, const std::string& voter, const Reply& r) {
-  if (r.verdict == Reply::Verdict::kTold && r.holder.none()) round.granted.insert(voter);
+void LeaseHolder::on_look(Time now, Round& round, const std::string& voter, const VoteReply& r) {
+  if (r.verdict == VoteReply::Verdict::kTold && r.holder.none()) round.granted.insert(voter);
   if (round.granted.size() >= majority()) return ask_for_votes(now);
   const std::size_t taken = round.answered.size() - round.granted.size();
   if (taken + majority() > voters_.names.size())
@@ -263,9 +263,9 @@
 
 // ---- ends
 
-void Tenure::tell_voters_released(const std::string& successor) {
-  Ask ask;
-  ask.kind = Ask::Kind::kRelease;
+void LeaseHolder::tell_voters_released(const std::string& successor) {
+  VoteRequest ask;
+  ask.kind = VoteRequest::Kind::kRelease;
   ask.address = address_;
   ask.term = term_;
   ask.holder = self_;
@@ -276,21 +276,21 @@
   for (const auto& voter : voters_.names) sends_.push_back({voter, ask});
 }
 
-void Tenure::lose(Time now, std::string_view why) {
+void LeaseHolder::lose(Time now, std::string_view why) {
   in_order_at_.reset();
   end_known_ = false;
   serves_until_ = valid_until_;
   rounds_.clear();
   cut_off_next_ = true;
   enter(now, State::kReleasing, why);
-  carries_.push_back({Carry::Kind::kWithdraw, term_});
+  route_actions_.push_back({RouteAction::Kind::kWithdraw, term_});
 }
 
-void Tenure::check_lease(Time now) {
+void LeaseHolder::check_lease(Time now) {
   if (now >= valid_until_ - times_.withdraw_lead) lose(now, "the lease was not renewed in time");
 }
 
-void Tenure::on_withdrawn(Time now) {
+void LeaseHolder::on_withdrawn(Time now) {
   if (state_ != State::kReleasing) return;
   valid_until_ = std::min(valid_until_, now);
   serves_until_ = std::min(serves_until_, now);
@@ -303,24 +303,24 @@
   try_at_ = now + times_.lease;
 }
 
-void Tenure::on_claim_failed(Time now) {
+void LeaseHolder::on_claim_failed(Time now) {
   if (state_ != State::kHolder) return;
   rounds_.clear();
   in_order_at_.reset();
   end_known_ = false;
   serves_until_ = valid_until_;
   enter(now, State::kReleasing, "the claim could not be carried out");
-  carries_.push_back({Carry::Kind::kWithdraw, term_});
+  route_actions_.push_back({RouteAction::Kind::kWithdraw, term_});
 }
 
-void Tenure::poll_cut_off(Time now) {
+void LeaseHolder::poll_cut_off(Time now) {
   rounds_.clear();
-  begin_round(now, Ask::Kind::kQuery);
+  begin_round(now, VoteRequest::Kind::kQuery);
   reached_ = 0;
   poll_at_ = now + times_.lease / 2 + jitter(kCollision);
 }
 
-void Tenure::on_timer(Time now) {
+void LeaseHolder::on_timer(Time now) {
   switch (state_) {
     case State::kIdle:
       if (wanted_ && now >= try_at_) begin_election(now, std::exchange(invited_, false));
@@ -345,7 +345,7 @@
   }
 }
 
-Time Tenure::next() const {
+Time LeaseHolder::next() const {
   switch (state_) {
     case State::kIdle:
       return wanted_ ? try_at_ : Time::max();
@@ -362,7 +362,7 @@
   }
 }
 
-std::string Tenure::fingerprint() const {
+std::string LeaseHolder::fingerprint() const {
   std::string out;
   const auto number = [&out](auto n) { out += std::to_string(n) + ","; };
   const auto time = [&](Time t) { number(t.count()); };
@@ -393,4 +393,4 @@
   return out;
 }
 
-}  // namespace silverpin::address
+}  // namespace balancer::lease
