--- a/src/address/tenure.h
+++ b/src/lease/lease_holder.h
@@ -11,9 +11,9 @@
 #include <utility>
 #include <vector>
 
-#include "address/lease.h"
+#include "lease/messages.h"
 
-namespace silverpin::address {
+namespace balancer::lease {
 
 // One instance's side of one service address: asks the voters, counts its lease, and says what is
 // to be announced. No I/O and no clock; `now` comes with every call and never goes back.
@@ -39,12 +39,12 @@
 //
 // A lease counts from before it was asked for, by its holder's own clock, and is shorter than a
 // voter's promise by twice the drift: so no two instances hold an address at one true time.
-class Tenure {
+class LeaseHolder {
  public:
   enum class State { kIdle, kCandidate, kHolder, kHandingOver, kReleasing, kCutOff };
 
-  Tenure(std::string address, Holder self, const LeaseTimes& times, Voters voters,
-         std::uint64_t seed, Time now);
+  LeaseHolder(std::string address, Holder self, const LeaseTimes& times, Voters voters,
+              std::uint64_t seed, Time now);
 
   // ---- told by whoever decides which instance is to hold it
 
@@ -60,7 +60,7 @@
 
   // ---- told by the network, the carrier and the clock
 
-  void on_reply(Time now, const std::string& voter, const Reply& reply);
+  void on_reply(Time now, const std::string& voter, const VoteReply& reply);
   void on_withdrawn(Time now);
   // The carrier could not announce it: a failed claim.
   void on_claim_failed(Time now);
@@ -71,9 +71,9 @@
 
   struct Send {
     std::string voter;
-    Ask ask;
+    VoteRequest ask;
   };
-  struct Carry {
+  struct RouteAction {
     enum class Kind {
       kAnnounce,
       kFade,
@@ -82,7 +82,7 @@
     Term term;
   };
   std::vector<Send> take_sends() { return std::exchange(sends_, {}); }
-  std::vector<Carry> take_carries() { return std::exchange(carries_, {}); }
+  std::vector<RouteAction> take_route_actions() { return std::exchange(route_actions_, {}); }
 
   // ---- what it knows
 
@@ -114,7 +114,7 @@
   Term newest_term() const { return newest_; }
   std::size_t voters_reached() const { return reached_; }  // by the last round
   const Voters& voters() const { return voters_; }
-  std::uint64_t tenures() const { return tenures_; }
+  std::uint64_t lease_holders() const { return lease_holders_; }
   // All that its further conduct follows from, but for chance; for tests that walk all states.
   std::string fingerprint() const;
 
@@ -128,8 +128,8 @@
   void enter(Time now, State state, std::string_view why);
   void begin_election(Time now, bool known_free);
   void ask_for_votes(Time now);
-  void on_look(Time now, Round& round, const std::string& voter, const Reply& reply);
-  void begin_round(Time now, Ask::Kind kind);
+  void on_look(Time now, Round& round, const std::string& voter, const VoteReply& reply);
+  void begin_round(Time now, VoteRequest::Kind kind);
   void give_up_election(Time now, std::string_view why);
   void renew(Time now);
   void check_lease(Time now);
@@ -175,11 +175,11 @@
   bool end_known_ = false;     // by a majority of the voters, or by the successor
   bool cut_off_next_ = false;  // after the withdrawal
   std::size_t reached_ = 0;
-  std::uint64_t tenures_ = 0;
+  std::uint64_t lease_holders_ = 0;
   std::vector<Send> sends_;
-  std::vector<Carry> carries_;
+  std::vector<RouteAction> route_actions_;
 };
 
-const char* name_of(Tenure::State state);
+const char* name_of(LeaseHolder::State state);
 
-}  // namespace silverpin::address
+}  // namespace balancer::lease
--- a/src/address/keeper.h
+++ b/src/lease/lease_manager.h
@@ -6,21 +6,21 @@
 #include <utility>
 #include <vector>
 
-#include "address/deal.h"
-#include "address/tenure.h"
+#include "lease/address_assignment.h"
+#include "lease/lease_holder.h"
 
-namespace silverpin::address {
+namespace balancer::lease {
 
 // What one instance knows of another, by its own word.
 struct Peer {
   std::string name;
-  bool able = false;
-  Time able_since{0};                 // as seen here
+  bool eligible = false;
+  Time eligible_since{0};             // as seen here
   std::map<std::string, Term> holds;  // addresses that it announces
 };
 
 // Between an instance that hands over and its successor.
-struct Tell {
+struct TransferMessage {
   enum class Kind : std::uint8_t {
     kInvite,     // the address is kept for you: ask for it now
     kAnnounces,  // the one that was invited has it, and it is announced
@@ -30,7 +30,7 @@
   Term term = 0;  // of whoever says it
 };
 
-struct KeeperSettings {
+struct LeaseManagerSettings {
   std::vector<Wanted> addresses;
   LeaseTimes times;
   // An instance must have been able for so long before anything is moved to it.
@@ -43,22 +43,22 @@
 
 // Every service address at one instance: which it tries for, keeps and gives up, and to whom. No
 // I/O and no clock.
-class Keeper {
+class LeaseManager {
  public:
-  Keeper(const KeeperSettings& settings, Holder self, const Voters& voters, std::uint64_t seed,
-         Time now);
+  LeaseManager(const LeaseManagerSettings& settings, Holder self, const Voters& voters,
+               std::uint64_t seed, Time now);
 
   // ---- told
   // Everybody that is well, this instance left out; and whether it can do the work itself.
   void on_peers(Time now, const std::vector<Peer>& peers);
-  void on_able(Time now, bool able, std::string_view why);
+  void on_eligible(Time now, bool eligible, std::string_view why);
   // An operator's wish: hands the address over to this instance, or to the best where none is
   // named. Returns why not, or nothing.
   std::string move(Time now, const std::string& address, const std::string& to);
   // It ends: gives all up in order, the best successors first.
   void leave(Time now);
-  void on_reply(Time now, const std::string& voter, const Reply& reply);
-  void on_tell(Time now, const std::string& from, const Tell& tell);
+  void on_reply(Time now, const std::string& voter, const VoteReply& reply);
+  void on_tell(Time now, const std::string& from, const TransferMessage& tell);
   // The carrier has announced it, has withdrawn it, or could not claim it.
   void on_announced(Time now, const std::string& address);
   void on_withdrawn(Time now, const std::string& address);
@@ -67,35 +67,36 @@
   Time next() const;
 
   // ---- what is to be done
-  struct Carry {
+  struct RouteAction {
     std::string address;
-    Tenure::Carry what;
+    LeaseHolder::RouteAction what;
   };
-  std::vector<Tenure::Send> take_sends();
+  std::vector<LeaseHolder::Send> take_sends();
   struct Told {
     std::string to;
-    Tell tell;
+    TransferMessage tell;
   };
   std::vector<Told> take_tells() { return std::exchange(tells_, {}); }
-  std::vector<Carry> take_carries();
+  std::vector<RouteAction> take_route_actions();
 
   // ---- known
-  const Tenure* tenure(const std::string& address) const;
-  const std::map<std::string, Tenure>& tenures() const { return tenures_; }
+  const LeaseHolder* lease_holder(const std::string& address) const;
+  const std::map<std::string, LeaseHolder>& lease_holders() const { return lease_holders_; }
   std::map<std::string, Term> holds() const;  // what it announces
-  bool able() const { return able_; }
+  bool eligible() const { return eligible_; }
   // Nothing is announced any more, and nothing is to be withdrawn.
   bool idle() const;
 
  private:
   void decide(Time now);
-  void hand_over(Time now, const std::string& address, Tenure& tenure, const std::string& to);
-  std::vector<Able> able_instances(Time now) const;
+  void hand_over(Time now, const std::string& address, LeaseHolder& lease_holder,
+                 const std::string& to);
+  std::vector<EligibleInstance> able_instances(Time now) const;
   void deal_again(Time now, std::map<std::string, std::string> holders);
 
-  const KeeperSettings settings_;
+  const LeaseManagerSettings settings_;
   const Holder self_;
-  std::map<std::string, Tenure> tenures_;
+  std::map<std::string, LeaseHolder> lease_holders_;
   std::map<std::string, Peer> peers_;
   std::map<std::string, Time> moved_;  // when each was last given up for a better place
   struct Handover {
@@ -105,11 +106,11 @@
   std::map<std::string, Handover> handing_;        // by address
   std::map<std::string, std::string> invited_by_;  // by address
   std::vector<Told> tells_;
-  bool able_ = false, leaving_ = false;
+  bool eligible_ = false, leaving_ = false;
   Time able_since_{0};
   std::string why_not_ = "not ready yet";
   // The last deal, and what it followed from: looked at often, and mostly the same.
-  std::vector<Able> dealt_able_;
+  std::vector<EligibleInstance> dealt_able_;
   bool peers_changed_ = true;
   Time settles_at_{0};  // when the next of them has been able for long enough
   std::map<std::string, std::string> dealt_holders_;
@@ -117,4 +118,4 @@
   Time look_at_;
 };
 
-}  // namespace silverpin::address
+}  // namespace balancer::lease
--- a/src/address/lease.h
+++ b/src/lease/messages.h
@@ -11,7 +11,7 @@
 
 // What instances and voters say to each other about who holds a service address. Plain data; the
 // rules are in voter.h and tenure.h.
-namespace silverpin::address {
+namespace balancer::lease {
 
 // Counts the tenures of one address. Each has a term of its own, larger than those before: it goes
 // into every message and every announcement, so that whoever hears two knows the newer.
@@ -35,7 +35,7 @@
   bool has(const std::string& name) const;
   bool operator==(const Voters&) const = default;
 };
-inline constexpr std::size_t kMostVoters = 7;
+inline constexpr std::size_t kMaxVoters = 7;
 
 // Numbers attempts to change the voters; of two the larger wins.
 struct Ballot {
@@ -68,7 +68,7 @@
 };
 
 // To a voter.
-struct Ask {
+struct VoteRequest {
   enum class Kind : std::uint8_t {
     kQuery,    // who holds it? promises nothing
     kLease,    // a first lease or its renewal
@@ -84,7 +84,7 @@
 };
 
 // A voter's answer.
-struct Reply {
+struct VoteReply {
   enum class Verdict : std::uint8_t {
     kGranted,  // the promise is on disk
     kHeld,     // promised to another, or kept for a successor; `left` is how long still
@@ -136,4 +136,4 @@
   return false;
 }
 
-}  // namespace silverpin::address
+}  // namespace balancer::lease
--- a/src/address/voter.cc
+++ b/src/lease/voter.cc
@@ -1,19 +1,19 @@
-#include "address/voter.h"
+#include "lease/voter.h"
 
 #include <algorithm>
 #include <iterator>
 #include <utility>
 
-namespace silverpin::address {
+namespace balancer::lease {
 namespace {
 
 // Addresses that one voter keeps promises for: far more than a group has.
-constexpr std::size_t kMostAddresses = 256;
+constexpr std::size_t kMaxAddresses = 256;
 
 }  // namespace
 
 bool valid(const Voters& v) {
-  return !v.names.empty() && v.names.size() <= kMostVoters &&
+  return !v.names.empty() && v.names.size() <= kMaxVoters &&
          std::is_sorted(v.names.begin(), v.names.end()) &&
          std::adjacent_find(v.names.begin(), v.names.end()) == v.names.end();
 }
@@ -40,10 +40,10 @@
   }
 }
 
-Voter::Decision Voter::on_ask(Time now, const Ask& ask) {
-  using Verdict = Reply::Verdict;
+Voter::Decision Voter::on_ask(Time now, const VoteRequest& ask) {
+  using Verdict = VoteReply::Verdict;
   Decision d;
-  Reply& r = d.reply;
+  VoteReply& r = d.reply;
   r.address = ask.address;
   r.number = ask.number;
   r.voters = record_.voters;
@@ -58,10 +58,10 @@
   const bool held = !live.released && live.until > now && !promise.holder.none();
   if (held) r.left = live.until - now;
   switch (ask.kind) {
-    case Ask::Kind::kQuery:
+    case VoteRequest::Kind::kQuery:
       if (!held) r.holder = {};
       return d;
-    case Ask::Kind::kRelease:
+    case VoteRequest::Kind::kRelease:
       if (!theirs || live.released) return d;
       live.released = true;
       live.reserved_for = ask.successor;
@@ -104,7 +104,7 @@
     r.verdict = Verdict::kOldTerm;
     return d;
   }
-  if (known == record_.promises.end() && record_.promises.size() >= kMostAddresses) {
+  if (known == record_.promises.end() && record_.promises.size() >= kMaxAddresses) {
     r.verdict = Verdict::kWaiting;
     r.left = times_.lease;
     return d;
@@ -181,4 +181,4 @@
   return d;
 }
 
-}  // namespace silverpin::address
+}  // namespace balancer::lease
--- a/src/address/voter.h
+++ b/src/lease/voter.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "address/lease.h"
+#include "lease/messages.h"
 
-namespace silverpin::address {
+namespace balancer::lease {
 
 // What a voter must not forget.
 struct VoterRecord {
@@ -45,10 +45,10 @@
         const Voters& founding, Time now);
 
   struct Decision {
-    Reply reply;
+    VoteReply reply;
     bool changed = false;  // record() must be on disk before the reply goes out
   };
-  Decision on_ask(Time now, const Ask& ask);
+  Decision on_ask(Time now, const VoteRequest& ask);
 
   // A change of the voters. As with on_ask(), record() must be on disk before the reply goes out if
   // `changed`.
@@ -99,4 +99,4 @@
 // Whether the one may follow the other: numbered next, and one name more or less.
 bool one_step(const Voters& from, const Voters& to);
 
-}  // namespace silverpin::address
+}  // namespace balancer::lease
--- a/src/address/succession.cc
+++ b/src/lease/voter_reconfiguration.cc
@@ -1,13 +1,14 @@
-#include "address/succession.h"
+#include "lease/voter_reconfiguration.h"
 
 #include <algorithm>
 
-#include "address/voter.h"
+#include "lease/voter.h"
 
-namespace silverpin::address {
+namespace balancer::lease {
 
-Succession::Succession(std::string self, std::uint64_t number, const Voters& present,
-                       std::string name, bool add, std::uint64_t seed, Time now)
+VoterReconfiguration::VoterReconfiguration(std::string self, std::uint64_t number,
+                                           const Voters& present, std::string name, bool add,
+                                           std::uint64_t seed, Time now)
     : self_(std::move(self)),
       number_(number),
       name_(std::move(name)),
@@ -19,7 +20,7 @@
   begin(now);
 }
 
-Voters Succession::wish() const {
+Voters VoterReconfiguration::wish() const {
   Voters w = present_;
   ++w.version;
   if (add_) {
@@ -32,13 +33,13 @@
 }
 
 // Under a ballot of its own, from the present set on.
-void Succession::begin(Time now) {
+void VoterReconfiguration::begin(Time now) {
   if (present_.has(name_) == add_)
     return finish(true, "version " + std::to_string(present_.version) + ": " + name_ +
                             (add_ ? " votes" : " does not vote"));
   if (!valid(wish()))
     return finish(
-        false, "there must be one voter at least, and " + std::to_string(kMostVoters) + " at most");
+        false, "there must be one voter at least, and " + std::to_string(kMaxVoters) + " at most");
   stage_ = Stage::kAsks;
   ballot_ = {++highest_, self_};
   promised_.clear();
@@ -50,18 +51,18 @@
   send_round(now);
 }
 
-void Succession::finish(bool done, std::string line) {
+void VoterReconfiguration::finish(bool done, std::string line) {
   if (!outcome_) outcome_ = Outcome{done, std::move(line)};
 }
 
-bool Succession::quorum(const std::map<std::string, bool>& forgot) const {
+bool VoterReconfiguration::quorum(const std::map<std::string, bool>& forgot) const {
   const auto remember =
       std::count_if(forgot.begin(), forgot.end(), [](const auto& f) { return !f.second; });
   return static_cast<std::size_t>(remember) >= present_.majority() ||
          forgot.size() == present_.names.size();
 }
 
-void Succession::send_round(Time now) {
+void VoterReconfiguration::send_round(Time now) {
   again_at_ = now + kAgain;
   Change c;
   c.number = number_;
@@ -90,7 +91,7 @@
   }
 }
 
-void Succession::propose_if_ready(Time now) {
+void VoterReconfiguration::propose_if_ready(Time now) {
   if (!quorum(promised_)) return;
   if (left_) {
     next_ = *left_;
@@ -104,7 +105,7 @@
   send_round(now);
 }
 
-void Succession::on_changed(Time now, const std::string& from, const Changed& c) {
+void VoterReconfiguration::on_changed(Time now, const std::string& from, const Changed& c) {
   if (outcome_ || c.number != number_) return;
   highest_ = std::max(highest_, c.promised.number);
   if (c.voters.version > present_.version && stage_ != Stage::kTells) {
@@ -159,7 +160,7 @@
   }
 }
 
-void Succession::on_timer(Time now) {
+void VoterReconfiguration::on_timer(Time now) {
   if (outcome_) return;
   if (now >= until_) {
     if (stage_ == Stage::kTells)
@@ -172,6 +173,8 @@
   if (now >= again_at_) send_round(now);
 }
 
-Time Succession::next() const { return outcome_ ? Time::max() : std::min(until_, again_at_); }
+Time VoterReconfiguration::next() const {
+  return outcome_ ? Time::max() : std::min(until_, again_at_);
+}
 
-}  // namespace silverpin::address
+}  // namespace balancer::lease
--- a/src/address/succession.h
+++ b/src/lease/voter_reconfiguration.h
@@ -9,9 +9,9 @@
 #include <utility>
 #include <vector>
 
-#include "address/lease.h"
+#include "lease/messages.h"
 
-namespace silverpin::address {
+namespace balancer::lease {
 
 // Drives one change of the voters: a voter more, or one less. No I/O and no clock; `now` comes with
 // every call and never goes back.
@@ -25,11 +25,11 @@
 // A quorum is a majority of the voters that have never lost their memory, or all voters. The wish
 // is proposed only where a majority of the set that there would be answers and is up to date:
 // otherwise the group could decide nothing more, taking the change back included.
-class Succession {
+class VoterReconfiguration {
  public:
   // `self`: who drives; `number`: of this attempt, larger than those before under its name.
-  Succession(std::string self, std::uint64_t number, const Voters& present, std::string name,
-             bool add, std::uint64_t seed, Time now);
+  VoterReconfiguration(std::string self, std::uint64_t number, const Voters& present,
+                       std::string name, bool add, std::uint64_t seed, Time now);
 
   void on_changed(Time now, const std::string& from, const Changed& changed);
   void on_timer(Time now);
@@ -83,4 +83,4 @@
   std::optional<Outcome> outcome_;
 };
 
-}  // namespace silverpin::address
+}  // namespace balancer::lease
--- a/src/membership/group.cc
+++ b/src/membership/membership_protocol.cc
@@ -1,22 +1,22 @@
-#include "membership/group.h"
+#include "membership/membership_protocol.h"
 
 #include <algorithm>
 #include <cmath>
 #include <tuple>
 
-namespace silverpin::membership {
+namespace balancer::membership {
 namespace {
 
 using std::chrono::milliseconds;
 
-constexpr int kMostLateness = 8;
+constexpr int kMaxLateness = 8;
 // An update is told so many times the logarithm of the group's size.
 constexpr double kTellings = 3;
-constexpr std::size_t kMostNews = 1024;
-constexpr std::size_t kMostRelays = 256, kMostLate = 64;
+constexpr std::size_t kMaxNews = 1024;
+constexpr std::size_t kMaxRelays = 256, kMaxLate = 64;
 // Until somebody has answered, the seeds are asked this often.
 constexpr Duration kJoinEvery = milliseconds(500);
-constexpr std::size_t kMostName = 64, kMostEndpoint = 64;
+constexpr std::size_t kMaxName = 64, kMaxEndpoint = 64;
 
 // Of two things said of one member, whether the first is newer.
 bool newer(const Update& a, const Update& b) {
@@ -29,7 +29,8 @@
 
 }  // namespace
 
-Group::Group(const GroupSettings& settings, const Update& self, std::uint64_t seed, Time now)
+MembershipProtocol::MembershipProtocol(const GroupSettings& settings, const Update& self,
+                                       std::uint64_t seed, Time now)
     : settings_(settings),
       name_(self.name),
       random_(seed),
@@ -46,19 +47,19 @@
   spread(me);
 }
 
-const Member* Group::find(const std::string& name) const {
+const Member* MembershipProtocol::find(const std::string& name) const {
   const auto it = members_.find(name);
   return it == members_.end() ? nullptr : &it->second;
 }
 
-std::size_t Group::alive() const {
+std::size_t MembershipProtocol::alive() const {
   const auto gone = std::count_if(unwell_.begin(), unwell_.end(), [this](const auto& name) {
     return members_.at(name).state != State::kSuspect;
   });
   return members_.size() - static_cast<std::size_t>(gone);
 }
 
-void Group::note_state(const Member& member) {
+void MembershipProtocol::note_state(const Member& member) {
   if (member.state == State::kAlive) {
     unwell_.erase(member.name);
   } else {
@@ -66,14 +67,14 @@
   }
 }
 
-Duration Group::suspicion() const {
+Duration MembershipProtocol::suspicion() const {
   return from_seconds(seconds(settings_.period) * settings_.suspicion *
                       std::max(1.0, log2_of(alive()) / 2) * (1 + lateness_));
 }
 
 // ---- round trips
 
-void Group::learn(const std::string& name, Duration took) {
+void MembershipProtocol::learn(const std::string& name, Duration took) {
   RoundTrip& t = trips_[name];
   const double s = seconds(took);
   if (!t.known) {
@@ -84,17 +85,17 @@
   t.mean += 0.125 * (s - t.mean);
 }
 
-Duration Group::wait_for(const std::string& name) const {
+Duration MembershipProtocol::wait_for(const std::string& name) const {
   const auto it = trips_.find(name);
   const Duration usual = it == trips_.end() || !it->second.known
-                             ? settings_.most_wait
+                             ? settings_.max_wait
                              : from_seconds(it->second.mean + 4 * it->second.deviation);
-  return std::clamp(usual, settings_.least_wait, settings_.most_wait) * (1 + lateness_);
+  return std::clamp(usual, settings_.min_wait, settings_.max_wait) * (1 + lateness_);
 }
 
 // ---- what is said of members
 
-void Group::set_state(Time now, Member& member, State state) {
+void MembershipProtocol::set_state(Time now, Member& member, State state) {
   if (member.state != state) {
     member.state = state;
     member.since = now;
@@ -104,14 +105,14 @@
   spread(member);
 }
 
-void Group::spread(const Update& update) {
+void MembershipProtocol::spread(const Update& update) {
   std::erase_if(news_, [&](const News& n) { return n.update.name == update.name; });
-  if (news_.size() >= kMostNews) news_.pop_back();
+  if (news_.size() >= kMaxNews) news_.pop_back();
   news_.push_front({update, 0});
 }
 
 // Somebody says of this instance what is not so.
-void Group::refute(Time now, const Update& said) {
+void MembershipProtocol::refute(Time now, const Update& said) {
   Member& me = self();
   if (said.life > me.life && said.state != State::kDead && said.state != State::kLeft) {
     superseded_ = true;
@@ -128,9 +129,9 @@
   spread(me);
 }
 
-void Group::apply(Time now, const Update& u) {
-  if (u.name.empty() || u.name.size() > kMostName || u.endpoint.size() > kMostEndpoint ||
-      u.meta.size() > settings_.most_meta)
+void MembershipProtocol::apply(Time now, const Update& u) {
+  if (u.name.empty() || u.name.size() > kMaxName || u.endpoint.size() > kMaxEndpoint ||
+      u.meta.size() > settings_.max_meta)
     return;
   if (u.name == name_) {
     if (u.life != self().life || u.version != self().version || u.state != State::kAlive)
@@ -141,7 +142,7 @@
   if (it == members_.end()) {
     // News of one that has gone, and was not known, says nothing.
     if (u.state == State::kDead || u.state == State::kLeft) return;
-    if (members_.size() >= settings_.most_members) return;
+    if (members_.size() >= settings_.max_members) return;
     Member m;
     static_cast<Update&>(m) = u;
     m.since = m.alive_since = now;
@@ -171,7 +172,7 @@
 }
 
 // What has been told least goes first; of the rest each member hears about as often.
-std::vector<Update> Group::pick_news(const std::string& to) {
+std::vector<Update> MembershipProtocol::pick_news(const std::string& to) {
   const int most = static_cast<int>(std::ceil(kTellings * log2_of(members_.size() + 1)));
   std::stable_sort(news_.begin(), news_.end(),
                    [](const News& a, const News& b) { return a.told < b.told; });
@@ -181,7 +182,7 @@
       it != members_.end() && it->second.state != State::kAlive && to != name_)
     picked.push_back(it->second);
   for (News& n : news_) {
-    if (picked.size() >= settings_.most_updates) break;
+    if (picked.size() >= settings_.max_updates) break;
     if (n.update.name == to && !picked.empty() && picked.front().name == to) continue;
     picked.push_back(n.update);
     ++n.told;
@@ -190,22 +191,22 @@
   return picked;
 }
 
-void Group::send(const std::string& endpoint, Message message, const std::string& to) {
+void MembershipProtocol::send(const std::string& endpoint, Message message, const std::string& to) {
   if (message.updates.empty()) message.updates = pick_news(to);
   sends_.push_back({endpoint, std::move(message)});
 }
 
-void Group::send_all(Time, const std::string& endpoint) {
+void MembershipProtocol::send_all(Time, const std::string& endpoint) {
   Message page;
   for (const auto& [name, m] : members_) {
     page.updates.push_back(m);
-    if (page.updates.size() < settings_.most_updates) continue;
+    if (page.updates.size() < settings_.max_updates) continue;
     sends_.push_back({endpoint, std::exchange(page, {})});
   }
   if (!page.updates.empty()) sends_.push_back({endpoint, std::move(page)});
 }
 
-std::vector<std::string> Group::some_others(std::size_t n, const std::string& but) {
+std::vector<std::string> MembershipProtocol::some_others(std::size_t n, const std::string& but) {
   std::vector<std::string> all;
   for (const auto& [name, m] : members_)
     if (name != name_ && name != but && m.state == State::kAlive) all.push_back(name);
@@ -216,8 +217,8 @@
 
 // ---- messages
 
-void Group::on_message(Time now, const std::string& from, const std::string& endpoint,
-                       const Message& m) {
+void MembershipProtocol::on_message(Time now, const std::string& from, const std::string& endpoint,
+                                    const Message& m) {
   if (superseded_) return;
   for (const Update& u : m.updates) apply(now, u);
   switch (m.kind) {
@@ -249,7 +250,7 @@
     }
     case Message::Kind::kPingFor: {
       const auto it = members_.find(m.target);
-      if (it == members_.end() || left_ || relays_.size() >= kMostRelays) return;
+      if (it == members_.end() || left_ || relays_.size() >= kMaxRelays) return;
       const auto number = next_number_++;
       relays_[number] = {endpoint, m.number, now + settings_.period * 2};
       return send(it->second.endpoint, {Message::Kind::kPing, number, {}, {}}, m.target);
@@ -263,7 +264,7 @@
 
 // ---- probes
 
-void Group::begin_probe(Time now) {
+void MembershipProtocol::begin_probe(Time now) {
   while (true) {
     if (order_.empty()) {
       for (const auto& [name, m] : members_)
@@ -291,13 +292,13 @@
   }
 }
 
-void Group::end_probe(Time now, bool answered) {
+void MembershipProtocol::end_probe(Time now, bool answered) {
   const Probe p = *std::exchange(probe_, std::nullopt);
   if (answered) {
     lateness_ = std::max(0, lateness_ - 1);
     return;
   }
-  lateness_ = std::min(kMostLateness, lateness_ + 1);
+  lateness_ = std::min(kMaxLateness, lateness_ + 1);
   const auto it = members_.find(p.name);
   if (it == members_.end() || it->second.state != State::kAlive) return;
   set_state(now, it->second, State::kSuspect);
@@ -305,7 +306,7 @@
   send(it->second.endpoint, {Message::Kind::kTold, 0, {}, {}}, p.name);
 }
 
-void Group::join(Time now) {
+void MembershipProtocol::join(Time now) {
   join_at_ = now + kJoinEvery;
   std::set<std::string> heard_of;
   for (const auto& [name, m] : members_)
@@ -316,7 +317,7 @@
       sends_.push_back({seed, {Message::Kind::kJoin, 0, {}, {self()}}});
 }
 
-void Group::on_timer(Time now) {
+void MembershipProtocol::on_timer(Time now) {
   if (left_ || superseded_) return;
   if (now >= join_at_) join(now);
   if (now >= exchange_at_) {
@@ -327,7 +328,7 @@
   if (probe_ && !probe_->indirect && now >= probe_->direct_until) {
     probe_->indirect = true;
     late_[probe_->number] = {probe_->name, probe_->sent};
-    if (late_.size() > kMostLate) late_.erase(late_.begin());
+    if (late_.size() > kMaxLate) late_.erase(late_.begin());
     for (const auto& name : some_others(static_cast<std::size_t>(settings_.indirect), probe_->name))
       send(members_.at(name).endpoint, {Message::Kind::kPingFor, probe_->number, probe_->name, {}},
            name);
@@ -350,7 +351,7 @@
   }
 }
 
-Time Group::next() const {
+Time MembershipProtocol::next() const {
   if (left_ || superseded_) return Time::max();
   Time first = std::min({join_at_, exchange_at_, probe_ ? Time::max() : probe_at_});
   if (probe_) first = std::min(first, probe_->indirect ? probe_->until : probe_->direct_until);
@@ -365,7 +366,7 @@
 
 // ---- its own word
 
-void Group::set_meta(Time now, const std::string& meta) {
+void MembershipProtocol::set_meta(Time now, const std::string& meta) {
   Member& me = self();
   if (me.meta == meta || left_) return;
   me.meta = meta;
@@ -378,7 +379,7 @@
     send(members_.at(name).endpoint, {Message::Kind::kTold, 0, {}, {}}, name);
 }
 
-void Group::leave(Time now) {
+void MembershipProtocol::leave(Time now) {
   if (std::exchange(left_, true)) return;
   Member& me = self();
   ++me.version;
@@ -389,4 +390,4 @@
     send(members_.at(name).endpoint, {Message::Kind::kTold, 0, {}, {}}, name);
 }
 
-}  // namespace silverpin::membership
+}  // namespace balancer::membership
--- a/src/membership/group.h
+++ b/src/membership/membership_protocol.h
@@ -15,7 +15,7 @@
 
 // Who belongs to a group of balancers, who is suspected and who is gone. No I/O, no clock, no
 // threads. A hint for liveness only: nothing that must not happen twice rests on it.
-namespace silverpin::membership {
+namespace balancer::membership {
 
 enum class State : std::uint8_t { kAlive, kSuspect, kDead, kLeft };
 
@@ -57,12 +57,12 @@
   // A member is probed each period, another each time.
   Duration period{std::chrono::milliseconds(200)};
   // Bounds on how long an answer may take; between them it follows measured round trips.
-  Duration least_wait{std::chrono::milliseconds(40)}, most_wait{std::chrono::milliseconds(150)};
+  Duration min_wait{std::chrono::milliseconds(40)}, max_wait{std::chrono::milliseconds(150)};
   int indirect = 3;      // others that are asked to probe one that does not answer
   double suspicion = 3;  // periods, times the logarithm of the group's size, until it is dead
-  std::size_t most_members = 2048;  // at most kMaxMembers
-  std::size_t most_updates = 8;     // in one message
-  std::size_t most_meta = 256;
+  std::size_t max_members = 2048;  // at most kMaxMembers
+  std::size_t max_updates = 8;     // in one message
+  std::size_t max_meta = 256;
   // Everything is compared with another member this often.
   Duration full_exchange{std::chrono::seconds(10)};
   // Dead ones are remembered for so long, so that old news does not revive them.
@@ -74,9 +74,10 @@
 // that its round trips lead to expect is probed through others; one that none of them reaches is
 // suspected, and dead only if it has not spoken for itself by the end of a time that grows with the
 // group, and with this instance's own lateness.
-class Group {
+class MembershipProtocol {
  public:
-  Group(const GroupSettings& settings, const Update& self, std::uint64_t seed, Time now);
+  MembershipProtocol(const GroupSettings& settings, const Update& self, std::uint64_t seed,
+                     Time now);
 
   // `from`: the name of whoever sent it, as the message's seal has it.
   void on_message(Time now, const std::string& from, const std::string& endpoint,
@@ -163,4 +164,4 @@
   std::vector<Send> sends_;
 };
 
-}  // namespace silverpin::membership
+}  // namespace balancer::membership
--- a/src/net/address_set.cc
+++ b/src/net/address_set.cc
@@ -5,7 +5,7 @@
 #include <boost/asio/ip/network_v4.hpp>
 #include <boost/asio/ip/network_v6.hpp>
 
-namespace silverpin {
+namespace balancer {
 
 namespace ip = boost::asio::ip;
 
@@ -107,4 +107,4 @@
   return false;
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/net/address_set.h
+++ b/src/net/address_set.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-namespace silverpin {
+namespace balancer {
 
 // A set of IP networks, IPv4 and IPv6, and whether an address lies in one of them: a binary trie
 // with its single paths drawn together (Morrison's Patricia, 1968), so a look-up costs as many
@@ -46,4 +46,4 @@
   std::int32_t root_ = kNone;
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/net/attempt.h
+++ b/src/net/attempt.h
@@ -10,7 +10,7 @@
 #include "net/value_stream.h"
 #include "policy/policy.h"
 
-namespace silverpin {
+namespace balancer {
 
 class UpstreamConnection;
 
@@ -19,13 +19,13 @@
   RequestId request = 0;
   int number = 0;
   std::string host;
-  PayloadPtr payload;
+  RequestPayloadPtr payload;
   Time until{0};
   bool asking = false;    // the host is to take it though it does not own its slot yet
   bool replica = false;   // the host is to read it though it is a replica
   bool unsafe = false;    // its class must never run twice
   bool ended = false;     // its outcome is known
-  bool parked = false;    // held back, so that it has not gone anywhere yet
+  bool held = false;      // held back, so that it has not gone anywhere yet
   bool assigned = false;  // to a connection
   // Of the host's process that was decided on; another one under its name is another decision.
   std::optional<UnixTime> host_born;
@@ -44,7 +44,7 @@
 inline constexpr Duration kMinAttemptTime = std::chrono::milliseconds(1);
 
 // Whether the next byte of an attempt may go out.
-enum class Permit {
+enum class SendPermission {
   kGo,
   kOver,       // nobody waits for it any more, or its time is over: not one byte more
   kElsewhere,  // its host takes nothing new, or is another by now: not a first byte
@@ -56,7 +56,7 @@
   virtual ~AttemptEvents() = default;
   virtual Time now() const = 0;
   // Asked at the moment of each write, and when something has changed.
-  virtual Permit permit(const Attempt& attempt) const = 0;
+  virtual SendPermission may_send(const Attempt& attempt) const = 0;
   // A long value has begun to come; its rest comes by the stream, and on_end() tells how that went.
   // Where nobody wants it any more the stream is abandoned.
   virtual void on_begin(const AttemptPtr& attempt, const StreamPtr& stream) = 0;
@@ -64,4 +64,4 @@
   virtual void on_end(const AttemptPtr& attempt, Result result, std::string value) = 0;
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/net/client_listener.cc
+++ b/src/net/client_listener.cc
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 namespace asio = boost::asio;
@@ -28,7 +28,8 @@
 
 ClientListener::ClientListener(asio::io_context& io, const asio::ip::tcp::endpoint& listen,
                                Limits& limits, const Clock& clock, RequestSink& core,
-                               MakeDialect make, const SessionTimes& times, MayGoOut may_go_out)
+                               MakeDialect make, const SessionTimes& times,
+                               ForwardingCheck may_forward)
     : io_(io),
       listen_(listen),
       local_(listen),
@@ -38,7 +39,7 @@
       core_(core),
       make_(std::move(make)),
       times_(times),
-      may_go_out_(std::move(may_go_out)),
+      may_forward_(std::move(may_forward)),
       tick_(io) {
   arm_tick();
 }
@@ -125,7 +126,7 @@
 std::shared_ptr<ClientSession> ClientListener::make_session(asio::ip::tcp::socket socket) {
   SessionOwner& owner = *this;
   const auto session = std::make_shared<ClientSession>(std::move(socket), limits_, clock_, core_,
-                                                       owner, make_(), times_, may_go_out_);
+                                                       owner, make_(), times_, may_forward_);
   sessions_.insert(session);
   return session;
 }
@@ -176,7 +177,7 @@
 }
 
 void ClientListener::shed() {
-  while (limits_.clients.used() > limits_.clients.most() && make_room()) {
+  while (limits_.clients.used() > limits_.clients.max() && make_room()) {
   }
 }
 
@@ -250,9 +251,9 @@
   for (const auto& session : all) give_back(*session);
 }
 
-void ClientListener::refuse_unread() {
+void ClientListener::reject_unread() {
   const std::vector<std::shared_ptr<ClientSession>> all(sessions_.begin(), sessions_.end());
-  for (const auto& session : all) session->refuse_unread();
+  for (const auto& session : all) session->reject_unread();
 }
 
 void ClientListener::keep() {
@@ -286,4 +287,4 @@
   for (const auto& session : all) session->close();
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/net/client_listener.h
+++ b/src/net/client_listener.h
@@ -9,7 +9,7 @@
 
 #include "net/client_session.h"
 
-namespace silverpin {
+namespace balancer {
 
 // Accepts clients and decides which connection must go when descriptors run short. It never closes
 // one with a request in work.
@@ -18,7 +18,7 @@
   // Closed until open(). `may_go_out`: asked of every request of its clients; empty: always.
   ClientListener(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen,
                  Limits& limits, const Clock& clock, RequestSink& core, MakeDialect make,
-                 const SessionTimes& times = {}, MayGoOut may_go_out = {});
+                 const SessionTimes& times = {}, ForwardingCheck may_forward = {});
 
   // Listens; where it does already, nothing. Throws boost::system::system_error if the address
   // cannot be bound. `reuse_port`: another process may listen here too.
@@ -37,7 +37,7 @@
   void drain(Time first, Time last);
   // Ends a drain: connections are kept again.
   // What waits for memory to be read is refused: this process ends.
-  void refuse_unread();
+  void reject_unread();
   void keep();
   // Accepts nobody for now; who comes waits, or is taken by another process that listens on the
   // same socket.
@@ -82,7 +82,7 @@
   RequestSink& core_;
   const MakeDialect make_;
   const SessionTimes times_;
-  const MayGoOut may_go_out_;
+  const ForwardingCheck may_forward_;
   std::unordered_set<std::shared_ptr<ClientSession>> sessions_;
   boost::asio::steady_timer tick_;
   bool accepting_ = false;
@@ -96,4 +96,4 @@
   std::optional<GiveBack> give_back_;  // set in a drain
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/net/client_session.cc
+++ b/src/net/client_session.cc
@@ -8,7 +8,7 @@
 #include <boost/asio/post.hpp>
 #include <utility>
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 namespace asio = boost::asio;
@@ -18,10 +18,10 @@
 constexpr std::size_t kGather = 64u << 10;  // of answers, for one call
 // Requests that a client may have in work at once, and what it may leave unread before it can begin
 // another.
-constexpr std::size_t kMostPipelined = 256;
-constexpr std::size_t kMostUnread = 256u << 10;
+constexpr std::size_t kMaxPipelined = 256;
+constexpr std::size_t kMaxUnread = 256u << 10;
 // Commands taken at one go before other clients get their turn.
-constexpr int kMostPerTurn = 32;
+constexpr int kMaxPerTurn = 32;
 
 // Every state of a connection in which no request is open has an end. Connections that say nothing,
 // stop within a command or trickle would otherwise add up until none is left for others. A command
@@ -46,7 +46,7 @@
 // no work.
 constexpr int kDiscardReads = 4;
 // What has been read of a command may pass to another process: a line, and what came with it.
-constexpr std::size_t kMostHanded = 16u << 10;
+constexpr std::size_t kMaxHanded = 16u << 10;
 // For which a body waits for memory, where its client waits for longer.
 constexpr Duration kBodyMemoryWait = std::chrono::milliseconds(2000);
 // In a drain a new client has so long to begin.
@@ -57,7 +57,7 @@
 ClientSession::ClientSession(asio::ip::tcp::socket socket, Limits& limits, const Clock& clock,
                              RequestSink& core, SessionOwner& owner,
                              std::unique_ptr<Dialect> dialect, const SessionTimes& times,
-                             const MayGoOut& may_go_out)
+                             const ForwardingCheck& may_forward)
     : socket_(std::move(socket)),
       limits_(limits),
       clock_(clock),
@@ -65,7 +65,7 @@
       owner_(owner),
       dialect_(std::move(dialect)),
       times_(times),
-      may_go_out_(may_go_out),
+      may_forward_(may_forward),
       descriptor_(limits.clients, 1),
       body_(limits.bytes),
       buffered_(limits.bytes),
@@ -92,7 +92,7 @@
 bool ClientSession::can_release() const {
   if (closed_ || !slots_.empty() || over() || lingering_ || blocked_ || pump_posted_) return false;
   const auto unread = dialect_->unread();
-  return unread && unread->size() <= kMostHanded;
+  return unread && unread->size() <= kMaxHanded;
 }
 
 HandedClient ClientSession::release() {
@@ -146,7 +146,7 @@
       block();
       break;
     }
-    if (taken == kMostPerTurn) {
+    if (taken == kMaxPerTurn) {
       pump_soon();
       break;
     }
@@ -184,7 +184,7 @@
 
 bool ClientSession::may_begin() const {
   if (slots_.empty()) return true;
-  return slots_.size() < kMostPipelined && unwritten_ < kMostUnread && !limits_.bytes_short();
+  return slots_.size() < kMaxPipelined && unwritten_ < kMaxUnread && !limits_.bytes_short();
 }
 
 // A body is read only once the memory for all of it is set aside: many half-read ones would
@@ -252,8 +252,9 @@
   flush();
 }
 
-void ClientSession::on_final(Ticket ticket, const Payload& payload, Final final) {
-  if (!closed_) return dialect_->on_final(*this, ticket, payload, std::move(final));
+void ClientSession::on_response(ResponseSlot ticket, const RequestPayload& payload,
+                                Response final) {
+  if (!closed_) return dialect_->on_response(*this, ticket, payload, std::move(final));
   if (final.stream) final.stream->abandon();
 }
 
@@ -455,7 +456,7 @@
 }
 
 // Its client has mostly written all of it, and would wait in vain: to close would lose the request.
-void ClientSession::refuse_unread() {
+void ClientSession::reject_unread() {
   if (!waits_for_memory()) return;
   fault_ = dialect_->busy();
   fault_at_ = clock_.now();
@@ -479,7 +480,7 @@
   if (!reading_ && has_left()) return close();
   if (blocked_) pump();  // memory may have come free
   if (closed_) return;
-  if (waits_for_memory() && now - blocked_since_ > memory_wait()) refuse_unread();
+  if (waits_for_memory() && now - blocked_since_ > memory_wait()) reject_unread();
   // One that has just spoken is heard first: in this very turn its command may have become whole.
   if (overdue(now) && !over() && !blocked_ && !pump_posted_ && unwritten_ == 0 && has_input())
     on_readable();
@@ -510,4 +511,4 @@
   owner_.on_session_closed(self);
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/net/client_session.h
+++ b/src/net/client_session.h
@@ -14,12 +14,12 @@
 #include "net/limits.h"
 #include "net/request.h"
 
-namespace silverpin {
+namespace balancer {
 
 class ClientSession;
 
 // Whether what clients ask for may go out to servers; a listener's, if it has one.
-using MayGoOut = std::function<bool()>;
+using ForwardingCheck = std::function<bool()>;
 
 // How long a connection may go on without a request. Every state has an end.
 struct SessionTimes {
@@ -47,11 +47,11 @@
 
 // One client's connection: lets its dialect read commands, and writes answers in the order of their
 // requests.
-class ClientSession : public Caller, public std::enable_shared_from_this<ClientSession> {
+class ClientSession : public ResponseSink, public std::enable_shared_from_this<ClientSession> {
  public:
   ClientSession(boost::asio::ip::tcp::socket socket, Limits& limits, const Clock& clock,
                 RequestSink& core, SessionOwner& owner, std::unique_ptr<Dialect> dialect,
-                const SessionTimes& times, const MayGoOut& may_go_out);
+                const SessionTimes& times, const ForwardingCheck& may_forward);
 
   void start();
   // As start(), of a connection that another process has served until now.
@@ -79,9 +79,9 @@
   Lease take_body() { return std::exchange(body_, Lease(limits_.bytes)); }
 
   // Caller
-  void on_final(Ticket ticket, const Payload& payload, Final final) override;
-  bool may_go_out() const override { return !may_go_out_ || may_go_out_(); }
-  bool is_there() const override { return !has_left(); }
+  void on_response(ResponseSlot ticket, const RequestPayload& payload, Response final) override;
+  bool may_forward() const override { return !may_forward_ || may_forward_(); }
+  bool is_connected() const override { return !has_left(); }
 
   // kFaulty: it has sent what makes no sense, and is being turned away.
   enum class Rest { kFaulty, kSilent, kPartial, kServed, kBusy };
@@ -97,7 +97,7 @@
   void keep() { leave_at_.reset(); }  // takes drain() back
   void tick(Time now);
   // What it has not read for want of memory is refused unread. Nothing of it has gone anywhere.
-  void refuse_unread();
+  void reject_unread();
 
  private:
   struct Slot {
@@ -141,7 +141,7 @@
   SessionOwner& owner_;
   const std::unique_ptr<Dialect> dialect_;
   const SessionTimes& times_;
-  const MayGoOut& may_go_out_;
+  const ForwardingCheck& may_forward_;
   Lease descriptor_;
   Lease body_;      // the one that is being read
   Lease buffered_;  // what has been read and not taken yet
@@ -168,4 +168,4 @@
   Time fault_at_{0};
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -4,7 +4,7 @@
 
 #include "policy/policy.h"
 
-namespace silverpin {
+namespace balancer {
 
 // The monotonic clock, on which all decisions run. Wall clocks are set, forward and back; they are
 // read for nothing but the offset below.
@@ -22,4 +22,4 @@
                           std::chrono::steady_clock::now().time_since_epoch();
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/net/datagram_socket.cc
+++ b/src/net/datagram_socket.cc
@@ -3,7 +3,7 @@
 #include <boost/asio/buffer.hpp>
 #include <utility>
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 using boost::system::error_code;
@@ -64,4 +64,4 @@
   socket_.close(ignored);
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/net/datagram_socket.h
+++ b/src/net/datagram_socket.h
@@ -9,7 +9,7 @@
 
 #include "net/address_set.h"
 
-namespace silverpin {
+namespace balancer {
 
 // A UDP socket that hears only whom it may. Sends directly: what the system has no room for is
 // dropped, as the network may drop any.
@@ -42,4 +42,4 @@
   std::array<char, 2048> buffer_{};
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/net/descriptor_link.cc
+++ b/src/net/descriptor_link.cc
@@ -7,16 +7,16 @@
 #include <cerrno>
 #include <cstring>
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 using boost::system::error_code;
 using Stream = boost::asio::posix::stream_descriptor;
 
 // Packets that wait for a peer that does not read. Beyond it the link is given up.
-constexpr std::size_t kMostWaiting = 1024;
+constexpr std::size_t kMaxWaiting = 1024;
 // The most that one call can carry (SCM_MAX_FD is 253); callers ask for far fewer.
-constexpr std::size_t kMostAtOnce = 64;
+constexpr std::size_t kMaxAtOnce = 64;
 
 }  // namespace
 
@@ -28,12 +28,12 @@
   Received r;
   r.packet.bytes.resize(longest);
   iovec part{r.packet.bytes.data(), longest};
-  alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int) * kMostAtOnce)];
+  alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int) * kMaxAtOnce)];
   msghdr head{};
   head.msg_iov = &part;
   head.msg_iovlen = 1;
   head.msg_control = control;
-  head.msg_controllen = CMSG_SPACE(sizeof(int) * std::min(most, kMostAtOnce));
+  head.msg_controllen = CMSG_SPACE(sizeof(int) * std::min(most, kMaxAtOnce));
   r.n = ::recvmsg(fd, &head, MSG_CMSG_CLOEXEC | MSG_DONTWAIT);
   if (r.n <= 0) return r;
   for (cmsghdr* c = CMSG_FIRSTHDR(&head); c; c = CMSG_NXTHDR(&head, c)) {
@@ -54,12 +54,12 @@
 }
 
 bool send_packet(int fd, std::string_view bytes, const std::vector<Descriptor>& descriptors) {
-  if (descriptors.size() > kMostAtOnce) {
+  if (descriptors.size() > kMaxAtOnce) {
     errno = E2BIG;
     return false;
   }
   iovec part{const_cast<char*>(bytes.data()), bytes.size()};
-  alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int) * kMostAtOnce)];
+  alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int) * kMaxAtOnce)];
   std::memset(control, 0, sizeof control);
   msghdr head{};
   head.msg_iov = &part;
@@ -80,10 +80,10 @@
 }
 
 DescriptorLink::DescriptorLink(boost::asio::io_context& io, Descriptor socket, std::size_t longest,
-                               std::size_t most_descriptors, Handlers handlers)
+                               std::size_t max_descriptors, Handlers handlers)
     : stream_(io, socket.release()),
       longest_(longest),
-      most_descriptors_(most_descriptors),
+      max_descriptors_(max_descriptors),
       handlers_(std::move(handlers)) {
   arm_read();
 }
@@ -101,7 +101,7 @@
   const auto alive = alive_;
   // A few at a time: clients get their turn between.
   for (int i = 0; i < 16 && open(); ++i) {
-    Received r = receive_packet(stream_.native_handle(), longest_, most_descriptors_);
+    Received r = receive_packet(stream_.native_handle(), longest_, max_descriptors_);
     if (r.n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) break;
     // Told once where the peer ended with input unread; what it had sent can be read still.
     if (r.n < 0 && errno == ECONNRESET && i < 15) continue;
@@ -124,7 +124,7 @@
     if (!send_packet(stream_.native_handle(), p.bytes, p.descriptors)) {
       if (errno == EINTR) continue;
       const bool full = errno == EAGAIN || errno == EWOULDBLOCK || errno == ETOOMANYREFS;
-      if (full && waiting_.size() <= kMostWaiting) return arm_write();
+      if (full && waiting_.size() <= kMaxWaiting) return arm_write();
       // From the event loop: its owner may be in the middle of something.
       boost::asio::post(stream_.get_executor(), [this, alive = alive_] {
         if (*alive) lose();
@@ -152,4 +152,4 @@
   handlers_.on_lost();
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/net/descriptor_link.h
+++ b/src/net/descriptor_link.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-namespace silverpin {
+namespace balancer {
 
 // Owns one file descriptor.
 class Descriptor {
@@ -58,7 +58,7 @@
   };
 
   DescriptorLink(boost::asio::io_context& io, Descriptor socket, std::size_t longest,
-                 std::size_t most_descriptors, Handlers handlers);
+                 std::size_t max_descriptors, Handlers handlers);
   ~DescriptorLink();
 
   // Whether the next packet goes out at once. Others wait, in memory that is bounded: what must not
@@ -75,7 +75,7 @@
   void lose();
 
   boost::asio::posix::stream_descriptor stream_;
-  const std::size_t longest_, most_descriptors_;
+  const std::size_t longest_, max_descriptors_;
   const Handlers handlers_;
   std::deque<Packet> waiting_;
   bool writing_ = false;
@@ -83,4 +83,4 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/net/dialect.h
+++ b/src/net/dialect.h
@@ -10,7 +10,7 @@
 #include "net/request.h"
 #include "structures/time.h"
 
-namespace silverpin {
+namespace balancer {
 
 class ClientSession;
 
@@ -33,8 +33,8 @@
   virtual void feed(std::string_view bytes) = 0;
   virtual Step step(ClientSession& session) = 0;
   virtual std::string fault() const = 0;
-  virtual void on_final(ClientSession& session, Ticket ticket, const Payload& payload,
-                        Final final) = 0;
+  virtual void on_response(ClientSession& session, ResponseSlot ticket,
+                           const RequestPayload& payload, Response final) = 0;
   // What has been read and not taken, where a dialect made anew could go on from it alone.
   virtual std::optional<std::string> unread() const { return std::nullopt; }
   // Gives up what has been read.
@@ -53,4 +53,4 @@
 
 using MakeDialect = std::function<std::unique_ptr<Dialect>()>;
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/net/host_list.cc
+++ b/src/net/host_list.cc
@@ -2,7 +2,7 @@
 
 #include <charconv>
 
-namespace silverpin {
+namespace balancer {
 
 std::optional<Endpoint> parse_endpoint(std::string_view text) {
   const auto colon = text.rfind(':');
@@ -18,4 +18,4 @@
   return Endpoint(address, port);
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/net/host_list.h
+++ b/src/net/host_list.h
@@ -9,7 +9,7 @@
 
 #include "policy/policy.h"
 
-namespace silverpin {
+namespace balancer {
 
 using Endpoint = boost::asio::ip::tcp::endpoint;
 
@@ -36,4 +36,4 @@
 // "127.0.0.1:80" or "[::1]:80"; names are not looked up.
 std::optional<Endpoint> parse_endpoint(std::string_view text);
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/net/lease_clock.h
+++ b/src/net/lease_clock.h
@@ -6,7 +6,7 @@
 
 #include "structures/time.h"
 
-namespace silverpin {
+namespace balancer {
 
 // The clock of leases: never set, and it goes on while the machine sleeps, as the voters' clocks do
 // meanwhile (CLOCK_BOOTTIME; the usual steady clock stands still then). Counts from the machine's
@@ -17,4 +17,4 @@
   return std::chrono::seconds(t.tv_sec) + std::chrono::nanoseconds(t.tv_nsec);
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/net/limits.h
+++ b/src/net/limits.h
@@ -5,7 +5,7 @@
 #include <utility>
 
 // The budgets of descriptors and bytes. One thread uses them; leases give back what they took.
-namespace silverpin {
+namespace balancer {
 
 // Room for the longest value. Values are collected whole, so that one that breaks off or makes no
 // sense can still be asked for elsewhere, and nothing of it ever reaches a client.
@@ -15,19 +15,19 @@
 
 class Budget {
  public:
-  explicit Budget(std::size_t most) : most_(most) {}
+  explicit Budget(std::size_t max) : max_(max) {}
   Budget(const Budget&) = delete;
   Budget& operator=(const Budget&) = delete;
 
-  bool room_for(std::size_t n) const { return used_ + n <= most_; }
+  bool room_for(std::size_t n) const { return used_ + n <= max_; }
   std::size_t used() const { return used_; }
-  std::size_t most() const { return most_; }
+  std::size_t max() const { return max_; }
   // What is used beyond it stays so until it is given back.
-  void set_most(std::size_t most) { most_ = most; }
+  void set_max(std::size_t max) { max_ = max; }
 
  private:
   friend class Lease;
-  std::size_t most_;
+  std::size_t max_;
   std::size_t used_ = 0;
 };
 
@@ -73,12 +73,12 @@
 
   // Of all descriptors and bytes, this process may hold so many: all, but where another one works
   // beside it. `takes_clients`: whether it needs room for new ones.
-  void share(std::size_t descriptors, std::size_t most_bytes, bool takes_clients) {
+  void share(std::size_t descriptors, std::size_t max_bytes, bool takes_clients) {
     const std::size_t left = descriptors > fixed ? descriptors - fixed : 0;
     const std::size_t up = takes_clients ? left * 2 / 5 : left - std::min(left, clients.used());
-    upstreams.set_most(up);
-    clients.set_most(left - up);
-    bytes.set_most(most_bytes);
+    upstreams.set_max(up);
+    clients.set_max(left - up);
+    bytes.set_max(max_bytes);
   }
   std::size_t descriptors_used() const { return fixed + clients.used() + upstreams.used(); }
 
@@ -90,9 +90,9 @@
   Budget clients, upstreams;
   Budget bytes;  // bodies, values and what waits for clients to read it
   // Beyond it only clients that have nothing in work may begin a request.
-  bool bytes_short() const { return bytes.used() > bytes.most() / 2; }
+  bool bytes_short() const { return bytes.used() > bytes.max() / 2; }
   // Beyond it connections that are not likely to be used again go early.
-  bool clients_short() const { return clients.used() > clients.most() / 3; }
+  bool clients_short() const { return clients.used() > clients.max() / 3; }
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/net/upstream_connection.cc
+++ b/src/net/upstream_connection.cc
@@ -9,7 +9,7 @@
 #include <cerrno>
 #include <utility>
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 namespace asio = boost::asio;
@@ -80,9 +80,12 @@
 // half written, and not the first one to a host that is to get nothing new. Else what becomes of
 // it.
 std::optional<Result> UpstreamConnection::held_back(const Outgoing& out) const {
-  const Permit permit = out.attempt->ended ? Permit::kOver : events_.permit(*out.attempt);
-  if (permit == Permit::kGo || (permit == Permit::kElsewhere && out.written > 0)) return {};
-  return permit == Permit::kOver ? Result::kNotSent : Result::kTakenBack;
+  const SendPermission may_send =
+      out.attempt->ended ? SendPermission::kOver : events_.may_send(*out.attempt);
+  if (may_send == SendPermission::kGo ||
+      (may_send == SendPermission::kElsewhere && out.written > 0))
+    return {};
+  return may_send == SendPermission::kOver ? Result::kNotSent : Result::kWithdrawn;
 }
 
 // Makes the request at this place ready to be written. False: it was taken back.
@@ -118,7 +121,7 @@
   retired_ = true;
   owner_.on_retired(*this);
   drop(place, result);
-  while (queue_.size() > place) drop(place, Result::kTakenBack);
+  while (queue_.size() > place) drop(place, Result::kWithdrawn);
   if (queue_.empty()) fail();
 }
 
@@ -140,7 +143,7 @@
     if (queue_[i].written > 0) {
       ++i;
     } else {
-      remove(i, Result::kTakenBack);
+      remove(i, Result::kWithdrawn);
     }
   }
   if (queue_.empty()) fail();
@@ -293,7 +296,7 @@
 bool UpstreamConnection::take_value(std::string_view piece, std::optional<std::size_t> length) {
   if (stream_) return stream_->push(piece), true;
   if (current()->ended) return true;  // given up: read and forgotten
-  if (value_.size() + piece.size() > most_value()) return false;
+  if (value_.size() + piece.size() > max_value()) return false;
   if (length && value_.empty()) value_.reserve(*length);
   value_ += piece;
   bytes_.resize(value_.size());
@@ -400,4 +403,4 @@
   owner_.on_closed(*this);
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/net/upstream_connection.h
+++ b/src/net/upstream_connection.h
@@ -12,7 +12,7 @@
 #include "net/host_list.h"
 #include "net/limits.h"
 
-namespace silverpin {
+namespace balancer {
 
 class UpstreamConnection;
 
@@ -61,7 +61,7 @@
   // event has not been seen yet.
   bool alive();
 
-  pool::ConnectionId number = 0;  // its owner's name for it
+  connection_pool::ConnectionId number = 0;  // its owner's name for it
 
  protected:
   struct Outgoing {
@@ -81,7 +81,7 @@
   // The peer has ended its sending in order. May complete an answer that the end is part of.
   virtual void on_end_of_input() {}
   // The longest value of an answer.
-  virtual std::size_t most_value() const { return kWholeValue; }
+  virtual std::size_t max_value() const { return kWholeValue; }
   // Whether nothing of a further answer has come yet.
   virtual bool between_answers() const = 0;
 
@@ -146,4 +146,4 @@
   std::optional<Time> partial_since_;  // an answer has begun and not ended
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/net/upstream_pool.cc
+++ b/src/net/upstream_pool.cc
@@ -5,7 +5,7 @@
 #include <boost/asio/post.hpp>
 #include <utility>
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 namespace asio = boost::asio;
@@ -23,7 +23,7 @@
       make_(dial),
       open_(open),
       free_descriptor_(std::move(free_descriptor)),
-      sharing_(times.sharing) {}
+      selector_(times.sharing) {}
 
 void UpstreamPool::set_host(const ListedHost& host) {
   // What is in the pool leads to the old process or the old address, also what is coming up or has
@@ -63,23 +63,24 @@
 }
 
 UpstreamPool::Tried UpstreamPool::try_start(const AttemptPtr& attempt) {
-  using Kind = pool::Sharing::Choice::Kind;
-  pool::Want want = attempt->payload->want;
+  using Kind = connection_pool::ConnectionSelector::Choice::Kind;
+  connection_pool::AttemptTraits want = attempt->payload->want;
   want.unsafe = attempt->unsafe;
   want.unnamed = origin_;  // over HTTP
   const Time now = events_.now();
   while (true) {
     const bool may_open = dial_ && open_ < times_.most && limits_.upstreams.room_for(1);
-    auto choice = sharing_.choose(now, want, may_open);
+    auto choice = selector_.choose(now, want, may_open);
     // Another host's idle connection makes room, where this one's would not do.
     if (!may_open && dial_ &&
-        (choice.kind == Kind::kWait || sharing_.depth(choice.connection) > 0) && free_descriptor_())
-      choice = sharing_.choose(now, want, true);
+        (choice.kind == Kind::kWait || selector_.depth(choice.connection) > 0) &&
+        free_descriptor_())
+      choice = selector_.choose(now, want, true);
     if (choice.kind == Kind::kWait) return may_open ? Tried::kNotNow : Tried::kNoRoom;
     if (choice.kind == Kind::kOpen) {
       const auto connection = make_(origin_, events_, *this);
       ++open_;
-      connection->number = sharing_.on_open(now);
+      connection->number = selector_.on_open(now);
       if (all_.size() <= connection->number) all_.resize(connection->number + 1);
       all_[connection->number] = connection;
       assign(connection->number, attempt, now);
@@ -87,7 +88,7 @@
       return Tried::kStarted;
     }
     const auto connection = all_[choice.connection];
-    if (sharing_.depth(choice.connection) > 0) {
+    if (selector_.depth(choice.connection) > 0) {
       if (!connection->can_pipeline()) return Tried::kNoRoom;
     } else if (!connection->alive()) {
       // Closed by the host, or noise has come that would be read as this attempt's answer.
@@ -99,11 +100,11 @@
   }
 }
 
-void UpstreamPool::assign(pool::ConnectionId id, const AttemptPtr& attempt, Time now) {
-  pool::Want want = attempt->payload->want;
+void UpstreamPool::assign(connection_pool::ConnectionId id, const AttemptPtr& attempt, Time now) {
+  connection_pool::AttemptTraits want = attempt->payload->want;
   want.unsafe = attempt->unsafe;
   const auto connection = all_[id];
-  sharing_.on_assigned(id, now, want);
+  selector_.on_assigned(id, now, want);
   connection->enqueue(attempt);
   if (times_.sharing.shared) {
     flush_soon(connection);
@@ -123,20 +124,20 @@
 }
 
 void UpstreamPool::close_idle() {
-  for (const auto id : std::vector(sharing_.idle())) all_[id]->close();
+  for (const auto id : std::vector(selector_.idle())) all_[id]->close();
 }
 
 std::optional<Time> UpstreamPool::oldest_idle() const {
-  if (sharing_.idle().empty()) return std::nullopt;
-  return sharing_.idle_since(sharing_.idle().front());
+  if (selector_.idle().empty()) return std::nullopt;
+  return selector_.idle_since(selector_.idle().front());
 }
 
-void UpstreamPool::close_oldest_idle() { all_[sharing_.idle().front()]->close(); }
+void UpstreamPool::close_oldest_idle() { all_[selector_.idle().front()]->close(); }
 
 void UpstreamPool::tick() {
   const Time now = events_.now();
-  while (!sharing_.idle().empty() &&
-         now - sharing_.idle_since(sharing_.idle().front()) > times_.sharing.retire_idle)
+  while (!selector_.idle().empty() &&
+         now - selector_.idle_since(selector_.idle().front()) > times_.sharing.retire_idle)
     close_oldest_idle();
   const auto all = all_;
   for (const auto& connection : all)
@@ -145,26 +146,26 @@
 }
 
 void UpstreamPool::on_up(UpstreamConnection& connection) {
-  sharing_.on_up(connection.number, events_.now());
+  selector_.on_up(connection.number, events_.now());
   pump_soon();
 }
 
 void UpstreamPool::on_answered(UpstreamConnection& connection, Time now, bool keeps_open) {
-  sharing_.on_answered(connection.number, now, keeps_open);
+  selector_.on_answered(connection.number, now, keeps_open);
   pump_soon();
 }
 
 void UpstreamPool::on_taken_back(UpstreamConnection& connection, std::size_t place) {
-  sharing_.on_taken_back(connection.number, place, events_.now());
+  selector_.on_taken_back(connection.number, place, events_.now());
   pump_soon();
 }
 
 void UpstreamPool::on_retired(UpstreamConnection& connection) {
-  sharing_.on_retired(connection.number);
+  selector_.on_retired(connection.number);
 }
 
 void UpstreamPool::on_closed(UpstreamConnection& connection) {
-  sharing_.on_closed(connection.number);
+  selector_.on_closed(connection.number);
   all_[connection.number] = nullptr;
   --open_;
   pump_soon();
@@ -185,8 +186,10 @@
   bool room = true;
   for (Waiting& w : std::exchange(waiting_, {})) {
     if (w.attempt->ended) continue;
-    if (const Permit permit = events_.permit(*w.attempt); permit != Permit::kGo) {
-      end_soon(w.attempt, permit == Permit::kOver ? Result::kNotSent : Result::kTakenBack);
+    if (const SendPermission may_send = events_.may_send(*w.attempt);
+        may_send != SendPermission::kGo) {
+      end_soon(w.attempt,
+               may_send == SendPermission::kOver ? Result::kNotSent : Result::kWithdrawn);
       continue;
     }
     if (events_.now() >= w.until) {
@@ -265,7 +268,7 @@
 }
 
 void Upstreams::shed() {
-  while (limits_.upstreams.used() > limits_.upstreams.most()) {
+  while (limits_.upstreams.used() > limits_.upstreams.max()) {
     const auto before = limits_.upstreams.used();
     free_descriptor();
     if (limits_.upstreams.used() == before) return;
@@ -301,4 +304,4 @@
   });
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/net/upstream_pool.h
+++ b/src/net/upstream_pool.h
@@ -10,21 +10,21 @@
 
 #include "net/upstream_connection.h"
 
-namespace silverpin {
+namespace balancer {
 
 struct UpstreamTimes {
   Duration connect_timeout;
   Duration retire_idle;         // well before the host would close it
   std::size_t most = SIZE_MAX;  // connections of the whole pool at once
-  pool::SharingSettings sharing;
+  connection_pool::ConnectionSelectorSettings sharing;
 };
 
 // Makes a connection of the pool's dialect, to the origin or to another server.
 using Dial = std::function<std::shared_ptr<UpstreamConnection>(bool origin, AttemptEvents& events,
                                                                UpstreamOwner& owner)>;
 
-// The connections to one host: carries out what pool::Sharing decides, and tells it what came of
-// it.
+// The connections to one host: carries out what connection_pool::Sharing decides, and tells it what
+// came of it.
 class UpstreamPool : public UpstreamOwner {
  public:
   using FreeDescriptor = std::function<bool()>;
@@ -44,12 +44,12 @@
   void tick();
   // Nothing refers to it any more, what was posted to the event loop included.
   bool empty() const {
-    return sharing_.open() == 0 && waiting_.empty() && !pump_posted_ && dirty_.empty();
+    return selector_.open() == 0 && waiting_.empty() && !pump_posted_ && dirty_.empty();
   }
   // When its least recently used idle connection became so.
   std::optional<Time> oldest_idle() const;
   void close_oldest_idle();
-  const pool::Sharing& sharing() const { return sharing_; }
+  const connection_pool::ConnectionSelector& sharing() const { return selector_; }
 
  private:
   struct Waiting {
@@ -65,7 +65,7 @@
   void on_closed(UpstreamConnection& connection) override;
 
   Tried try_start(const AttemptPtr& attempt);
-  void assign(pool::ConnectionId id, const AttemptPtr& attempt, Time now);
+  void assign(connection_pool::ConnectionId id, const AttemptPtr& attempt, Time now);
   void flush_soon(const std::shared_ptr<UpstreamConnection>& connection);
   bool must_wait_behind(const Attempt& attempt) const;
   void pump_soon();
@@ -82,7 +82,7 @@
   std::optional<Endpoint> dial_;
   std::optional<UnixTime> born_;
   bool origin_ = false;
-  pool::Sharing sharing_;
+  connection_pool::ConnectionSelector selector_;
   std::vector<std::shared_ptr<UpstreamConnection>> all_;    // by the module's names for them
   std::vector<std::shared_ptr<UpstreamConnection>> dirty_;  // have something to write
   std::deque<Waiting> waiting_;                             // for a connection
@@ -125,4 +125,4 @@
   boost::asio::steady_timer tick_;
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/net/value_stream.h
+++ b/src/net/value_stream.h
@@ -9,7 +9,7 @@
 
 #include "net/limits.h"
 
-namespace silverpin {
+namespace balancer {
 
 // A long value on its way from one reader to one writer, through a window that the byte budget has
 // lent. The pace is that of the slower side: with the window full nothing more is read, and with it
@@ -90,4 +90,4 @@
 };
 using StreamPtr = std::shared_ptr<ValueStream>;
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/node/balancer.cc
+++ b/src/node/balancer.cc
@@ -9,10 +9,10 @@
 #include <string>
 #include <utility>
 
-#include "front/memcache/cache_connection.h"
-#include "front/memcache/origin_connection.h"
+#include "frontend/memcache/cache_connection.h"
+#include "frontend/memcache/origin_connection.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 using boost::system::error_code;
@@ -82,8 +82,8 @@
   return times;
 }
 
-handover::Host host_of(const ListedHost& h) {
-  handover::Host out;
+hot_restart::Host host_of(const ListedHost& h) {
+  hot_restart::Host out;
   out.id = h.id;
   if (h.dial) {
     if (h.dial->address().is_v4()) {
@@ -104,11 +104,11 @@
   return out;
 }
 
-HostList list_of(const handover::Snapshot& s) {
+HostList list_of(const hot_restart::Snapshot& s) {
   HostList list;
   list.seq = s.seq;
   list.whole = true;
-  for (const handover::Host& h : s.hosts) {
+  for (const hot_restart::Host& h : s.hosts) {
     ListedHost host;
     host.id = h.id;
     if (h.address.size() == 4) {
@@ -188,7 +188,7 @@
                           [this](std::string_view host, bool out) { return maintain(host, out); },
                           [this](bool away) { return send_away(away); }});
   Predecessor from;
-  if (admin_ && !config->folder.empty()) from = Upgrade::ask(config->folder, config->name, log_);
+  if (admin_ && !config->folder.empty()) from = HotRestart::ask(config->folder, config->name, log_);
   if (config) {
     memcache_ = std::make_unique<MemcacheSide>(io, *config, clock_, limits, log_);
     const std::string service = added_.group ? added_.group->memcache_service : "";
@@ -199,14 +199,14 @@
     longest_deadline_ = memcache_->pool.longest_deadline(kLongestDeadline);
   }
   add(config ? config->seed : std::random_device()(), limits);
-  if (admin_ && !config->folder.empty()) follow(from, *config);
+  if (admin_ && !config->folder.empty()) take_over(from, *config);
   if (added_.group) join(log);
-  if (memcache_ && !memcache_->site.policy.list_on_request) {
+  if (memcache_ && !memcache_->site.policy.discovery_is_polled) {
     memcache_->discovery.start();
-    memcache_->pool.mind_standstills([this] { memcache_->discovery.confirm(); }, log_);
+    memcache_->pool.enable_stall_guard([this] { memcache_->discovery.confirm(); }, log_);
   }
   // Where another process serves meanwhile, clients are better off there until there is a list.
-  if (!upgrade_ || !upgrade_->turn().has_predecessor(clock_.now()) || memcache_->listed) {
+  if (!hot_restart_ || !hot_restart_->state().has_predecessor(clock_.now()) || memcache_->listed) {
     open();
     return;
   }
@@ -232,7 +232,7 @@
     if (added_.listeners[i].service.empty()) open_one(*resp_[i].listener);
   passed_.clear();
   if (away_) give_back_away();  // taken over with the predecessor's place
-  if (upgrade_) upgrade_->serve();
+  if (hot_restart_) hot_restart_->serve();
 }
 
 void Balancer::add(std::uint64_t seed, Limits& limits) {
@@ -282,21 +282,21 @@
 // ---- the group
 
 void Balancer::join(const Log& log) {
-  member_ = std::make_unique<member::Member>(
+  member_ = std::make_unique<group_runtime::GroupRuntime>(
       io_, *added_.group, true,
-      member::Member::Owner{
+      group_runtime::GroupRuntime::Owner{
           [this, log](const std::string& service) { return listen(service, log); },
           [this](const std::string& service, bool in_order) { unlisten(service, in_order); },
           [this] { return hosts_listed(); }, log});
-  status_ = std::make_unique<member::StatusSocket>(
-      io_, member::status_path(*added_.group),
+  status_ = std::make_unique<group_runtime::StatusSocket>(
+      io_, group_runtime::status_path(*added_.group),
       [this](const std::string& line, std::function<void(const std::string&)> answer) {
         member_->command(line, std::move(answer));
       },
       log);
 }
 
-MayGoOut Balancer::gate(const std::string& service) const {
+ForwardingCheck Balancer::gate(const std::string& service) const {
   if (service.empty()) return {};
   return [this, service] { return member_ && member_->may_serve(service); };
 }
@@ -341,27 +341,27 @@
 
 // ---- beside the process before and the one after
 
-void Balancer::follow(Predecessor& from, const Config& config) {
+void Balancer::take_over(Predecessor& from, const Config& config) {
   if (from.link) {
     // What one of a later version says is not known here; its sockets are sockets.
-    const handover::Snapshot& s = from.snapshot;
-    if (s.version <= handover::kVersion) {
+    const hot_restart::Snapshot& s = from.snapshot;
+    if (s.version <= hot_restart::kVersion) {
       if (s.listed && s.seq >= memcache_->seq) memcache_->take(list_of(s));
-      Policy::Learnt learnt{s.work_rate, s.origin_open, s.caches_open, {}};
+      Policy::PolicyCheckpoint checkpoint{s.work_rate, s.origin_open, s.caches_open, {}};
       for (const auto& h : s.hosts)
-        if (h.share < 1) learnt.shares.emplace_back(h.id, h.share);
-      memcache_->pool.take_up(learnt);
-      for (const auto& w : s.words) restore(w);
+        if (h.share < 1) checkpoint.shares.emplace_back(h.id, h.share);
+      memcache_->pool.restore(checkpoint);
+      for (const auto& w : s.overrides) restore(w);
       if (s.away) send_away(true);
     }
     passed_ = std::move(from.sockets);
     // Those are the sockets that were asked for, or none.
     std::erase_if(passed_, [](const auto& p) { return !listens_at(p.second, p.first); });
   }
-  if (!from.link || from.snapshot.version > handover::kVersion) {
-    if (const auto kept = Upgrade::read_words(config.folder, config.name)) {
-      for (const auto& w : kept->words) restore(w);
-      log_(std::to_string(kept->words.size()) + " operators' words taken from their file");
+  if (!from.link || from.snapshot.version > hot_restart::kVersion) {
+    if (const auto kept = HotRestart::read_overrides(config.folder, config.name)) {
+      for (const auto& w : kept->overrides) restore(w);
+      log_(std::to_string(kept->overrides.size()) + " operators' words taken from their file");
     }
     // Where another process listens that could not be asked, it holds some of the limits.
     if (!from.link && !from.presumed && taken(config.listen)) {
@@ -371,10 +371,10 @@
       from.presumed = true;
     }
   }
-  upgrade_ = std::make_unique<Upgrade>(
+  hot_restart_ = std::make_unique<HotRestart>(
       io_, clock_, config.folder, config.name,
-      handover::Share{limits_.total_descriptors, limits_.total_bytes}, from,
-      Upgrade::Owner{
+      hot_restart::ResourceShare{limits_.total_descriptors, limits_.total_bytes}, from,
+      HotRestart::Owner{
           [this] { return snapshot(); },
           [this] {
             std::vector<Descriptor> all;
@@ -382,26 +382,27 @@
             return all;
           },
           [this] {
-            return handover::Share{limits_.descriptors_used(), limits_.bytes.used()};
+            return hot_restart::ResourceShare{limits_.descriptors_used(), limits_.bytes.used()};
           },
           [this] {
             std::size_t open = 0;
             each_pool([&open](ServerPool& p) { open += p.open(); });
-            return handover::Share{open * 2 + kNeedsMore, open * kWholeValue + kWholeValue};
+            return hot_restart::ResourceShare{open * 2 + kNeedsMore,
+                                              open * kWholeValue + kWholeValue};
           },
-          [this](const handover::Word& w) {
+          [this](const hot_restart::OperatorOverride& w) {
             restore(w);
             log_("cache host " + w.host + (w.out ? " taken out" : " put back") +
                  " by an operator, at the other process");
           },
           [this](bool away) { send_away(away); },
-          [this](const handover::Connection& c, Descriptor socket) {
+          [this](const hot_restart::Connection& c, Descriptor socket) {
             for (ClientListener* l : listeners())
               if (text_of(l->local()) == c.listener)
                 return l->adopt({std::move(socket), c.input, c.answered});
           },
-          [this] { take_turn(); }, log_});
-  take_turn();
+          [this] { apply_hot_restart_state(); }, log_});
+  apply_hot_restart_state();
 }
 
 std::vector<ClientListener*> Balancer::listeners() {
@@ -409,39 +410,39 @@
   each_listener([&all](ClientListener& l) {
     if (l.is_open()) all.push_back(&l);
   });
-  if (all.size() > handover::kMaxDescriptors) all.resize(handover::kMaxDescriptors);
+  if (all.size() > hot_restart::kMaxDescriptors) all.resize(hot_restart::kMaxDescriptors);
   return all;
 }
 
-handover::Snapshot Balancer::snapshot() {
-  handover::Snapshot s;
+hot_restart::Snapshot Balancer::snapshot() {
+  hot_restart::Snapshot s;
   s.listed = memcache_->listed;
   s.seq = memcache_->seq;
   for (const auto& [id, h] : memcache_->hosts) {
     s.hosts.push_back(host_of(h));
     if (h.born) s.hosts.back().age = memcache_->pool.age_of(id);
   }
-  const Policy::Learnt learnt = memcache_->pool.learnt();
-  s.work_rate = learnt.work_rate;
-  s.origin_open = learnt.origin;
-  s.caches_open = learnt.caches;
-  const std::map<std::string, double> shares(learnt.shares.begin(), learnt.shares.end());
-  for (handover::Host& h : s.hosts)
+  const Policy::PolicyCheckpoint checkpoint = memcache_->pool.checkpoint();
+  s.work_rate = checkpoint.work_rate;
+  s.origin_open = checkpoint.origin;
+  s.caches_open = checkpoint.caches;
+  const std::map<std::string, double> shares(checkpoint.shares.begin(), checkpoint.shares.end());
+  for (hot_restart::Host& h : s.hosts)
     if (const auto at = shares.find(h.id); at != shares.end()) h.share = at->second;
-  s.words = words();
+  s.overrides = overrides();
   s.away = away_;
   for (const ClientListener* l : listeners()) s.listeners.push_back(text_of(l->local()));
   return s;
 }
 
-void Balancer::take_turn() {
-  if (!upgrade_) return;
-  const auto& turn = upgrade_->turn();
-  const auto share = upgrade_->share();
-  limits_.share(share.descriptors, share.bytes, turn.accepts());
+void Balancer::apply_hot_restart_state() {
+  if (!hot_restart_) return;
+  const auto& state = hot_restart_->state();
+  const auto share = hot_restart_->share();
+  limits_.share(share.descriptors, share.bytes, state.accepts());
   each_listener([&](ClientListener& l) {
     l.shed();
-    if (turn.accepts()) {
+    if (state.accepts()) {
       l.resume();
     } else {
       l.pause();
@@ -451,36 +452,37 @@
   if (std::exchange(passing_, succeeded()) == succeeded()) return;
   each_listener([this](ClientListener& l) {
     if (!passing_) return l.pass_on({}, {});
-    l.pass_on([this] { return upgrade_->may_pass(); },
+    l.pass_on([this] { return hot_restart_->may_pass(); },
               [this, to = text_of(l.local())](HandedClient c) {
-                upgrade_->pass({to, std::move(c.input), c.answered}, std::move(c.socket));
+                hot_restart_->pass({to, std::move(c.input), c.answered}, std::move(c.socket));
               });
   });
 }
 
 // ---- operators' calls
 
-std::vector<handover::Word> Balancer::words() const {
-  std::vector<handover::Word> all;
-  for (const auto& [id, word] : memcache_->pool.words())
+std::vector<hot_restart::OperatorOverride> Balancer::overrides() const {
+  std::vector<hot_restart::OperatorOverride> all;
+  for (const auto& [id, word] : memcache_->pool.overrides())
     all.push_back({id, word.out, clock_.now() - word.at});
   return all;
 }
 
-void Balancer::restore(const handover::Word& word) {
+void Balancer::restore(const hot_restart::OperatorOverride& word) {
   memcache_->pool.restore(word.host, {word.out, clock_.now() - word.age});
 }
 
 bool Balancer::maintain(std::string_view host, bool out) {
   if (!memcache_ || !memcache_->pool.maintain(host, out)) return false;
   log_("cache host " + std::string(host) + (out ? " taken out" : " put back") + " by an operator");
-  if (!upgrade_) return true;
-  const auto& all = memcache_->pool.words();
+  if (!hot_restart_) return true;
+  const auto& all = memcache_->pool.overrides();
   if (const auto w = all.find(host); w != all.end())
-    upgrade_->tell(handover::Word{w->first, w->second.out, clock_.now() - w->second.at});
-  handover::Snapshot kept;
-  kept.words = words();
-  upgrade_->keep_words(std::move(kept));
+    hot_restart_->tell(
+        hot_restart::OperatorOverride{w->first, w->second.out, clock_.now() - w->second.at});
+  hot_restart::Snapshot kept;
+  kept.overrides = overrides();
+  hot_restart_->persist_overrides(std::move(kept));
   return true;
 }
 
@@ -488,7 +490,7 @@
   if (leaving_) return false;
   if (std::exchange(away_, away) == away) return true;
   log_(away ? "clients are sent away, by an operator" : "clients are taken in again");
-  if (upgrade_) upgrade_->tell(handover::Away{away});
+  if (hot_restart_) hot_restart_->tell(hot_restart::Away{away});
   if (memcache_) memcache_->front.send_away(away);
   if (away) {
     give_back_away();
@@ -513,7 +515,7 @@
 
 void Balancer::begin_drain() {
   draining_since_ = clock_.now();
-  if (upgrade_) upgrade_->on_term();
+  if (hot_restart_) hot_restart_->on_term();
   each_pool(
       [this](ServerPool& p) { p.drain(*draining_since_ + longest_deadline_ + kDrainAnswer); });
   const Time last =
@@ -537,11 +539,11 @@
     // Those whose deadline lies beyond the end.
     if (since >= longest_deadline_ + kDrainAnswer) {
       each_pool([](ServerPool& p) { p.fail_open(); });
-      each_listener([](ClientListener& l) { l.refuse_unread(); });
+      each_listener([](ClientListener& l) { l.reject_unread(); });
     }
     if (since >= longest_deadline_ + kDrainExit ||
         ((since >= kDrainAccept || succeeded()) && sessions == 0 && !more &&
-         (!upgrade_ || upgrade_->flushed()))) {
+         (!hot_restart_ || hot_restart_->flushed()))) {
       // Behind what has been posted by now: answers just given may leave at the end of the turn.
       boost::asio::post(io_, [this] { end(); });
       return;
@@ -554,8 +556,8 @@
   if (memcache_) memcache_->discovery.stop();
   for (auto& p : cluster_pools_) p->stop();
   if (member_) member_->end();
-  if (upgrade_) upgrade_->end();
+  if (hot_restart_) hot_restart_->end();
   io_.stop();
 }
 
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/src/node/balancer.h
+++ b/src/node/balancer.h
@@ -10,21 +10,21 @@
 #include <string>
 #include <vector>
 
-#include "core/server_pool.h"
-#include "front/admin/admin_server.h"
-#include "front/memcache/memcache_front.h"
-#include "front/resp/cluster_pool.h"
-#include "front/resp/resp_front.h"
-#include "member/member.h"
-#include "member/status.h"
+#include "dispatch/server_pool.h"
+#include "frontend/admin/admin_server.h"
+#include "frontend/memcache/memcache_front.h"
+#include "frontend/resp/cluster_pool.h"
+#include "frontend/resp/resp_front.h"
+#include "group_runtime/group_runtime.h"
+#include "group_runtime/status.h"
+#include "hot_restart/hot_restart.h"
 #include "net/client_listener.h"
 #include "net/clock.h"
 #include "net/limits.h"
 #include "node/config.h"
 #include "node/discovery.h"
-#include "node/upgrade.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 
 // The program's parts and their ends: the listener and front of memcache clients, the pool of cache
 // hosts behind them, and discovery, which lists those; and what the operator's file adds. Either
@@ -52,7 +52,7 @@
   std::vector<std::string> reload(const Operator& changed);
   // Hands service addresses over, answers what has been taken, then stops the event loop.
   void drain();
-  const member::Member* member() const { return member_.get(); }
+  const group_runtime::GroupRuntime* member() const { return member_.get(); }
   Endpoint admin() const { return admin_->local(); }
   // The operators' calls. See admin::Operations.
   bool maintain(std::string_view host, bool out);
@@ -80,7 +80,7 @@
 
   void add(std::uint64_t seed, Limits& limits);
   void join(const Log& log);
-  MayGoOut gate(const std::string& service) const;
+  ForwardingCheck gate(const std::string& service) const;
   // The listeners of a service address.
   template <typename F>
   void each_of(const std::string& service, F&& f);
@@ -89,14 +89,14 @@
   bool hosts_listed() const;
   // Takes clients, once there are hosts to send their requests to.
   void open();
-  void follow(Predecessor& from, const Config& config);
-  handover::Snapshot snapshot();
-  std::vector<handover::Word> words() const;
-  void restore(const handover::Word& word);
+  void take_over(Predecessor& from, const Config& config);
+  hot_restart::Snapshot snapshot();
+  std::vector<hot_restart::OperatorOverride> overrides() const;
+  void restore(const hot_restart::OperatorOverride& word);
   std::vector<ClientListener*> listeners();
   // Carries out what Upgrade::turn() says.
-  void take_turn();
-  bool succeeded() const { return upgrade_ && upgrade_->turn().passes_connections(); }
+  void apply_hot_restart_state();
+  bool succeeded() const { return hot_restart_ && hot_restart_->state().passes_connections(); }
   void give_back_away();
   void begin_drain();
   void arm_drain();
@@ -128,15 +128,15 @@
     std::unique_ptr<ClientListener> listener;
   };
   std::vector<RespSide> resp_;
-  std::unique_ptr<member::Member> member_;
-  std::unique_ptr<member::StatusSocket> status_;
+  std::unique_ptr<group_runtime::GroupRuntime> member_;
+  std::unique_ptr<group_runtime::StatusSocket> status_;
   const Log log_;
   Limits& limits_;
   std::unique_ptr<admin::AdminServer> admin_;
-  std::unique_ptr<Upgrade> upgrade_;
+  std::unique_ptr<HotRestart> hot_restart_;
   std::map<std::string, Descriptor> passed_;  // sockets of the predecessor's, by address
   bool open_ = false, passing_ = false;
   boost::asio::steady_timer open_timer_;
 };
 
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/src/node/config.cc
+++ b/src/node/config.cc
@@ -9,7 +9,7 @@
 #include "node/discovery_list.h"
 #include "settings/json.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 using namespace json;
@@ -80,4 +80,4 @@
   }
 }
 
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/src/node/config.h
+++ b/src/node/config.h
@@ -7,7 +7,7 @@
 #include "net/host_list.h"
 #include "settings/settings.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 
 struct Config {
   std::string name;
@@ -29,4 +29,4 @@
 // Throws std::runtime_error with one plain line.
 Config load_config();
 
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/src/node/discovery.cc
+++ b/src/node/discovery.cc
@@ -8,12 +8,12 @@
 #include "node/http_date.h"
 #include "settings/json.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 namespace http = boost::beast::http;
 using boost::system::error_code;
-using recovery::DiscoverySchedule;
+using recovery::DiscoveryPollScheduler;
 
 constexpr std::uint32_t kMaxHead = 64u << 10;
 constexpr std::size_t kMemoryPerListByte = 24;
@@ -35,11 +35,12 @@
       site_(site),
       handlers_(std::move(handlers)),
       max_list_bytes_(max_list_bytes),
-      asked_(site.policy.list_on_request),
+      asked_(site.policy.discovery_is_polled),
       io_(io),
       timer_(io),
-      schedule_(asked_ ? DiscoverySchedule::Mode::kOnRequest : DiscoverySchedule::Mode::kPushed,
-                known_seq, seed) {}
+      schedule_(
+          asked_ ? DiscoveryPollScheduler::Mode::kOnRequest : DiscoveryPollScheduler::Mode::kPushed,
+          known_seq, seed) {}
 
 // The module that subscribes must not be called back from here; the timer's handler comes later.
 void Discovery::start() {
@@ -88,11 +89,11 @@
   timer_.async_wait([this, call = call_](const error_code& error) {
     if (error || call != call_) return;
     switch (schedule_.due(now())) {
-      case DiscoverySchedule::Step::kNothing:
+      case DiscoveryPollScheduler::Step::kNothing:
         return arm();
-      case DiscoverySchedule::Step::kCall:
+      case DiscoveryPollScheduler::Step::kCall:
         return this->call();
-      case DiscoverySchedule::Step::kGiveUp:
+      case DiscoveryPollScheduler::Step::kCancelCall:
         return fail(Failure::kBroken);
     }
   });
@@ -101,7 +102,7 @@
 void Discovery::call() {
   const auto call = ++call_;
   const bool connected = link_ != nullptr;
-  const DiscoverySchedule::Call what = schedule_.begin(now(), connected);
+  const DiscoveryPollScheduler::Call what = schedule_.begin(now(), connected);
   arm();
   std::string target = "/discovery/hosts";
   if (!what.whole) {
@@ -162,7 +163,7 @@
   if (message.result() != http::status::ok) {
     if (message.result() != http::status::service_unavailable)
       complain(Cause::kStatus, "has status " + std::to_string(message.result_int()));
-    return fail(Failure::kRefused);
+    return fail(Failure::kRejected);
   }
   const auto date = parse_http_date(std::string(message[http::field::date]));
   const auto fault = apply(message.body(), date);
@@ -200,7 +201,7 @@
 
 void Discovery::fail(Failure failure) {
   hang_up();
-  if (!schedule_.on_failure(now(), failure)) return handlers_.on_refused();
+  if (!schedule_.on_failure(now(), failure)) return handlers_.on_rejected();
   arm();
 }
 
@@ -224,4 +225,4 @@
                                     " bytes that the memory limit leaves for it");
 }
 
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/src/node/discovery.h
+++ b/src/node/discovery.h
@@ -15,10 +15,10 @@
 #include <string>
 
 #include "net/host_list.h"
-#include "recovery/discovery_schedule.h"
+#include "recovery/discovery_poll_scheduler.h"
 #include "settings/settings.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 
 // The longest list that is read, in bytes, of a process that may use so much memory. Parsing takes
 // up to 16 times the body, at most two thirds of the memory; lists of hosts take some 4 times.
@@ -29,7 +29,7 @@
  public:
   struct Handlers {
     std::function<void(const HostList&)> on_list;
-    std::function<void()> on_refused;  // only where discovery must be asked
+    std::function<void()> on_rejected;  // only where discovery must be asked
     // A call that took so long was answered, and what it told has been handed over.
     std::function<void(Duration took)> on_answered;
     // Why an answer could not be used: once for each cause, not for each call.
@@ -60,7 +60,7 @@
     std::optional<boost::beast::http::response_parser<boost::beast::http::string_body>> parser;
   };
   enum class Cause { kBodyTooLong, kHeadUnreadable, kNoList, kStatus };
-  using Failure = recovery::DiscoverySchedule::Failure;
+  using Failure = recovery::DiscoveryPollScheduler::Failure;
 
   void call();
   void write(std::uint64_t call);
@@ -83,10 +83,10 @@
   std::shared_ptr<Link> link_;
   boost::asio::io_context& io_;
   boost::asio::steady_timer timer_;
-  recovery::DiscoverySchedule schedule_;
+  recovery::DiscoveryPollScheduler schedule_;
   simdjson::dom::parser json_;
   std::uint64_t call_ = 0;  // tells late completions of a call that was given up
   std::map<Cause, Time> last_met_;
 };
 
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/src/node/discovery_list.cc
+++ b/src/node/discovery_list.cc
@@ -5,7 +5,7 @@
 
 #include "settings/json.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 using namespace json;
@@ -56,4 +56,4 @@
   return list;
 }
 
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/src/node/discovery_list.h
+++ b/src/node/discovery_list.h
@@ -5,9 +5,9 @@
 #include "net/host_list.h"
 #include "settings/settings.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 
 // Discovery's list as it comes. Throws FieldError if the list as such cannot be read.
 HostList read_host_list(simdjson::dom::object o, const SiteSettings& site);
 
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/src/node/http_date.cc
+++ b/src/node/http_date.cc
@@ -2,7 +2,7 @@
 
 #include <time.h>
 
-namespace silverpin::node {
+namespace balancer::node {
 
 std::optional<UnixTime> parse_http_date(const std::string& text) {
   std::tm parts{};
@@ -11,4 +11,4 @@
   return UnixTime(std::chrono::seconds(::timegm(&parts)));
 }
 
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/src/node/main.cc
+++ b/src/node/main.cc
@@ -19,25 +19,25 @@
 
 namespace {
 
-using namespace silverpin::node;
+using namespace balancer::node;
 
 using Log = Balancer::Log;
 
 Log log_of(const std::string& name) {
   return [name](const std::string& line) {
-    std::fprintf(stderr, "silverpin %s: %s\n", name.c_str(), line.c_str());
+    std::fprintf(stderr, "balancer %s: %s\n", name.c_str(), line.c_str());
   };
 }
 
 // What the two files say; either may be missing, but not both.
 struct Settings {
   std::optional<Config> config;
-  silverpin::Operator added;
+  balancer::Operator added;
 };
 
 Settings load(const std::string& operator_file) {
   Settings all;
-  if (!operator_file.empty()) all.added = silverpin::load_operator(operator_file);
+  if (!operator_file.empty()) all.added = balancer::load_operator(operator_file);
   if (has_config()) {
     all.config = load_config();
     // The platform's word on its limits holds.
@@ -60,7 +60,7 @@
 
 // A configuration that cannot be read leaves the one in force as it is: whoever sent the signal
 // must not take down a balancer under load with a slip of the pen.
-void reload(const silverpin::ProcessSettings& process, const std::string& operator_file,
+void reload(const balancer::ProcessSettings& process, const std::string& operator_file,
             Balancer& balancer) {
   const char* const name = process.name.c_str();
   try {
@@ -69,15 +69,15 @@
     const auto wait = balancer.reload(all.added);
     if (all.config) balancer.reload(*all.config);
     for (const auto& what : wait)
-      std::fprintf(stderr, "silverpin %s: %s: %s has changed, and waits for a restart\n", name,
+      std::fprintf(stderr, "balancer %s: %s: %s has changed, and waits for a restart\n", name,
                    operator_file.c_str(), what.c_str());
-    std::fprintf(stderr, "silverpin %s: reloaded\n", name);
+    std::fprintf(stderr, "balancer %s: reloaded\n", name);
   } catch (const std::exception& e) {
-    std::fprintf(stderr, "silverpin %s: not reloaded: %s\n", name, e.what());
+    std::fprintf(stderr, "balancer %s: not reloaded: %s\n", name, e.what());
   }
 }
 
-std::string text_of(const silverpin::Endpoint& e) {
+std::string text_of(const balancer::Endpoint& e) {
   std::ostringstream out;
   out << e;
   return out.str();
@@ -96,12 +96,12 @@
                 l.service.empty() ? "" : (", while " + l.service + " is held").c_str());
   for (const auto& p : all.added.pools) {
     std::printf("pool %s: up to %zu connections to the cluster of", p.name.c_str(),
-                p.site.most_connections);
+                p.site.max_connections);
     for (const auto& seed : p.cluster.seeds) std::printf(" %s", seed.c_str());
     std::printf("\n");
   }
   if (const auto& g = all.added.group) {
-    silverpin::group::read_keys(g->key_file);
+    balancer::group::read_keys(g->key_file);
     std::printf("group: %s, datagrams on %s, state in %s, voters", g->name.c_str(),
                 g->listen.c_str(), g->folder.c_str());
     for (const auto& v : g->founding.names) std::printf(" %s", v.c_str());
@@ -130,15 +130,15 @@
 
 // A member of the group that votes and serves nothing.
 int run_voter(const std::string& operator_file) {
-  const silverpin::Operator all = silverpin::load_operator(operator_file);
+  const balancer::Operator all = balancer::load_operator(operator_file);
   if (!all.group) throw std::runtime_error(operator_file + ": has no [group]");
   boost::asio::io_context io(1);
   boost::asio::signal_set signals(io, SIGTERM, SIGINT, SIGHUP);
   open_log(all.process.log);
   const Log log = log_of(all.group->name);
-  silverpin::member::Member member(io, *all.group, false, {{}, {}, {}, log});
-  silverpin::member::StatusSocket status(
-      io, silverpin::member::status_path(*all.group),
+  balancer::group_runtime::GroupRuntime member(io, *all.group, false, {{}, {}, {}, log});
+  balancer::group_runtime::StatusSocket status(
+      io, balancer::group_runtime::status_path(*all.group),
       [&member](const std::string& line, std::function<void(const std::string&)> answer) {
         member.command(line, std::move(answer));
       },
@@ -179,14 +179,14 @@
   if (path.empty()) {
     if (c.operator_file.empty())
       throw std::runtime_error("neither --operator nor --socket is given");
-    const auto all = silverpin::load_operator(c.operator_file);
+    const auto all = balancer::load_operator(c.operator_file);
     if (!all.group) throw std::runtime_error(c.operator_file + ": has no [group]");
-    path = silverpin::member::status_path(*all.group);
+    path = balancer::group_runtime::status_path(*all.group);
   }
-  const std::string answer = silverpin::member::ask_member(path, line);
-  std::printf("%s",
-              c.json ? (answer + "\n").c_str() : silverpin::member::status_text(answer).c_str());
-  return silverpin::member::outcome_good(answer) ? 0 : 1;
+  const std::string answer = balancer::group_runtime::ask_member(path, line);
+  std::printf("%s", c.json ? (answer + "\n").c_str()
+                           : balancer::group_runtime::status_text(answer).c_str());
+  return balancer::group_runtime::outcome_good(answer) ? 0 : 1;
 }
 
 }  // namespace
@@ -194,7 +194,7 @@
 int main(int argc, char** argv) {
   CLI::App app{"A balancer for memcache and, with an operator's file, RESP clusters"};
   std::string operator_file;
-  app.set_version_flag("--version", "silverpin " SILVERPIN_VERSION);
+  app.set_version_flag("--version", "balancer " BALANCER_VERSION);
   app.add_option("--operator", operator_file, "the operator's own file");
   auto* check = app.add_subcommand(
       "check", "reads the files, tells what it would listen on and connect to, and ends");
@@ -248,19 +248,19 @@
     try {
       return run_voter(operator_file);
     } catch (const std::exception& e) {
-      std::fprintf(stderr, "silverpin: %s\n", e.what());
+      std::fprintf(stderr, "balancer: %s\n", e.what());
       return 1;
     }
   }
   try {
-    std::optional<silverpin::Limits> limits;  // outlives the event loop, whose last handlers hold
-                                              // leases
+    std::optional<balancer::Limits> limits;  // outlives the event loop, whose last handlers hold
+                                             // leases
     boost::asio::io_context io(1);
     // Caught before anything else happens: a signal that comes early waits for the event loop,
     // where its default action would end the program.
     boost::asio::signal_set signals(io, SIGTERM, SIGINT, SIGHUP);
     Settings all = load(operator_file);
-    const silverpin::ProcessSettings process = all.added.process;
+    const balancer::ProcessSettings process = all.added.process;
     open_log(process.log);
     const char* const name = process.name.c_str();
     const std::size_t listeners = all.added.listeners.size();
@@ -268,7 +268,7 @@
     limits.emplace(
         process.sockets, process.memory_mb,
         (all.added.group ? kMemberSockets : 0) +
-            (admin ? silverpin::admin::AdminServer::kDescriptors + Upgrade::kDescriptors : 0));
+            (admin ? balancer::admin::AdminServer::kDescriptors + HotRestart::kDescriptors : 0));
     Balancer balancer(io, all.config, *limits, std::move(all.added), log_of(process.name));
     std::function<void()> await_signal = [&] {
       signals.async_wait([&](const boost::system::error_code& e, int number) {
@@ -276,7 +276,7 @@
         if (number == SIGHUP) {
           reload(process, operator_file, balancer);
         } else {
-          std::fprintf(stderr, "silverpin %s: signal %d, draining\n", name, number);
+          std::fprintf(stderr, "balancer %s: signal %d, draining\n", name, number);
           balancer.drain();
         }
         await_signal();
@@ -284,18 +284,18 @@
     };
     await_signal();
     if (all.config)
-      std::fprintf(stderr, "silverpin %s: listening on %s\n", name,
+      std::fprintf(stderr, "balancer %s: listening on %s\n", name,
                    text_of(balancer.local()).c_str());
     if (admin)
-      std::fprintf(stderr, "silverpin %s: operators on %s\n", name,
+      std::fprintf(stderr, "balancer %s: operators on %s\n", name,
                    text_of(balancer.admin()).c_str());
     for (std::size_t i = 0; i < listeners; ++i)
-      std::fprintf(stderr, "silverpin %s: RESP on %s\n", name, text_of(balancer.local(i)).c_str());
+      std::fprintf(stderr, "balancer %s: RESP on %s\n", name, text_of(balancer.local(i)).c_str());
     io.run();
     block_signals();
     return 0;
   } catch (const std::exception& e) {
-    std::fprintf(stderr, "silverpin: %s\n", e.what());
+    std::fprintf(stderr, "balancer: %s\n", e.what());
     return 1;
   }
 }
--- a/src/policy/origin_gate.cc
+++ b/src/policy/admission_controller.cc
@@ -1,8 +1,8 @@
-#include "policy/origin_gate.h"
+#include "policy/admission_controller.h"
 
 #include <cmath>
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 // The paper's figures (section V.C), but for the period: half of its, since the queue of a tight
@@ -12,18 +12,18 @@
 constexpr double kIntegralTime = 4;    // T_i
 constexpr double kFilterTime = 1;      // T_f
 constexpr double kResetTime = 2;       // T_t, which the paper wants below T_i
-constexpr double kLeast = 0.05;        // first low point, and the rate below which it never goes
-constexpr double kMost = 1;            // first high point
+constexpr double kMinFraction = 0.05;  // first low point, and the rate below which it never goes
+constexpr double kMaxFraction = 1;     // first high point
 
 // A balancer of a large fleet sees a fetch or none in a period, and one slow fetch is no slow
 // origin: a mean is taken over no fewer samples than this, or as much time as these would be out at
 // the target, unless they take longer than T_i to come.
-constexpr int kLeastSamples = 4;
+constexpr int kMinSamples = 4;
 
 // Arrivals are smoothed over the controller's own integration time.
 constexpr double kSmoothing = kPeriod / kIntegralTime;
 // The turns that an idle gate saves up: a few, since misses come in clumps.
-constexpr double kLeastDepth = 2;
+constexpr double kMinDepth = 2;
 
 // What was done is smoothed over kSeen, and the most of that counts, fading over kKnown: while a
 // queue drains, or its clients have given up, little is seen to be done. Above the target it fades
@@ -31,9 +31,9 @@
 constexpr double kSeen = 1;
 constexpr double kKnown = 5;
 constexpr double kKnownJammed = 2;
-// A queue drains over so long, and no more than kMostDrain of what can be done is kept back for it.
+// A queue drains over so long, and no more than kMaxDrain of what can be done is kept back for it.
 constexpr double kDrain = 2;
-constexpr double kMostDrain = 0.9;
+constexpr double kMaxDrain = 0.9;
 // Opening: at once to this part of what was done, and from there by this much a second (e-fold). A
 // queue shows nothing until the right value is passed, so that the way there must be slow.
 constexpr double kBack = 0.85;
@@ -41,27 +41,27 @@
 
 }  // namespace
 
-OriginGate::OriginGate(Duration target, Time now)
+AdmissionController::AdmissionController(Duration target, Time now)
     : target_(std::max(seconds(target), 1e-3)),
-      low_{kLeast, 0},
-      high_{kMost, 2 * target_},  // the target lies midway until something is known
+      low_{kMinFraction, 0},
+      high_{kMaxFraction, 2 * target_},  // the target lies midway until something is known
       period_start_(now),
       controlled_at_(now),
       last_sent_(now),
-      tokens_(kLeastDepth),
+      tokens_(kMinDepth),
       tokens_at_(now),
       counted_at_(now) {}
 
-void OriginGate::on_read(Time now) {
+void AdmissionController::on_read(Time now) {
   advance(now);
   ++reads_;
 }
 
-bool OriginGate::admit(Time now) {
+bool AdmissionController::admit(Time now) {
   advance(now);
   const double reads = std::max(read_rate_, reads_ / kPeriod);
-  const double rate = fraction_ * reads;
-  const double depth = std::max(kLeastDepth, rate * kPeriod);
+  const double rate = admit_fraction_ * reads;
+  const double depth = std::max(kMinDepth, rate * kPeriod);
   tokens_ = std::min(depth, tokens_ + rate * seconds(now - tokens_at_));
   tokens_at_ = now;
   // A gate that sends nothing learns nothing and would stay shut: one fetch each T_i always goes.
@@ -70,8 +70,8 @@
   // at the target, so many would be out. More are a queue, which else grows until the next step
   // shows it: half a second of all reads, where the caches are lost behind a wide open gate.
   const bool queued = static_cast<double>(out_.size()) >=
-                      std::max<double>(kLeastSamples, std::max(reads, most_good_) * target_);
-  if (((fraction_ < kMost && tokens_ < 1) || queued) && !overdue) {
+                      std::max<double>(kMinSamples, std::max(reads, max_good_) * target_);
+  if (((admit_fraction_ < kMaxFraction && tokens_ < 1) || queued) && !overdue) {
     refused_ = true;
     return false;
   }
@@ -82,25 +82,25 @@
 
 // By Little's law the time that a fetch takes is the seconds that all were out by the number that
 // ended. So a queue shows as it grows, and not only once what was sent before it has come back.
-void OriginGate::count_out(Time now) {
+void AdmissionController::count_out(Time now) {
   sum_ += static_cast<double>(out_.size()) * seconds(now - counted_at_);
   counted_at_ = now;
 }
 
-void OriginGate::on_sent(Time now) {
+void AdmissionController::on_sent(Time now) {
   advance(now);
   count_out(now);
   last_sent_ = now;
   out_.add(now);
 }
 
-void OriginGate::on_dropped(Time sent, Time now) {
+void AdmissionController::on_dropped(Time sent, Time now) {
   advance(now);
   count_out(now);
   out_.remove(sent);
 }
 
-void OriginGate::on_done(Time sent, Time now, bool failed) {
+void AdmissionController::on_done(Time sent, Time now, bool failed) {
   on_dropped(sent, now);
   ++samples_;
   good_ += !failed;
@@ -108,14 +108,14 @@
   if (failed) sum_ += std::max(0.0, 2 * target_ - seconds(now - sent));
 }
 
-void OriginGate::on_sample(Time now, double value) {
+void AdmissionController::on_sample(Time now, double value) {
   advance(now);
   sum_ += value;
   ++samples_;
   good_ += value < target_;
 }
 
-void OriginGate::advance(Time now) {
+void AdmissionController::advance(Time now) {
   while (seconds(now - period_start_) >= kPeriod) {
     // After a long silence only the last periods matter.
     if (seconds(now - period_start_) > 100 * kPeriod)
@@ -126,57 +126,57 @@
   }
 }
 
-void OriginGate::end_period(Time now) {
+void AdmissionController::end_period(Time now) {
   // A mean at first, so that what has just started knows what arrives.
   read_rate_ += std::max(kSmoothing, 1.0 / ++periods_) * (reads_ / kPeriod - read_rate_);
   reads_ = 0;
   count_out(now);
   const double since = seconds(now - controlled_at_);
-  const bool enough =
-      samples_ >= kLeastSamples || (!out_.empty() && sum_ >= kLeastSamples * target_);
+  const bool enough = samples_ >= kMinSamples || (!out_.empty() && sum_ >= kMinSamples * target_);
   if (!enough && (since < kIntegralTime || (samples_ == 0 && sum_ <= target_))) return;
   good_rate_ += (1 - std::exp(-since / kSeen)) * (good_ / since - good_rate_);
   const double mean = sum_ / std::max(1, samples_);
   const double known = mean > target_ ? kKnownJammed : kKnown;
-  most_good_ = std::max(most_good_ * std::exp(-since / known), good_rate_);
+  max_good_ = std::max(max_good_ * std::exp(-since / known), good_rate_);
   control(mean, since);
   controlled_at_ = now;
   sum_ = 0;
   samples_ = good_ = 0;
 }
 
-void OriginGate::control(double mean, double since) {
+void AdmissionController::control(double mean, double since) {
   const double error = target_ - mean;
   // What is known to go well, as a share of what arrives.
-  const double good = most_good_ / std::max(read_rate_, 1e-3);
+  const double good = max_good_ / std::max(read_rate_, 1e-3);
   // Old points fade towards the first ones. Among many balancers the origin's time hardly follows
   // this one's rate, and a high point set by others' traffic would stay a ceiling for good.
   const double kept = std::exp(-since / kIntegralTime);
-  low_ = {kLeast + kept * (low_.rate - kLeast), kept * low_.time};
-  high_ = {kMost + kept * (high_.rate - kMost), 2 * target_ + kept * (high_.time - 2 * target_)};
+  low_ = {kMinFraction + kept * (low_.rate - kMinFraction), kept * low_.time};
+  high_ = {kMaxFraction + kept * (high_.rate - kMaxFraction),
+           2 * target_ + kept * (high_.time - 2 * target_)};
   if (error < 0) {
     // An overloaded server's time grows for as long as the rate is too high, whatever the rate: old
     // points tell nothing. But it shows what it can do, and at that rate, less what is queued, it
     // would be at the target. Interpolation lands there; filter and integral start anew.
-    const double drain = std::min(kMostDrain, -error / kDrain);
-    high_ = {fraction_, mean};
-    low_ = {std::clamp(good * (1 - drain), kLeast, fraction_), target_};
-    fraction_ = low_.rate;
+    const double drain = std::min(kMaxDrain, -error / kDrain);
+    high_ = {admit_fraction_, mean};
+    low_ = {std::clamp(good * (1 - drain), kMinFraction, admit_fraction_), target_};
+    admit_fraction_ = low_.rate;
     filtered_ = integral_ = 0;
   } else {
-    low_ = {fraction_, mean};
-    if (high_.rate <= low_.rate) high_ = {kMost, 2 * target_};
+    low_ = {admit_fraction_, mean};
+    if (high_.rate <= low_.rate) high_ = {kMaxFraction, 2 * target_};
     // Eq. (10). Both points may sit on one bound; then there is no slope to follow.
     const double gain =
         high_.time > low_.time ? (high_.rate - low_.rate) / (high_.time - low_.time) : 0;
     const double h = std::min(since, kFilterTime);
     filtered_ += h / (kFilterTime + h) * (gain * error - filtered_);
-    const double most = std::max(kBack * good, fraction_ * std::exp(kGrowth * since));
-    if (fraction_ + filtered_ + integral_ < most)
+    const double most = std::max(kBack * good, admit_fraction_ * std::exp(kGrowth * since));
+    if (admit_fraction_ + filtered_ + integral_ < most)
       integral_ += h * kIntegralGain / kIntegralTime * error;
-    const double wanted = std::min(most, fraction_ + filtered_ + integral_);
-    fraction_ = std::clamp(wanted, kLeast, kMost);
-    integral_ += h / kResetTime * (fraction_ - wanted);  // anti-windup
+    const double wanted = std::min(most, admit_fraction_ + filtered_ + integral_);
+    admit_fraction_ = std::clamp(wanted, kMinFraction, kMaxFraction);
+    integral_ += h / kResetTime * (admit_fraction_ - wanted);  // anti-windup
     // It cannot admit more than arrives: where nothing was refused the signal is saturated too,
     // however far below its bound. (A limit computed from the few arrivals of a period would be all
     // noise.)
@@ -185,4 +185,4 @@
   refused_ = false;
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/policy/origin_gate.h
+++ b/src/policy/admission_controller.h
@@ -5,15 +5,15 @@
 #include "structures/time.h"
 #include "structures/times_out.h"
 
-namespace silverpin {
+namespace balancer {
 
 // The load-adaptive PI controller of Amani et al., section V, which meters fetches from the origin.
 // Its output is the paper's normalised admitted rate: a share of the highest rate that could
 // arrive, which for fetches after a cache miss is the rate of reads, since each might miss.
 // docs/design/loops.md tells what is measured, and why the low point is what it is.
-class OriginGate {
+class AdmissionController {
  public:
-  OriginGate(Duration target, Time now);
+  AdmissionController(Duration target, Time now);
 
   void on_read(Time now);  // a read arrived that might come to need the origin
   bool admit(Time now);    // a fetch asks to go; true lets it and spends its turn
@@ -25,9 +25,9 @@
   void on_dropped(Time sent, Time now);
   void advance(Time now);  // ends the sampling periods that have passed
 
-  double fraction() const { return fraction_; }
-  void resume(double fraction) { fraction_ = std::clamp(fraction, 0.05, 1.0); }
-  bool wide_open() const { return fraction_ >= 1; }  // holds nothing back
+  double admit_fraction() const { return admit_fraction_; }
+  void resume(double admit_fraction) { admit_fraction_ = std::clamp(admit_fraction, 0.05, 1.0); }
+  bool admits_all() const { return admit_fraction_ >= 1; }  // holds nothing back
   Duration target() const { return from_seconds(target_); }
 
  private:
@@ -41,7 +41,7 @@
   void control(double mean, double since);
 
   const double target_;
-  double fraction_ = 1;
+  double admit_fraction_ = 1;
   Point low_, high_;
   double filtered_ = 0;
   double integral_ = 0;
@@ -62,7 +62,7 @@
   int samples_ = 0;  // what ended since then
   int good_ = 0;     // of that
   double good_rate_ = 0;  // a second, smoothed
-  double most_good_ = 0;  // the highest of that lately
+  double max_good_ = 0;   // the highest of that lately
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/policy/hash_ring.cc
+++ b/src/policy/hash_ring.cc
@@ -2,9 +2,9 @@
 
 #include <cmath>
 
-#include "roster/roster.h"
+#include "hosts/host_registry.h"
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 // Shares vary by about 1/sqrt(nodes) around the mean: a tenth at 100.
@@ -43,4 +43,4 @@
   hosts_ -= hosts.size();
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/policy/hash_ring.h
+++ b/src/policy/hash_ring.h
@@ -8,7 +8,7 @@
 #include "policy/placement.h"
 #include "structures/stable_hash.h"
 
-namespace silverpin {
+namespace balancer {
 
 // A consistent hash ring with virtual nodes. The points follow from host ids and static weights
 // alone: balancers that know the same hosts build the same ring, and a host that comes or goes
@@ -32,4 +32,4 @@
   std::size_t hosts_ = 0;
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/policy/host_health.cc
+++ b/src/policy/host_health.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 constexpr Duration kFirstEjection = std::chrono::seconds(1);
@@ -17,7 +17,7 @@
 constexpr double kShareStep = 0.1;
 constexpr double kSharePerSecond = 0.005;
 constexpr double kRare = 2;  // seconds between answers
-constexpr double kLeastShare = 0.1;
+constexpr double kMinShare = 0.1;
 
 }  // namespace
 
@@ -25,7 +25,7 @@
   // The rarer this balancer's answers from the host, the more each must count: among hundreds of
   // balancers, halving alone would take longer than the trouble lasts.
   const double weight = 1 + std::min(1.0, seconds(now - share_at_) / kRare);
-  share_ = slow ? std::max(kLeastShare, share(now) * std::pow(kShareCut, weight))
+  share_ = slow ? std::max(kMinShare, share(now) * std::pow(kShareCut, weight))
                 : std::min(1.0, share(now) + kShareStep);
   share_at_ = now;
 }
@@ -81,4 +81,4 @@
   return budget_ >= work;
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/policy/host_health.h
+++ b/src/policy/host_health.h
@@ -5,7 +5,7 @@
 #include "structures/time.h"
 #include "structures/times_out.h"
 
-namespace silverpin {
+namespace balancer {
 
 // What the rules say of hosts that have just started.
 struct ColdRule {
@@ -55,4 +55,4 @@
   Time budget_at_{0};
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -6,7 +6,7 @@
 #include <type_traits>
 #include <vector>
 
-namespace silverpin {
+namespace balancer {
 
 // Offers the hosts that may hold a key, in order. The policy chooses among them.
 class Placement {
@@ -46,4 +46,4 @@
   virtual bool walk(std::uint64_t point, std::uint64_t request, Accept accept) const = 0;
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/policy/policy.cc
+++ b/src/policy/policy.cc
@@ -5,7 +5,7 @@
 #include <numeric>
 #include <utility>
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 using std::chrono::milliseconds;
@@ -27,13 +27,13 @@
 constexpr double kShortOfConnections = 0.05;
 // A tenant's unused share is kept this long, so that an uneven stream is not taken for a surplus.
 constexpr double kQuotaSeconds = 5;
-constexpr double kLeastQuotaDepth = 3;
+constexpr double kMinQuotaDepth = 3;
 // As many failures in a row make a zone count as cut off: with every second attempt failing for
 // other reasons, one run of them in 256.
 constexpr int kZoneFailures = 8;
 // Beyond this share of slow answers, of 1 s, it is not single hosts that are slow but the caches.
-constexpr Duration kMostSlow = milliseconds(300);
-constexpr int kMostShed = 3;  // ring points that may hand a key on
+constexpr Duration kMaxSlow = milliseconds(300);
+constexpr int kMaxShed = 3;  // ring points that may hand a key on
 constexpr Duration kDemandPeriod = std::chrono::seconds(15);
 constexpr Duration kFirstCallBackoff = milliseconds(250);
 constexpr Duration kMaxCallBackoff = milliseconds(2000);  // a change is heard of within 6 s
@@ -57,9 +57,9 @@
       now_(now),
       // Gates that sample in step across the fleet would all close and reopen together.
       gate_(origin_target(settings), now - from_seconds(0.5 * uniform())),
-      cache_gate_(kMostSlow, now - from_seconds(0.5 * uniform())),
+      cache_gate_(kMaxSlow, now - from_seconds(0.5 * uniform())),
       placement_(placement ? *placement : ring_),
-      roster_(settings.static_weights, settings.cold.warm_after),
+      host_registry_(settings.static_weights, settings.cold.warm_after),
       demand_(kDemandPeriod, now),
       cache_work_(kWorkMemory, now),
       retry_budget_(kRetryDepth),
@@ -70,8 +70,8 @@
   // Full; the first request brings them down to their depth.
   quotas_.assign(settings_.tenant_quotas.size(), TokenBucket(now));
   // Balancers that start together must not all call the list at once.
-  if (settings_.list_on_request)
-    timer(now + from_seconds(seconds(settings_.ask_within) / 10 * uniform()),
+  if (settings_.discovery_is_polled)
+    timer(now + from_seconds(seconds(settings_.max_poll_interval) / 10 * uniform()),
           TimerKind::kSubscribe);
 }
 
@@ -87,25 +87,25 @@
 
 void Policy::on_hosts(Time now, ListKind kind, const std::vector<HostEntry>& entries) {
   now_ = now;
-  if (kind == ListKind::kRefused) {
+  if (kind == ListKind::kRejected) {
     // Calling again at once, and in step with others, would keep the list service down.
-    const double most =
-        seconds(std::clamp(settings_.ask_within / 4, kFirstCallBackoff * 4, kMaxCallBackoff));
-    const double base = seconds(kFirstCallBackoff) * std::pow(2.0, std::min(refused_calls_++, 10));
+    const double most = seconds(
+        std::clamp(settings_.max_poll_interval / 4, kFirstCallBackoff * 4, kMaxCallBackoff));
+    const double base = seconds(kFirstCallBackoff) * std::pow(2.0, std::min(rejected_calls_++, 10));
     timer(now + from_seconds(std::min(base, most) * (0.5 + uniform() / 2)), TimerKind::kSubscribe);
     return;
   }
-  refused_calls_ = 0;
-  heed(roster_.on_list(kind, entries));
+  rejected_calls_ = 0;
+  heed(host_registry_.on_list(kind, entries));
 }
 
-void Policy::heed(const std::vector<Roster::News>& news) {
-  using Kind = Roster::News::Kind;
-  health_.resize(roster_.size());
+void Policy::heed(const std::vector<HostRegistry::HostChange>& news) {
+  using Kind = HostRegistry::HostChange::Kind;
+  health_.resize(host_registry_.size());
   std::vector<Placement::Member> joined;
   std::set<HostIndex> left;
   for (const auto& [kind, index, at] : news) {
-    const Host& host = roster_[index];
+    const Host& host = host_registry_[index];
     if (kind == Kind::kStarted || kind == Kind::kCalledBack) health_[index].on_start(at, uniform());
     if (kind == Kind::kOlder) health_[index].on_older(at);
     if (kind == Kind::kTakenOut || kind == Kind::kCalledBack) sink_.close_idle(host.id);
@@ -120,74 +120,77 @@
 }
 
 bool Policy::on_maintenance(Time now, std::string_view id, bool out) {
-  if (!roster_.may_speak_of(now, id)) return false;
-  if (roster_.differs(id, out)) restore(now, id, {out, now});
+  if (!host_registry_.may_speak_of(now, id)) return false;
+  if (host_registry_.differs(id, out)) restore(now, id, {out, now});
   return true;
 }
 
-void Policy::restore(Time now, std::string_view id, Word word) {
+void Policy::restore(Time now, std::string_view id, OperatorOverride word) {
   now_ = now;
-  heed(roster_.restore(id, word));
+  heed(host_registry_.restore(id, word));
 }
 
-Policy::Learnt Policy::learnt(Time now) const {
-  Learnt all{cache_work_.rate(now), gate_.fraction(), cache_gate_.fraction(), {}};
-  for (HostIndex i = 0; i < roster_.size(); ++i)
+Policy::PolicyCheckpoint Policy::checkpoint(Time now) const {
+  PolicyCheckpoint all{
+      cache_work_.rate(now), gate_.admit_fraction(), cache_gate_.admit_fraction(), {}};
+  for (HostIndex i = 0; i < host_registry_.size(); ++i)
     if (const double share = health_[i].share(now); share < 1)
-      all.shares.emplace_back(roster_[i].id, share);
+      all.shares.emplace_back(host_registry_[i].id, share);
   return all;
 }
 
 // Begun blank it would give cold hosts nothing at first, and slow ones and the origin too much.
-void Policy::take_up(Time now, const Learnt& from) {
+void Policy::restore(Time now, const PolicyCheckpoint& from) {
   cache_work_.add(now, from.work_rate * kWorkMemory);
   gate_.resume(from.origin);
   cache_gate_.resume(from.caches);
   for (const auto& [id, share] : from.shares)
-    if (const auto listed = roster_.find(id)) health_[*listed].resume(now, share);
+    if (const auto listed = host_registry_.find(id)) health_[*listed].resume(now, share);
 }
 
 // ---- the four rules
 
-int Policy::count(const Active& r, Fate fate) {
+int Policy::count(const RequestState& r, AttemptState fate) {
   return static_cast<int>(std::count_if(r.attempts.begin(), r.attempts.end(),
                                         [fate](const Attempt& a) { return a.fate == fate; }));
 }
 
 // No effect twice: a second run of an unsafe request, or of a keyed one where no host remembers the
 // first, would book or charge again.
-bool Policy::repeat_allowed(const Active& r, const Host& host) const {
+bool Policy::retry_allowed(const RequestState& r, const Host& host) const {
   const RequestClass& c = class_of(r);
-  if (!settings_.second_copies && count(r, Fate::kOut) > 0) return false;
-  if (c.repeat == Repeat::kSafe) return true;
+  if (!settings_.hedging && count(r, AttemptState::kOut) > 0) return false;
+  if (c.idempotency == Idempotency::kIdempotent) return true;
   for (const Attempt& a : r.attempts) {
-    if (a.fate == Fate::kNeverRan || a.fate == Fate::kMissed) continue;
-    if (c.repeat == Repeat::kUnsafe) return false;
-    const Host& first = roster_[a.host];
-    if (c.scope == Scope::kZone && first.zone != host.zone) return false;
-    if (c.scope == Scope::kCell && (first.cell != host.cell || first.zone != host.zone))
+    if (a.fate == AttemptState::kNeverRan || a.fate == AttemptState::kMissed) continue;
+    if (c.idempotency == Idempotency::kNone) return false;
+    const Host& first = host_registry_[a.host];
+    if (c.scope == DeduplicationScope::kZone && first.zone != host.zone) return false;
+    if (c.scope == DeduplicationScope::kCell &&
+        (first.cell != host.cell || first.zone != host.zone))
       return false;
-    if (now_ >= a.sent_at + c.repeat_window) return false;
+    if (now_ >= a.sent_at + c.deduplication_window) return false;
   }
   return true;
 }
 
 // A refusal tells the client that a retry does no harm.
-bool Policy::refusal_allowed(const Active& r) const {
+bool Policy::rejection_allowed(const RequestState& r) const {
   const RequestClass& c = class_of(r);
-  if (c.repeat == Repeat::kSafe) return true;
-  if (c.repeat == Repeat::kKeyed && c.scope == Scope::kAll) return true;
-  return count(r, Fate::kOut) + count(r, Fate::kMayHaveRun) == 0;
+  if (c.idempotency == Idempotency::kIdempotent) return true;
+  if (c.idempotency == Idempotency::kIdempotencyKey && c.scope == DeduplicationScope::kAll)
+    return true;
+  return count(r, AttemptState::kOut) + count(r, AttemptState::kMayHaveRun) == 0;
 }
 
-bool Policy::send(Active& r, HostIndex index, Time until) {
-  const Host& host = roster_[index];
+bool Policy::send(RequestState& r, HostIndex index, Time until) {
+  const Host& host = host_registry_[index];
   if (r.over || r.streaming || now_ >= r.deadline) return false;  // answered once
   if (static_cast<int>(r.attempts.size()) - r.taken_back >= settings_.max_attempts) return false;
-  if (!host.takes_new()) return false;         // drains
-  if (!repeat_allowed(r, host)) return false;  // no effect twice
-  if (!may_take(r, index)) return false;       // cold hosts
-  roster_.hold(index);
+  if (!host.takes_new()) return false;        // drains
+  if (!retry_allowed(r, host)) return false;  // no effect twice
+  if (!may_take(r, index)) return false;      // cold hosts
+  host_registry_.hold(index);
   health_[index].take(r.work);
   health_[index].on_sent(now_);
   r.attempts.push_back({index, now_});
@@ -196,11 +199,11 @@
   return true;
 }
 
-void Policy::finish(Active& r) {
+void Policy::finish(RequestState& r) {
   if (r.over || r.streaming) return;
   r.over = true;
-  if (refusal_allowed(r)) {
-    sink_.refuse(r.id, retry_after(r));
+  if (rejection_allowed(r)) {
+    sink_.reject(r.id, retry_after(r));
   } else {
     sink_.fail(r.id);
   }
@@ -210,19 +213,21 @@
 // so for nothing: half a second for all cost a tenth of what diesel-surge's lookups can be worth.
 // So as many are called back soon, within any aim, as the gates would let in, and the rest are to
 // stay away until it is over. In step they would be the next overload.
-Duration Policy::retry_after(const Active& r) {
-  const double room = r.beyond_share ? 0 : std::min(gate_.fraction(), cache_gate_.fraction());
+Duration Policy::retry_after(const RequestState& r) {
+  const double room =
+      r.beyond_share ? 0 : std::min(gate_.admit_fraction(), cache_gate_.admit_fraction());
   const Duration wait = uniform() < room ? gate_.target() : kStayAway;
   return std::min(from_seconds(seconds(wait) * (0.5 + uniform())), settings_.max_retry_after);
 }
 
 // Cold hosts. Pushed over, one falls and stays down. The measure is what this balancer gives hosts
 // of the same size; if each keeps to it, all together load a cold host like a warm one.
-bool Policy::may_take(const Active& r, HostIndex index) {
-  const Host& host = roster_[index];
+bool Policy::may_take(const RequestState& r, HostIndex index) {
+  const Host& host = host_registry_[index];
   if (host.origin) return true;
-  const double normal =
-      roster_.weight() > 0 ? cache_work_.rate(now_) * host.weight / roster_.weight() : 0;
+  const double normal = host_registry_.weight() > 0
+                            ? cache_work_.rate(now_) * host.weight / host_registry_.weight()
+                            : 0;
   return health_[index].may_take(now_, settings_.cold, r.work, normal);
 }
 
@@ -230,10 +235,10 @@
 
 void Policy::on_request(Time now, const Request& q) {
   now_ = now;
-  const RequestClass& c = settings_.classes[q.klass];
-  Active& r = active_[q.id];
+  const RequestClass& c = settings_.classes[q.request_class];
+  RequestState& r = requests_[q.id];
   r.id = q.id;
-  r.klass = q.klass;
+  r.request_class = q.request_class;
   r.key = q.key ? placement_.point(*q.key) : mix(q.id, 0);
   r.write = q.write;
   if (q.work) mean_work_ += 0.01 * (seconds(*q.work) - mean_work_);
@@ -247,7 +252,7 @@
   r.beyond_share = !within_share(q.tenant) && strain_ > kStrained;
   if (r.beyond_share) {
     give_up(r);
-  } else if (q.write && settings_.look_aside) {
+  } else if (q.write && settings_.cache_aside) {
     send_write(r);
   } else {
     gate_.on_read(now);
@@ -267,7 +272,7 @@
 
 // The ordinary path: the key's owner on the ring, or the next point where the owner is away,
 // ejected, still cold for this key, or has failed this request before.
-void Policy::ask_cache(Active& r, std::optional<HostIndex> stored_at) {
+void Policy::ask_cache(RequestState& r, std::optional<HostIndex> stored_at) {
   // Time-outs and full queues that each bring another attempt multiply the load that caused them.
   // The next point of a key that is not hot would most likely miss, so a wide open origin is asked
   // at once. A follower that asks again after a fetch is no retry.
@@ -277,10 +282,10 @@
   // get, until three in a row eject them.
   const bool broke = r.attempts.size() == 1 && r.attempts.back().broke;
   // A host that names another has done no work and shows no load.
-  const bool retry = !r.attempts.empty() && r.attempts.back().fate != Fate::kMissed && !broke &&
-                     !r.attempts.back().redirected;
+  const bool retry = !r.attempts.empty() && r.attempts.back().fate != AttemptState::kMissed &&
+                     !broke && !r.attempts.back().redirected;
   const std::size_t points = replicas(r.key);
-  if (retry && (retry_budget_ < 1 || (points == 1 && gate_.wide_open()))) return bypass(r);
+  if (retry && (retry_budget_ < 1 || (points == 1 && gate_.admits_all()))) return bypass(r);
   std::optional<HostIndex> choice, ejected;
   std::size_t ejected_count = 0;
   int shed = 0;
@@ -288,11 +293,11 @@
   // over the next points, enough of them to bring each one's part down to an ordinary share.
   auto skip = retry ? 0 : static_cast<std::size_t>(uniform() * static_cast<double>(points));
   auto accept = [&](HostIndex i) {
-    const Host& host = roster_[i];
+    const Host& host = host_registry_[i];
     HostHealth& health = health_[i];
-    if (!host.takes_new() || !repeat_allowed(r, host)) return false;
+    if (!host.takes_new() || !retry_allowed(r, host)) return false;
     for (const Attempt& a : r.attempts)
-      if (a.host == i && a.fate != Fate::kMissed && !a.redirected && !broke) return false;
+      if (a.host == i && a.fate != AttemptState::kMissed && !a.redirected && !broke) return false;
     // Slow start key by key: each key comes back once, as the host warms, and the rest stay where
     // they are cached.
     // A host too slow for its keys hands some on in the same manner: at every balancer the same
@@ -303,14 +308,14 @@
     // refused while other hosts idle: of those each host hands on a part. So too where keys are
     // pinned: nothing is cached elsewhere, and the same ones would be refused again and again.
     if ((points > 1 || placement_.pinned() ? uniform() : rank) >= health.share(now_))
-      return !choice && ++shed == kMostShed;
+      return !choice && ++shed == kMaxShed;
     // What is stuck there shows a hung or swamped host long before its time-outs do: nothing more
     // goes there until it answers or they end.
     if (health.ejected(now_) || health.stuck(now_, gate_.target()) ||
         zones_[host.zone].health.ejected(now_)) {
       if (!ejected) ejected = i;
       // With most hosts ejected it is the judgement that has failed, not the hosts.
-      return 2 * ++ejected_count > roster_.size();
+      return 2 * ++ejected_count > host_registry_.size();
     }
     choice = i;
     return stored_at ? i == *stored_at : skip-- == 0;
@@ -318,10 +323,10 @@
   placement_.walk(r.key, r.id, accept);
   // Where one point after another is too slow for the key, the fleet is overloaded. Further points
   // would miss and load the origin too; an early refusal costs the least.
-  if (!choice && shed == kMostShed) return bypass(r);
+  if (!choice && shed == kMaxShed) return bypass(r);
   if (!choice) choice = ejected;
   if (!choice) {
-    if (settings_.look_aside && !r.write) return fetch(r);
+    if (settings_.cache_aside && !r.write) return fetch(r);
     return give_up(r);
   }
   if (!send(r, *choice, r.deadline)) return give_up(r);
@@ -335,7 +340,7 @@
 // first one after a start, does not make a key hot.
 std::size_t Policy::replicas(std::uint64_t key) {
   const auto n = static_cast<double>(demand_.count(key));
-  const double parts = static_cast<double>(roster_.size()) / kHotShare;
+  const double parts = static_cast<double>(host_registry_.size()) / kHotShare;
   const double share = (n - std::sqrt(n)) / (static_cast<double>(demand_.total()) + parts);
   return static_cast<std::size_t>(std::max(1.0, std::ceil(share * parts)));
 }
@@ -352,7 +357,7 @@
   const double others = arrivals_.rate(now_) - arrivals_by_tenant_[tenant].rate(now_);
   const double others_even = quota_sum_ / settings_.balancers - even;
   const double rate = even * (others_even > 0 ? std::max(1.0, others / others_even) : 1);
-  return quotas_[tenant].take(now_, rate, std::max(kLeastQuotaDepth, kQuotaSeconds * rate));
+  return quotas_[tenant].take(now_, rate, std::max(kMinQuotaDepth, kQuotaSeconds * rate));
 }
 
 void Policy::judge(HostIndex host, bool slow) {
@@ -363,13 +368,13 @@
 
 // How long a cache may take before it counts as slow: the origin's target, for the same reason, and
 // what the request itself needs, on a host of half the usual speed.
-Duration Policy::patience(const Active& r) const {
+Duration Policy::patience(const RequestState& r) const {
   return gate_.target() + from_seconds(2 * r.work);
 }
 
 // After a miss. One fetch of a key is out at a time; the others wait for it and ask the cache
 // again.
-void Policy::fetch(Active& r) {
+void Policy::fetch(RequestState& r) {
   const auto it = fetches_.find(r.key);
   if (it != fetches_.end() && it->second.leader != r.id) {
     if (!r.waiting) it->second.followers.push_back(r.id);
@@ -382,28 +387,28 @@
 
 // A request for which the caches have no room. As long as the gate is wide open the origin has
 // some, and to refuse would waste it. Such a fetch is stored nowhere, so nothing waits for it.
-void Policy::bypass(Active& r) {
-  if (!settings_.look_aside || r.write || !gate_.wide_open() || !send_metered(r)) give_up(r);
+void Policy::bypass(RequestState& r) {
+  if (!settings_.cache_aside || r.write || !gate_.admits_all() || !send_metered(r)) give_up(r);
 }
 
-bool Policy::send_metered(Active& r) {
-  const auto target = roster_.origin();
+bool Policy::send_metered(RequestState& r) {
+  const auto target = host_registry_.origin();
   // Where not all can be fetched the turn is for one whose answer may yet come within its aim.
-  if (!gate_.wide_open() && now_ + gate_.target() >= r.aim) return false;
+  if (!gate_.admits_all() && now_ + gate_.target() >= r.aim) return false;
   return target && gate_.admit(now_) && send(r, *target, r.deadline);
 }
 
-void Policy::settle_fetch(const Active& leader, bool stored) {
+void Policy::settle_fetch(const RequestState& leader, bool stored) {
   const auto it = fetches_.find(leader.key);
   if (it == fetches_.end() || it->second.leader != leader.id) return;
   std::optional<HostIndex> stored_at;
   for (const Attempt& a : leader.attempts)
-    if (a.fate == Fate::kMissed && !stored_at) stored_at = a.host;
+    if (a.fate == AttemptState::kMissed && !stored_at) stored_at = a.host;
   const std::vector<RequestId> followers = std::move(it->second.followers);
   fetches_.erase(it);
   for (const RequestId id : followers) {
-    const auto at = active_.find(id);
-    if (at == active_.end() || at->second.over) continue;
+    const auto at = requests_.find(id);
+    if (at == requests_.end() || at->second.over) continue;
     at->second.waiting = false;
     if (stored) {
       ask_cache(at->second, stored_at);
@@ -414,32 +419,33 @@
   }
 }
 
-void Policy::send_write(Active& r) {
-  if (const auto target = roster_.origin(); !target || !send(r, *target, r.deadline)) give_up(r);
+void Policy::send_write(RequestState& r) {
+  if (const auto target = host_registry_.origin(); !target || !send(r, *target, r.deadline))
+    give_up(r);
 }
 
 // Nothing more to try. An attempt still out may yet answer.
-void Policy::give_up(Active& r) {
-  if (count(r, Fate::kOut) == 0) finish(r);
+void Policy::give_up(RequestState& r) {
+  if (count(r, AttemptState::kOut) == 0) finish(r);
 }
 
 void Policy::on_outcome(Time now, const Outcome& o) {
   now_ = now;
-  const auto it = active_.find(o.id);
-  if (it == active_.end()) return;
-  Active& r = it->second;
+  const auto it = requests_.find(o.id);
+  if (it == requests_.end()) return;
+  RequestState& r = it->second;
   if (o.attempt < 0 || o.attempt >= static_cast<int>(r.attempts.size())) return;
   Attempt& a = r.attempts[o.attempt];
-  if (a.fate != Fate::kOut) return;
-  const Host& host = roster_[a.host];
+  if (a.fate != AttemptState::kOut) return;
+  const Host& host = host_registry_[a.host];
   HostHealth& health = health_[a.host];
   if (!a.begun) health.on_ended(a.sent_at);
-  a.fate = o.result == Result::kMiss ? Fate::kMissed
-           : never_ran(o.result)     ? Fate::kNeverRan
-                                     : Fate::kMayHaveRun;
+  a.fate = o.result == Result::kMiss ? AttemptState::kMissed
+           : never_ran(o.result)     ? AttemptState::kNeverRan
+                                     : AttemptState::kMayHaveRun;
   a.broke = o.result == Result::kReset;
-  a.redirected = o.result == Result::kRedirected || o.result == Result::kTakenBack;
-  r.taken_back += o.result == Result::kTakenBack;
+  a.redirected = o.result == Result::kRedirected || o.result == Result::kWithdrawn;
+  r.taken_back += o.result == Result::kWithdrawn;
   const bool served = o.result == Result::kOk;
   const bool well = served || o.result == Result::kMiss || o.result == Result::kRedirected;
   if (!host.origin) {
@@ -481,7 +487,7 @@
   bool again = false;  // the fetch goes on
   if (o.over || served) r.over = true;
   if (!r.over) {
-    if (o.result == Result::kMiss && settings_.look_aside && !r.write) {
+    if (o.result == Result::kMiss && settings_.cache_aside && !r.write) {
       fetch(r);
     } else if (o.result == Result::kNotSent || now >= r.deadline) {
       give_up(r);
@@ -510,13 +516,13 @@
 
 void Policy::on_first_byte(Time now, RequestId id, std::optional<int> attempt) {
   now_ = now;
-  const auto it = active_.find(id);
-  if (it == active_.end()) return;
-  Active& r = it->second;
+  const auto it = requests_.find(id);
+  if (it == requests_.end()) return;
+  RequestState& r = it->second;
   r.streaming = true;
   if (!attempt || *attempt >= static_cast<int>(r.attempts.size())) return;
   Attempt& a = r.attempts[*attempt];
-  const Host& host = roster_[a.host];
+  const Host& host = host_registry_[a.host];
   HostHealth& health = health_[a.host];
   if (std::exchange(a.begun, true)) return;
   health.on_ended(a.sent_at);
@@ -531,8 +537,8 @@
 
 void Policy::on_withdrawn(Time now, RequestId id) {
   now_ = now;
-  const auto it = active_.find(id);
-  if (it != active_.end()) it->second.over = true;
+  const auto it = requests_.find(id);
+  if (it != requests_.end()) it->second.over = true;
   erase_if_done(id);
 }
 
@@ -541,41 +547,42 @@
   const auto t = timers_.take(tag);
   if (!t) return;
   if (t->kind == TimerKind::kSubscribe) return sink_.subscribe();
-  const auto at = active_.find(t->id);
-  if (at == active_.end() || at->second.over) return;
-  Active& r = at->second;
+  const auto at = requests_.find(t->id);
+  if (at == requests_.end() || at->second.over) return;
+  RequestState& r = at->second;
   switch (t->kind) {
     case TimerKind::kDeadline:
       finish(r);
       break;
     case TimerKind::kSlow: {
       Attempt& last = r.attempts.back();
-      if (roster_[last.host].origin || last.fate != Fate::kOut || last.slow || r.streaming ||
-          now - last.sent_at < patience(r))
+      if (host_registry_[last.host].origin || last.fate != AttemptState::kOut || last.slow ||
+          r.streaming || now - last.sent_at < patience(r))
         break;
       last.slow = true;
       judge(last.host, true);
-      if (count(r, Fate::kOut) == 1 && now < r.aim && class_of(r).repeat == Repeat::kSafe &&
-          settings_.second_copies)
+      if (count(r, AttemptState::kOut) == 1 && now < r.aim &&
+          class_of(r).idempotency == Idempotency::kIdempotent && settings_.hedging)
         ask_cache(r);
       break;
     }
     default:
-      if (count(r, Fate::kOut) == 0) send_write(r);
+      if (count(r, AttemptState::kOut) == 0) send_write(r);
   }
   erase_if_done(t->id);
 }
 
 // A request stays known until its last attempt has ended: late outcomes still tell of the hosts.
 void Policy::erase_if_done(RequestId id) {
-  const auto it = active_.find(id);
-  if (it == active_.end() || !it->second.over || count(it->second, Fate::kOut) > 0) return;
+  const auto it = requests_.find(id);
+  if (it == requests_.end() || !it->second.over || count(it->second, AttemptState::kOut) > 0)
+    return;
   const auto attempts = std::move(it->second.attempts);
   for (const std::uint64_t tag : {it->second.deadline_tag, it->second.slow_tag})
     if (timers_.take(tag)) sink_.drop_timer(tag);
-  active_.erase(it);
+  requests_.erase(it);
   for (const Attempt& a : attempts)
-    if (roster_.release(a.host)) health_[a.host] = {};
+    if (host_registry_.release(a.host)) health_[a.host] = {};
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -10,10 +10,10 @@
 #include <utility>
 #include <vector>
 
+#include "hosts/host_registry.h"
+#include "policy/admission_controller.h"
 #include "policy/hash_ring.h"
 #include "policy/host_health.h"
-#include "policy/origin_gate.h"
-#include "roster/roster.h"
 #include "structures/decaying_sum.h"
 #include "structures/numbered_queue.h"
 #include "structures/recent_counts.h"
@@ -21,30 +21,34 @@
 
 // The decisions of one balancer. Events go in, actions come out through the sink; nothing here
 // does I/O, reads a clock, starts a thread or shares state with another instance.
-namespace silverpin {
+namespace balancer {
 
 using RequestId = std::uint64_t;
 
-enum class Repeat { kSafe, kKeyed, kUnsafe };
-enum class Scope { kAll, kZone, kCell };  // the hosts that discard a keyed request's repeats
+enum class Idempotency { kIdempotent, kIdempotencyKey, kNone };
+enum class DeduplicationScope {
+  kAll,
+  kZone,
+  kCell
+};  // the hosts that discard a keyed request's repeats
 
 struct RequestClass {
   Duration aim{0};       // full worth until then
   Duration deadline{0};  // the client's patience over all its tries
-  Repeat repeat = Repeat::kUnsafe;
-  Scope scope = Scope::kAll;
-  Duration repeat_window{0};  // how long repeats of a keyed request are discarded
+  Idempotency idempotency = Idempotency::kNone;
+  DeduplicationScope scope = DeduplicationScope::kAll;
+  Duration deduplication_window{0};  // how long repeats of a keyed request are discarded
 };
 
 struct Settings {
   int balancers = 1;
   std::vector<RequestClass> classes;
   std::vector<double> tenant_quotas;  // requests a second that count in full, over all balancers
-  bool look_aside = false;            // a miss comes back and the balancer fetches from the origin
-  bool list_on_request = false;       // the host list speaks only when asked
-  Duration ask_within{0};
+  bool cache_aside = false;           // a miss comes back and the balancer fetches from the origin
+  bool discovery_is_polled = false;   // the host list speaks only when asked
+  Duration max_poll_interval{0};
   bool static_weights = false;  // weights tell size, not load
-  bool second_copies = false;
+  bool hedging = false;
   int max_attempts = 1;
   Duration max_retry_after{0};  // 0: clients hear no advice
   ColdRule cold;
@@ -52,7 +56,7 @@
 
 struct Request {
   RequestId id = 0;
-  int klass = 0;
+  int request_class = 0;
   int tenant = 0;
   std::optional<std::string_view> key;
   bool write = false;
@@ -71,12 +75,12 @@
   kNotSent,
   kMiss,
   kRedirected,  // a whole answer that names another host, and proves that nothing ran
-  kTakenBack    // before its first byte, as the host takes nothing new by now, or is another
+  kWithdrawn    // before its first byte, as the host takes nothing new by now, or is another
 };
 
 constexpr bool never_ran(Result r) {
   return r == Result::kRejected || r == Result::kConnectFailed || r == Result::kNotSent ||
-         r == Result::kRedirected || r == Result::kTakenBack;
+         r == Result::kRedirected || r == Result::kWithdrawn;
 }
 
 struct Outcome {
@@ -90,7 +94,7 @@
  public:
   virtual ~ActionSink() = default;
   virtual void send(RequestId id, std::string_view host, Time until) = 0;
-  virtual void refuse(RequestId id, Duration retry_after) = 0;
+  virtual void reject(RequestId id, Duration retry_after) = 0;
   virtual void fail(RequestId id) = 0;
   virtual void set_timer(Time at, std::uint64_t tag) = 0;
   virtual void drop_timer(std::uint64_t) {}  // need not come any more, and does no harm if it does
@@ -116,45 +120,48 @@
   // An operator's word on a cache host: it takes nothing new until it is called back, whatever
   // lists say meanwhile. False if neither lists nor operators know the host.
   bool on_maintenance(Time now, std::string_view host, bool out);
-  using Word = Roster::Word;
-  const std::map<std::string, Word, std::less<>>& words() const { return roster_.words(); }
+  using OperatorOverride = HostRegistry::OperatorOverride;
+  const std::map<std::string, OperatorOverride, std::less<>>& overrides() const {
+    return host_registry_.overrides();
+  }
   // A word given to the process whose place this one takes, on whatever host.
-  void restore(Time now, std::string_view host, Word word);
+  void restore(Time now, std::string_view host, OperatorOverride word);
 
   // What a process in this one's place would have to learn anew.
-  struct Learnt {
+  struct PolicyCheckpoint {
     double work_rate, origin, caches;  // seconds of work a second; how far the gates are open
     std::vector<std::pair<std::string, double>> shares;  // that hosts keep of their keys
   };
-  Learnt learnt(Time now) const;
-  void take_up(Time now, const Learnt& from);
-
-  std::size_t host_places() const { return roster_.size(); }
-  const Roster::Host* host(std::string_view id) const {  // as it is known now; null: not listed
-    const auto at = roster_.find(id);
-    return at ? &roster_[*at] : nullptr;
+  PolicyCheckpoint checkpoint(Time now) const;
+  void restore(Time now, const PolicyCheckpoint& from);
+
+  std::size_t host_places() const { return host_registry_.size(); }
+  const HostRegistry::Host* host(
+      std::string_view id) const {  // as it is known now; null: not listed
+    const auto at = host_registry_.find(id);
+    return at ? &host_registry_[*at] : nullptr;
   }
 
  private:
   using HostIndex = Placement::Host;
 
-  using Host = Roster::Host;
+  using Host = HostRegistry::Host;
 
-  enum class Fate { kOut, kNeverRan, kMayHaveRun, kMissed };
+  enum class AttemptState { kOut, kNeverRan, kMayHaveRun, kMissed };
 
   struct Attempt {
     HostIndex host;
     Time sent_at;
-    Fate fate = Fate::kOut;
+    AttemptState fate = AttemptState::kOut;
     bool slow = false;        // and counted as such while still out
     bool broke = false;       // its connection did
     bool begun = false;       // to answer
     bool redirected = false;  // or taken back: the host has done nothing for it
   };
 
-  struct Active {
+  struct RequestState {
     RequestId id;
-    int klass;
+    int request_class;
     std::uint64_t key;
     bool write;
     double work;
@@ -175,45 +182,47 @@
   };
 
   // The choke point: every attempt and every final answer passes these two.
-  bool send(Active& r, HostIndex host, Time until);
-  void finish(Active& r);
+  bool send(RequestState& r, HostIndex host, Time until);
+  void finish(RequestState& r);
 
-  bool repeat_allowed(const Active& r, const Host& host) const;
-  bool refusal_allowed(const Active& r) const;
-  Duration retry_after(const Active& r);
-  static int count(const Active& r, Fate fate);
+  bool retry_allowed(const RequestState& r, const Host& host) const;
+  bool rejection_allowed(const RequestState& r) const;
+  Duration retry_after(const RequestState& r);
+  static int count(const RequestState& r, AttemptState fate);
 
   // `stored_at`: where a fetch of the key has just been stored, if one has.
-  void ask_cache(Active& r, std::optional<HostIndex> stored_at = std::nullopt);
+  void ask_cache(RequestState& r, std::optional<HostIndex> stored_at = std::nullopt);
   std::size_t replicas(std::uint64_t key);
   bool within_share(int tenant);
   void judge(HostIndex host, bool slow);
-  Duration patience(const Active& r) const;
-  void fetch(Active& r);
-  void bypass(Active& r);
-  bool send_metered(Active& r);  // to the origin, through its gate
-  void send_write(Active& r);
-  void give_up(Active& r);
-  void settle_fetch(const Active& leader, bool stored);
+  Duration patience(const RequestState& r) const;
+  void fetch(RequestState& r);
+  void bypass(RequestState& r);
+  bool send_metered(RequestState& r);  // to the origin, through its gate
+  void send_write(RequestState& r);
+  void give_up(RequestState& r);
+  void settle_fetch(const RequestState& leader, bool stored);
   void erase_if_done(RequestId id);
-  bool may_take(const Active& r, HostIndex host);
-  void heed(const std::vector<Roster::News>& news);
+  bool may_take(const RequestState& r, HostIndex host);
+  void heed(const std::vector<HostRegistry::HostChange>& news);
 
   std::uint64_t timer(Time at, TimerKind kind, RequestId id = 0);  // its tag
   double uniform();                                                // in [0, 1)
-  const RequestClass& class_of(const Active& r) const { return settings_.classes[r.klass]; }
+  const RequestClass& class_of(const RequestState& r) const {
+    return settings_.classes[r.request_class];
+  }
 
   const Settings settings_;
   ActionSink& sink_;
   std::mt19937_64 random_;
   Time now_;
-  OriginGate gate_;
-  OriginGate cache_gate_;  // the same controller over the share of slow cache answers
+  AdmissionController gate_;
+  AdmissionController cache_gate_;  // the same controller over the share of slow cache answers
   HashRing ring_;
   Placement& placement_;
-  Roster roster_;
+  HostRegistry host_registry_;
   std::vector<HostHealth> health_;  // by the roster's indices
-  std::unordered_map<RequestId, Active> active_;
+  std::unordered_map<RequestId, RequestState> requests_;
   struct Fetch {
     RequestId leader;
     std::vector<RequestId> followers;
@@ -221,7 +230,7 @@
   std::unordered_map<std::uint64_t, Fetch> fetches_;  // by key
   NumberedQueue<Timer> timers_;                       // by tag
   RecentCounts demand_;                               // how often each key was asked for
-  int refused_calls_ = 0;                             // list calls refused in a row
+  int rejected_calls_ = 0;                            // list calls refused in a row
   DecayingSum cache_work_;                            // seconds of work sent to caches lately
   double retry_budget_;
   double strain_ = 0;       // share of slow answers lately
@@ -238,4 +247,4 @@
   double mean_work_ = 0.05;  // of requests, for those without a hint
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/proto/bgp.cc
+++ b/src/proto/bgp.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace silverpin::bgp {
+namespace balancer::bgp {
 namespace {
 
 enum Type : std::uint8_t { kOpen = 1, kUpdate = 2, kNotification = 3, kKeepalive = 4 };
@@ -224,7 +224,7 @@
                             : type == kUpdate       ? 23
                             : type == kNotification ? 21
                                                     : kHeaderSize;
-  if (length < least || length > kMostMessage || (type == kKeepalive && length != kHeaderSize)) {
+  if (length < least || length > kMaxMessage || (type == kKeepalive && length != kHeaderSize)) {
     return fault(Code::kHeader, kBadLength, in_.substr(16, 2),
                  "a message has the length " + std::to_string(length));
   }
@@ -319,7 +319,7 @@
   std::string body;
   put(body, static_cast<std::uint8_t>(n.code), 1);
   put(body, n.subcode, 1);
-  body += n.data.substr(0, kMostMessage - kHeaderSize - 2);
+  body += n.data.substr(0, kMaxMessage - kHeaderSize - 2);
   return message(kNotification, body);
 }
 
@@ -330,4 +330,4 @@
   return static_cast<char>(text.size()) + std::string(text);
 }
 
-}  // namespace silverpin::bgp
+}  // namespace balancer::bgp
--- a/src/proto/bgp.h
+++ b/src/proto/bgp.h
@@ -11,9 +11,9 @@
 // Messages of BGP-4 (RFC 4271), IPv4 unicast, with communities (RFC 1997), four-octet AS numbers
 // (RFC 6793) and the words of an administrative shutdown (RFC 9003). No I/O. Bytes may be cut
 // anywhere.
-namespace silverpin::bgp {
+namespace balancer::bgp {
 
-inline constexpr std::size_t kMostMessage = 4096, kHeaderSize = 19;
+inline constexpr std::size_t kMaxMessage = 4096, kHeaderSize = 19;
 inline constexpr std::uint32_t kAsTrans = 23456;
 
 struct Prefix {
@@ -97,4 +97,4 @@
 // The data of an administrative shutdown: a text of up to 255 bytes, cut if need be.
 std::string shutdown_text(std::string_view text);
 
-}  // namespace silverpin::bgp
+}  // namespace balancer::bgp
--- a/src/proto/group_wire.cc
+++ b/src/proto/group_wire.cc
@@ -7,25 +7,25 @@
 
 #include "group.pb.h"
 
-namespace silverpin::group {
+namespace balancer::group {
 namespace {
 
-using address::Ask;
-using address::Ballot;
-using address::Change;
-using address::Changed;
-using address::Holder;
-using address::Reply;
-using address::Tell;
-using address::Voters;
+using lease::Ballot;
+using lease::Change;
+using lease::Changed;
+using lease::Holder;
+using lease::TransferMessage;
+using lease::VoteReply;
+using lease::VoteRequest;
+using lease::Voters;
 using membership::Message;
 using membership::Update;
 
-constexpr int kMostUpdates = 64, kMostHolds = 64, kMostPromises = 256;
-constexpr std::size_t kMostMeta = 1024, kMostReason = 256;
+constexpr int kMaxUpdates = 64, kMaxHolds = 64, kMaxPromises = 256;
+constexpr std::size_t kMaxMeta = 1024, kMaxReason = 256;
 
 bool is_name(const std::string& text, bool may_be_empty = false) {
-  return (may_be_empty || !text.empty()) && text.size() <= kMostName &&
+  return (may_be_empty || !text.empty()) && text.size() <= kMaxName &&
          std::all_of(text.begin(), text.end(),
                      [](unsigned char c) { return c > ' ' && c < 0x7f && c != '"' && c != '\\'; });
 }
@@ -57,7 +57,7 @@
   v.version = in.version();
   v.names.assign(in.names().begin(), in.names().end());
   return v.names.empty() ||
-         (address::valid(v) &&
+         (lease::valid(v) &&
           std::all_of(v.names.begin(), v.names.end(), [](const auto& n) { return is_name(n); }));
 }
 
@@ -77,13 +77,13 @@
 }
 bool read(const wire::Gossip& in, Message& m) {
   if (!read_kind(in.kind(), Message::Kind::kTold, m.kind) || !is_name(in.target(), true) ||
-      in.updates_size() > kMostUpdates)
+      in.updates_size() > kMaxUpdates)
     return false;
   m.number = in.number();
   m.target = in.target();
   for (const auto& u : in.updates()) {
     Update out;
-    if (!is_name(u.name()) || !is_name(u.endpoint()) || u.meta().size() > kMostMeta ||
+    if (!is_name(u.name()) || !is_name(u.endpoint()) || u.meta().size() > kMaxMeta ||
         !read_kind(u.state(), membership::State::kLeft, out.state))
       return false;
     out.name = u.name();
@@ -96,7 +96,7 @@
   return true;
 }
 
-void write(const Ask& a, wire::Ask& out) {
+void write(const VoteRequest& a, wire::VoteRequest& out) {
   out.set_kind(static_cast<std::uint32_t>(a.kind));
   out.set_address(a.address);
   out.set_term(a.term);
@@ -105,17 +105,17 @@
   out.set_voters(a.voters);
   out.set_successor(a.successor);
 }
-bool read(const wire::Ask& in, Ask& a) {
+bool read(const wire::VoteRequest& in, VoteRequest& a) {
   a.address = in.address();
   a.term = in.term();
   a.number = in.number();
   a.voters = in.voters();
   a.successor = in.successor();
-  return read_kind(in.kind(), Ask::Kind::kRelease, a.kind) && is_name(a.address) &&
+  return read_kind(in.kind(), VoteRequest::Kind::kRelease, a.kind) && is_name(a.address) &&
          is_name(a.successor, true) && read(in.holder(), a.holder);
 }
 
-void write(const Reply& r, wire::Reply& out) {
+void write(const VoteReply& r, wire::VoteReply& out) {
   out.set_verdict(static_cast<std::uint32_t>(r.verdict));
   out.set_address(r.address);
   out.set_number(r.number);
@@ -125,26 +125,26 @@
       std::chrono::ceil<std::chrono::microseconds>(std::max(r.left, Duration{0})).count()));
   write(r.voters, *out.mutable_voters());
 }
-bool read(const wire::Reply& in, Reply& r) {
+bool read(const wire::VoteReply& in, VoteReply& r) {
   // No voter promises anything for longer than an hour.
-  constexpr std::uint64_t kMostLeft = 3'600'000'000;
+  constexpr std::uint64_t kMaxLeft = 3'600'000'000;
   r.address = in.address();
   r.number = in.number();
   r.term = in.term();
-  r.left = std::chrono::microseconds(std::min(in.left_us(), kMostLeft));
-  return read_kind(in.verdict(), Reply::Verdict::kTold, r.verdict) && is_name(r.address) &&
+  r.left = std::chrono::microseconds(std::min(in.left_us(), kMaxLeft));
+  return read_kind(in.verdict(), VoteReply::Verdict::kTold, r.verdict) && is_name(r.address) &&
          read(in.holder(), r.holder) && read(in.voters(), r.voters);
 }
 
-void write(const Tell& t, wire::Tell& out) {
+void write(const TransferMessage& t, wire::TransferMessage& out) {
   out.set_kind(static_cast<std::uint32_t>(t.kind));
   out.set_address(t.address);
   out.set_term(t.term);
 }
-bool read(const wire::Tell& in, Tell& t) {
+bool read(const wire::TransferMessage& in, TransferMessage& t) {
   t.address = in.address();
   t.term = in.term();
-  return read_kind(in.kind(), Tell::Kind::kAnnounces, t.kind) && is_name(t.address);
+  return read_kind(in.kind(), TransferMessage::Kind::kAnnounces, t.kind) && is_name(t.address);
 }
 
 void write(const Ballot& b, wire::Ballot& out) {
@@ -186,16 +186,16 @@
   c.number = in.number();
   c.good = in.good();
   c.forgot = in.forgot();
-  c.why_not = in.why_not().substr(0, kMostReason);
+  c.why_not = in.why_not().substr(0, kMaxReason);
   return read_kind(in.kind(), Change::Kind::kAdopt, c.kind) && read(in.voters(), c.voters) &&
          read(in.promised(), c.promised) && read(in.accepted_at(), c.accepted_at) &&
          read(in.accepted(), c.accepted);
 }
 
 wire::Gossip& part(wire::Datagram& d, const Message&) { return *d.mutable_gossip(); }
-wire::Ask& part(wire::Datagram& d, const Ask&) { return *d.mutable_ask(); }
-wire::Reply& part(wire::Datagram& d, const Reply&) { return *d.mutable_reply(); }
-wire::Tell& part(wire::Datagram& d, const Tell&) { return *d.mutable_tell(); }
+wire::VoteRequest& part(wire::Datagram& d, const VoteRequest&) { return *d.mutable_ask(); }
+wire::VoteReply& part(wire::Datagram& d, const VoteReply&) { return *d.mutable_reply(); }
+wire::TransferMessage& part(wire::Datagram& d, const TransferMessage&) { return *d.mutable_tell(); }
 wire::Change& part(wire::Datagram& d, const Change&) { return *d.mutable_change(); }
 wire::Changed& part(wire::Datagram& d, const Changed&) { return *d.mutable_changed(); }
 
@@ -229,7 +229,7 @@
 
 std::optional<Datagram> decode(std::string_view bytes) {
   wire::Datagram in;
-  if (bytes.size() > kMostDatagram || !parse(bytes, in)) return std::nullopt;
+  if (bytes.size() > kMaxDatagram || !parse(bytes, in)) return std::nullopt;
   Datagram d;
   d.sender = in.sender();
   d.life = in.life();
@@ -242,13 +242,13 @@
       good = read_body<Message>(in.gossip(), d);
       break;
     case wire::Datagram::kAsk:
-      good = read_body<Ask>(in.ask(), d);
+      good = read_body<VoteRequest>(in.ask(), d);
       break;
     case wire::Datagram::kReply:
-      good = read_body<Reply>(in.reply(), d);
+      good = read_body<VoteReply>(in.reply(), d);
       break;
     case wire::Datagram::kTell:
-      good = read_body<Tell>(in.tell(), d);
+      good = read_body<TransferMessage>(in.tell(), d);
       break;
     case wire::Datagram::kChange:
       good = read_body<Change>(in.change(), d);
@@ -265,7 +265,7 @@
 
 std::string encode(const Meta& meta) {
   wire::Meta out;
-  out.set_able(meta.able);
+  out.set_eligible(meta.eligible);
   out.set_voter(meta.voter);
   out.set_voters(meta.voters);
   for (const auto& [address, term] : meta.holds) {
@@ -278,9 +278,9 @@
 
 std::optional<Meta> decode_meta(std::string_view bytes) {
   wire::Meta in;
-  if (bytes.size() > kMostMeta || !parse(bytes, in) || in.holds_size() > kMostHolds)
+  if (bytes.size() > kMaxMeta || !parse(bytes, in) || in.holds_size() > kMaxHolds)
     return std::nullopt;
-  Meta meta{in.able(), in.voter(), in.voters(), {}};
+  Meta meta{in.eligible(), in.voter(), in.voters(), {}};
   for (const auto& held : in.holds()) {
     if (!is_name(held.address())) return std::nullopt;
     meta.holds[held.address()] = held.term();
@@ -288,7 +288,7 @@
   return meta;
 }
 
-std::string encode(const address::VoterRecord& record) {
+std::string encode(const lease::VoterRecord& record) {
   wire::VoterRecord out;
   write(record.voters, *out.mutable_voters());
   for (const auto& [address, promise] : record.promises) {
@@ -304,13 +304,12 @@
   return out.SerializeAsString();
 }
 
-std::optional<address::VoterRecord> decode_record(std::string_view bytes) {
+std::optional<lease::VoterRecord> decode_record(std::string_view bytes) {
   wire::VoterRecord in;
-  address::VoterRecord record;
-  if (!parse(bytes, in) || in.promises_size() > kMostPromises ||
-      !read(in.voters(), record.voters) || record.voters.names.empty() ||
-      !read(in.promised(), record.promised) || !read(in.accepted_at(), record.accepted_at) ||
-      !read(in.accepted(), record.accepted))
+  lease::VoterRecord record;
+  if (!parse(bytes, in) || in.promises_size() > kMaxPromises || !read(in.voters(), record.voters) ||
+      record.voters.names.empty() || !read(in.promised(), record.promised) ||
+      !read(in.accepted_at(), record.accepted_at) || !read(in.accepted(), record.accepted))
     return std::nullopt;
   record.forgot = in.forgot();
   for (const auto& p : in.promises()) {
@@ -321,4 +320,4 @@
   return record;
 }
 
-}  // namespace silverpin::group
+}  // namespace balancer::group
--- a/src/proto/handover_wire.cc
+++ b/src/proto/hot_restart_wire.cc
@@ -1,23 +1,23 @@
-#include "proto/handover_wire.h"
+#include "proto/hot_restart_wire.h"
 
 #include <algorithm>
 #include <cmath>
 #include <iterator>
 #include <utility>
 
-#include "handover.pb.h"
+#include "hot_restart.pb.h"
 
-namespace silverpin::handover {
+namespace balancer::hot_restart {
 namespace {
 
 // ---- writing
 
-void put(const Share& s, pb::Share& to) {
+void put(const ResourceShare& s, pb::ResourceShare& to) {
   to.set_descriptors(s.descriptors);
   to.set_bytes(s.bytes);
 }
 
-void put(const Word& w, pb::Word& to) {
+void put(const OperatorOverride& w, pb::OperatorOverride& to) {
   to.set_host(w.host);
   to.set_out(w.out);
   to.set_age(w.age.count());
@@ -49,7 +49,7 @@
     s.set_version(m.version);
     s.set_more(m.more);
     for (const Host& h : m.hosts) put(h, *s.add_hosts());
-    for (const Word& w : m.words) put(w, *s.add_words());
+    for (const OperatorOverride& w : m.overrides) put(w, *s.add_overrides());
     s.set_seq(m.seq);
     s.set_listed(m.listed);
     s.set_away(m.away);
@@ -61,9 +61,9 @@
   }
   void operator()(const Busy&) const { to.set_busy(true); }
   void operator()(const Serving&) const { to.set_serving(true); }
-  void operator()(const Word& m) const { put(m, *to.mutable_word()); }
+  void operator()(const OperatorOverride& m) const { put(m, *to.mutable_word()); }
   void operator()(const Away& m) const { to.set_away(m.away); }
-  void operator()(const Share& m) const { put(m, *to.mutable_held()); }
+  void operator()(const ResourceShare& m) const { put(m, *to.mutable_held()); }
   void operator()(const Connection& m) const {
     to.mutable_connection()->set_listener(m.listener);
     to.mutable_connection()->set_input(m.input);
@@ -73,17 +73,17 @@
 
 // ---- reading
 
-constexpr double kMostWork = 1e6;  // seconds a second
+constexpr double kMaxWork = 1e6;  // seconds a second
 
 bool is_part(double x) { return x >= 0 && x <= 1; }
 
-Share share_of(const pb::Share& s) { return {s.descriptors(), s.bytes()}; }
+ResourceShare share_of(const pb::ResourceShare& s) { return {s.descriptors(), s.bytes()}; }
 
 bool is_age(std::int64_t ns) { return ns >= 0 && ns <= kMaxAge.count(); }
 
-std::optional<Word> word_of(const pb::Word& w) {
+std::optional<OperatorOverride> word_of(const pb::OperatorOverride& w) {
   if (w.host().empty() || w.host().size() > kMaxId || !is_age(w.age())) return std::nullopt;
-  return Word{w.host(), w.out(), Duration(w.age())};
+  return OperatorOverride{w.host(), w.out(), Duration(w.age())};
 }
 
 std::optional<Host> host_of(const pb::Host& h) {
@@ -120,17 +120,17 @@
   m.listeners.assign(s.listeners().begin(), s.listeners().end());
   if (m.version > kVersion) return m;
   if (static_cast<std::size_t>(s.hosts_size()) > kEntriesPerPart ||
-      static_cast<std::size_t>(s.words_size()) > kEntriesPerPart)
+      static_cast<std::size_t>(s.overrides_size()) > kEntriesPerPart)
     return std::nullopt;
   for (const pb::Host& h : s.hosts()) {
     auto host = host_of(h);
     if (!host) return std::nullopt;
     m.hosts.push_back(std::move(*host));
   }
-  for (const pb::Word& w : s.words()) {
+  for (const pb::OperatorOverride& w : s.overrides()) {
     auto word = word_of(w);
     if (!word) return std::nullopt;
-    m.words.push_back(std::move(*word));
+    m.overrides.push_back(std::move(*word));
   }
   m.seq = s.seq();
   m.listed = s.listed();
@@ -139,7 +139,7 @@
   if (s.has_origin_open()) m.origin_open = s.origin_open();
   if (s.has_caches_open()) m.caches_open = s.caches_open();
   if (!is_part(m.origin_open) || !is_part(m.caches_open) || !(m.work_rate >= 0) ||
-      !(m.work_rate < kMostWork))
+      !(m.work_rate < kMaxWork))
     return std::nullopt;
   return m;
 }
@@ -203,7 +203,7 @@
     from.clear();
   };
   cut(whole.hosts, &Snapshot::hosts);
-  cut(whole.words, &Snapshot::words);
+  cut(whole.overrides, &Snapshot::overrides);
   whole.more = false;
   parts.push_back(std::move(whole));
   return parts;
@@ -211,14 +211,14 @@
 
 bool append(Snapshot& whole, Snapshot part) {
   if (whole.hosts.size() + part.hosts.size() > kMaxHosts ||
-      whole.words.size() + part.words.size() > kMaxWords)
+      whole.overrides.size() + part.overrides.size() > kMaxOverrides)
     return false;
   std::move(part.hosts.begin(), part.hosts.end(), std::back_inserter(whole.hosts));
-  std::move(part.words.begin(), part.words.end(), std::back_inserter(whole.words));
+  std::move(part.overrides.begin(), part.overrides.end(), std::back_inserter(whole.overrides));
   part.hosts = std::move(whole.hosts);
-  part.words = std::move(whole.words);
+  part.overrides = std::move(whole.overrides);
   whole = std::move(part);
   return true;
 }
 
-}  // namespace silverpin::handover
+}  // namespace balancer::hot_restart
--- a/src/proto/handover_wire.h
+++ b/src/proto/hot_restart_wire.h
@@ -12,7 +12,7 @@
 
 // The messages between a balancer and the one that takes its place: protocol buffers, checked like
 // any peer's. No I/O.
-namespace silverpin::handover {
+namespace balancer::hot_restart {
 
 inline constexpr std::uint32_t kVersion = 1;
 // A packet of the system's is bounded; so are the entries of one part, and what a whole snapshot
@@ -20,15 +20,15 @@
 inline constexpr std::size_t kMaxMessage = 128u << 10;
 inline constexpr std::size_t kEntriesPerPart = 256;
 inline constexpr std::size_t kMaxHosts = 16384;
-inline constexpr std::size_t kMaxWords = 4096;
+inline constexpr std::size_t kMaxOverrides = 4096;
 inline constexpr std::size_t kMaxDescriptors = 16;  // beside one message
 inline constexpr std::size_t kMaxInput = 16u << 10;
 inline constexpr std::size_t kMaxId = 256;
 inline constexpr Duration kMaxAge = std::chrono::hours(24 * 365 * 100);
 
-struct Share {
+struct ResourceShare {
   std::uint64_t descriptors = 0, bytes = 0;
-  bool operator==(const Share&) const = default;
+  bool operator==(const ResourceShare&) const = default;
 };
 
 struct Host {
@@ -39,17 +39,17 @@
   std::optional<Duration> age;   // since that start, as far as the sender knows
   bool origin = false;
   int zone = 0, cell = 0;
-  int state = 0;  // 0 to 2, as silverpin::HostState
+  int state = 0;  // 0 to 2, as balancer::HostState
   double weight = 1;
   double share = 1;  // 0 to 1
   bool operator==(const Host&) const = default;
 };
 
-struct Word {
+struct OperatorOverride {
   std::string host;
   bool out = false;
   Duration age{0};  // since it came to hold
-  bool operator==(const Word&) const = default;
+  bool operator==(const OperatorOverride&) const = default;
 };
 
 struct Hello {
@@ -62,10 +62,10 @@
   std::uint32_t version = kVersion;
   bool more = false;
   std::vector<Host> hosts;
-  std::vector<Word> words;
+  std::vector<OperatorOverride> overrides;
   std::uint64_t seq = 0;
   bool listed = false, away = false;
-  Share held;
+  ResourceShare held;
   double work_rate = 0, origin_open = 1, caches_open = 1;
   std::vector<std::string> listeners;
   bool operator==(const Snapshot&) const = default;
@@ -88,7 +88,8 @@
   bool operator==(const Connection&) const = default;
 };
 
-using Message = std::variant<Hello, Snapshot, Busy, Serving, Word, Away, Share, Connection>;
+using Message =
+    std::variant<Hello, Snapshot, Busy, Serving, OperatorOverride, Away, ResourceShare, Connection>;
 
 std::string encode(const Message& message);
 // Nothing if it is no message, says what makes no sense, or goes beyond the bounds above. A
@@ -100,4 +101,4 @@
 // Puts parts together. False: they go beyond the bounds.
 bool append(Snapshot& whole, Snapshot part);
 
-}  // namespace silverpin::handover
+}  // namespace balancer::hot_restart
--- a/src/proto/memcache.cc
+++ b/src/proto/memcache.cc
@@ -5,7 +5,7 @@
 #include <utility>
 #include <vector>
 
-namespace silverpin::memcache {
+namespace balancer::memcache {
 namespace {
 
 constexpr std::size_t kMaxProps = 32;
@@ -276,4 +276,4 @@
   }
 }
 
-}  // namespace silverpin::memcache
+}  // namespace balancer::memcache
--- a/src/proto/memcache.h
+++ b/src/proto/memcache.h
@@ -10,7 +10,7 @@
 
 // The meta commands of the memcache text protocol, as far as this protocol uses them. Incremental:
 // input may be cut at any byte. No sockets.
-namespace silverpin::memcache {
+namespace balancer::memcache {
 
 // The longest legal line is far shorter: a key of 250 bytes, an id and a dozen short properties.
 inline constexpr std::size_t kMaxLine = 4096;
@@ -114,4 +114,4 @@
 bool is_token(std::string_view text, std::size_t longest);
 std::optional<std::uint64_t> parse_number(std::string_view text);
 
-}  // namespace silverpin::memcache
+}  // namespace balancer::memcache
--- a/src/proto/resp.cc
+++ b/src/proto/resp.cc
@@ -4,12 +4,12 @@
 #include <charconv>
 #include <utility>
 
-namespace silverpin::resp {
+namespace balancer::resp {
 namespace {
 
 constexpr std::string_view kEnd = "\r\n";
 // A length's line: type, sign and digits.
-constexpr std::size_t kMostLengthLine = 32;
+constexpr std::size_t kMaxLengthLine = 32;
 
 bool all_digits(std::string_view text) {
   return !text.empty() &&
@@ -188,12 +188,11 @@
     if (!left_) {
       const auto line = take_line();
       if (!line) {
-        if (in_.size() - cursor_ > kMostLengthLine + 1)
+        if (in_.size() - cursor_ > kMaxLengthLine + 1)
           return Fault{"Protocol error: too big mbulk count string"};
         return std::nullopt;
       }
-      if (line->size() > kMostLengthLine)
-        return Fault{"Protocol error: too big mbulk count string"};
+      if (line->size() > kMaxLengthLine) return Fault{"Protocol error: too big mbulk count string"};
       const auto count = parse_integer(line->substr(1));
       if (!count || (*count > 0 && static_cast<std::uint64_t>(*count) > bounds_.elements))
         return Fault{"Protocol error: invalid multibulk length"};
@@ -215,11 +214,11 @@
         }
         const auto line = take_line();
         if (!line) {
-          if (in_.size() - cursor_ > kMostLengthLine + 1)
+          if (in_.size() - cursor_ > kMaxLengthLine + 1)
             return Fault{"Protocol error: too big bulk count string"};
           return std::nullopt;
         }
-        if (line->size() > kMostLengthLine)
+        if (line->size() > kMaxLengthLine)
           return Fault{"Protocol error: too big bulk count string"};
         const auto length = parse_integer(line->substr(1));
         if (!length || *length < 0 || static_cast<std::uint64_t>(*length) > bounds_.bulk ||
@@ -523,4 +522,4 @@
 
 void append_null(std::string& out, int version) { out += version < 3 ? "$-1\r\n" : "_\r\n"; }
 
-}  // namespace silverpin::resp
+}  // namespace balancer::resp
--- a/src/proto/resp.h
+++ b/src/proto/resp.h
@@ -11,7 +11,7 @@
 // RESP2 and RESP3, the Redis serialization protocol, after its public specification
 // (redis.io/docs/latest/develop/reference/protocol-spec). Incremental: input may be cut at any
 // byte. Streamed strings and aggregates are refused. No sockets.
-namespace silverpin::resp {
+namespace balancer::resp {
 
 // What a reader takes from a peer. What is beyond ends the connection.
 struct Bounds {
@@ -171,4 +171,4 @@
 void append_map(std::string& out, std::size_t pairs, int version);
 void append_null(std::string& out, int version);
 
-}  // namespace silverpin::resp
+}  // namespace balancer::resp
--- a/src/proto/seal.cc
+++ b/src/proto/seal.cc
@@ -9,7 +9,7 @@
 
 #include "settings/field_error.h"
 
-namespace silverpin::group {
+namespace balancer::group {
 namespace {
 
 constexpr unsigned char kVersion = 1;
@@ -17,7 +17,7 @@
 constexpr std::size_t kTag = crypto_aead_xchacha20poly1305_ietf_ABYTES;
 constexpr std::size_t kHead = 1 + 4;
 static_assert(kHead + kNonce + kTag == kSealedOverhead);
-constexpr std::size_t kMostKeys = 8;
+constexpr std::size_t kMaxKeys = 8;
 
 void begin_sodium() {
   static const bool ready = ::sodium_init() >= 0;
@@ -58,7 +58,7 @@
     ::sodium_memzero(line.data(), line.size());
     if (!good)
       throw FileError(file + ":" + std::to_string(number) + ": is no key of 64 hexadecimal digits");
-    if (keys.size() >= kMostKeys)
+    if (keys.size() >= kMaxKeys)
       throw FileError(file + ":" + std::to_string(number) + ": is one key too many");
     keys.push_back(key);
   }
@@ -171,4 +171,4 @@
   return true;
 }
 
-}  // namespace silverpin::group
+}  // namespace balancer::group
--- a/src/proto/seal.h
+++ b/src/proto/seal.h
@@ -11,14 +11,14 @@
 #include <utility>
 #include <vector>
 
-#include "membership/group.h"
+#include "membership/membership_protocol.h"
 #include "structures/time.h"
 
 // Datagrams between members of a group: sealed under a key that all share, so that nobody else can
 // make, read or change one. XChaCha20-Poly1305 with random nonces (libsodium), after
 // draft-irtf-cfrg-xchacha. On the wire: a byte of version, 4 of the key's name, 24 of nonce, and
 // the sealed text, 16 bytes longer than the plain one.
-namespace silverpin::group {
+namespace balancer::group {
 
 inline constexpr std::size_t kSealedOverhead = 1 + 4 + 24 + 16;
 
@@ -87,4 +87,4 @@
   std::map<std::string_view, Senders::iterator> by_name_;
 };
 
-}  // namespace silverpin::group
+}  // namespace balancer::group
--- a/src/recovery/discovery_schedule.cc
+++ b/src/recovery/discovery_poll_scheduler.cc
@@ -1,9 +1,9 @@
-#include "recovery/discovery_schedule.h"
+#include "recovery/discovery_poll_scheduler.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace silverpin::recovery {
+namespace balancer::recovery {
 namespace {
 
 using std::chrono::milliseconds;
@@ -36,39 +36,42 @@
 
 }  // namespace
 
-DiscoverySchedule::DiscoverySchedule(Mode mode, std::uint64_t known_seq, std::uint64_t seed)
+DiscoveryPollScheduler::DiscoveryPollScheduler(Mode mode, std::uint64_t known_seq,
+                                               std::uint64_t seed)
     : mode_(mode), retries_(kMinRetry, kMaxRetry), random_(seed), seq_(known_seq) {}
 
-bool DiscoverySchedule::start(Time now) {
+bool DiscoveryPollScheduler::start(Time now) {
   if (std::exchange(running_, true)) return false;
   call_at(now);
   return true;
 }
 
-void DiscoverySchedule::stop() {
+void DiscoveryPollScheduler::stop() {
   running_ = false;
   call_at(Time::max());
 }
 
-void DiscoverySchedule::restart(Time now) {
+void DiscoveryPollScheduler::restart(Time now) {
   whole_next_ = true;
   retries_.on_success();
   call_at(running_ ? now : Time::max());
 }
 
-void DiscoverySchedule::call_at(Time at) {
+void DiscoveryPollScheduler::call_at(Time at) {
   phase_ = Phase::kIdle;
   call_at_ = at;
 }
 
-DiscoverySchedule::Step DiscoverySchedule::due(Time now) const {
+DiscoveryPollScheduler::Step DiscoveryPollScheduler::due(Time now) const {
   if (now < next()) return Step::kNothing;
-  return phase_ == Phase::kIdle ? Step::kCall : Step::kGiveUp;
+  return phase_ == Phase::kIdle ? Step::kCall : Step::kCancelCall;
 }
 
-Time DiscoverySchedule::next() const { return phase_ == Phase::kIdle ? call_at_ : give_up_at_; }
+Time DiscoveryPollScheduler::next() const {
+  return phase_ == Phase::kIdle ? call_at_ : give_up_at_;
+}
 
-DiscoverySchedule::Call DiscoverySchedule::begin(Time now, bool connected) {
+DiscoveryPollScheduler::Call DiscoveryPollScheduler::begin(Time now, bool connected) {
   call_ = {whole_next_, seq_, Duration{0}};
   if (!call_.whole) call_.wait = wait();
   begun_ = now;
@@ -78,26 +81,26 @@
   return call_;
 }
 
-Duration DiscoverySchedule::wait() const {
+Duration DiscoveryPollScheduler::wait() const {
   if (mode_ == Mode::kPushed) return kPushedWait;
-  return was_refused_ ? kWaitAfterRefusal : kRequestWait;
+  return was_rejected_ ? kWaitAfterRefusal : kRequestWait;
 }
 
-Duration DiscoverySchedule::patience() const {
+Duration DiscoveryPollScheduler::patience() const {
   if (mode_ == Mode::kPushed) return kPushedPatience;
   return call_.whole ? kWholePatience : kWatchPatience;
 }
 
-void DiscoverySchedule::on_connected(Time now) {
+void DiscoveryPollScheduler::on_connected(Time now) {
   if (phase_ == Phase::kConnecting) await_answer(now);
 }
 
-void DiscoverySchedule::await_answer(Time now) {
+void DiscoveryPollScheduler::await_answer(Time now) {
   phase_ = Phase::kWaiting;
   give_up_at_ = now + call_.wait + patience();
 }
 
-void DiscoverySchedule::on_answer_bytes(Time now) {
+void DiscoveryPollScheduler::on_answer_bytes(Time now) {
   if (phase_ == Phase::kIdle) return;
   if (phase_ != Phase::kReading) answer_begun_ = now;
   phase_ = Phase::kReading;
@@ -106,7 +109,7 @@
     give_up_at_ = std::min(give_up_at_, begun_ + call_.wait + kLongestWatch);
 }
 
-bool DiscoverySchedule::on_list(std::uint64_t seq, bool whole) {
+bool DiscoveryPollScheduler::on_list(std::uint64_t seq, bool whole) {
   const bool counts = whole || seq > seq_;
   // A service that is behind what it has told counts its versions anew. A watch on the old version
   // would never hear of anything.
@@ -116,15 +119,15 @@
   return counts;
 }
 
-Duration DiscoverySchedule::on_answered(Time now) {
+Duration DiscoveryPollScheduler::on_answered(Time now) {
   const Duration took = now - begun_;
-  was_refused_ = false;
+  was_rejected_ = false;
   retries_.on_success();
   call_at(has_news_ || took > kPause ? now : now + kPause);
   return took;
 }
 
-bool DiscoverySchedule::on_failure(Time now, Failure failure) {
+bool DiscoveryPollScheduler::on_failure(Time now, Failure failure) {
   const bool was_silent_watch = phase_ != Phase::kIdle && !call_.whole && now >= give_up_at_;
   if (mode_ == Mode::kPushed) {
     // What the broken call would have told may have been told: the whole list leaves no doubt.
@@ -134,7 +137,7 @@
     call_at(now + retries_.after_failure(first, second));
     return true;
   }
-  was_refused_ = failure == Failure::kRefused;
+  was_rejected_ = failure == Failure::kRejected;
   // A service that counts its versions anew would keep a watch on the old one waiting for ever. The
   // whole list costs it more than changes do, so not where it only turned the call away.
   whole_next_ = whole_next_ || failure == Failure::kBroken;
@@ -144,4 +147,4 @@
   return running_;
 }
 
-}  // namespace silverpin::recovery
+}  // namespace balancer::recovery
--- a/src/recovery/discovery_schedule.h
+++ b/src/recovery/discovery_poll_scheduler.h
@@ -3,24 +3,24 @@
 #include <cstdint>
 #include <random>
 
-#include "recovery/pace.h"
+#include "recovery/retry_schedule.h"
 #include "structures/time.h"
 
-namespace silverpin::recovery {
+namespace balancer::recovery {
 
 // When the service that lists the hosts is called, what it is asked for, and when a call that is
 // out counts as silent. The bound that it keeps: a change is heard within 6 s from when the service
 // has it and can be reached, whatever became of the calls before, and, for a watch that has fallen
 // silent, 2 s after its wait if that is later; after a move to another address within 4 s. No I/O,
 // no clock: times come with each call.
-class DiscoverySchedule {
+class DiscoveryPollScheduler {
  public:
   // kPushed: an agent nearby that answers at once, at no cost; this class calls it for ever.
   // kOnRequest: one service for all. After a failure its caller says when to call again.
   enum class Mode { kPushed, kOnRequest };
   // kBroken: the call ended without an answer. kRefused: it was answered, and turned away.
-  enum class Failure { kBroken, kRefused };
-  enum class Step { kNothing, kCall, kGiveUp };
+  enum class Failure { kBroken, kRejected };
+  enum class Step { kNothing, kCall, kCancelCall };
 
   struct Call {
     bool whole = true;  // the whole list; else what is newer than `index`, for as long as `wait`
@@ -28,7 +28,7 @@
     Duration wait{0};
   };
 
-  DiscoverySchedule(Mode mode, std::uint64_t known_seq, std::uint64_t seed);
+  DiscoveryPollScheduler(Mode mode, std::uint64_t known_seq, std::uint64_t seed);
 
   // Calls from now on. False if it did already.
   bool start(Time now);
@@ -64,12 +64,12 @@
   Duration patience() const;
 
   const Mode mode_;
-  Pace retries_;
+  RetrySchedule retries_;
   std::mt19937_64 random_;
   std::uint64_t seq_;
   bool whole_next_ = true;  // the next call asks for the whole list
   bool running_ = false;
-  bool was_refused_ = false;    // the last call
+  bool was_rejected_ = false;   // the last call
   bool has_news_ = false;       // the last answer changed something
   Phase phase_ = Phase::kIdle;  // of the call that is out
   Call call_;
@@ -79,4 +79,4 @@
   Time give_up_at_ = Time::max();  // while one is
 };
 
-}  // namespace silverpin::recovery
+}  // namespace balancer::recovery
--- a/src/recovery/host_age.cc
+++ b/src/recovery/host_age_estimator.cc
@@ -1,8 +1,8 @@
-#include "recovery/host_age.h"
+#include "recovery/host_age_estimator.h"
 
 #include <algorithm>
 
-namespace silverpin::recovery {
+namespace balancer::recovery {
 
 void HostAgeEstimator::on_unix_time(Time now, UnixTime unix_time) {
   const Duration offset = unix_time.time_since_epoch() - now;
@@ -14,4 +14,4 @@
   return std::min(now, born.time_since_epoch() - std::min(*min_offset_, wall_offset_));
 }
 
-}  // namespace silverpin::recovery
+}  // namespace balancer::recovery
--- a/src/recovery/host_age.h
+++ b/src/recovery/host_age_estimator.h
@@ -4,7 +4,7 @@
 
 #include "structures/time.h"
 
-namespace silverpin::recovery {
+namespace balancer::recovery {
 
 // Turns the Unix times at which cache hosts say they started into times of this process's monotonic
 // clock, without trusting the wall clock of this machine, which may be wrong by any amount.
@@ -32,4 +32,4 @@
   std::optional<Duration> min_offset_;  // of Unix time from the monotonic clock: it is no less
 };
 
-}  // namespace silverpin::recovery
+}  // namespace balancer::recovery
--- a/src/recovery/pace.cc
+++ b/src/recovery/retry_schedule.cc
@@ -1,12 +1,12 @@
-#include "recovery/pace.h"
+#include "recovery/retry_schedule.h"
 
 #include <cmath>
 #include <utility>
 
-namespace silverpin::recovery {
+namespace balancer::recovery {
 
-Duration Pace::after_failure(double chance, double second_chance) {
-  const double a = seconds(least_), b = seconds(most_);
+Duration RetrySchedule::after_failure(double chance, double second_chance) {
+  const double a = seconds(min_), b = seconds(max_);
   if (std::exchange(failing_, true)) return from_seconds(a + chance * (b - a));
   // The interval that one comes into is a long one the more likely the longer it is, and any moment
   // of it is as likely as another.
@@ -14,4 +14,4 @@
   return from_seconds(second_chance * interval);
 }
 
-}  // namespace silverpin::recovery
+}  // namespace balancer::recovery
--- a/src/announce/bgp_session.cc
+++ b/src/route_announcement/bgp_session.cc
@@ -1,15 +1,15 @@
-#include "announce/bgp_session.h"
+#include "route_announcement/bgp_session.h"
 
 #include <algorithm>
 
-namespace silverpin::bgp {
+namespace balancer::bgp {
 namespace {
 
 // Our keepalives in one hold time (section 4.4).
 constexpr int kKeepalives = 3;
 constexpr std::uint8_t kBadPeerAs = 2, kUnacceptableHold = 6;
 // More than one message and what is behind it is never waited for.
-constexpr std::size_t kMostBuffered = 64u << 10;
+constexpr std::size_t kMaxBuffered = 64u << 10;
 
 }  // namespace
 
@@ -114,7 +114,7 @@
                  "the peer sent what makes no sense: " + fault->reason);
     on_message(now, way, std::get<Message>(*item));
   }
-  if (c.state >= State::kOpenSent && c.reader.buffered() > kMostBuffered)
+  if (c.state >= State::kOpenSent && c.reader.buffered() > kMaxBuffered)
     end(now, way, Notification{Code::kCease, 8, {}}, "the peer sent too much");
 }
 
@@ -279,4 +279,4 @@
   stopped_ = true;
 }
 
-}  // namespace silverpin::bgp
+}  // namespace balancer::bgp
--- a/src/announce/bgp_session.h
+++ b/src/route_announcement/bgp_session.h
@@ -14,7 +14,7 @@
 #include "structures/time.h"
 
 // The state of one BGP peering, after RFC 4271, section 8. No I/O, no clock.
-namespace silverpin::bgp {
+namespace balancer::bgp {
 
 struct SessionSettings {
   std::uint32_t local_as = 0, remote_as = 0;
@@ -112,4 +112,4 @@
 
 const char* name_of(Session::State state);
 
-}  // namespace silverpin::bgp
+}  // namespace balancer::bgp
--- a/src/announce/command_carrier.cc
+++ b/src/route_announcement/command_carrier.cc
@@ -1,6 +1,6 @@
-#include "announce/command_carrier.h"
+#include "route_announcement/command_carrier.h"
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 constexpr Duration kPause = std::chrono::milliseconds(500);
@@ -83,7 +83,7 @@
       releases_ = 0;
       return begin_release();
     case State::kReleasing:
-      if (!why.empty() && releases_ < kMostReleases) {
+      if (!why.empty() && releases_ < kMaxReleases) {
         again_at_ = now + kPause;
         return;
       }
@@ -102,4 +102,4 @@
 
 Time CommandCarrier::next() const { return again_at_; }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/announce/command_carrier.h
+++ b/src/route_announcement/command_carrier.h
@@ -8,7 +8,7 @@
 
 #include "structures/time.h"
 
-namespace silverpin {
+namespace balancer {
 
 // Claims and releases one service address by two commands of the operator's: which is to run when,
 // and what its end means. No I/O, no clock; whoever owns it runs them, one at a time.
@@ -20,12 +20,12 @@
 //   ending     released   claim, cut short     releasing, whatever it was
 //   releasing  released   release              good: idle, withdrawn; else again after a pause
 //
-// A release that fails again and again is given up after kMostReleases and said so: the address may
+// A release that fails again and again is given up after kMaxReleases and said so: the address may
 // still be claimed here, and requests that come to it are refused.
 class CommandCarrier {
  public:
   enum class State { kIdle, kClaiming, kClaimed, kEnding, kReleasing };
-  static constexpr int kMostReleases = 10;
+  static constexpr int kMaxReleases = 10;
 
   // ---- told
   void claim(Time now, std::uint64_t term);
@@ -67,4 +67,4 @@
 
 const char* name_of(CommandCarrier::State state);
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/announce/speaker.cc
+++ b/src/route_announcement/speaker.cc
@@ -1,12 +1,12 @@
-#include "announce/speaker.h"
+#include "route_announcement/speaker.h"
 
 #include <algorithm>
 #include <limits>
 
-namespace silverpin::bgp {
+namespace balancer::bgp {
 namespace {
 
-constexpr std::uint64_t kMostPreference = std::numeric_limits<std::uint32_t>::max();
+constexpr std::uint64_t kMaxPreference = std::numeric_limits<std::uint32_t>::max();
 
 }  // namespace
 
@@ -21,13 +21,13 @@
   a.next_hop = settings_.next_hop;
   a.communities = settings_.communities;
   // Terms count tenures: none comes near the end of 32 bits.
-  const auto preference = static_cast<std::uint32_t>(std::min(route.term, kMostPreference));
+  const auto preference = static_cast<std::uint32_t>(std::min(route.term, kMaxPreference));
   if (routers_[router].remote_as == settings_.local_as) {
     a.local_pref = route.faded ? 0 : preference;
   } else {
     a.as_path = {settings_.local_as};
   }
-  a.med = static_cast<std::uint32_t>(route.faded ? kMostPreference : kMostPreference - preference);
+  a.med = static_cast<std::uint32_t>(route.faded ? kMaxPreference : kMaxPreference - preference);
   if (route.faded) a.communities.push_back(kGracefulShutdown);
   return a;
 }
@@ -143,4 +143,4 @@
   return all;
 }
 
-}  // namespace silverpin::bgp
+}  // namespace balancer::bgp
--- a/src/announce/speaker.h
+++ b/src/route_announcement/speaker.h
@@ -8,9 +8,9 @@
 #include <utility>
 #include <vector>
 
-#include "announce/bgp_session.h"
+#include "route_announcement/bgp_session.h"
 
-namespace silverpin::bgp {
+namespace balancer::bgp {
 
 struct SpeakerSettings {
   std::uint32_t local_as = 0;
@@ -86,4 +86,4 @@
   std::vector<Event> events_;
 };
 
-}  // namespace silverpin::bgp
+}  // namespace balancer::bgp
--- a/src/settings/addresses.cc
+++ b/src/settings/addresses.cc
@@ -9,7 +9,7 @@
 #include <cctype>
 #include <charconv>
 
-namespace silverpin {
+namespace balancer {
 
 bool is_address(const std::string& text, bool port_zero) {
   const auto colon = text.rfind(':');
@@ -47,4 +47,4 @@
                      [](unsigned char c) { return std::isalpha(c); });
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/settings/field_error.h
+++ b/src/settings/field_error.h
@@ -2,7 +2,7 @@
 
 #include <stdexcept>
 
-namespace silverpin {
+namespace balancer {
 
 // Input that is not what it should be; what() names the field and the fault.
 struct FieldError : std::runtime_error {
@@ -14,4 +14,4 @@
   using std::runtime_error::runtime_error;
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/settings/group_file.cc
+++ b/src/settings/group_file.cc
@@ -8,14 +8,14 @@
 #include <set>
 #include <utility>
 
-#include "address/voter.h"
+#include "lease/voter.h"
 #include "settings/addresses.h"
 #include "settings/toml_keys.h"
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
-constexpr std::size_t kMostAddresses = 64, kMostRouters = 16, kMostCommunities = 16;
+constexpr std::size_t kMaxAddresses = 64, kMaxRouters = 16, kMaxCommunities = 16;
 
 std::optional<std::uint32_t> ipv4(const std::string& text) {
   in_addr a{};
@@ -64,7 +64,7 @@
 }
 
 void read_times(Keys& keys, GroupFile& g) {
-  auto& t = g.keeper.times;
+  auto& t = g.lease_manager.times;
   t.lease = keys.time("lease_ms", 1e-3, 1000, 100, 60'000);
   t.drift = keys.real("drift", 0.01, 0, 0.2);
   t.withdraw_lead = keys.time("withdraw_lead_ms", 1e-3, 150, 1, 30'000);
@@ -75,8 +75,8 @@
     keys.bad("withdraw_lead_ms", "is more than half of what a lease is good for");
   if (t.patience > t.lease / 2) keys.bad("patience_ms", "is more than half of lease_ms");
   if (t.overlap > t.lease) keys.bad("overlap_ms", "is longer than lease_ms");
-  g.keeper.settle = keys.time("settle_ms", 1e-3, 5000, 0, 3'600'000);
-  g.keeper.between_moves = keys.time("between_moves_ms", 1e-3, 10'000, 0, 3'600'000);
+  g.lease_manager.settle = keys.time("settle_ms", 1e-3, 5000, 0, 3'600'000);
+  g.lease_manager.between_moves = keys.time("between_moves_ms", 1e-3, 10'000, 0, 3'600'000);
   g.drain = keys.time("drain_ms", 1e-3, 3000, 0, 600'000);
 }
 
@@ -105,19 +105,18 @@
   g.founding.names = names(keys, "voters");
   std::sort(g.founding.names.begin(), g.founding.names.end());
   if (g.founding.names.empty()) keys.bad("voters", "is missing");
-  if (!address::valid(g.founding))
-    keys.bad("voters",
-             "must be up to " + std::to_string(address::kMostVoters) + " different names");
+  if (!lease::valid(g.founding))
+    keys.bad("voters", "must be up to " + std::to_string(lease::kMaxVoters) + " different names");
   g.membership.period = keys.time("probe_ms", 1e-3, 200, 20, 60'000);
-  g.membership.most_wait = std::max<Duration>(g.membership.least_wait, g.membership.period * 3 / 4);
+  g.membership.max_wait = std::max<Duration>(g.membership.min_wait, g.membership.period * 3 / 4);
   g.membership.suspicion = keys.real("suspicion", 3, 1, 100);
-  g.membership.most_members = static_cast<std::size_t>(keys.whole(
-      "most_members", static_cast<int>(g.membership.most_members), 2, membership::kMaxMembers));
+  g.membership.max_members = static_cast<std::size_t>(keys.whole(
+      "most_members", static_cast<int>(g.membership.max_members), 2, membership::kMaxMembers));
   read_times(keys, g);
-  g.ability.late = keys.time("late_ms", 1e-3, 250, 5, 60'000);
-  g.ability.late_times = static_cast<std::size_t>(keys.whole("late_times", 3, 1, 100));
-  g.ability.grace = keys.time("missing_ms", 1e-3, 300, 0, 60'000);
-  g.ability.steady = keys.time("steady_ms", 1e-3, 500, 0, 600'000);
+  g.eligibility.late = keys.time("late_ms", 1e-3, 250, 5, 60'000);
+  g.eligibility.late_times = static_cast<std::size_t>(keys.whole("late_times", 3, 1, 100));
+  g.eligibility.grace = keys.time("missing_ms", 1e-3, 300, 0, 60'000);
+  g.eligibility.steady = keys.time("steady_ms", 1e-3, 500, 0, 600'000);
   g.memcache_service = keys.text("memcache_service", "");
 }
 
@@ -126,7 +125,7 @@
   a.name = keys.name("name");
   if (a.name.size() > 64) keys.bad("name", "is longer than 64 letters");
   if (g.address(a.name)) keys.bad("name", "is that of two addresses");
-  if (g.addresses.size() >= kMostAddresses) keys.bad("name", "is one address too many");
+  if (g.addresses.size() >= kMaxAddresses) keys.bad("name", "is one address too many");
   if (keys.has("prefix")) {
     std::string text = keys.text("prefix", "");
     int length = 32;
@@ -151,8 +150,8 @@
   for (const auto* command : {&a.claim, &a.release})
     if (!command->empty() && !command->front().starts_with('/'))
       keys.bad(command == &a.claim ? "claim" : "release", "must name its program by a whole path");
-  address::Wanted wanted{a.name, names(keys, "prefer")};
-  g.keeper.addresses.push_back(std::move(wanted));
+  lease::Wanted wanted{a.name, names(keys, "prefer")};
+  g.lease_manager.addresses.push_back(std::move(wanted));
   g.addresses.push_back(std::move(a));
 }
 
@@ -172,8 +171,8 @@
   b.speaker.routers_needed = static_cast<std::size_t>(keys.whole("routers_needed", 1, 1, 16));
   for (const auto& text : keys.texts("communities"))
     b.speaker.communities.push_back(community(keys, text));
-  if (b.speaker.communities.size() > kMostCommunities)
-    keys.bad("communities", "holds more than " + std::to_string(kMostCommunities));
+  if (b.speaker.communities.size() > kMaxCommunities)
+    keys.bad("communities", "holds more than " + std::to_string(kMaxCommunities));
   b.source = keys.text("source", "");
   if (!b.source.empty() && !ipv4(b.source)) keys.bad("source", "is no IPv4 address: " + b.source);
   b.listen = ip_and_port(keys, "listen", false);
@@ -183,7 +182,7 @@
     r.as = as_number(k, "as");
     for (const auto& other : b.routers)
       if (other.address == r.address) k.bad("address", "is that of two routers");
-    if (b.routers.size() >= kMostRouters) k.bad("address", "is one router too many");
+    if (b.routers.size() >= kMaxRouters) k.bad("address", "is one router too many");
     b.routers.push_back(std::move(r));
   });
   if (b.routers.empty()) keys.bad("router", "is missing: [[bgp.router]]");
@@ -230,4 +229,4 @@
   return g;
 }
 
-}  // namespace silverpin
+}  // namespace balancer
