--- a/src/settings/group_file.h
+++ b/src/settings/group_file.h
@@ -5,15 +5,15 @@
 #include <string>
 #include <vector>
 
-#include "address/ability.h"
-#include "address/keeper.h"
-#include "announce/speaker.h"
-#include "membership/group.h"
+#include "lease/eligibility.h"
+#include "lease/lease_manager.h"
+#include "membership/membership_protocol.h"
+#include "route_announcement/speaker.h"
 
 // What the operator's file says of a group of balancers and of the service addresses that move
 // among them: the tables [group], [[address]] and [bgp]. Every key, its default, bound and harm:
 // docs/operate/addresses.md.
-namespace silverpin {
+namespace balancer {
 
 struct ServiceAddress {
   std::string name;
@@ -43,11 +43,11 @@
   std::vector<std::string> networks;  // that members' datagrams may come from
   std::string key_file;
   Duration key_change{std::chrono::seconds(60)};
-  std::string folder;  // of the voter's record and of the socket for `silverpin address`
-  address::Voters founding;
-  membership::GroupSettings membership;  // with the seeds
-  address::KeeperSettings keeper;        // with the addresses
-  address::AbilitySettings ability;
+  std::string folder;  // of the voter's record and of the socket for `balancer address`
+  lease::Voters founding;
+  membership::GroupSettings membership;       // with the seeds
+  lease::LeaseManagerSettings lease_manager;  // with the addresses
+  lease::EligibilitySettings eligibility;
   Duration drain{std::chrono::seconds(3)};  // for connections that an orderly move has left behind
   std::vector<ServiceAddress> addresses;
   std::optional<BgpFile> bgp;
@@ -62,4 +62,4 @@
 // no [group]; then [[address]] and [bgp] are errors. Throws FileError.
 std::optional<GroupFile> read_group(Keys& root, const std::string& process_name);
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/settings/json.h
+++ b/src/settings/json.h
@@ -11,7 +11,7 @@
 #include "settings/field_error.h"
 
 // Getters over simdjson that name the field they could not read.
-namespace silverpin::json {
+namespace balancer::json {
 
 using simdjson::dom::array;
 using simdjson::dom::element;
@@ -75,4 +75,4 @@
   return static_cast<int>(value);
 }
 
-}  // namespace silverpin::json
+}  // namespace balancer::json
--- a/src/settings/operator.cc
+++ b/src/settings/operator.cc
@@ -12,16 +12,18 @@
 #include "settings/addresses.h"
 #include "settings/toml_keys.h"
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
-constexpr std::array<std::pair<const char*, Repeat>, 3> kEffects{
-    {{"safe", Repeat::kSafe}, {"keyed", Repeat::kKeyed}, {"unsafe", Repeat::kUnsafe}}};
+constexpr std::array<std::pair<const char*, Idempotency>, 3> kEffects{
+    {{"safe", Idempotency::kIdempotent},
+     {"keyed", Idempotency::kIdempotencyKey},
+     {"unsafe", Idempotency::kNone}}};
 constexpr std::array<std::pair<const char*, cluster::Reads>, 3> kReads{
     {{"primary", cluster::Reads::kPrimary},
      {"replica", cluster::Reads::kReplica},
      {"any", cluster::Reads::kAny}}};
-constexpr std::size_t kMostClasses = 64, kMostTenants = 1024;
+constexpr std::size_t kMaxClasses = 64, kMaxTenants = 1024;
 
 std::string address(Keys& keys, std::string_view key, const std::string& fallback, bool port_zero) {
   const std::string text = keys.text(key, fallback);
@@ -60,7 +62,8 @@
   }
   if (c.commands.empty()) keys.bad("commands", "is missing");
   c.prefix = keys.text("prefix", "");
-  r.repeat = keys.choice("effect", writes ? Repeat::kUnsafe : Repeat::kSafe, kEffects);
+  r.idempotency =
+      keys.choice("effect", writes ? Idempotency::kNone : Idempotency::kIdempotent, kEffects);
   r.aim = keys.time("aim_ms", 1e-3, 100, 1, 600'000);
   r.deadline = keys.time("deadline_ms", 1e-3, 1000, 1, 600'000);
   if (r.deadline < r.aim) keys.bad("deadline_ms", "lies before the aim");
@@ -68,12 +71,14 @@
   if (c.reads != cluster::Reads::kPrimary && writes)
     keys.bad("reads", "replicas take no writes, and this class has some");
   c.key_argument = static_cast<std::size_t>(keys.whole("key_argument", 0, 0, 1024));
-  r.repeat_window = keys.time("window_ms", 1e-3, 0, 0, 3'600'000);
-  if (r.repeat == Repeat::kKeyed && (c.key_argument == 0 || r.repeat_window == Duration{0}))
+  r.deduplication_window = keys.time("window_ms", 1e-3, 0, 0, 3'600'000);
+  if (r.idempotency == Idempotency::kIdempotencyKey &&
+      (c.key_argument == 0 || r.deduplication_window == Duration{0}))
     keys.bad("effect", "keyed needs key_argument and window_ms");
-  if (r.repeat != Repeat::kKeyed && (c.key_argument > 0 || r.repeat_window > Duration{0}))
+  if (r.idempotency != Idempotency::kIdempotencyKey &&
+      (c.key_argument > 0 || r.deduplication_window > Duration{0}))
     keys.bad("effect", "key_argument and window_ms belong to keyed classes");
-  if (pool.classes.size() >= kMostClasses) keys.bad("name", "is one class too many");
+  if (pool.classes.size() >= kMaxClasses) keys.bad("name", "is one class too many");
   pool.site.classes.push_back(c.name);
   pool.site.policy.classes.push_back(r);
   pool.classes.push_back(std::move(c));
@@ -81,13 +86,14 @@
 
 // What no class of the file is for. Where one is for all of it the default has no part in the
 // policy either, whose targets follow the shortest aim.
-void add_default_class(RespPool& pool, const std::string& name, const char* word, Repeat repeat) {
+void add_default_class(RespPool& pool, const std::string& name, const char* word,
+                       Idempotency idempotency) {
   for (const RespClass& c : pool.classes)
     if (c.prefix.empty() &&
         std::find(c.commands.begin(), c.commands.end(), word) != c.commands.end())
       return;
   RequestClass r;
-  r.repeat = repeat;
+  r.idempotency = idempotency;
   r.aim = std::chrono::milliseconds(100);
   r.deadline = std::chrono::milliseconds(1000);
   pool.site.classes.push_back(name);
@@ -101,38 +107,38 @@
   if (all.pool(pool.name)) keys.bad("name", "is that of two pools");
   pool.cluster.seeds = addresses(keys, "seeds");
   if (pool.cluster.seeds.empty()) keys.bad("seeds", "is missing");
-  pool.cluster.most_nodes = static_cast<std::size_t>(
-      keys.whole("most_nodes", static_cast<int>(pool.cluster.most_nodes), 1, cluster::kSlots));
-  pool.cluster.most_redirections = keys.whole("most_redirections", 5, 1, 16);
+  pool.cluster.max_nodes = static_cast<std::size_t>(
+      keys.whole("most_nodes", static_cast<int>(pool.cluster.max_nodes), 1, cluster::kSlots));
+  pool.cluster.max_redirections = keys.whole("most_redirections", 5, 1, 16);
   pool.cluster.refresh_interval = keys.time("refresh_interval_ms", 1e-3, 100, 10, 60'000);
   pool.cluster.refresh_every = keys.time("refresh_every_ms", 1e-3, 10'000, 100, 3'600'000);
   pool.user = keys.text("user", "");
   pool.password = keys.text("password", "");
   if (!pool.user.empty() && pool.password.empty()) keys.bad("user", "has no password");
-  pool.most_value = static_cast<std::size_t>(keys.whole("most_value_kb", 1024, 1, 65536)) << 10;
+  pool.max_value = static_cast<std::size_t>(keys.whole("most_value_kb", 1024, 1, 65536)) << 10;
   pool.site.connect_timeout = keys.time("connect_timeout_ms", 1e-3, 250, 1, 60'000);
   pool.site.idle_close = keys.time("idle_close_ms", 1e-3, 15'000, 100, 3'600'000);
   pool.site.streams_per_connection = keys.whole("streams_per_connection", 128, 1, 1024);
   pool.site.shared_connections = keys.flag("shared_connections", true);
-  pool.site.most_unsafe = static_cast<std::size_t>(keys.whole("most_unsafe", 64, 1, 1024));
-  pool.site.most_connections =
+  pool.site.max_unsafe = static_cast<std::size_t>(keys.whole("most_unsafe", 64, 1, 1024));
+  pool.site.max_connections =
       static_cast<std::size_t>(keys.whole("most_connections", 128, 1, 20'000));
   pool.site.slow_after = keys.time("slow_after_ms", 1e-3, 2, 0.05, 60'000);
-  pool.site.most_held = keys.whole("most_held", 20'000, 1, 1'000'000);
+  pool.site.max_held = keys.whole("most_held", 20'000, 1, 1'000'000);
   Settings& policy = pool.site.policy;
   policy.balancers = keys.whole("balancers", 1, 1, membership::kMaxMembers);
   policy.max_attempts = keys.whole("most_attempts", 8, 1, 32);
   policy.max_retry_after = keys.time("most_retry_after_ms", 1e-3, 1000, 0, 60'000);
   keys.tables("class", [&](Keys& k) { read_class(k, pool); });
-  add_default_class(pool, "other-reads", "READ", Repeat::kSafe);
-  add_default_class(pool, "other-writes", "WRITE", Repeat::kUnsafe);
+  add_default_class(pool, "other-reads", "READ", Idempotency::kIdempotent);
+  add_default_class(pool, "other-writes", "WRITE", Idempotency::kNone);
   keys.tables("tenant", [&](Keys& k) {
     RespTenant t;
     t.name = k.name("name");
     for (const auto& other : pool.tenants)
       if (other.name == t.name) k.bad("name", "is that of two tenants");
     if (k.has("password")) t.password = k.text("password", "");
-    if (pool.tenants.size() >= kMostTenants) k.bad("name", "is one tenant too many");
+    if (pool.tenants.size() >= kMaxTenants) k.bad("name", "is one tenant too many");
     policy.tenant_quotas.push_back(k.real("quota_per_s", 1e9, 0, 1e9));
     pool.site.tenants.push_back(t.name);
     pool.tenants.push_back(std::move(t));
@@ -161,8 +167,8 @@
   if (!l.service.empty() && l.address.ends_with(":0"))
     keys.bad("address", "needs a port: the address moves, and the port with it");
   l.require_auth = keys.flag("require_auth", false);
-  l.most_bulk = static_cast<std::size_t>(keys.whole("most_bulk_kb", 512, 1, 65536)) << 10;
-  l.most_queued = static_cast<std::size_t>(keys.whole("most_queued", 128, 1, 4096));
+  l.max_bulk = static_cast<std::size_t>(keys.whole("most_bulk_kb", 512, 1, 65536)) << 10;
+  l.max_queued = static_cast<std::size_t>(keys.whole("most_queued", 128, 1, 4096));
   l.idle_close = keys.time("idle_close_ms", 1e-3, 300'000, 1000, 86'400'000);
   l.shape = keys.without("require_auth");
   all.listeners.push_back(std::move(l));
@@ -238,4 +244,4 @@
   return parse_operator(text.str(), file);
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/settings/operator.h
+++ b/src/settings/operator.h
@@ -10,10 +10,11 @@
 #include "settings/field_error.h"
 #include "settings/group_file.h"
 #include "settings/settings.h"
+#include "structures/persisted_names.h"
 
 // The operator's own file: what the platform's configuration has no word for. TOML; every key has a
 // default, a bound and a harm in docs/operate/cluster.md and docs/operate/addresses.md.
-namespace silverpin {
+namespace balancer {
 
 // A class of requests of a RESP pool, and which commands are of it.
 struct RespClass {
@@ -33,7 +34,7 @@
   std::string name;
   cluster::RouterSettings cluster;
   std::string user, password;  // towards the nodes; empty: none
-  std::size_t most_value = 1u << 20;
+  std::size_t max_value = 1u << 20;
   SiteSettings site;  // classes and tenants in the order of those below
   std::vector<RespClass> classes;
   std::vector<RespTenant> tenants;
@@ -47,8 +48,8 @@
   std::string pool;
   std::string service;  // open only while this service address is held; empty: always
   bool require_auth = false;
-  std::size_t most_bulk = 512u << 10;
-  std::size_t most_queued = 128;                   // commands between MULTI and EXEC
+  std::size_t max_bulk = 512u << 10;
+  std::size_t max_queued = 128;                    // commands between MULTI and EXEC
   Duration idle_close{std::chrono::seconds(300)};  // of clients that ask for nothing
   std::string shape;                               // as a pool's
 };
@@ -56,8 +57,8 @@
 // Of the process, where it runs without the platform's configuration; with it that one's figures
 // hold.
 struct ProcessSettings {
-  std::string name = "silverpin";  // in the log
-  std::string log;                 // a file that lines are added to; empty: standard error
+  std::string name{kPersistedProgramName};  // in the log
+  std::string log;                          // a file that lines are added to; empty: standard error
   std::size_t memory_mb = 512;
   std::size_t sockets = 4096;
 };
@@ -79,4 +80,4 @@
 Operator load_operator(const std::string& file);
 Operator parse_operator(const std::string& text, const std::string& file);
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -4,19 +4,20 @@
 
 #include "settings/json.h"
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 using namespace json;
 
-Repeat read_repeat(std::string_view word) {
-  if (word == "read_like") return Repeat::kSafe;
-  return word == "idempotency_key" ? Repeat::kKeyed : Repeat::kUnsafe;  // unknown: the strictest
+Idempotency read_repeat(std::string_view word) {
+  if (word == "read_like") return Idempotency::kIdempotent;
+  return word == "idempotency_key" ? Idempotency::kIdempotencyKey
+                                   : Idempotency::kNone;  // unknown: the strictest
 }
 
-Scope read_scope(std::string_view word) {
-  if (word == "all") return Scope::kAll;
-  return word == "zone" ? Scope::kZone : Scope::kCell;
+DeduplicationScope read_scope(std::string_view word) {
+  if (word == "all") return DeduplicationScope::kAll;
+  return word == "zone" ? DeduplicationScope::kZone : DeduplicationScope::kCell;
 }
 
 std::vector<std::string> read_names(object o, std::string_view field) {
@@ -37,9 +38,9 @@
     RequestClass k;
     k.aim = get_time(c, "aim");
     k.deadline = get_time(c, "giveUp");
-    k.repeat = read_repeat(get_or<std::string_view>(c, "semantics", ""));
+    k.idempotency = read_repeat(get_or<std::string_view>(c, "semantics", ""));
     k.scope = read_scope(get_or<std::string_view>(c, "keyScope", ""));
-    k.repeat_window = get_time(c, "keyTtl");
+    k.deduplication_window = get_time(c, "keyTtl");
     s.classes.push_back(k);
     site.classes.emplace_back(get_or<std::string_view>(c, "name", ""));
   }
@@ -55,30 +56,30 @@
   site.kinds = read_names(o, "kinds");
   if (const auto e = find(o, "specifics")) {
     const auto specifics = as<object>(*e, "specifics");
-    s.look_aside = get_or<std::string_view>(specifics, "mode", "") == "aside";
+    s.cache_aside = get_or<std::string_view>(specifics, "mode", "") == "aside";
     site.origin_kind = get_or<std::int64_t>(specifics, "originKind", -1);
   }
-  s.list_on_request = get_or<std::string_view>(o, "discovery", "") == "on_request";
+  s.discovery_is_polled = get_or<std::string_view>(o, "discovery", "") == "on_request";
   const auto weights = get_or<std::string_view>(o, "weightSource", "");
   s.static_weights = weights == "nominal" || weights == "rough";
   if (const auto e = find(o, "policyLimits")) {
     const auto limits = as<object>(*e, "policyLimits");
-    s.second_copies = get_or(limits, "secondCopies", false);
+    s.hedging = get_or(limits, "secondCopies", false);
     s.max_attempts = small(get_or<std::int64_t>(limits, "maxAttempts", 1), "maxAttempts");
     if (get_or(limits, "retryAfter", false)) s.max_retry_after = get_time(limits, "maxRetryAfter");
     site.connect_timeout = get_time(limits, "connectTimeout");
     site.idle_close = get_time(limits, "connIdle");
     site.streams_per_connection =
         std::max(1, small(get_or<std::int64_t>(limits, "streamsPerConn", 1), "streamsPerConn"));
-    site.most_held = get_or<std::int64_t>(limits, "mostHeld", 0);
+    site.max_held = get_or<std::int64_t>(limits, "mostHeld", 0);
   }
   if (const auto e = find(o, "rules")) {
     const auto rules = as<object>(*e, "rules");
-    s.ask_within = get_time(rules, "mustAskIn");
+    s.max_poll_interval = get_time(rules, "mustAskIn");
     s.cold.warm_after = get_time(rules, "warmAfter");
     s.cold.start_capacity = get_or(rules, "startCapacity", 1.0);
   }
   return site;
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -8,7 +8,7 @@
 
 #include "policy/policy.h"
 
-namespace silverpin {
+namespace balancer {
 
 // The settings object that an instance is given: what the module reads, and what only those who
 // carry out its decisions need.
@@ -22,12 +22,12 @@
   int streams_per_connection = 1;
   bool shared_connections = false;                    // not only where no other can be had
   Duration slow_after{std::chrono::milliseconds(2)};  // no answer that took less counts as slow
-  std::size_t most_unsafe = SIZE_MAX;       // attempts on one connection that must never run twice
-  std::size_t most_connections = SIZE_MAX;  // to all hosts together
-  std::int64_t most_held = 0;  // requests that may be open at once; 0: no limit is stated
+  std::size_t max_unsafe = SIZE_MAX;       // attempts on one connection that must never run twice
+  std::size_t max_connections = SIZE_MAX;  // to all hosts together
+  std::int64_t max_held = 0;  // requests that may be open at once; 0: no limit is stated
 };
 
 // Throws FieldError.
 SiteSettings read_settings(simdjson::dom::object o);
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/settings/toml_keys.h
+++ b/src/settings/toml_keys.h
@@ -15,7 +15,7 @@
 
 // Reading of the TOML files that operators write: every error names file, line, key and reason, and
 // keys that nobody knows are errors.
-namespace silverpin {
+namespace balancer {
 
 [[noreturn]] inline void wrong(const std::string& file, int line, std::string_view key,
                                const std::string& reason) {
@@ -186,4 +186,4 @@
   std::set<std::string, std::less<>> taken_;
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/sim/wire.cc
+++ b/src/simulator_adapter/wire.cc
@@ -1,4 +1,4 @@
-#include "sim/wire.h"
+#include "simulator_adapter/wire.h"
 
 #include <simdjson.h>
 
@@ -12,7 +12,7 @@
 #include "settings/json.h"
 #include "settings/settings.h"
 
-namespace silverpin::sim {
+namespace balancer::simulator_adapter {
 namespace {
 
 using namespace json;
@@ -55,7 +55,7 @@
     append_string(text_, host);
     end_with("tryUntil", until.count());
   }
-  void refuse(RequestId id, Duration retry_after) override {
+  void reject(RequestId id, Duration retry_after) override {
     begin("overloadReply", id);
     end_with("comeBack", retry_after.count());
   }
@@ -161,7 +161,7 @@
 
 void Wire::Instance::fleet(Time now, object e) {
   const auto kind = need<std::string_view>(e, "kind");
-  if (kind == "refused") return policy->on_hosts(now, ListKind::kRefused, {});
+  if (kind == "refused") return policy->on_hosts(now, ListKind::kRejected, {});
   if (kind != "changes" && kind != "all" && kind != "remembered") bad("kind", "is unknown");
   std::vector<HostEntry> entries;
   for (const element row : need<array>(e, "rowsIn")) {
@@ -184,8 +184,8 @@
   constexpr std::int64_t kHintValid = 1, kWrite = 4;
   Request q;
   q.id = read_id(e);
-  q.klass = small(need<std::int64_t>(e, "priority"), "priority",
-                  static_cast<std::int64_t>(options->policy.classes.size()));
+  q.request_class = small(need<std::int64_t>(e, "priority"), "priority",
+                          static_cast<std::int64_t>(options->policy.classes.size()));
   q.tenant = small(get_or<std::int64_t>(e, "clientGroup", 0), "clientGroup");
   const auto bits = get_or<std::int64_t>(e, "stateBits", 0);
   q.write = (bits & kWrite) != 0;
@@ -262,4 +262,4 @@
   return reply + "]}";
 }
 
-}  // namespace silverpin::sim
+}  // namespace balancer::simulator_adapter
--- a/src/sim/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -7,7 +7,7 @@
 
 #include "settings/field_error.h"
 
-namespace silverpin::sim {
+namespace balancer::simulator_adapter {
 
 // Input that is not the wire's; what() says what and where.
 using WireError = FieldError;
@@ -28,4 +28,4 @@
   std::map<long long, std::unique_ptr<Instance>> instances_;
 };
 
-}  // namespace silverpin::sim
+}  // namespace balancer::simulator_adapter
--- a/src/store/store.cc
+++ b/src/store/store.cc
@@ -8,13 +8,13 @@
 #include <filesystem>
 #include <system_error>
 
-namespace silverpin::store {
+namespace balancer::store {
 namespace {
 
 // "slvp", and the form of the tables.
 constexpr int kApplication = 0x736c7670, kForm = 1;
 constexpr std::size_t kSum = 16;
-constexpr std::size_t kMostValue = 16u << 20;
+constexpr std::size_t kMaxValue = 16u << 20;
 
 // Of key and value together: a value under another's key is as wrong as a torn one.
 std::string checksum(std::string_view key, std::string_view value) {
@@ -209,7 +209,7 @@
   try {
     run("BEGIN IMMEDIATE");
     for (const auto& [key, value] : records) {
-      if (key.size() > 255 || value.size() > kMostValue)
+      if (key.size() > 255 || value.size() > kMaxValue)
         throw StoreError(file_ + ": a record is too large");
       const std::string sum = checksum(key, value);
       ::sqlite3_reset(put_);
@@ -245,4 +245,4 @@
   ::sqlite3_reset(erase_);
 }
 
-}  // namespace silverpin::store
+}  // namespace balancer::store
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -12,7 +12,7 @@
 struct sqlite3_stmt;
 
 // Small state that must survive a crash: named records, written whole, on SQLite.
-namespace silverpin::store {
+namespace balancer::store {
 
 // What kept a store from being used: file and reason, one line.
 class StoreError : public std::runtime_error {
@@ -71,4 +71,4 @@
   std::string aside_;
 };
 
-}  // namespace silverpin::store
+}  // namespace balancer::store
--- a/src/structures/decaying_sum.h
+++ b/src/structures/decaying_sum.h
@@ -3,7 +3,7 @@
 #include <chrono>
 #include <cmath>
 
-namespace silverpin {
+namespace balancer {
 
 // A sum whose parts count less and less: by a factor e for each `memory` that has passed.
 class DecayingSum {
@@ -28,4 +28,4 @@
   Time at_;
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/structures/named_slots.h
+++ b/src/structures/named_slots.h
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-namespace silverpin {
+namespace balancer {
 
 // A table whose rows have a name and a number. Numbers are small, stay with their row, and are used
 // again for new ones once it is erased; rows do not move. An erased row reads as a new one.
@@ -54,4 +54,4 @@
   std::unordered_map<std::string, Index> by_name_;
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/structures/numbered_queue.h
+++ b/src/structures/numbered_queue.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <utility>
 
-namespace silverpin {
+namespace balancer {
 
 // Values named by numbers that follow one another from 1, each taken at most once, in any order. A
 // place is kept until all before it are gone: the memory is that of the span from the oldest value
@@ -31,4 +31,4 @@
   std::uint64_t first_ = 1;
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/structures/recent_counts.h
+++ b/src/structures/recent_counts.h
@@ -5,7 +5,7 @@
 #include <unordered_map>
 #include <utility>
 
-namespace silverpin {
+namespace balancer {
 
 // How often each key was seen in this period and the one before. Two generations in place of a
 // sliding window: a count covers between one and two periods, at the cost of one increment; what
@@ -42,4 +42,4 @@
   Generation present_, past_;
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/structures/stable_hash.h
+++ b/src/structures/stable_hash.h
@@ -3,7 +3,7 @@
 #include <cstdint>
 #include <string_view>
 
-namespace silverpin {
+namespace balancer {
 
 // The finalizer of splitmix64 over two words.
 inline std::uint64_t mix(std::uint64_t a, std::uint64_t b) {
@@ -21,4 +21,4 @@
   return mix(hash, text.size());
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/structures/time.h
+++ b/src/structures/time.h
@@ -3,7 +3,7 @@
 #include <chrono>
 
 // Time as all modules without I/O have it: given with each call, never read from a clock.
-namespace silverpin {
+namespace balancer {
 
 using Duration = std::chrono::nanoseconds;
 using Time = std::chrono::nanoseconds;  // since an epoch of the caller's choosing
@@ -15,4 +15,4 @@
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(s));
 }
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/structures/times_out.h
+++ b/src/structures/times_out.h
@@ -5,7 +5,7 @@
 
 #include "structures/time.h"
 
-namespace silverpin {
+namespace balancer {
 
 // When what is still out was sent, oldest first.
 class TimesOut {
@@ -28,4 +28,4 @@
   std::vector<Time> times_;
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/structures/token_bucket.h
+++ b/src/structures/token_bucket.h
@@ -4,7 +4,7 @@
 #include <chrono>
 #include <limits>
 
-namespace silverpin {
+namespace balancer {
 
 // Tokens that come at a rate and are kept up to a depth, both given anew with each call. Full at
 // first, whatever the depth.
@@ -29,4 +29,4 @@
   Time at_;
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/src/rig/judge/auditor.cc
+++ b/src/testbed/audit/auditor.cc
@@ -1,10 +1,10 @@
-#include "rig/judge/auditor.h"
+#include "testbed/audit/auditor.h"
 
 #include <algorithm>
 #include <cstdio>
 #include <functional>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 std::string at(Time t) {
@@ -24,7 +24,7 @@
 
 void Auditor::breach(int rule, std::string what, std::string story) {
   ++counts_[rule];
-  if (breaches_.size() < kMostKept) breaches_.push_back({rule, std::move(what), std::move(story)});
+  if (breaches_.size() < kMaxKept) breaches_.push_back({rule, std::move(what), std::move(story)});
 }
 
 void Auditor::breach(int rule, RequestNumber r, std::string what) {
@@ -33,10 +33,19 @@
 
 // ---- clients
 
-RequestNumber Auditor::on_sent(Time now, int klass, int balancer, std::uint64_t effect,
+RequestNumber Auditor::on_sent(Time now, int request_class, int balancer, std::uint64_t effect,
                                Time deadline, std::string_view key, double work) {
-  records_.push_back(
-      {klass, balancer, effect, now, deadline, std::string(key), work, {}, kNever, kNever, {}});
+  records_.push_back({request_class,
+                      balancer,
+                      effect,
+                      now,
+                      deadline,
+                      std::string(key),
+                      work,
+                      {},
+                      kNever,
+                      kNever,
+                      {}});
   ++totals_.tries;
   return static_cast<RequestNumber>(records_.size() - 1);
 }
@@ -53,7 +62,8 @@
   const bool again = record.replied != kNever;
   if (again) return breach(1, r, "a second answer, at " + at(now));
   record.replied = now;
-  const ClassSpec& klass = scenario_.classes[static_cast<std::size_t>(record.klass)];
+  const ClassSpec& request_class =
+      scenario_.classes[static_cast<std::size_t>(record.request_class)];
   switch (reply) {
     case Reply::kServed: {
       record.end = "served";
@@ -71,7 +81,7 @@
       // A keyed request's repeats are discarded everywhere here, so its refusal does no harm.
       const bool proven = std::all_of(record.attempts.begin(), record.attempts.end(),
                                       [](const Attempt& a) { return a.never_ran; });
-      if (klass.effect == Effect::kUnsafe && !proven)
+      if (request_class.effect == Effect::kUnsafe && !proven)
         breach(2, r, "refused, though an attempt may have run");
       break;
     }
@@ -138,23 +148,24 @@
 
 int Auditor::on_arrived(Time now, RequestNumber r, int host, std::optional<Duration> told) {
   Record& record = records_[r];
-  const ClassSpec& klass = scenario_.classes[static_cast<std::size_t>(record.klass)];
+  const ClassSpec& request_class =
+      scenario_.classes[static_cast<std::size_t>(record.request_class)];
   const int number = static_cast<int>(record.attempts.size());
   record.attempts.push_back({host, now, kNever, kNever, false, told, 0, {}});
   check_time(now, r);
   ++totals_.attempts;
-  if (klass.effect == Effect::kUnsafe) {
+  if (request_class.effect == Effect::kUnsafe) {
     const auto earlier = std::find_if(record.attempts.begin(), record.attempts.end() - 1,
                                       [](const Attempt& a) { return !a.never_ran; });
     if (earlier != record.attempts.end() - 1)
       breach(2, r, "an unsafe request was sent again while an earlier attempt may have run");
-  } else if (klass.effect == Effect::kKeyed) {
+  } else if (request_class.effect == Effect::kKeyed) {
     const auto first = first_may_have_run_.find(record.effect);
-    if (first != first_may_have_run_.end() && now > first->second + klass.window)
+    if (first != first_may_have_run_.end() && now > first->second + request_class.window)
       breach(2, r,
              "a keyed request was sent again " + at(now - first->second) +
                  " behind an attempt that may have run; repeats are discarded for " +
-                 at(klass.window));
+                 at(request_class.window));
   }
   const auto drained = drained_.find({record.balancer, host});
   if (drained != drained_.end() && now > drained->second + scenario_.rules.drain_grace)
@@ -178,8 +189,9 @@
     ++totals_.repeats_discarded;
     return;
   }
-  const ClassSpec& klass = scenario_.classes[static_cast<std::size_t>(record.klass)];
-  if (klass.effect == Effect::kSafe) return;
+  const ClassSpec& request_class =
+      scenario_.classes[static_cast<std::size_t>(record.request_class)];
+  if (request_class.effect == Effect::kSafe) return;
   first_may_have_run_.emplace(record.effect,
                               record.attempts[static_cast<std::size_t>(attempt)].arrived);
   if (++effective_runs_[record.effect] > 1) breach(2, r, "its effect happened twice");
@@ -247,11 +259,12 @@
 std::string Auditor::story(RequestNumber r) const {
   if (!known(r)) return {};
   const Record& record = records_[r];
-  const ClassSpec& klass = scenario_.classes[static_cast<std::size_t>(record.klass)];
-  std::string text = "request " + std::to_string(r) + " (" + klass.name + ", key " + record.key +
-                     ", effect " + std::to_string(record.effect) + ") sent to balancer " +
-                     std::to_string(record.balancer) + " at " + at(record.sent) + ", time until " +
-                     at(record.deadline) + "\n";
+  const ClassSpec& request_class =
+      scenario_.classes[static_cast<std::size_t>(record.request_class)];
+  std::string text = "request " + std::to_string(r) + " (" + request_class.name + ", key " +
+                     record.key + ", effect " + std::to_string(record.effect) +
+                     ") sent to balancer " + std::to_string(record.balancer) + " at " +
+                     at(record.sent) + ", time until " + at(record.deadline) + "\n";
   for (const Attempt& a : record.attempts) {
     text += "  reached " + hosts_[static_cast<std::size_t>(a.host)] + " at " + at(a.arrived);
     if (a.told) text += ", told " + at(*a.told);
@@ -265,4 +278,4 @@
   return text;
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/judge/auditor.h
+++ b/src/testbed/audit/auditor.h
@@ -9,16 +9,16 @@
 #include <unordered_map>
 #include <vector>
 
-#include "rig/judge/check.h"
-#include "rig/judge/client_gone.h"
-#include "rig/judge/told_time.h"
-#include "rig/judge/unanswered.h"
-#include "rig/model/base.h"
-#include "rig/model/scenario.h"
+#include "testbed/audit/check.h"
+#include "testbed/audit/client_gone.h"
+#include "testbed/audit/told_time.h"
+#include "testbed/audit/unanswered.h"
+#include "testbed/model/base.h"
+#include "testbed/model/scenario.h"
 
 // The judge of a run: it is told of every request that clients sent, everything that reached a host
 // or the origin, every run and every answer, and holds them against the four rules. No I/O.
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 using RequestNumber = std::uint32_t;  // of a try: counted from 0, and part of its id on the wire
 
@@ -36,8 +36,8 @@
 
   // ---- clients. `effect`: what this try and its retries would do, once.
   // `work`: of one run, in seconds on a core of speed 1.
-  RequestNumber on_sent(Time now, int klass, int balancer, std::uint64_t effect, Time deadline,
-                        std::string_view key, double work);
+  RequestNumber on_sent(Time now, int request_class, int balancer, std::uint64_t effect,
+                        Time deadline, std::string_view key, double work);
   // The balancer closed the connection before it had read the request, which went out once more.
   void on_moved(Time now, RequestNumber r, int balancer);
   // A whole final answer. `text`: the value or receipt that came, if served.
@@ -84,7 +84,7 @@
   bool known(RequestNumber r) const { return r < records_.size(); }
   int balancer_of(RequestNumber r) const { return records_[r].balancer; }
   Time deadline_of(RequestNumber r) const { return records_[r].deadline; }
-  int class_of(RequestNumber r) const { return records_[r].klass; }
+  int class_of(RequestNumber r) const { return records_[r].request_class; }
   std::uint64_t effect_of(RequestNumber r) const { return records_[r].effect; }
   const std::string& key_of(RequestNumber r) const { return records_[r].key; }
   double work_of(RequestNumber r) const { return records_[r].work; }
@@ -115,7 +115,7 @@
     std::string end;
   };
   struct Record {
-    int klass;
+    int request_class;
     int balancer;
     std::uint64_t effect;
     Time sent, deadline;
@@ -131,7 +131,7 @@
   void check_time(Time now, RequestNumber r);
   void check_answered(RequestNumber r, Duration late);
 
-  static constexpr std::size_t kMostKept = 50;  // breaches with their stories; all are counted
+  static constexpr std::size_t kMaxKept = 50;  // breaches with their stories; all are counted
 
   const Scenario& scenario_;
   std::deque<Record> records_;
@@ -150,4 +150,4 @@
   bool clients_only_ = false;
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/judge/check.h
+++ b/src/testbed/audit/check.h
@@ -3,7 +3,7 @@
 #include <cstdint>
 #include <string>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 /// A promise that has to hold for most cases of a run, where the four rules hold for each. It fails
 /// the run once more cases break it than are allowed.
@@ -17,4 +17,4 @@
   bool failed() const { return broken > allowed; }
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/judge/client_gone.h
+++ b/src/testbed/audit/client_gone.h
@@ -2,10 +2,10 @@
 
 #include <algorithm>
 
-#include "rig/judge/check.h"
-#include "rig/model/base.h"
+#include "testbed/audit/check.h"
+#include "testbed/model/base.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 /// What balancers do for clients that have gone: that closed their connection, or gave up, before
 /// their answer came.
@@ -55,4 +55,4 @@
   Check waiting_{"waiting requests sent on behind the close", 0, 0, 0, {}};
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/judge/cold_load.cc
+++ b/src/testbed/audit/cold_load.cc
@@ -1,8 +1,8 @@
-#include "rig/judge/cold_load.h"
+#include "testbed/audit/cold_load.h"
 
 #include <cmath>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 ColdLoads::ColdLoads(const Scenario& scenario) {
   double shares = 0;
@@ -61,4 +61,4 @@
   return all;
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/judge/cold_load.h
+++ b/src/testbed/audit/cold_load.h
@@ -5,10 +5,10 @@
 #include <string>
 #include <vector>
 
-#include "rig/model/base.h"
-#include "rig/model/scenario.h"
+#include "testbed/model/base.h"
+#include "testbed/model/scenario.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 // What each cold host is sent by all balancers together, held against its budget: in any window of
 // `tip_time` at most N requests of mean work, where N is `tip_multiple` times what its present
@@ -57,4 +57,4 @@
   std::map<int, std::size_t> latest_;  // by host: its place in `starts_`
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/judge/context.h
+++ b/src/testbed/audit/context.h
@@ -11,14 +11,14 @@
 #include <string_view>
 #include <unordered_map>
 
-#include "rig/judge/auditor.h"
-#include "rig/judge/cold_load.h"
-#include "rig/judge/stampede.h"
-#include "rig/loopback/loopback_block.h"
-#include "rig/model/base.h"
-#include "rig/model/scenario.h"
+#include "testbed/audit/auditor.h"
+#include "testbed/audit/cold_load.h"
+#include "testbed/audit/herd_check.h"
+#include "testbed/loopback/loopback_block.h"
+#include "testbed/model/base.h"
+#include "testbed/model/scenario.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 namespace asio = boost::asio;
 
@@ -68,7 +68,7 @@
   // they say they are.
   void adopt_strangers() { adopts_ = true; }
   std::optional<RequestNumber> take_in(std::string_view id, std::string_view key,
-                                       std::string_view klass, std::string_view effect) {
+                                       std::string_view request_class, std::string_view effect) {
     if (!adopts_) {
       const auto r = number_of(id);
       return r && auditor.key_of(*r) == key ? r : std::nullopt;
@@ -77,7 +77,7 @@
     if (known != strangers_.end()) return known->second;
     for (std::size_t c = 0; c < scenario.classes.size(); ++c) {
       const ClassSpec& spec = scenario.classes[c];
-      if (spec.name != klass) continue;
+      if (spec.name != request_class) continue;
       Random draw(std::hash<std::string_view>()(id));
       const double work = 1e-3 * draw.lognormal(spec.work_ms, spec.cv);
       const auto r = auditor.on_sent(now(), static_cast<int>(c), 0,
@@ -122,4 +122,4 @@
   std::unordered_map<std::string, RequestNumber> strangers_;
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/judge/tally.cc
+++ b/src/testbed/audit/counters.cc
@@ -1,6 +1,6 @@
-#include "rig/judge/tally.h"
+#include "testbed/audit/counters.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 constexpr double kOverQuota = 0.2;
 }
@@ -13,8 +13,8 @@
   for (std::size_t t = 0; t < quotas_.size(); ++t) quotas_[t].tokens = s.tenants[t].quota_per_s;
 }
 
-double Tally::worth_of(Time due, int klass, int tenant, double work) {
-  const ClassSpec& c = scenario_.classes[static_cast<std::size_t>(klass)];
+double Tally::worth_of(Time due, int request_class, int tenant, double work) {
+  const ClassSpec& c = scenario_.classes[static_cast<std::size_t>(request_class)];
   const double worth = c.worth * work / (1e-3 * c.work_ms);
   const double quota = scenario_.tenants[static_cast<std::size_t>(tenant)].quota_per_s;
   if (quota <= 0) return worth;
@@ -32,20 +32,20 @@
   return seconds_[s];
 }
 
-void Tally::on_asked(Time due, int klass, int tenant, double worth) {
+void Tally::on_asked(Time due, int request_class, int tenant, double worth) {
   Second& second = second_of(due);
   ++second.asked;
   second.worth_asked += worth;
   if (!counted(due)) return;
-  for (Group* g :
-       {&classes_[static_cast<std::size_t>(klass)], &tenants_[static_cast<std::size_t>(tenant)]}) {
+  for (Group* g : {&classes_[static_cast<std::size_t>(request_class)],
+                   &tenants_[static_cast<std::size_t>(tenant)]}) {
     ++g->asked;
     g->worth_asked += worth;
   }
 }
 
-void Tally::on_end(Time due, Time now, int klass, int tenant, double worth, End end) {
-  const ClassSpec& c = scenario_.classes[static_cast<std::size_t>(klass)];
+void Tally::on_end(Time due, Time now, int request_class, int tenant, double worth, End end) {
+  const ClassSpec& c = scenario_.classes[static_cast<std::size_t>(request_class)];
   const bool served = end == End::kInAim || end == End::kLate;
   const double got = end == End::kInAim ? worth : end == End::kLate ? worth * c.late_worth : 0;
   const auto e = static_cast<std::size_t>(end);
@@ -54,12 +54,12 @@
   second.worth_served += got;
   if (served) second.times.add(now - due);
   if (!counted(due)) return;
-  for (Group* g :
-       {&classes_[static_cast<std::size_t>(klass)], &tenants_[static_cast<std::size_t>(tenant)]}) {
+  for (Group* g : {&classes_[static_cast<std::size_t>(request_class)],
+                   &tenants_[static_cast<std::size_t>(tenant)]}) {
     ++g->ends[e];
     g->worth_served += got;
     if (served) g->times.add(now - due);
   }
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/judge/tally.h
+++ b/src/testbed/audit/counters.h
@@ -4,10 +4,10 @@
 #include <string>
 #include <vector>
 
-#include "rig/model/histogram.h"
-#include "rig/model/scenario.h"
+#include "testbed/model/histogram.h"
+#include "testbed/model/scenario.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 // What a client's wish came to, over all its tries.
 enum class End { kInAim, kLate, kRefused, kFailed, kLeft };
@@ -21,9 +21,9 @@
   explicit Tally(const Scenario& scenario);
 
   // Worth goes by work, and falls to a fifth beyond the tenant's quota.
-  double worth_of(Time due, int klass, int tenant, double work);
-  void on_asked(Time due, int klass, int tenant, double worth);
-  void on_end(Time due, Time now, int klass, int tenant, double worth, End end);
+  double worth_of(Time due, int request_class, int tenant, double work);
+  void on_asked(Time due, int request_class, int tenant, double worth);
+  void on_end(Time due, Time now, int request_class, int tenant, double worth, End end);
   void on_try() { ++tries_; }
 
   struct Group {  // of a class or a tenant
@@ -58,4 +58,4 @@
   std::uint64_t tries_ = 0;
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/judge/stampede.cc
+++ b/src/testbed/audit/herd_check.cc
@@ -1,11 +1,11 @@
-#include "rig/judge/stampede.h"
+#include "testbed/audit/herd_check.h"
 
 #include <algorithm>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
-constexpr std::size_t kMostTenths = 75'000;  // beyond the longest run nothing is counted
+constexpr std::size_t kMaxTenths = 75'000;  // beyond the longest run nothing is counted
 
 std::size_t tenth(Time at) { return static_cast<std::size_t>(std::max(0.0, 10 * seconds(at))); }
 
@@ -20,7 +20,7 @@
 void Stampede::count(Kind kind, Time at) {
   auto& all = tenths_[static_cast<std::size_t>(kind)];
   const std::size_t n = tenth(at);
-  if (n >= kMostTenths) return;
+  if (n >= kMaxTenths) return;
   if (all.size() <= n) all.resize(n + 1);
   ++all[n];
 }
@@ -32,17 +32,17 @@
   for (std::size_t n = first; n < std::min(all.size(), std::max(middle, tenth(end))); ++n) {
     if (n < middle) {
       f.mean_before += all[n];
-      f.most_before = std::max<double>(f.most_before, all[n]);
+      f.max_before = std::max<double>(f.max_before, all[n]);
       continue;
     }
     f.all += all[n];
     if (all[n] > f.most) {
       f.most = all[n];
-      f.most_at = static_cast<double>(n) / 10;
+      f.max_at = static_cast<double>(n) / 10;
     }
   }
   if (middle > first) f.mean_before /= static_cast<double>(middle - first);
   return f;
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/judge/stampede.h
+++ b/src/testbed/audit/herd_check.h
@@ -4,9 +4,9 @@
 #include <cstdint>
 #include <vector>
 
-#include "rig/model/base.h"
+#include "testbed/model/base.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 // What all balancers together ask of what stands behind them, by tenths of a second: the figures
 // that nobody sees who looks at one balancer. A run of two hours takes 1.5 MB. No I/O.
@@ -26,9 +26,9 @@
 
   struct Figures {
     double mean_before = 0;  // a tenth of a second, from `from` up to `at`
-    double most_before = 0;
+    double max_before = 0;
     double most = 0;        // in any tenth from `at` up to `end`
-    double most_at = 0;     // its begin, seconds of the run
+    double max_at = 0;      // its begin, seconds of the run
     std::uint64_t all = 0;  // from `at` up to `end`
     // `most` as a multiple of the mean before, which counts as one a tenth at least.
     double times() const { return most / (mean_before > 1 ? mean_before : 1); }
@@ -39,4 +39,4 @@
   std::array<std::vector<std::uint32_t>, kKinds> tenths_;
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/judge/readiness.h
+++ b/src/testbed/audit/readiness.h
@@ -5,10 +5,10 @@
 #include <utility>
 #include <vector>
 
-#include "rig/judge/check.h"
-#include "rig/model/base.h"
+#include "testbed/audit/check.h"
+#include "testbed/model/base.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 /// How long restarted balancers take from the start of their process until they are ready: until
 /// they have answered on their address.
@@ -60,4 +60,4 @@
   Check latest_{"restarted balancers not ready within 30 s", 0, 0, 0, {}};
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/judge/service.cc
+++ b/src/testbed/audit/service.cc
@@ -1,8 +1,8 @@
-#include "rig/judge/service.h"
+#include "testbed/audit/service.h"
 
 #include <algorithm>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 constexpr int kBefore = 10, kFirst = 5, kStays = 3, kWatched = 15, kSwingMean = 3;
@@ -54,4 +54,4 @@
   return std::max(0.0, most - least);
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/judge/service.h
+++ b/src/testbed/audit/service.h
@@ -3,9 +3,9 @@
 #include <optional>
 #include <vector>
 
-#include "rig/judge/tally.h"
+#include "testbed/audit/counters.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 // What a trouble cost, by the worth served of that asked for in each second, by when it was due.
 struct Service {
@@ -28,4 +28,4 @@
 // Peak to peak of the means over 3 s, over the seconds from `from` up to `to`.
 double swing(const std::vector<double>& worth, int from, int to);
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/judge/told_time.h
+++ b/src/testbed/audit/told_time.h
@@ -5,10 +5,10 @@
 #include <string>
 #include <string_view>
 
-#include "rig/judge/check.h"
-#include "rig/model/base.h"
+#include "testbed/audit/check.h"
+#include "testbed/model/base.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 /// The time that a balancer tells a server with an attempt (the value of `d`, in milliseconds).
 /// None if there is no such value, or it is no whole number.
@@ -51,4 +51,4 @@
   Check check_{"further attempts told more time than is left", 0, 0, 0, {}};
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/judge/unanswered.h
+++ b/src/testbed/audit/unanswered.h
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "rig/judge/check.h"
-#include "rig/model/base.h"
+#include "testbed/audit/check.h"
+#include "testbed/model/base.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 /// Requests that have no whole answer when their time is up, whether it comes later or never.
 class Unanswered {
@@ -38,4 +38,4 @@
   Check check_{"requests with no answer when their time is up", 0, 0, 0, {}};
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/balancer_process.cc
+++ b/src/testbed/balancer_process.cc
@@ -1,4 +1,4 @@
-#include "rig/balancer_process.h"
+#include "testbed/balancer_process.h"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -17,9 +17,9 @@
 #include <stdexcept>
 #include <vector>
 
-#include "rig/faults/fault_plan.h"
+#include "testbed/faults/fault_plan.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 using boost::system::error_code;
@@ -96,7 +96,7 @@
   char* const args[] = {program.data(), files_.added ? option.data() : nullptr, added.data(),
                         nullptr};
   std::string faults = std::string(kFaultPlanVariable) + "=" + files_.faults;
-  std::string preload = "LD_PRELOAD=" SILVERPIN_FAULT_LIBRARY;
+  std::string preload = "LD_PRELOAD=" BALANCER_FAULT_LIBRARY;
   std::string sanitizer = "ASAN_OPTIONS=verify_asan_link_order=0";
   std::vector<char*> environment;
   if (files_.platform) environment.push_back(env.data());
@@ -221,4 +221,4 @@
   return log.substr(from);
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/balancer_process.h
+++ b/src/testbed/balancer_process.h
@@ -7,10 +7,10 @@
 #include <optional>
 #include <string>
 
-#include "rig/judge/context.h"
-#include "rig/report/report.h"
+#include "testbed/audit/context.h"
+#include "testbed/report/report.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 // One balancer as a process of its own, which ends with this object. Its log and configuration stay
 // in the run's folder.
@@ -69,4 +69,4 @@
 // Of any process of this machine's; pid 0: this one. False if it has gone.
 bool read_process(pid_t pid, double& cpu_seconds, double& memory_mb, int& descriptors);
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/moves.cc
+++ b/src/testbed/failover_test.cc
@@ -1,4 +1,4 @@
-#include "rig/moves.h"
+#include "testbed/failover_test.h"
 
 #include <signal.h>
 #include <unistd.h>
@@ -17,11 +17,11 @@
 #include <vector>
 
 #include "proto/resp.h"
-#include "rig/balancer_process.h"
-#include "rig/group_net.h"
-#include "rig/servers/resp_cluster.h"
+#include "testbed/balancer_process.h"
+#include "testbed/group_net.h"
+#include "testbed/servers/resp_cluster.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 using boost::system::error_code;
@@ -197,7 +197,8 @@
            "\"\npool = \"p\"\nservice = \"" + GroupNet::kService + "\"\n" + net_.tables(i);
   }
   int fail(const std::string& why) {
-    std::fprintf(stderr, "silverpin_rig: %s; logs in %s\n", why.c_str(), options_.folder.c_str());
+    std::fprintf(stderr, "balancer_testbed: %s; logs in %s\n", why.c_str(),
+                 options_.folder.c_str());
     return 1;
   }
   template <typename Done>
@@ -443,11 +444,11 @@
 
 int run_moves(const MoveOptions& options) {
   if (const std::string why = check_moves(options); !why.empty()) {
-    std::fprintf(stderr, "silverpin_rig: %s\n", why.c_str());
+    std::fprintf(stderr, "balancer_testbed: %s\n", why.c_str());
     return 2;
   }
   std::filesystem::create_directories(options.folder);
   return Moves(options)();
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/moves.h
+++ b/src/testbed/failover_test.h
@@ -6,7 +6,7 @@
 // How a service address moves: five real balancers in a group, a router, and a probe that asks
 // through the router all the time, while the holder is killed, stopped, cut off or told to hand
 // over.
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 struct MoveOptions {
   std::string program;  // the balancer's
@@ -28,4 +28,4 @@
 // is judged.
 int run_moves(const MoveOptions& options);
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/faults/fault_plan.h
+++ b/src/testbed/faults/fault_plan.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <string_view>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 // The environment variable in which a balancer under test gets its plan.
-inline constexpr const char* kFaultPlanVariable = "SILVERPIN_TEST_FAULTS";
+inline constexpr const char* kFaultPlanVariable = "BALANCER_TEST_FAULTS";
 
 // What is wrong with the machine of one balancer under test, as text: "NAME=NUMBER,NAME=NUMBER".
 // The library of preload.cc carries it out. Times count from the start of the process.
@@ -55,4 +55,4 @@
   }
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/faults/preload.cc
+++ b/src/testbed/faults/preload.cc
@@ -19,11 +19,11 @@
 #include <cstdlib>
 #include <initializer_list>
 
-#include "rig/faults/fault_plan.h"
+#include "testbed/faults/fault_plan.h"
 
 namespace {
 
-using silverpin::rig::FaultPlan;
+using balancer::testbed::FaultPlan;
 
 constexpr std::int64_t kNanosPerMilli = 1'000'000, kNanosPerSecond = 1'000'000'000;
 
@@ -48,7 +48,7 @@
 
 struct State {
   State() {
-    const char* const text = std::getenv(silverpin::rig::kFaultPlanVariable);
+    const char* const text = std::getenv(balancer::testbed::kFaultPlanVariable);
     const auto parsed = FaultPlan::parse(text ? text : "");
     if (!parsed) {
       std::fprintf(stderr, "fault plan that cannot be read: %s\n", text);
--- a/src/rig/group_net.cc
+++ b/src/testbed/group_net.cc
@@ -1,4 +1,4 @@
-#include "rig/group_net.h"
+#include "testbed/group_net.h"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/local/stream_protocol.hpp>
@@ -6,7 +6,7 @@
 #include <filesystem>
 #include <fstream>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 using boost::system::error_code;
@@ -96,4 +96,4 @@
   return !error;
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/group_net.h
+++ b/src/testbed/group_net.h
@@ -8,11 +8,11 @@
 #include <string>
 #include <vector>
 
-#include "rig/judge/context.h"
-#include "rig/servers/bgp_router.h"
-#include "rig/servers/datagram_relay.h"
+#include "testbed/audit/context.h"
+#include "testbed/servers/bgp_router.h"
+#include "testbed/servers/datagram_relay.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 // The surroundings of a group of balancers on one machine: an address of its own for each, a router
 // that forwards clients of the service address, a network between them that can be cut, folders and
@@ -66,4 +66,4 @@
   asio::ip::tcp::endpoint service_;
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/load/call.h
+++ b/src/testbed/load/call.h
@@ -3,11 +3,11 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <memory>
 
-#include "rig/model/arrivals.h"
-#include "rig/model/base.h"
+#include "testbed/model/arrivals.h"
+#include "testbed/model/base.h"
 
 // What the clients of both dialects share.
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 namespace asio = boost::asio;
 
@@ -45,4 +45,4 @@
   socket.close(ignored);
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/load/load.cc
+++ b/src/testbed/load/load.cc
@@ -1,4 +1,4 @@
-#include "rig/load/load.h"
+#include "testbed/load/load.h"
 
 #include <array>
 #include <boost/asio/post.hpp>
@@ -8,14 +8,14 @@
 
 #include "proto/memcache.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 using boost::system::error_code;
 using std::chrono::milliseconds;
 using tcp = asio::ip::tcp;
 
-constexpr Duration kLeastBudget = milliseconds(5);
+constexpr Duration kMinBudget = milliseconds(5);
 constexpr Duration kRudeOwed = std::chrono::seconds(3);
 
 }  // namespace
@@ -89,10 +89,12 @@
 
   void send() {
     const Wish& w = call_->wish;
-    const ClassSpec& klass = context_.scenario.classes[static_cast<std::size_t>(w.klass)];
+    const ClassSpec& request_class =
+        context_.scenario.classes[static_cast<std::size_t>(w.request_class)];
     const Time now = context_.now();
     if (!request_) {
-      request_ = context_.auditor.on_sent(now, w.klass, balancer_, w.number, until_, w.key, w.work);
+      request_ = context_.auditor.on_sent(now, w.request_class, balancer_, w.number, until_, w.key,
+                                          w.work);
       load_.tally_.on_try();
     } else {
       context_.auditor.on_moved(now, *request_, balancer_);
@@ -101,15 +103,15 @@
     id_ = context_.wire_id(*request_);
     const auto left =
         std::max<std::int64_t>(1, std::chrono::floor<milliseconds>(until_ - now).count());
-    std::string props = "c=" + klass.name +
+    std::string props = "c=" + request_class.name +
                         ",t=" + context_.scenario.tenants[static_cast<std::size_t>(w.tenant)].name +
                         ",d=" + std::to_string(left);
     if (w.hint > 0)
       props += ",h=" + std::to_string(std::max<std::int64_t>(1, std::llround(1e6 * w.hint)));
-    if (klass.write()) {
+    if (request_class.write()) {
       char k[20];
       std::snprintf(k, sizeof k, "%016llx", static_cast<unsigned long long>(w.number));
-      if (klass.effect == Effect::kKeyed) props += ",k=" + std::string(k);
+      if (request_class.effect == Effect::kKeyed) props += ",k=" + std::string(k);
       const std::string body = "w" + std::to_string(w.number);
       out_ = "ms " + w.key + " " + std::to_string(body.size()) + " O" + id_ + " P" + props +
              "\r\n" + body + "\r\n";
@@ -181,8 +183,8 @@
     const auto& head = reader_.head();
     const Time now = context_.now();
     const bool write =
-        call_->wish.klass >= 0 &&
-        context_.scenario.classes[static_cast<std::size_t>(call_->wish.klass)].write();
+        call_->wish.request_class >= 0 &&
+        context_.scenario.classes[static_cast<std::size_t>(call_->wish.request_class)].write();
     if (!rest.empty()) context_.auditor.on_stray(now, last_, rest);
     Over how = Over::kFailed;
     if ((head.kind == Kind::kValue && !write) || (head.kind == Kind::kStored && write)) {
@@ -378,15 +380,16 @@
 
 void Load::begin(Wish wish) {
   auto call = std::make_shared<Call>();
-  const ClassSpec& klass = context_.scenario.classes[static_cast<std::size_t>(wish.klass)];
+  const ClassSpec& request_class =
+      context_.scenario.classes[static_cast<std::size_t>(wish.request_class)];
   call->random = Random(wish.seed);
   call->honours = call->random.chance(context_.scenario.load.honour);
   call->leaves = call->random.chance(context_.scenario.load.impatient);
-  call->ends = wish.due + klass.deadline;
-  call->worth = tally_.worth_of(wish.due, wish.klass, wish.tenant, wish.work);
+  call->ends = wish.due + request_class.deadline;
+  call->worth = tally_.worth_of(wish.due, wish.request_class, wish.tenant, wish.work);
   call->wish = std::move(wish);
   ++open_;
-  tally_.on_asked(call->wish.due, call->wish.klass, call->wish.tenant, call->worth);
+  tally_.on_asked(call->wish.due, call->wish.request_class, call->wish.tenant, call->worth);
   start_try(call);
 }
 
@@ -403,15 +406,17 @@
 
 void Load::start_try(const CallPtr& call) {
   const Time now = context_.now();
-  const ClassSpec& klass = context_.scenario.classes[static_cast<std::size_t>(call->wish.klass)];
+  const ClassSpec& request_class =
+      context_.scenario.classes[static_cast<std::size_t>(call->wish.request_class)];
   const Range& share = context_.scenario.load.try_share;
   const Duration patience =
-      from_seconds(seconds(klass.deadline) * call->random.uniform(share.low, share.high));
+      from_seconds(seconds(request_class.deadline) * call->random.uniform(share.low, share.high));
   const Time begun = call->tries == 0 ? call->wish.due : now;
   const Time until = std::min(call->ends, begun + patience);
   ++call->tries;
-  if (until - now < kLeastBudget) return end(call, End::kFailed);
-  if (klass.cluster >= 0) return resp_[static_cast<std::size_t>(klass.cluster)]->start(call);
+  if (until - now < kMinBudget) return end(call, End::kFailed);
+  if (request_class.cluster >= 0)
+    return resp_[static_cast<std::size_t>(request_class.cluster)]->start(call);
   auto& idle = idle_[static_cast<std::size_t>(call->wish.zone)];
   if (!idle.empty()) {
     const std::size_t i = random_.below(idle.size());
@@ -434,7 +439,7 @@
 void Load::send_again(const CallPtr& call, RequestNumber request) {
   const int balancer = deal(call->wish.zone);
   const Time until = context_.auditor.deadline_of(request);
-  if (balancer < 0 || until - context_.now() < kLeastBudget) {
+  if (balancer < 0 || until - context_.now() < kMinBudget) {
     context_.auditor.on_excused(context_.now(), request, "no balancer took it again");
     return try_over(call, Over::kUnreachable, {});
   }
@@ -459,16 +464,18 @@
 
 void Load::try_over(const CallPtr& call, Over over, Duration retry_after) {
   const Time now = context_.now();
-  const ClassSpec& klass = context_.scenario.classes[static_cast<std::size_t>(call->wish.klass)];
+  const ClassSpec& request_class =
+      context_.scenario.classes[static_cast<std::size_t>(call->wish.request_class)];
   if (over == Over::kServed)
-    return end(call, now <= call->wish.due + klass.aim ? End::kInAim
-                     : now <= call->ends               ? End::kLate
-                                                       : End::kFailed);
+    return end(call, now <= call->wish.due + request_class.aim ? End::kInAim
+                     : now <= call->ends                       ? End::kLate
+                                                               : End::kFailed);
   if (over == Over::kLeft) return end(call, End::kLeft);
   // What may have run comes again only where that does no harm.
-  const bool harmless = over == Over::kRefused || over == Over::kUnreachable ||
-                        klass.effect == Effect::kSafe ||
-                        (klass.effect == Effect::kKeyed && now < call->wish.due + klass.window);
+  const bool harmless =
+      over == Over::kRefused || over == Over::kUnreachable ||
+      request_class.effect == Effect::kSafe ||
+      (request_class.effect == Effect::kKeyed && now < call->wish.due + request_class.window);
   const LoadSpec& load = context_.scenario.load;
   double pause = 0;
   if (load.backoff == Backoff::kFixed) pause = load.backoff_ms;
@@ -477,7 +484,7 @@
   Duration wait = from_seconds(1e-3 * pause);
   if (call->honours)
     wait = std::max(wait, std::min(retry_after, context_.scenario.max_retry_after));
-  if (!harmless || call->tries > load.retries || now + wait + kLeastBudget > call->ends)
+  if (!harmless || call->tries > load.retries || now + wait + kMinBudget > call->ends)
     return end(call, over == Over::kRefused ? End::kRefused : End::kFailed);
   if (wait == Duration{0}) {
     asio::post(context_.io, [this, call] { start_try(call); });
@@ -488,8 +495,8 @@
 
 void Load::end(const CallPtr& call, End end) {
   --open_;
-  tally_.on_end(call->wish.due, context_.now(), call->wish.klass, call->wish.tenant, call->worth,
-                end);
+  tally_.on_end(call->wish.due, context_.now(), call->wish.request_class, call->wish.tenant,
+                call->worth, end);
 }
 
 void Load::set_listed(int balancer, bool listed) {
@@ -530,4 +537,4 @@
   });
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/load/load.h
+++ b/src/testbed/load/load.h
@@ -7,14 +7,14 @@
 #include <string>
 #include <vector>
 
-#include "rig/judge/context.h"
-#include "rig/judge/tally.h"
-#include "rig/load/call.h"
-#include "rig/load/resp_clients.h"
-#include "rig/model/arrivals.h"
-#include "rig/model/histogram.h"
+#include "testbed/audit/context.h"
+#include "testbed/audit/counters.h"
+#include "testbed/load/call.h"
+#include "testbed/load/resp_clients.h"
+#include "testbed/model/arrivals.h"
+#include "testbed/model/histogram.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 // The clients and the simple front before the balancers. An open loop: wishes come when they are
 // due, whatever became of those before. A client keeps its connection and opens another when all of
@@ -89,4 +89,4 @@
   std::uint64_t rude_ = 0, rude_unanswered_ = 0, connections_ = 0, unreachable_ = 0;
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/load/resp_clients.cc
+++ b/src/testbed/load/resp_clients.cc
@@ -1,4 +1,4 @@
-#include "rig/load/resp_clients.h"
+#include "testbed/load/resp_clients.h"
 
 #include <algorithm>
 #include <boost/asio/steady_timer.hpp>
@@ -9,9 +9,9 @@
 #include <utility>
 
 #include "proto/resp.h"
-#include "rig/servers/resp_fleet.h"
+#include "testbed/servers/resp_fleet.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 using boost::system::error_code;
@@ -66,11 +66,12 @@
   }
   // `again`: the number of a request that goes out once more as it is.
   void send(const CallPtr& call, std::optional<RequestNumber> again) {
-    const ClassSpec& klass = context_.scenario.classes[static_cast<std::size_t>(call->wish.klass)];
+    const ClassSpec& request_class =
+        context_.scenario.classes[static_cast<std::size_t>(call->wish.request_class)];
     const Time now = context_.now();
     // Answers come in order: the time of those in front does not count. A balancer is not told how
     // long its client waits, and goes by the class.
-    Time until = now + klass.deadline;
+    Time until = now + request_class.deadline;
     if (!queue_.empty()) until = std::max(until, queue_.back().until);
     const Wish& w = call->wish;
     RequestNumber r;
@@ -78,12 +79,12 @@
       r = *again;
       context_.auditor.on_moved(now, r, balancer_);
     } else {
-      r = context_.auditor.on_sent(now, w.klass, balancer_, w.number, until, klass.prefix + w.key,
-                                   w.work);
+      r = context_.auditor.on_sent(now, w.request_class, balancer_, w.number, until,
+                                   request_class.prefix + w.key, w.work);
       clients_.tally_.on_try();
     }
     queue_.push_back({call, r, until, again.has_value()});
-    out_ += RespFleet::command(context_, klass, r, w.key).wire();
+    out_ += RespFleet::command(context_, request_class, r, w.key).wire();
     arm();
     flush();
   }
@@ -281,8 +282,9 @@
 
 int RespClients::balancer_for(const Call& call) {
   if (spec_.by_slot) {
-    const ClassSpec& klass = context_.scenario.classes[static_cast<std::size_t>(call.wish.klass)];
-    const int owner = owner_[cluster::slot_of(klass.prefix + call.wish.key)];
+    const ClassSpec& request_class =
+        context_.scenario.classes[static_cast<std::size_t>(call.wish.request_class)];
+    const int owner = owner_[cluster::slot_of(request_class.prefix + call.wish.key)];
     if (owner >= 0 && front_.listed(owner)) return owner;
   }
   return front_.deal(call.wish.zone);
@@ -310,4 +312,4 @@
   best->send(call, again);
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/load/resp_clients.h
+++ b/src/testbed/load/resp_clients.h
@@ -6,11 +6,11 @@
 #include <vector>
 
 #include "cluster/slots.h"
-#include "rig/judge/context.h"
-#include "rig/judge/tally.h"
-#include "rig/load/call.h"
+#include "testbed/audit/context.h"
+#include "testbed/audit/counters.h"
+#include "testbed/load/call.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 // The RESP clients of one cluster: connections that each carry up to so many requests at once,
 // answered in order. Plain ones go where the front sends them; in cluster mode each asks for the
@@ -47,4 +47,4 @@
   std::uint64_t opened_ = 0, unreachable_ = 0;
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/loopback/loopback_block.cc
+++ b/src/testbed/loopback/loopback_block.cc
@@ -1,4 +1,4 @@
-#include "rig/loopback/loopback_block.h"
+#include "testbed/loopback/loopback_block.h"
 
 #include <sys/socket.h>
 #include <sys/un.h>
@@ -13,7 +13,7 @@
 #include <stdexcept>
 #include <system_error>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 namespace asio = boost::asio;
@@ -29,7 +29,7 @@
 
 // The abstract name of a block's lock; false if another process holds it.
 bool lock_name(int descriptor, int block) {
-  const std::string name = "silverpin-loopback-block-" + std::to_string(block);
+  const std::string name = "balancer-loopback-block-" + std::to_string(block);
   sockaddr_un address{};
   address.sun_family = AF_UNIX;
   std::copy(name.begin(), name.end(), address.sun_path + 1);  // behind the zero of abstract names
@@ -119,4 +119,4 @@
   }
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/loopback/loopback_block.h
+++ b/src/testbed/loopback/loopback_block.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 // As addresses are written in settings and lists: "127.0.0.1:80".
 std::string text_of(const boost::asio::ip::tcp::endpoint& endpoint);
@@ -55,4 +55,4 @@
   int next_index_ = kAddresses;
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/main.cc
+++ b/src/testbed/main.cc
@@ -11,17 +11,17 @@
 #include <sstream>
 #include <string>
 
-#include "model/tables.h"
-#include "rig/model/draw.h"
-#include "rig/moves.h"
-#include "rig/rehearsal.h"
-#include "rig/report/report.h"
-#include "rig/scale/sweep.h"
-#include "rig/servers/resp_cluster.h"
+#include "fleet_simulation/tables.h"
+#include "testbed/failover_test.h"
+#include "testbed/model/scenario_generator.h"
+#include "testbed/rehearsal.h"
+#include "testbed/report/report.h"
+#include "testbed/scale/sweep.h"
+#include "testbed/servers/resp_cluster.h"
 
 namespace {
 
-using namespace silverpin::rig;
+using namespace balancer::testbed;
 
 long raise_descriptor_limit() {
   rlimit limit{};
@@ -70,7 +70,7 @@
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
   CLI::App app{
-      "Rehearses a day for silverpin on one machine: emulated hosts, clients, troubles, "
+      "Rehearses a day for balancer on one machine: emulated hosts, clients, troubles, "
       "and a judge of the four rules. All on loopback addresses."};
   app.require_subcommand(1);
   std::string file, folder;
@@ -91,8 +91,7 @@
   CLI::App* check = add("check", "check a scenario, and whether this machine has room for it");
   CLI::App* rehearse =
       add_run("rehearse", "fleet, balancers and clients together; ends with a report");
-  rehearse->add_option("--program", options.program,
-                       "the balancer (silverpin beside this program)");
+  rehearse->add_option("--program", options.program, "the balancer (balancer beside this program)");
   CLI::App* fleet = add_run("fleet", "the emulated fleet alone, for balancers that you start");
   CLI::App* load = add_run("load", "the clients alone");
   load->add_option("--to", balancers, "ADDRESS:PORT of each balancer")->required();
@@ -111,7 +110,7 @@
         ->check(CLI::Range(1, 64));
     sub->add_option("--seed", seed, "in place of the scenario's")->check(CLI::PositiveNumber);
   }
-  silverpin::model::TableOptions table;
+  balancer::fleet_simulation::TableOptions table;
   bool brief = false;
   CLI::App* plant = add("plant", "the scenario in simulated time, with every loop's signal");
   plant->add_option("--balancers", count, "so many in place of the scenario's")
@@ -141,7 +140,7 @@
   move->add_option("--seed", moves.seed);
   move->add_option("--faults", moves.faults, "what is wrong with each process's machine");
   move->add_option("--out", moves.folder, "folder for state and logs (rehearsals/moves)");
-  move->add_option("--program", moves.program, "the balancer (silverpin beside this program)");
+  move->add_option("--program", moves.program, "the balancer (balancer beside this program)");
   move->add_flag("--quiet", quiet, "no progress line");
   scale::SweepOptions sweep;
   std::string sweep_name, sweep_names;
@@ -154,7 +153,7 @@
   measure->add_option("--seeds", sweep.seeds, "one run of each size for each seed");
   measure->add_option("--out", sweep.folder,
                       "folder for tables, charts and logs (rehearsals/scale)");
-  measure->add_option("--program", sweep.program, "the balancer (silverpin beside this program)");
+  measure->add_option("--program", sweep.program, "the balancer (balancer beside this program)");
   measure->add_flag("--quiet", quiet, "no progress lines");
   try {
     app.parse(argc, argv);
@@ -170,14 +169,14 @@
     if (*cluster) return run_cluster(nodes, replicas);
     if (*move) {
       if (moves.folder.empty()) moves.folder = "rehearsals/moves";
-      if (moves.program.empty()) moves.program = beside_this_program("silverpin");
+      if (moves.program.empty()) moves.program = beside_this_program("balancer");
       moves.progress = !quiet;
       raise_descriptor_limit();
       return run_moves(moves);
     }
     if (*measure) {
       if (sweep.folder.empty()) sweep.folder = "rehearsals/scale";
-      if (sweep.program.empty()) sweep.program = beside_this_program("silverpin");
+      if (sweep.program.empty()) sweep.program = beside_this_program("balancer");
       sweep.progress = !quiet;
       raise_descriptor_limit();
       scale::run_and_write(sweep_name, sweep);
@@ -188,7 +187,7 @@
     if (seed > 0) scenario.seed = seed;
     if (*plant) {
       table.by_time = !brief;
-      std::printf("%s", silverpin::model::table(scenario, table).c_str());
+      std::printf("%s", balancer::fleet_simulation::table(scenario, table).c_str());
       return 0;
     }
     check_machine(scenario, raise_descriptor_limit());
@@ -199,7 +198,7 @@
       return 0;
     }
     if (options.folder.empty()) options.folder = "rehearsals/" + scenario.name;
-    if (options.program.empty()) options.program = beside_this_program("silverpin");
+    if (options.program.empty()) options.program = beside_this_program("balancer");
     options.progress = !quiet;
     if (*fleet) return run_fleet(scenario, options);
     if (*load) return run_load(scenario, balancers, options);
@@ -210,7 +209,7 @@
       return run_rehearsal(scenario, options);
     }
   } catch (const std::exception& e) {
-    std::fprintf(stderr, "silverpin_rig: %s\n", e.what());
+    std::fprintf(stderr, "balancer_testbed: %s\n", e.what());
     return 2;
   }
   return 2;
--- a/src/rig/model/arrivals.cc
+++ b/src/testbed/model/arrivals.cc
@@ -1,9 +1,9 @@
-#include "rig/model/arrivals.h"
+#include "testbed/model/arrivals.h"
 
 #include <algorithm>
 #include <cstdio>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 std::size_t pick(const std::vector<double>& cumulative, double u) {
@@ -84,18 +84,18 @@
   Wish w;
   w.due = at_;
   w.number = next_++;
-  w.klass = static_cast<int>(pick(classes_, random_.uniform()));
+  w.request_class = static_cast<int>(pick(classes_, random_.uniform()));
   std::vector<double> tenants;
   for (std::size_t n = 0; n < scenario_.tenants.size(); ++n)
     tenants.push_back(tenant_weight(n, at_));
   w.tenant = static_cast<int>(pick(add_up(std::move(tenants)), random_.uniform()));
   w.zone = static_cast<int>(pick(zones_, random_.uniform()));
   w.key = draw_key(at_);
-  const ClassSpec& c = scenario_.classes[static_cast<std::size_t>(w.klass)];
+  const ClassSpec& c = scenario_.classes[static_cast<std::size_t>(w.request_class)];
   w.work = 1e-3 * random_.lognormal(c.work_ms, c.cv);
   if (c.hint_noise >= 0) w.hint = w.work * random_.lognormal(1, c.hint_noise);
   w.seed = random_.next();
   return w;
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/model/arrivals.h
+++ b/src/testbed/model/arrivals.h
@@ -3,15 +3,15 @@
 #include <string>
 #include <vector>
 
-#include "rig/model/base.h"
-#include "rig/model/scenario.h"
+#include "testbed/model/base.h"
+#include "testbed/model/scenario.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 // One wish of a client, drawn ahead of time.
 struct Wish {
   Time due{0};
-  int klass = 0, tenant = 0, zone = 0;
+  int request_class = 0, tenant = 0, zone = 0;
   std::string key;
   double work = 0;  // seconds on a core of speed 1
   double hint = 0;  // what the client says of it; 0: nothing
@@ -47,4 +47,4 @@
   Time drifted_at_{0};
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/model/base.h
+++ b/src/testbed/model/base.h
@@ -7,7 +7,7 @@
 // Time and chance for all of the rig. Every draw comes from a seed that the scenario states,
 // through code of this file alone, so that one scenario has the same arrivals and fleet on every
 // machine.
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 using Duration = std::chrono::nanoseconds;
 using Time = std::chrono::nanoseconds;  // since the run began
@@ -52,4 +52,4 @@
   std::uint64_t state_;
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/model/histogram.h
+++ b/src/testbed/model/histogram.h
@@ -5,9 +5,9 @@
 #include <bit>
 #include <cstdint>
 
-#include "rig/model/base.h"
+#include "testbed/model/base.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 // Counts of durations in buckets that are at most 1/64 of their value wide, as HdrHistogram has
 // them (log-linear): every percentile within 1.6% from a microsecond to an hour, in constant
@@ -16,7 +16,7 @@
  public:
   void add(Duration d) {
     const auto us = static_cast<std::uint64_t>(std::max<std::int64_t>(d.count() / 1000, 0));
-    ++counts_[index(std::min<std::uint64_t>(us, kMost))];
+    ++counts_[index(std::min<std::uint64_t>(us, kMax))];
     ++total_;
     most_ = std::max(most_, d);
   }
@@ -36,7 +36,7 @@
   }
 
  private:
-  static constexpr std::uint64_t kMost = 3'600'000'000;
+  static constexpr std::uint64_t kMax = 3'600'000'000;
   static constexpr int kBits = 6;
   static constexpr std::size_t kHalf = 1u << kBits;
   static std::size_t index(std::uint64_t v) {
@@ -55,4 +55,4 @@
   Duration most_{0};
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/model/host_model.cc
+++ b/src/testbed/model/host_model.cc
@@ -1,9 +1,9 @@
-#include "rig/model/host_model.h"
+#include "testbed/model/host_model.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 // A cold host's capacity changes all the time; it is held for so long at a time.
@@ -173,4 +173,4 @@
   by_key_.erase(it);
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/model/host_model.h
+++ b/src/testbed/model/host_model.h
@@ -9,12 +9,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "rig/model/base.h"
-#include "rig/model/scenario.h"
+#include "testbed/model/base.h"
+#include "testbed/model/scenario.h"
 
 // What a host does with the work it is sent. No I/O and no clock of its own: `now` comes with every
 // call and never goes back, so that sockets and simulated time can drive it alike.
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 using Job = std::uint64_t;
 
@@ -124,4 +124,4 @@
   std::unordered_map<std::string, Order::iterator> by_key_;
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/model/scenario.cc
+++ b/src/testbed/model/scenario.cc
@@ -1,4 +1,4 @@
-#include "rig/model/scenario.h"
+#include "testbed/model/scenario.h"
 
 #include <algorithm>
 #include <array>
@@ -8,10 +8,10 @@
 #include <sstream>
 #include <tuple>
 
-#include "rig/faults/fault_plan.h"
 #include "settings/toml_keys.h"
+#include "testbed/faults/fault_plan.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 constexpr std::array<std::pair<const char*, What>, 31> kWhats{{
@@ -359,4 +359,4 @@
                         " descriptors; this process may hold " + std::to_string(descriptor_limit));
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/model/scenario.h
+++ b/src/testbed/model/scenario.h
@@ -4,12 +4,12 @@
 #include <string>
 #include <vector>
 
-#include "rig/model/base.h"
 #include "settings/field_error.h"
+#include "testbed/model/base.h"
 
 // One rehearsal, as its TOML file describes it. docs/operate/rehearsals.md names every key with its
 // default and bounds.
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 struct Range {
   double low = 0, high = 0;
@@ -218,4 +218,4 @@
 // Throws ScenarioError, with the figure, if the machine has not the descriptors or ports for it.
 void check_machine(const Scenario& scenario, long descriptor_limit);
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/model/draw.cc
+++ b/src/testbed/model/scenario_generator.cc
@@ -1,13 +1,13 @@
-#include "rig/model/draw.h"
+#include "testbed/model/scenario_generator.h"
 
 #include <algorithm>
 #include <cstdio>
 #include <tuple>
 #include <utility>
 
-#include "rig/model/base.h"
+#include "testbed/model/base.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 constexpr double kFirst = 6, kLast = 16, kLongest = 6, kEnd = 28;  // seconds
@@ -285,4 +285,4 @@
 
 std::string draw_scenario(std::uint64_t seed) { return Draw(seed)(); }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/model/draw.h
+++ b/src/testbed/model/scenario_generator.h
@@ -3,7 +3,7 @@
 #include <cstdint>
 #include <string>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 // A scenario drawn at random, as the text of its file, so that it can be played again and cut down
 // by hand: a small fleet below what it can do, and three to eight troubles of balancers, hosts,
@@ -17,4 +17,4 @@
 // clock that is wrong or steps, and system calls that fail.
 std::string draw_soak(std::uint64_t seed);
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/rehearsal.cc
+++ b/src/testbed/rehearsal.cc
@@ -1,4 +1,4 @@
-#include "rig/rehearsal.h"
+#include "testbed/rehearsal.h"
 
 #include <signal.h>
 #include <unistd.h>
@@ -10,15 +10,15 @@
 #include <memory>
 #include <stdexcept>
 
-#include "rig/balancer_process.h"
-#include "rig/group_net.h"
-#include "rig/judge/readiness.h"
-#include "rig/load/load.h"
-#include "rig/report/report.h"
-#include "rig/servers/fleet.h"
-#include "rig/servers/resp_fleet.h"
+#include "testbed/audit/readiness.h"
+#include "testbed/balancer_process.h"
+#include "testbed/group_net.h"
+#include "testbed/load/load.h"
+#include "testbed/report/report.h"
+#include "testbed/servers/fleet.h"
+#include "testbed/servers/resp_fleet.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 using boost::system::error_code;
@@ -497,7 +497,7 @@
     const std::string file = options.folder + "/n" + std::to_string(b) + ".json";
     std::ofstream(file) << configuration(s, fleet, b, s.seed + static_cast<std::uint64_t>(b),
                                          "127.0.0.1:0");
-    std::printf("ROUTER_CONFIG=%s build/silverpin\n", file.c_str());
+    std::printf("ROUTER_CONFIG=%s build/balancer\n", file.c_str());
   }
   std::fflush(stdout);
   for (const IncidentSpec& i : s.incidents)
@@ -546,4 +546,4 @@
                       options.folder);
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/rehearsal.h
+++ b/src/testbed/rehearsal.h
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "rig/model/scenario.h"
+#include "testbed/model/scenario.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 struct RehearsalOptions {
   std::string program;  // the balancer's
@@ -23,4 +23,4 @@
 int run_load(const Scenario& scenario, const std::vector<std::string>& balancers,
              const RehearsalOptions& options);
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/report/report.cc
+++ b/src/testbed/report/report.cc
@@ -1,12 +1,12 @@
-#include "rig/report/report.h"
+#include "testbed/report/report.h"
 
 #include <algorithm>
 #include <cstdio>
 
-#include "rig/judge/service.h"
-#include "rig/report/report_read.h"
+#include "testbed/audit/service.h"
+#include "testbed/report/report_read.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 // ---- writing
@@ -136,8 +136,8 @@
   j.number("length_s", seconds(s.length)).number("warm_up_s", seconds(s.warm_up));
   const Duration lag = run.loop_lag.percentile(0.99);
   std::string why;
-  if (lag > kMostLag) why = "the emulator's own event loop was late";
-  if (run.load.lateness().percentile(0.99) > kMostLag) why = "requests were sent late";
+  if (lag > kMaxLag) why = "the emulator's own event loop was late";
+  if (run.load.lateness().percentile(0.99) > kMaxLag) why = "requests were sent late";
   j.text("void", why);
   j.key("loop_lag").open('{');
   percentiles(j, run.loop_lag);
@@ -189,7 +189,7 @@
       const auto kind = static_cast<Stampede::Kind>(k);
       const auto f = run.stampede.figures(kind, s.warm_up, first->at, s.length);
       j.open('{').text("of", Stampede::name_of(kind)).number("mean_before", f.mean_before);
-      j.number("most_before", f.most_before).number("most", f.most).number("most_at_s", f.most_at);
+      j.number("most_before", f.max_before).number("most", f.most).number("most_at_s", f.max_at);
       j.number("times", f.times()).count("all", f.all).close('}');
     }
     j.close(']');
@@ -438,4 +438,4 @@
   return out;
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/report/report.h
+++ b/src/testbed/report/report.h
@@ -3,13 +3,13 @@
 #include <string>
 #include <vector>
 
-#include "rig/judge/auditor.h"
-#include "rig/judge/tally.h"
-#include "rig/load/load.h"
-#include "rig/servers/fleet.h"
-#include "rig/servers/resp_fleet.h"
+#include "testbed/audit/auditor.h"
+#include "testbed/audit/counters.h"
+#include "testbed/load/load.h"
+#include "testbed/servers/fleet.h"
+#include "testbed/servers/resp_fleet.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 struct ProcessSample {
   Time at{0};
@@ -47,7 +47,7 @@
 };
 
 // Beyond this lag at p99 the emulator was late itself, and its figures say nothing of balancers.
-inline constexpr Duration kMostLag = std::chrono::milliseconds(5);
+inline constexpr Duration kMaxLag = std::chrono::milliseconds(5);
 
 // The report as one JSON object; text and page are made of that alone, also from a file of old.
 std::string report_json(const RunFigures& run);
@@ -58,4 +58,4 @@
 // 0, or 1 where a rule was broken, a balancer crashed, or a check failed.
 int report_verdict(const std::string& json);
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/report/report_html.cc
+++ b/src/testbed/report/report_html.cc
@@ -2,11 +2,11 @@
 #include <cstdio>
 #include <vector>
 
-#include "rig/report/report.h"
-#include "rig/report/report_read.h"
+#include "testbed/report/report.h"
+#include "testbed/report/report_read.h"
 
 // One page, everything in it: drawn here as SVG, so that it needs no script and no network.
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 constexpr double kWidth = 940, kHeight = 190, kLeft = 56, kBottom = 24, kTop = 10, kRight = 10;
@@ -203,4 +203,4 @@
   return out;
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/report/report_read.h
+++ b/src/testbed/report/report_read.h
@@ -9,7 +9,7 @@
 
 // How text and page take a report's JSON: each getter throws std::runtime_error that names what is
 // missing.
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 using simdjson::dom::element;
 
@@ -53,4 +53,4 @@
   return root;
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/scale/balancer_processes.cc
+++ b/src/testbed/scale/balancer_processes.cc
@@ -1,11 +1,11 @@
-#include "rig/scale/balancer_processes.h"
+#include "testbed/scale/balancer_processes.h"
 
 #include <stdlib.h>
 
 #include <algorithm>
 #include <filesystem>
 
-namespace silverpin::rig::scale {
+namespace balancer::testbed::scale {
 
 std::string configuration_json(const ProcessConfiguration& c) {
   return "{\"name\":\"n" + std::to_string(c.number) + "\",\"listen\":\"" + c.listen +
@@ -21,7 +21,7 @@
     std::filesystem::create_directories(path_);
     return;
   }
-  std::string name = std::filesystem::temp_directory_path() / "silverpin-scale-XXXXXX";
+  std::string name = std::filesystem::temp_directory_path() / "balancer-scale-XXXXXX";
   if (!::mkdtemp(name.data())) throw std::runtime_error("no temporary folder can be made");
   path_ = name;
   temporary_ = true;
@@ -78,4 +78,4 @@
   return all;
 }
 
-}  // namespace silverpin::rig::scale
+}  // namespace balancer::testbed::scale
--- a/src/rig/scale/balancer_processes.h
+++ b/src/testbed/scale/balancer_processes.h
@@ -4,11 +4,11 @@
 #include <memory>
 #include <string>
 
-#include "rig/balancer_process.h"
-#include "rig/scale/control_plane.h"
-#include "rig/scale/sweep.h"
+#include "testbed/balancer_process.h"
+#include "testbed/scale/control_plane.h"
+#include "testbed/scale/sweep.h"
 
-namespace silverpin::rig::scale {
+namespace balancer::testbed::scale {
 
 // The platform's configuration file of one balancer.
 struct ProcessConfiguration {
@@ -75,4 +75,4 @@
   int ready_ = 0;
 };
 
-}  // namespace silverpin::rig::scale
+}  // namespace balancer::testbed::scale
--- a/src/rig/scale/charts.cc
+++ b/src/testbed/scale/charts.cc
@@ -1,9 +1,9 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "rig/scale/sweep.h"
+#include "testbed/scale/sweep.h"
 
-namespace silverpin::rig::scale {
+namespace balancer::testbed::scale {
 namespace {
 
 constexpr double kWidth = 640, kHeight = 240, kLeft = 70, kRight = 20, kTop = 14, kBottom = 34;
@@ -81,4 +81,4 @@
   return page + "</body></html>\n";
 }
 
-}  // namespace silverpin::rig::scale
+}  // namespace balancer::testbed::scale
--- a/src/rig/scale/control_plane.cc
+++ b/src/testbed/scale/control_plane.cc
@@ -1,4 +1,4 @@
-#include "rig/scale/control_plane.h"
+#include "testbed/scale/control_plane.h"
 
 #include <time.h>
 
@@ -6,7 +6,7 @@
 #include <boost/asio/post.hpp>
 #include <future>
 
-namespace silverpin::rig::scale {
+namespace balancer::testbed::scale {
 namespace {
 
 using boost::system::error_code;
@@ -239,4 +239,4 @@
   return scale::run_until(io_, done, limit);
 }
 
-}  // namespace silverpin::rig::scale
+}  // namespace balancer::testbed::scale
--- a/src/rig/scale/control_plane.h
+++ b/src/testbed/scale/control_plane.h
@@ -14,13 +14,13 @@
 #include <vector>
 
 #include "node/balancer.h"
-#include "rig/model/histogram.h"
-#include "rig/servers/discovery_server.h"
+#include "testbed/model/histogram.h"
+#include "testbed/servers/discovery_server.h"
 
 // The control side of a fleet on loopback sockets: a discovery service with a thread of its own,
 // and hollow balancers, which are the program's real parts without clients, on the caller's thread.
 // So the processor time of either side is known on its own.
-namespace silverpin::rig::scale {
+namespace balancer::testbed::scale {
 
 // The settings object of a platform's configuration for `balancers` balancers.
 // `asked`: lists have to be asked for; otherwise they are pushed.
@@ -129,4 +129,4 @@
   std::deque<node::Balancer> balancers_;
 };
 
-}  // namespace silverpin::rig::scale
+}  // namespace balancer::testbed::scale
--- a/src/rig/scale/linear_fit.cc
+++ b/src/testbed/scale/linear_fit.cc
@@ -1,8 +1,8 @@
-#include "rig/scale/linear_fit.h"
+#include "testbed/scale/linear_fit.h"
 
 #include <cmath>
 
-namespace silverpin::rig::scale {
+namespace balancer::testbed::scale {
 namespace {
 
 struct Line {
@@ -53,4 +53,4 @@
   return fit;
 }
 
-}  // namespace silverpin::rig::scale
+}  // namespace balancer::testbed::scale
--- a/src/rig/scale/linear_fit.h
+++ b/src/testbed/scale/linear_fit.h
@@ -6,7 +6,7 @@
 
 // How a measured cost grows with a size: the straight line through the points and how well it fits,
 // and the power law for where it does not.
-namespace silverpin::rig::scale {
+namespace balancer::testbed::scale {
 
 struct Point {
   double x = 0, y = 0;
@@ -27,4 +27,4 @@
 // Ordinary least squares. With fewer than two different x the slope is 0.
 LinearFit fit_line(const std::vector<Point>& points);
 
-}  // namespace silverpin::rig::scale
+}  // namespace balancer::testbed::scale
--- a/src/rig/scale/long_values.cc
+++ b/src/testbed/scale/long_values.cc
@@ -1,4 +1,4 @@
-#include "rig/scale/long_values.h"
+#include "testbed/scale/long_values.h"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/io_context.hpp>
@@ -6,7 +6,7 @@
 #include <boost/asio/write.hpp>
 #include <cstdio>
 
-namespace silverpin::rig::scale {
+namespace balancer::testbed::scale {
 namespace {
 
 using boost::system::error_code;
@@ -81,4 +81,4 @@
   }
 }
 
-}  // namespace silverpin::rig::scale
+}  // namespace balancer::testbed::scale
--- a/src/rig/scale/long_values.h
+++ b/src/testbed/scale/long_values.h
@@ -5,11 +5,11 @@
 #include <memory>
 #include <string>
 
-#include "rig/model/base.h"
+#include "testbed/model/base.h"
 
 // Transfers of long values that stay open: a cache host that answers every read with a value longer
 // than the system's buffers hold, and clients that ask for one and read nothing of it.
-namespace silverpin::rig::scale {
+namespace balancer::testbed::scale {
 
 namespace asio = boost::asio;
 
@@ -39,4 +39,4 @@
   std::deque<asio::ip::tcp::socket> connections_;
 };
 
-}  // namespace silverpin::rig::scale
+}  // namespace balancer::testbed::scale
--- a/src/rig/scale/sweep.cc
+++ b/src/testbed/scale/sweep.cc
@@ -1,4 +1,4 @@
-#include "rig/scale/sweep.h"
+#include "testbed/scale/sweep.h"
 
 #include <algorithm>
 #include <cstdarg>
@@ -6,7 +6,7 @@
 #include <filesystem>
 #include <fstream>
 
-namespace silverpin::rig::scale {
+namespace balancer::testbed::scale {
 namespace {
 
 std::string number(double value) {
@@ -110,4 +110,4 @@
   std::fputc('\n', stderr);
 }
 
-}  // namespace silverpin::rig::scale
+}  // namespace balancer::testbed::scale
--- a/src/rig/scale/sweep.h
+++ b/src/testbed/scale/sweep.h
@@ -6,11 +6,11 @@
 #include <string>
 #include <vector>
 
-#include "rig/scale/linear_fit.h"
+#include "testbed/scale/linear_fit.h"
 
 // A sweep measures what one quantity costs at several sizes and seeds, and fits lines through it.
 // Its rows, fits and charts are what docs/CAPACITY.md quotes.
-namespace silverpin::rig::scale {
+namespace balancer::testbed::scale {
 
 struct SweepOptions {
   bool quick = false;  // few sizes and one short run of each, for its counts and not for its times
@@ -86,4 +86,4 @@
 SweepResult sweep_restart(const SweepOptions& options);
 SweepResult sweep_origin(const SweepOptions& options);
 
-}  // namespace silverpin::rig::scale
+}  // namespace balancer::testbed::scale
--- a/src/rig/scale/sweep_changes.cc
+++ b/src/testbed/scale/sweep_changes.cc
@@ -3,10 +3,10 @@
 // long a change takes until the last balancer has it in force.
 #include <algorithm>
 
-#include "rig/scale/control_plane.h"
-#include "rig/scale/sweep.h"
+#include "testbed/scale/control_plane.h"
+#include "testbed/scale/sweep.h"
 
-namespace silverpin::rig::scale {
+namespace balancer::testbed::scale {
 namespace {
 
 // Those of a region of the size to design for, and all of them; one size between and one beyond.
@@ -285,4 +285,4 @@
   return result;
 }
 
-}  // namespace silverpin::rig::scale
+}  // namespace balancer::testbed::scale
--- a/src/rig/scale/sweep_group.cc
+++ b/src/testbed/scale/sweep_group.cc
@@ -3,12 +3,12 @@
 // members is killed and comes back.
 #include <algorithm>
 
-#include "model/group_sim.h"
+#include "fleet_simulation/group_sim.h"
 #include "proto/seal.h"
-#include "rig/scale/control_plane.h"
-#include "rig/scale/sweep.h"
+#include "testbed/scale/control_plane.h"
+#include "testbed/scale/sweep.h"
 
-namespace silverpin::rig::scale {
+namespace balancer::testbed::scale {
 namespace {
 
 using group::GroupSim;
@@ -41,7 +41,7 @@
 }
 
 // The least number of members that any member which runs holds for alive.
-int least_alive(GroupSim& sim) {
+int min_alive(GroupSim& sim) {
   int least = static_cast<int>(sim.names().size());
   for (const std::string& name : sim.names())
     if (sim.instance(name)) least = std::min(least, alive_for(sim, name));
@@ -61,16 +61,16 @@
   sim.run(kForms);
   if (restarts) kill_and_restart_a_tenth(sim, members);
   const GroupCost cost = cost_of(sim, length);
-  const double member_seconds = members * silverpin::rig::seconds(length);
+  const double member_seconds = members * balancer::testbed::seconds(length);
   return {static_cast<double>(members),
           static_cast<double>(restarts),
           static_cast<double>(seed),
-          silverpin::rig::seconds(length),
+          balancer::testbed::seconds(length),
           cost.datagrams / member_seconds,
           cost.bytes / member_seconds,
           cost.cpu_ms / member_seconds,
-          static_cast<double>(sim.most_datagram + group::kSealedOverhead),
-          static_cast<double>(least_alive(sim))};
+          static_cast<double>(sim.max_datagram + group::kSealedOverhead),
+          static_cast<double>(min_alive(sim))};
 }
 
 void fit_by_members(SweepResult& result, bool restarts) {
@@ -110,4 +110,4 @@
   return result;
 }
 
-}  // namespace silverpin::rig::scale
+}  // namespace balancer::testbed::scale
--- a/src/rig/scale/sweep_hosts.cc
+++ b/src/testbed/scale/sweep_hosts.cc
@@ -1,9 +1,9 @@
 // What listed hosts cost a real process: resident memory and processor time until the first list is
 // in force, and after changes that replace hosts.
-#include "rig/scale/balancer_processes.h"
-#include "rig/scale/sweep.h"
+#include "testbed/scale/balancer_processes.h"
+#include "testbed/scale/sweep.h"
 
-namespace silverpin::rig::scale {
+namespace balancer::testbed::scale {
 namespace {
 
 constexpr Duration kGetsReady = std::chrono::seconds(60);
@@ -77,4 +77,4 @@
   return result;
 }
 
-}  // namespace silverpin::rig::scale
+}  // namespace balancer::testbed::scale
--- a/src/rig/scale/sweep_load.cc
+++ b/src/testbed/scale/sweep_load.cc
@@ -4,13 +4,13 @@
 #include <boost/asio/read.hpp>
 #include <boost/asio/write.hpp>
 
-#include "rig/load/load.h"
-#include "rig/scale/balancer_processes.h"
-#include "rig/scale/long_values.h"
-#include "rig/scale/sweep.h"
-#include "rig/servers/fleet.h"
+#include "testbed/load/load.h"
+#include "testbed/scale/balancer_processes.h"
+#include "testbed/scale/long_values.h"
+#include "testbed/scale/sweep.h"
+#include "testbed/servers/fleet.h"
 
-namespace silverpin::rig::scale {
+namespace balancer::testbed::scale {
 namespace {
 
 using std::chrono::seconds;
@@ -27,7 +27,7 @@
   const std::string bytes = std::to_string(value_bytes);
   return parse_scenario(
       "name = \"load\"\nwarm_up_s = 0\nlength_s = " +
-          std::to_string(rig::seconds(kWarmsUp + length)) + "\nseed = " + std::to_string(seed) +
+          std::to_string(testbed::seconds(kWarmsUp + length)) + "\nseed = " + std::to_string(seed) +
           "\n[balancers]\ncount = 1\nmemory_mb = " + std::to_string(kMemoryMb) +
           "\n[[class]]\nname = \"read\"\nwork_ms = 0.2\naim_ms = 1000\ndeadline_ms = 3000\n"
           "[[kind]]\nname = \"std\"\ncount = 4\ncores = 8\nslots = 64\nmemory_mb = 256\n"
@@ -67,9 +67,12 @@
     io_.run_for(length_);
     const Figures last = figures();
     load.close_all();
-    return {
-        rig::seconds(last.at - first.at), last.served - first.served, last.others - first.others,
-        last.cpu_ms - first.cpu_ms,       last.resident_mb,           last.descriptors};
+    return {testbed::seconds(last.at - first.at),
+            last.served - first.served,
+            last.others - first.others,
+            last.cpu_ms - first.cpu_ms,
+            last.resident_mb,
+            last.descriptors};
   }
 
  private:
@@ -264,4 +267,4 @@
   return result;
 }
 
-}  // namespace silverpin::rig::scale
+}  // namespace balancer::testbed::scale
--- a/src/rig/scale/sweep_origin.cc
+++ b/src/testbed/scale/sweep_origin.cc
@@ -3,10 +3,10 @@
 // what one balancer needs, a fetch is a repeated one: another balancer had the same key on its way.
 #include <cstdint>
 
-#include "model/plant.h"
-#include "rig/scale/sweep.h"
+#include "fleet_simulation/plant.h"
+#include "testbed/scale/sweep.h"
 
-namespace silverpin::rig::scale {
+namespace balancer::testbed::scale {
 namespace {
 
 struct OriginLoad {
@@ -36,10 +36,10 @@
 
 OriginCost measure(int balancers, const OriginLoad& load, std::uint64_t seed, bool quick) {
   const Scenario scenario = origin_scenario(balancers, load, seed, quick);
-  model::Plant plant(scenario, {});
+  fleet_simulation::Plant plant(scenario, {});
   plant.run();
   OriginCost cost;
-  for (const model::Sample& sample : plant.samples()) cost.fetches += sample.fetches;
+  for (const fleet_simulation::Sample& sample : plant.samples()) cost.fetches += sample.fetches;
   cost.tries = static_cast<double>(plant.tries());
   return cost;
 }
@@ -90,4 +90,4 @@
   return result;
 }
 
-}  // namespace silverpin::rig::scale
+}  // namespace balancer::testbed::scale
--- a/src/rig/scale/sweep_restart.cc
+++ b/src/testbed/scale/sweep_restart.cc
@@ -1,9 +1,9 @@
 // What starts and an outage cost discovery: hollow balancers and real processes that start all at
 // once, and hollow balancers that call while discovery is away and after its return.
-#include "rig/scale/balancer_processes.h"
-#include "rig/scale/sweep.h"
+#include "testbed/scale/balancer_processes.h"
+#include "testbed/scale/sweep.h"
 
-namespace silverpin::rig::scale {
+namespace balancer::testbed::scale {
 namespace {
 
 constexpr Duration kGetsReady = std::chrono::seconds(60);
@@ -161,4 +161,4 @@
   return result;
 }
 
-}  // namespace silverpin::rig::scale
+}  // namespace balancer::testbed::scale
--- a/src/rig/servers/bgp_router.cc
+++ b/src/testbed/servers/bgp_router.cc
@@ -1,4 +1,4 @@
-#include "rig/servers/bgp_router.h"
+#include "testbed/servers/bgp_router.h"
 
 #include <algorithm>
 #include <array>
@@ -9,7 +9,7 @@
 #include <tuple>
 #include <utility>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 using boost::system::error_code;
@@ -322,4 +322,4 @@
   for (const auto& s : std::set(sessions_)) s->end();
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/servers/bgp_router.h
+++ b/src/testbed/servers/bgp_router.h
@@ -12,9 +12,9 @@
 #include <vector>
 
 #include "proto/bgp.h"
-#include "rig/model/base.h"
+#include "testbed/model/base.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 namespace asio = boost::asio;
 
@@ -81,4 +81,4 @@
   bool frozen_ = false;
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/servers/cache_server.cc
+++ b/src/testbed/servers/cache_server.cc
@@ -1,4 +1,4 @@
-#include "rig/servers/cache_server.h"
+#include "testbed/servers/cache_server.h"
 
 #include <sys/socket.h>
 
@@ -8,14 +8,14 @@
 #include <boost/asio/write.hpp>
 #include <utility>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
 constexpr std::size_t kReadSize = 16u << 10;
-constexpr std::size_t kMostPipelined = 512;  // beyond it the connection is not read
+constexpr std::size_t kMaxPipelined = 512;  // beyond it the connection is not read
 constexpr int kBacklog = 1024;
 
 void reset(tcp::socket& socket) {
@@ -46,7 +46,7 @@
   }
 
   void read() {
-    if (reading_ || closed_ || server_.paused_ || slots_.size() >= kMostPipelined) return;
+    if (reading_ || closed_ || server_.paused_ || slots_.size() >= kMaxPipelined) return;
     reading_ = true;
     if (slots_.empty()) arm_idle();
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](const error_code& e) {
@@ -443,4 +443,4 @@
   return engine_.done_before() + (engine_.model() ? engine_.model()->work_done() : 0);
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/servers/cache_server.h
+++ b/src/testbed/servers/cache_server.h
@@ -10,9 +10,9 @@
 #include <unordered_set>
 
 #include "proto/memcache.h"
-#include "rig/servers/engine.h"
+#include "testbed/servers/engine.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 // A cache host on a socket of its own: the meta commands as the platform's protocol has them.
 // Garbage from a peer ends that peer's connection and nothing else.
@@ -86,4 +86,4 @@
   std::uint64_t served_ = 0, turned_away_ = 0;
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/servers/datagram_relay.cc
+++ b/src/testbed/servers/datagram_relay.cc
@@ -1,8 +1,8 @@
-#include "rig/servers/datagram_relay.h"
+#include "testbed/servers/datagram_relay.h"
 
 #include <boost/asio/buffer.hpp>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 namespace asio = boost::asio;
@@ -63,4 +63,4 @@
       });
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/servers/datagram_relay.h
+++ b/src/testbed/servers/datagram_relay.h
@@ -10,9 +10,9 @@
 #include <utility>
 #include <vector>
 
-#include "rig/model/base.h"
+#include "testbed/model/base.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 // The network between the members of a group: each has a public endpoint here, and what is sent to
 // it is passed on from the sender's, so that any direction can be cut or made to lose some. Members
@@ -49,4 +49,4 @@
   std::uint64_t passed_ = 0;
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/servers/discovery_server.cc
+++ b/src/testbed/servers/discovery_server.cc
@@ -1,10 +1,10 @@
-#include "rig/servers/discovery_server.h"
+#include "testbed/servers/discovery_server.h"
 
 #include <algorithm>
 #include <charconv>
 #include <utility>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 using boost::system::error_code;
@@ -167,4 +167,4 @@
   return text + "]}";
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/servers/discovery_server.h
+++ b/src/testbed/servers/discovery_server.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "rig/servers/http_server.h"
+#include "testbed/servers/http_server.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 // Discovery as the balancers meet it: the whole list, watches, and changes that come late. Each
 // balancer has an address of its own, so that the judge knows what each was told, and when.
@@ -86,4 +86,4 @@
   std::map<std::string, Time> due_;  // when the latest change of a host comes through
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/servers/engine.cc
+++ b/src/testbed/servers/engine.cc
@@ -1,8 +1,8 @@
-#include "rig/servers/engine.h"
+#include "testbed/servers/engine.h"
 
 #include <utility>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 void Engine::start(const HostSpec& spec, bool cold) {
   stop();
@@ -88,4 +88,4 @@
   });
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/servers/engine.h
+++ b/src/testbed/servers/engine.h
@@ -5,10 +5,10 @@
 #include <memory>
 #include <unordered_map>
 
-#include "rig/judge/context.h"
-#include "rig/model/host_model.h"
+#include "testbed/audit/context.h"
+#include "testbed/model/host_model.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 // Drives a host model in real time on the event loop, and tells of each job what becomes of it.
 class Engine {
@@ -46,4 +46,4 @@
   double done_before_ = 0;
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/servers/fleet.cc
+++ b/src/testbed/servers/fleet.cc
@@ -1,10 +1,10 @@
-#include "rig/servers/fleet.h"
+#include "testbed/servers/fleet.h"
 
 #include <algorithm>
 #include <cstdio>
 #include <utility>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 using Health = DiscoveryServer::Health;
@@ -12,7 +12,7 @@
 // An object is stored at the first two hosts that missed, as the platform does it.
 constexpr std::size_t kStoredAt = 2;
 // Requests whose misses are remembered: far more than can be open at once.
-constexpr std::size_t kMostMissed = 50'000;
+constexpr std::size_t kMaxMissed = 50'000;
 constexpr Duration kRestartTime = std::chrono::seconds(1);
 // For which links may still bring what they held up, once they hold nothing up any more.
 constexpr Duration kLinksSettle = std::chrono::milliseconds(100);
@@ -93,7 +93,7 @@
   auto& missed = missed_[request];
   if (missed.empty()) missed_order_.push_back(request);
   if (missed.size() < kStoredAt) missed.push_back(&server);
-  while (missed_order_.size() > kMostMissed) {
+  while (missed_order_.size() > kMaxMissed) {
     missed_.erase(missed_order_.front());
     missed_order_.pop_front();
   }
@@ -347,4 +347,4 @@
          ",\"tipMultiple\":" + std::to_string(tip) + ",\"warmAfter\":" + ns(warm) + "}}";
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/servers/fleet.h
+++ b/src/testbed/servers/fleet.h
@@ -5,13 +5,13 @@
 #include <unordered_map>
 #include <vector>
 
-#include "rig/judge/context.h"
-#include "rig/servers/cache_server.h"
-#include "rig/servers/discovery_server.h"
-#include "rig/servers/links.h"
-#include "rig/servers/origin_server.h"
+#include "testbed/audit/context.h"
+#include "testbed/servers/cache_server.h"
+#include "testbed/servers/discovery_server.h"
+#include "testbed/servers/links.h"
+#include "testbed/servers/origin_server.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 // All that stands behind the balancers: cache hosts, the origin and discovery, and what befalls
 // them. Real speeds are drawn here and told to nobody.
@@ -70,4 +70,4 @@
   std::deque<RequestNumber> missed_order_;
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/servers/http_server.cc
+++ b/src/testbed/servers/http_server.cc
@@ -1,10 +1,10 @@
-#include "rig/servers/http_server.h"
+#include "testbed/servers/http_server.h"
 
 #include <boost/asio/post.hpp>
 #include <boost/asio/write.hpp>
 #include <utility>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 namespace http = boost::beast::http;
 using boost::system::error_code;
@@ -52,11 +52,11 @@
   server_->sessions_.erase(shared_from_this());
 }
 
-HttpServer::HttpServer(Context& context, const tcp::endpoint& address, int most_connections,
+HttpServer::HttpServer(Context& context, const tcp::endpoint& address, int max_connections,
                        Handler handler)
     : context_(context),
       local_(address),
-      most_(static_cast<std::size_t>(most_connections)),
+      most_(static_cast<std::size_t>(max_connections)),
       handler_(std::move(handler)),
       acceptor_(context.io) {
   reopen();
@@ -98,4 +98,4 @@
   });
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/servers/http_server.h
+++ b/src/testbed/servers/http_server.h
@@ -9,9 +9,9 @@
 #include <set>
 #include <string>
 
-#include "rig/judge/context.h"
+#include "testbed/audit/context.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 // HTTP/1.1 on one address of the run's, for the origin and for discovery: one request at a time on
 // a connection, kept open. What can't be read, or is too long, gets a close.
@@ -45,7 +45,7 @@
   using Handler = std::function<void(const SessionPtr&)>;
 
   // Throws boost::system::system_error if the address cannot be bound.
-  HttpServer(Context& context, const asio::ip::tcp::endpoint& address, int most_connections,
+  HttpServer(Context& context, const asio::ip::tcp::endpoint& address, int max_connections,
              Handler handler);
   ~HttpServer();
   const asio::ip::tcp::endpoint& local() const { return local_; }
@@ -70,4 +70,4 @@
   std::uint64_t bytes_in_ = 0, bytes_out_ = 0;
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/servers/links.cc
+++ b/src/testbed/servers/links.cc
@@ -1,16 +1,16 @@
-#include "rig/servers/links.h"
+#include "testbed/servers/links.h"
 
 #include <array>
 #include <boost/asio/write.hpp>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
 constexpr std::size_t kPiece = 16u << 10;
-constexpr std::size_t kMostSessions = 4096;  // of one link
+constexpr std::size_t kMaxSessions = 4096;  // of one link
 
 tcp::endpoint endpoint_of(const std::string& dial) {
   const auto colon = dial.rfind(':');
@@ -157,7 +157,7 @@
       void operator()() const {
         link->acceptor.async_accept([me = *this](const error_code& e, tcp::socket socket) {
           if (e == asio::error::operation_aborted || !me.link->acceptor.is_open()) return;
-          if (!e && me.link->sessions.size() < kMostSessions) {
+          if (!e && me.link->sessions.size() < kMaxSessions) {
             const auto session = std::make_shared<Session>(*me.links, *me.link, std::move(socket));
             me.link->sessions.insert(session);
             session->start();
@@ -188,4 +188,4 @@
   return n;
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/servers/links.h
+++ b/src/testbed/servers/links.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <utility>
 
-#include "rig/judge/context.h"
+#include "testbed/audit/context.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 // The links between balancers and hosts, one for each pair that was asked for: an address whose
 // connections are passed on, so that what passes can be held up, delayed or broken off, by pair and
@@ -52,4 +52,4 @@
   std::uint64_t passed_ = 0, resets_ = 0;
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/servers/origin_server.cc
+++ b/src/testbed/servers/origin_server.cc
@@ -1,10 +1,10 @@
-#include "rig/servers/origin_server.h"
+#include "testbed/servers/origin_server.h"
 
 #include <utility>
 
 #include "proto/memcache.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 namespace http = boost::beast::http;
@@ -83,10 +83,10 @@
 
 // Decided when it begins: of two in the queue, the first runs.
 bool OriginServer::is_repeat(RequestNumber r, Time now) {
-  const ClassSpec& klass =
+  const ClassSpec& request_class =
       context_.scenario.classes[static_cast<std::size_t>(context_.auditor.class_of(r))];
-  if (klass.effect != Effect::kKeyed) return false;
-  while (!keyed_age_.empty() && keyed_age_.front().first + klass.window < now) {
+  if (request_class.effect != Effect::kKeyed) return false;
+  while (!keyed_age_.empty() && keyed_age_.front().first + request_class.window < now) {
     keyed_.erase(keyed_age_.front().second);
     keyed_age_.pop_front();
   }
@@ -138,4 +138,4 @@
   http_.close_all();
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/servers/origin_server.h
+++ b/src/testbed/servers/origin_server.h
@@ -5,10 +5,10 @@
 #include <string>
 #include <unordered_map>
 
-#include "rig/servers/engine.h"
-#include "rig/servers/http_server.h"
+#include "testbed/servers/engine.h"
+#include "testbed/servers/http_server.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 // The origin: HTTP/1.1, slow, with a queue of its own. It discards repeats of keyed writes for
 // their class's window, as the platform's protocol lets clients expect.
@@ -50,4 +50,4 @@
   std::string dial_;
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/servers/resp_cluster.cc
+++ b/src/testbed/servers/resp_cluster.cc
@@ -1,4 +1,4 @@
-#include "rig/servers/resp_cluster.h"
+#include "testbed/servers/resp_cluster.h"
 
 #include <algorithm>
 #include <boost/asio/write.hpp>
@@ -6,7 +6,7 @@
 
 #include "cluster/commands.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 using boost::system::error_code;
@@ -18,7 +18,7 @@
 
 const resp::Bounds kBounds{
     .bulk = 1u << 20, .elements = 1u << 16, .total = 4u << 20, .line = 64u << 10, .depth = 8};
-constexpr std::size_t kMostUnsent = 8u << 20;
+constexpr std::size_t kMaxUnsent = 8u << 20;
 
 std::string error(std::string_view text) {
   std::string out;
@@ -112,7 +112,7 @@
  private:
   void send(std::string text) {
     out_ += text;
-    if (out_.size() > kMostUnsent) return close();
+    if (out_.size() > kMaxUnsent) return close();
     flush();
   }
   void flush() {
@@ -653,4 +653,4 @@
   if (empty_mapped) n.map_.fill({});
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/servers/resp_cluster.h
+++ b/src/testbed/servers/resp_cluster.h
@@ -15,9 +15,9 @@
 #include <vector>
 
 #include "cluster/slots.h"
-#include "rig/servers/resp_store.h"
+#include "testbed/servers/resp_store.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 namespace asio = boost::asio;
 
@@ -132,4 +132,4 @@
   std::uint64_t commands_ = 0, redirections_ = 0, map_questions_ = 0;
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/servers/resp_fleet.cc
+++ b/src/testbed/servers/resp_fleet.cc
@@ -1,8 +1,8 @@
-#include "rig/servers/resp_fleet.h"
+#include "testbed/servers/resp_fleet.h"
 
 #include <algorithm>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 using std::chrono::milliseconds;
@@ -54,10 +54,10 @@
 
 // ---- requests
 
-resp::Command RespFleet::command(const Context& context, const ClassSpec& klass, RequestNumber r,
-                                 std::string_view key) {
-  const std::string name = klass.prefix + std::string(key);
-  if (klass.write()) return resp::Command::of({"RPUSH", name, context.wire_id(r)});
+resp::Command RespFleet::command(const Context& context, const ClassSpec& request_class,
+                                 RequestNumber r, std::string_view key) {
+  const std::string name = request_class.prefix + std::string(key);
+  if (request_class.write()) return resp::Command::of({"RPUSH", name, context.wire_id(r)});
   return resp::Command::of({"LRANGE", name, "-3", std::to_string(kReadBase + r)});
 }
 
@@ -130,11 +130,11 @@
   const auto all = owners();
   if (all.size() < 2) return;
   const auto& classes = context_.scenario.classes;
-  const auto klass = std::find_if(classes.begin(), classes.end(),
-                                  [this](const ClassSpec& c) { return c.cluster == number_; });
-  const bool wanted = random_.chance(0.5) && !keys_.empty() && klass != classes.end();
+  const auto request_class = std::find_if(
+      classes.begin(), classes.end(), [this](const ClassSpec& c) { return c.cluster == number_; });
+  const bool wanted = random_.chance(0.5) && !keys_.empty() && request_class != classes.end();
   const auto slot =
-      wanted ? cluster::slot_of(klass->prefix +
+      wanted ? cluster::slot_of(request_class->prefix +
                                 keys_[random_.below(std::min<std::size_t>(keys_.size(), 50))])
              : static_cast<cluster::Slot>(random_.below(cluster::kSlots));
   const int to = all[random_.below(all.size())], from = cluster_.owner(slot);
@@ -201,4 +201,4 @@
   return all;
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/servers/resp_fleet.h
+++ b/src/testbed/servers/resp_fleet.h
@@ -6,11 +6,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "rig/judge/context.h"
-#include "rig/servers/engine.h"
-#include "rig/servers/resp_cluster.h"
+#include "testbed/audit/context.h"
+#include "testbed/servers/engine.h"
+#include "testbed/servers/resp_cluster.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 // One RESP cluster of a scenario: times each node's commands by its class, tells the judge what
 // reached, ran and was answered where, and carries out the cluster's incidents.
@@ -26,8 +26,8 @@
   void fill(const std::vector<std::string>& keys);
   std::vector<std::string> addresses() const { return cluster_.addresses(); }
   // The wire form of a request.
-  static resp::Command command(const Context& context, const ClassSpec& klass, RequestNumber r,
-                               std::string_view key);
+  static resp::Command command(const Context& context, const ClassSpec& request_class,
+                               RequestNumber r, std::string_view key);
 
   struct NodeFigures {
     std::string name;
@@ -74,4 +74,4 @@
   int next_open_ = 0;
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/servers/resp_store.cc
+++ b/src/testbed/servers/resp_store.cc
@@ -1,11 +1,11 @@
-#include "rig/servers/resp_store.h"
+#include "testbed/servers/resp_store.h"
 
 #include <algorithm>
 #include <limits>
 
 #include "cluster/commands.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 using cluster::same_word;
@@ -384,4 +384,4 @@
   return std::nullopt;
 }
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/rig/servers/resp_store.h
+++ b/src/testbed/servers/resp_store.h
@@ -11,9 +11,9 @@
 #include <vector>
 
 #include "proto/resp.h"
-#include "rig/model/base.h"
+#include "testbed/model/base.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 // The keys of one emulated RESP server, and the data commands on them: strings and counters,
 // hashes, lists, sets, expiry. Written from the public reference of the commands. No I/O; time is
@@ -54,4 +54,4 @@
   std::map<std::string, Entry, std::less<>> entries_;
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/src/trace/heavy_hitters.cc
+++ b/src/trace/heavy_hitters.cc
@@ -8,21 +8,21 @@
 #include <stdexcept>
 #include <utility>
 
-namespace silverpin::trace {
+namespace balancer::trace {
 namespace {
 
-constexpr std::size_t kMostWidth = std::size_t{1} << 24, kMostDepth = 16;
-constexpr std::uint64_t kMostCount = std::numeric_limits<std::uint64_t>::max();
+constexpr std::size_t kMaxWidth = std::size_t{1} << 24, kMaxDepth = 16;
+constexpr std::uint64_t kMaxCount = std::numeric_limits<std::uint64_t>::max();
 
 std::uint64_t plus(std::uint64_t a, std::uint64_t b) {
-  return a > kMostCount - b ? kMostCount : a + b;
+  return a > kMaxCount - b ? kMaxCount : a + b;
 }
 
 }  // namespace
 
 HeavyHitters::HeavyHitters(const Options& options) : options_(options) {
-  if (options_.width == 0 || options_.width > kMostWidth || options_.depth == 0 ||
-      options_.depth > kMostDepth || options_.most == 0 || options_.most_text == 0)
+  if (options_.width == 0 || options_.width > kMaxWidth || options_.depth == 0 ||
+      options_.depth > kMaxDepth || options_.most == 0 || options_.max_text == 0)
     throw std::invalid_argument("a sketch with a bound of zero, or one that is too large");
   options_.width = std::bit_ceil(options_.width);
   mask_ = options_.width - 1;
@@ -47,7 +47,7 @@
 }
 
 std::uint64_t HeavyHitters::least(std::uint64_t hash) const {
-  std::uint64_t n = kMostCount;
+  std::uint64_t n = kMaxCount;
   for (std::size_t row = 0; row < options_.depth; ++row) n = std::min(n, cells_[cell(row, hash)]);
   return n;
 }
@@ -70,11 +70,11 @@
   }
   if (kept_.size() < options_.most) {
     kept_.emplace_back();
-    keep(kept_.size() - 1, {h, now, std::string(text.substr(0, options_.most_text))});
+    keep(kept_.size() - 1, {h, now, std::string(text.substr(0, options_.max_text))});
     rise(kept_.size() - 1);
   } else if (now > kept_.front().count) {
     place_.erase(kept_.front().hash);
-    keep(0, {h, now, std::string(text.substr(0, options_.most_text))});
+    keep(0, {h, now, std::string(text.substr(0, options_.max_text))});
     sink(0);
   }
 }
@@ -117,11 +117,11 @@
   return all;
 }
 
-std::size_t HeavyHitters::most_bytes() const {
+std::size_t HeavyHitters::max_bytes() const {
   constexpr std::size_t kNode =
       sizeof(std::pair<const std::uint64_t, std::size_t>) + 2 * sizeof(void*);
   return sizeof *this + cells_.size() * sizeof(cells_[0]) +
-         options_.most * (sizeof(Kept) + options_.most_text + 1 + kNode);
+         options_.most * (sizeof(Kept) + options_.max_text + 1 + kNode);
 }
 
-}  // namespace silverpin::trace
+}  // namespace balancer::trace
--- a/src/trace/heavy_hitters.h
+++ b/src/trace/heavy_hitters.h
@@ -8,7 +8,7 @@
 #include <unordered_map>
 #include <vector>
 
-namespace silverpin::trace {
+namespace balancer::trace {
 
 // The most frequent of a stream of texts (keys, tenants, clients) in bounded memory. A count-min
 // sketch (Cormode and Muthukrishnan, 2005) with conservative update (Estan and Varghese, 2002)
@@ -23,7 +23,7 @@
     std::size_t width = 4096;  // counters a row; rounded up to a power of two, 2^24 at most
     std::size_t depth = 4;     // rows, 16 at most
     std::size_t most = 64;     // texts that are kept by name
-    std::size_t most_text =
+    std::size_t max_text =
         64;  // bytes of each; what is longer is cut, and still counted as a whole
     std::array<unsigned char, 16> secret{};
   };
@@ -41,7 +41,7 @@
   std::vector<Entry> top() const;
   std::uint64_t total() const { return total_; }
   // As much as it ever takes, but for the allocator's own.
-  std::size_t most_bytes() const;
+  std::size_t max_bytes() const;
 
  private:
   struct Kept {
@@ -63,4 +63,4 @@
   std::uint64_t total_ = 0;
 };
 
-}  // namespace silverpin::trace
+}  // namespace balancer::trace
--- a/src/trace/quantile_sketch.cc
+++ b/src/trace/quantile_sketch.cc
@@ -4,29 +4,29 @@
 #include <cmath>
 #include <stdexcept>
 
-namespace silverpin::trace {
+namespace balancer::trace {
 namespace {
 
-constexpr double kLeast = 1e-12, kMost = 1e18;
+constexpr double kMin = 1e-12, kMax = 1e18;
 
 }  // namespace
 
-QuantileSketch::QuantileSketch(double accuracy, std::size_t most_buckets) : accuracy_(accuracy) {
-  if (!(accuracy >= 1e-4 && accuracy <= 0.5) || most_buckets < 16 || most_buckets > 65536)
+QuantileSketch::QuantileSketch(double accuracy, std::size_t max_buckets) : accuracy_(accuracy) {
+  if (!(accuracy >= 1e-4 && accuracy <= 0.5) || max_buckets < 16 || max_buckets > 65536)
     throw std::invalid_argument("a sketch whose accuracy or size is out of bounds");
   log_gamma_ = std::log1p(2 * accuracy / (1 - accuracy));
-  buckets_.resize(most_buckets);
+  buckets_.resize(max_buckets);
 }
 
 void QuantileSketch::add(double value, std::uint64_t times) {
   if (times == 0) return;
   count_ += times;
-  if (!(value >= kLeast)) {
+  if (!(value >= kMin)) {
     zeros_ += times;
     return;
   }
   // Bucket i holds what lies above gamma^(i-1) and up to gamma^i.
-  add_to(static_cast<int>(std::ceil(std::log(std::min(value, kMost)) / log_gamma_)), times);
+  add_to(static_cast<int>(std::ceil(std::log(std::min(value, kMax)) / log_gamma_)), times);
 }
 
 void QuantileSketch::add_to(int index, std::uint64_t times) {
@@ -91,4 +91,4 @@
   return 2 * std::exp(highest_ * log_gamma_) / (std::exp(log_gamma_) + 1);
 }
 
-}  // namespace silverpin::trace
+}  // namespace balancer::trace
--- a/src/trace/quantile_sketch.h
+++ b/src/trace/quantile_sketch.h
@@ -4,17 +4,17 @@
 #include <cstdint>
 #include <vector>
 
-namespace silverpin::trace {
+namespace balancer::trace {
 
 // Quantiles of a stream of values that are not negative (times, sizes, in any unit) within a stated
 // relative error, in bounded memory; several make one (DDSketch: Masson, Rim and Lee, VLDB 2019).
 // No I/O, time or threads.
 class QuantileSketch {
  public:
-  // accuracy: the relative error, from 0.0001 to 0.5. most_buckets, from 16 to 65536: 2048 span 17
+  // accuracy: the relative error, from 0.0001 to 0.5. max_buckets, from 16 to 65536: 2048 span 17
   // orders of magnitude at 1%. Where values lie further apart the lowest are drawn together, and
   // only quantiles among those lose the bound. Throws std::invalid_argument.
-  explicit QuantileSketch(double accuracy = 0.01, std::size_t most_buckets = 2048);
+  explicit QuantileSketch(double accuracy = 0.01, std::size_t max_buckets = 2048);
 
   // Below 1e-12, and what is no number, counts as zero; above 1e18 as that.
   void add(double value, std::uint64_t times = 1);
@@ -40,4 +40,4 @@
   bool collapsed_ = false;
 };
 
-}  // namespace silverpin::trace
+}  // namespace balancer::trace
--- a/tests/accept_fault_test.cc
+++ b/tests/accept_fault_test.cc
@@ -2,7 +2,7 @@
 // else is there. Whoever has a connection must not have to wait for the next one that comes.
 #include "program_harness.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 class AcceptFaultTest : public ProcessTest {};
@@ -21,4 +21,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/address_set_test.cc
+++ b/tests/address_set_test.cc
@@ -5,7 +5,7 @@
 #include <boost/asio/ip/network_v4.hpp>
 #include <random>
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 namespace ip = boost::asio::ip;
@@ -62,4 +62,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin
+}  // namespace balancer
--- a/tests/admin_test.cc
+++ b/tests/admin_test.cc
@@ -4,10 +4,10 @@
 #include <map>
 #include <set>
 
-#include "front/admin/calls.h"
+#include "frontend/admin/calls.h"
 #include "node_harness.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 using std::chrono::milliseconds;
@@ -212,4 +212,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/origin_gate_test.cc
+++ b/tests/admission_controller_test.cc
@@ -1,4 +1,4 @@
-#include "policy/origin_gate.h"
+#include "policy/admission_controller.h"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 #include <deque>
 #include <utility>
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 using std::chrono::milliseconds;
@@ -16,24 +16,24 @@
 constexpr Duration kTarget = milliseconds(200);
 
 // `n` fetches that all took `took`, and end just before the period does that they end in.
-void one_period(OriginGate& gate, Time end, Duration took, int n, bool failed = false) {
+void one_period(AdmissionController& gate, Time end, Duration took, int n, bool failed = false) {
   const Time done = end - milliseconds(1);
   for (int i = 0; i < n; ++i) gate.on_sent(done - took);
   for (int i = 0; i < n; ++i) gate.on_done(done - took, done, failed);
   gate.advance(end);
 }
 
-void read(OriginGate& gate, Time now, int n) {
+void read(AdmissionController& gate, Time now, int n) {
   for (int i = 0; i < n; ++i) gate.on_read(now);
 }
 
-TEST(OriginGate, StepsAreWorkedOutByHand) {
-  OriginGate gate(kTarget, Time{0});
+TEST(AdmissionController, StepsAreWorkedOutByHand) {
+  AdmissionController gate(kTarget, Time{0});
   read(gate, milliseconds(10), 10);  // 40 a second
   one_period(gate, milliseconds(250), milliseconds(220), 4);
   // 4 in 0.25 s are 16 a second, of which 1 - exp(-0.25) = 0.2212 count at first: 3.54, of 40 reads
   // a second 0.0885. The queue of 0.02 s is to drain within 2 s: less a hundredth.
-  EXPECT_NEAR(gate.fraction(), 0.0876, 0.0005);
+  EXPECT_NEAR(gate.admit_fraction(), 0.0876, 0.0005);
   // From there it opens to 0.85 of what was done at once. Read on at 40 a second; 0.05 s each.
   read(gate, milliseconds(260), 10);
   for (int r = 0; r < 20; ++r) gate.admit(milliseconds(300));
@@ -41,46 +41,47 @@
   // 3.54 * exp(-0.25) + 16 * 0.2212 = 6.30, 0.157 of the reads; the gain from (0.0876, 0.05) to the
   // faded high point (1, 0.22) is far steeper: 0.912/0.17 * 0.15 = 0.80, a fifth of it 0.16, and
   // 0.0876 + 0.16 + 0.0047 = 0.25. So the bound holds: 0.85 * 0.157 = 0.134.
-  EXPECT_NEAR(gate.fraction(), 0.134, 0.002);
+  EXPECT_NEAR(gate.admit_fraction(), 0.134, 0.002);
   // And from what was done on by a quarter a second.
-  double before = gate.fraction();
+  double before = gate.admit_fraction();
   for (int i = 3; i < 40; ++i) {
     read(gate, milliseconds(250 * i - 240), 10);
     for (int r = 0; r < 20; ++r) gate.admit(milliseconds(250 * i - 200));
     one_period(gate, milliseconds(250 * i), milliseconds(50), 4);
-    EXPECT_LE(gate.fraction(), std::max(before * std::exp(0.25 * 0.25), 0.85 * 16 / 40) + 1e-9);
-    EXPECT_GE(gate.fraction(), before);
-    before = gate.fraction();
+    EXPECT_LE(gate.admit_fraction(),
+              std::max(before * std::exp(0.25 * 0.25), 0.85 * 16 / 40) + 1e-9);
+    EXPECT_GE(gate.admit_fraction(), before);
+    before = gate.admit_fraction();
   }
   EXPECT_DOUBLE_EQ(before, 1);
 }
 
-TEST(OriginGate, OneSlowFetchIsNoSlowOrigin) {
-  OriginGate gate(kTarget, Time{0});
+TEST(AdmissionController, OneSlowFetchIsNoSlowOrigin) {
+  AdmissionController gate(kTarget, Time{0});
   one_period(gate, milliseconds(500), milliseconds(400), 1);
-  EXPECT_DOUBLE_EQ(gate.fraction(), 1);
+  EXPECT_DOUBLE_EQ(gate.admit_fraction(), 1);
   one_period(gate, milliseconds(1000), milliseconds(20), 3);
-  EXPECT_DOUBLE_EQ(gate.fraction(), 1);  // the mean of all four is 0.115 s
+  EXPECT_DOUBLE_EQ(gate.admit_fraction(), 1);  // the mean of all four is 0.115 s
 }
 
 // Sent at once, none has come back: the queue shows in the first period, and not once it has been
 // waited for.
-TEST(OriginGate, AQueueShowsBeforeItsFetchesComeBack) {
-  OriginGate gate(kTarget, Time{0});
+TEST(AdmissionController, AQueueShowsBeforeItsFetchesComeBack) {
+  AdmissionController gate(kTarget, Time{0});
   read(gate, milliseconds(1), 100);
   Time now{0};
   for (int i = 0; i < 50; ++i) gate.on_sent(now += milliseconds(4));
   for (int i = 0; i < 5; ++i) gate.on_done(milliseconds(4 + 4 * i), now += milliseconds(5), false);
   gate.advance(milliseconds(250));
   // 5 done while 50 were out for 0.13 s on average: over a second each.
-  EXPECT_LT(gate.fraction(), 0.1);
+  EXPECT_LT(gate.admit_fraction(), 0.1);
 }
 
 // The caches are lost behind a gate that is wide open: before any step what is out stays at what
 // all reads would have out at the target. An origin that keeps up is not held back by it, nor one
 // that is busy with more writes than there are reads.
-TEST(OriginGate, NoMoreIsOutThanAllReadsWouldHaveOutAtTheTarget) {
-  OriginGate gate(kTarget, Time{0});
+TEST(AdmissionController, NoMoreIsOutThanAllReadsWouldHaveOutAtTheTarget) {
+  AdmissionController gate(kTarget, Time{0});
   int out = 0;
   for (int i = 0; i < 50; ++i) {
     const Time now = milliseconds(4 * i);
@@ -88,9 +89,9 @@
     if (gate.admit(now)) gate.on_sent(now), ++out;
   }
   EXPECT_EQ(out, 40);  // 50 reads of a period that has lasted 0.2 s: 200 a second by 0.2 s
-  EXPECT_DOUBLE_EQ(gate.fraction(), 1);
+  EXPECT_DOUBLE_EQ(gate.admit_fraction(), 1);
 
-  OriginGate quick(kTarget, Time{0});
+  AdmissionController quick(kTarget, Time{0});
   for (int i = 0; i < 250; ++i) quick.on_read(milliseconds(4 * i));
   for (int i = 0; i < 1000; ++i) {
     const Time now = seconds(1) + milliseconds(4 * i);
@@ -100,7 +101,7 @@
     if (i >= 13) quick.on_done(now - milliseconds(52), now, false);
   }
   // 200 writes a second that take 0.15 s each, 30 of them out, beside one read a second.
-  OriginGate busy(kTarget, Time{0});
+  AdmissionController busy(kTarget, Time{0});
   int fetched = 0;
   for (int i = 0; i < 4000; ++i) {
     const Time now = milliseconds(5 * i);
@@ -114,14 +115,14 @@
 }
 
 // One fetch in two seconds, as a balancer of a large fleet sees: it acts on what is out for long.
-TEST(OriginGate, ALoneFetchThatTakesLongEnoughIsEvidence) {
-  OriginGate gate(kTarget, Time{0});
+TEST(AdmissionController, ALoneFetchThatTakesLongEnoughIsEvidence) {
+  AdmissionController gate(kTarget, Time{0});
   read(gate, milliseconds(1), 1);
   gate.on_sent(milliseconds(10));
   gate.advance(milliseconds(700));
-  EXPECT_DOUBLE_EQ(gate.fraction(), 1);
+  EXPECT_DOUBLE_EQ(gate.admit_fraction(), 1);
   gate.advance(milliseconds(1050));  // four times the target and more
-  EXPECT_LT(gate.fraction(), 0.1);
+  EXPECT_LT(gate.admit_fraction(), 0.1);
 }
 
 // An origin that does one fetch after the other, and 200 reads a second that all miss.
@@ -151,12 +152,12 @@
   // For how long one that is sent now would wait.
   Duration wait() const { return std::max(Duration{0}, free - now); }
 
-  OriginGate gate{kTarget, Time{0}};
+  AdmissionController gate{kTarget, Time{0}};
   Time now{0}, free{0};
   std::deque<std::pair<Time, Time>> out;  // sent, done
 };
 
-TEST(OriginGate, SettlesOnWhatTheOriginDoesAndReopensOnceItDoesMore) {
+TEST(AdmissionController, SettlesOnWhatTheOriginDoesAndReopensOnceItDoesMore) {
   Queue q;
   q.run(seconds(10), milliseconds(20));  // 50 a second
   for (int s = 0; s < 10; ++s) {
@@ -166,12 +167,12 @@
     EXPECT_LT(q.wait(), milliseconds(600)) << s;
   }
   q.run(seconds(10), milliseconds(4));
-  EXPECT_TRUE(q.gate.wide_open());
+  EXPECT_TRUE(q.gate.admits_all());
   EXPECT_EQ(q.run(seconds(1), milliseconds(4)), 200);
 }
 
 // What refused clients ask for again must not open the gate wider: what was done is a share of it.
-TEST(OriginGate, RepeatsOfWhatWasRefusedDoNotRaiseWhatGoes) {
+TEST(AdmissionController, RepeatsOfWhatWasRefusedDoNotRaiseWhatGoes) {
   for (const int repeats : {0, 2}) {
     Queue q;
     q.run(seconds(10), milliseconds(20), repeats);
@@ -184,7 +185,7 @@
 
 // The origin falls to a tenth for 20 s, with a second of work in it when it is back: it is not
 // swamped, and all is served again within seconds.
-TEST(OriginGate, AnOriginThatIsATenthOfItselfForAWhileIsNotSwamped) {
+TEST(AdmissionController, AnOriginThatIsATenthOfItselfForAWhileIsNotSwamped) {
   Queue q;
   q.run(seconds(5), milliseconds(4));
   q.run(seconds(3), milliseconds(40));
@@ -196,40 +197,40 @@
   EXPECT_EQ(q.run(seconds(1), milliseconds(4)), 200);
 }
 
-TEST(OriginGate, AChanceHighPointIsNoCeilingForGood) {
-  OriginGate gate(kTarget, Time{0});
+TEST(AdmissionController, AChanceHighPointIsNoCeilingForGood) {
+  AdmissionController gate(kTarget, Time{0});
   Time now{0};
   for (int i = 0; i < 6; ++i) one_period(gate, now += milliseconds(500), milliseconds(500), 4);
-  const double low = gate.fraction();
+  const double low = gate.admit_fraction();
   EXPECT_LT(low, 0.6);
   // Somewhat below the target from here on, while the surplus is refused.
   for (int i = 0; i < 32; ++i) {
     for (int r = 0; r < 20; ++r) gate.admit(now);
     one_period(gate, now += milliseconds(500), milliseconds(190), 4);
   }
-  EXPECT_GT(gate.fraction(), low + 0.1);
+  EXPECT_GT(gate.admit_fraction(), low + 0.1);
 }
 
-TEST(OriginGate, HungFetchesCloseItWhileStillOut) {
-  OriginGate gate(kTarget, Time{0});
+TEST(AdmissionController, HungFetchesCloseItWhileStillOut) {
+  AdmissionController gate(kTarget, Time{0});
   for (int i = 0; i < 4; ++i) gate.on_sent(milliseconds(10));
   gate.advance(seconds(5));
-  EXPECT_LT(gate.fraction(), 0.3);
+  EXPECT_LT(gate.admit_fraction(), 0.3);
 }
 
-TEST(OriginGate, FailedFetchesCountAsSlowAndDroppedOnesNotAtAll) {
-  OriginGate gate(kTarget, Time{0});
+TEST(AdmissionController, FailedFetchesCountAsSlowAndDroppedOnesNotAtAll) {
+  AdmissionController gate(kTarget, Time{0});
   one_period(gate, milliseconds(500), milliseconds(1), 4, true);
-  EXPECT_LT(gate.fraction(), 0.9);
-  OriginGate other(kTarget, Time{0});
+  EXPECT_LT(gate.admit_fraction(), 0.9);
+  AdmissionController other(kTarget, Time{0});
   for (int i = 0; i < 4; ++i) other.on_sent(milliseconds(10));
   for (int i = 0; i < 4; ++i) other.on_dropped(milliseconds(10), milliseconds(20));
   other.advance(seconds(5));
-  EXPECT_DOUBLE_EQ(other.fraction(), 1);
+  EXPECT_DOUBLE_EQ(other.admit_fraction(), 1);
 }
 
-TEST(OriginGate, NoInputMakesItLeaveItsBoundsOrStayShut) {
-  OriginGate gate(kTarget, Time{0});
+TEST(AdmissionController, NoInputMakesItLeaveItsBoundsOrStayShut) {
+  AdmissionController gate(kTarget, Time{0});
   Time now{0};
   std::uint64_t x = 88172645463325252u;
   for (int i = 0; i < 50000; ++i) {
@@ -251,12 +252,12 @@
       default:
         gate.on_dropped(sent, now);
     }
-    ASSERT_TRUE(std::isfinite(gate.fraction()));
-    ASSERT_GE(gate.fraction(), 0.05);
-    ASSERT_LE(gate.fraction(), 1);
+    ASSERT_TRUE(std::isfinite(gate.admit_fraction()));
+    ASSERT_GE(gate.admit_fraction(), 0.05);
+    ASSERT_LE(gate.admit_fraction(), 1);
   }
   EXPECT_TRUE(gate.admit(now + seconds(10)));  // whatever came before, some fetch goes
 }
 
 }  // namespace
-}  // namespace silverpin
+}  // namespace balancer
--- a/tests/bgp_test.cc
+++ b/tests/bgp_test.cc
@@ -4,9 +4,9 @@
 
 #include <random>
 
-#include "announce/speaker.h"
+#include "route_announcement/speaker.h"
 
-namespace silverpin::bgp {
+namespace balancer::bgp {
 namespace {
 
 using std::chrono::milliseconds;
@@ -566,4 +566,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::bgp
+}  // namespace balancer::bgp
--- a/tests/carrier_test.cc
+++ b/tests/carrier_test.cc
@@ -5,10 +5,10 @@
 #include <set>
 #include <tuple>
 
-#include "address/ability.h"
-#include "announce/command_carrier.h"
+#include "lease/eligibility.h"
+#include "route_announcement/command_carrier.h"
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 using std::chrono::milliseconds;
@@ -149,42 +149,42 @@
 
 }  // namespace
 
-namespace address {
+namespace lease {
 namespace {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using Part = Ability::Part;
+using Part = Eligibility::Part;
 
-TEST(Ability, IsThereAtOnceAndShortGapsAreNotMissed) {
-  Ability a{AbilitySettings{}};
+TEST(Eligibility, IsThereAtOnceAndShortGapsAreNotMissed) {
+  Eligibility a{EligibilitySettings{}};
   Time now = seconds(10);
-  EXPECT_TRUE(a.able(now));
+  EXPECT_TRUE(a.eligible(now));
   a.on_part(now, Part::kRouters, false);
-  EXPECT_TRUE(a.able(now + milliseconds(299)));
+  EXPECT_TRUE(a.eligible(now + milliseconds(299)));
   EXPECT_EQ(a.next(), now + milliseconds(300));
-  EXPECT_FALSE(a.able(now + milliseconds(300)));
+  EXPECT_FALSE(a.eligible(now + milliseconds(300)));
   EXPECT_NE(a.why().find("routers"), std::string::npos);
 }
 
-TEST(Ability, ALostListenerCountsAtOnce) {
-  Ability a{AbilitySettings{}};
-  EXPECT_TRUE(a.able(seconds(1)));
+TEST(Eligibility, ALostListenerCountsAtOnce) {
+  Eligibility a{EligibilitySettings{}};
+  EXPECT_TRUE(a.eligible(seconds(1)));
   a.on_part(seconds(1), Part::kListener, false);
-  EXPECT_FALSE(a.able(seconds(1)));
+  EXPECT_FALSE(a.eligible(seconds(1)));
 }
 
-TEST(Ability, OneThatComesAndGoesWaitsEverLonger) {
-  Ability a{AbilitySettings{}};
+TEST(Eligibility, OneThatComesAndGoesWaitsEverLonger) {
+  Eligibility a{EligibilitySettings{}};
   Time now = seconds(1);
-  EXPECT_TRUE(a.able(now));
+  EXPECT_TRUE(a.eligible(now));
   Duration last{0};
   for (int i = 0; i < 7; ++i) {
     a.on_part(now, Part::kListener, false);
-    EXPECT_FALSE(a.able(now));
+    EXPECT_FALSE(a.eligible(now));
     a.on_part(now, Part::kListener, true);
     const Time from = now;
-    while (!a.able(now)) {
+    while (!a.eligible(now)) {
       ASSERT_GT(a.next(), now);
       now = a.next();
     }
@@ -197,54 +197,55 @@
   }
   // After a quiet minute it is like new.
   now += seconds(90);
-  EXPECT_TRUE(a.able(now));
+  EXPECT_TRUE(a.eligible(now));
   a.on_part(now, Part::kListener, false);
-  EXPECT_FALSE(a.able(now));
+  EXPECT_FALSE(a.eligible(now));
   a.on_part(now, Part::kListener, true);
-  EXPECT_FALSE(a.able(now));
-  EXPECT_TRUE(a.able(now + milliseconds(500)));
+  EXPECT_FALSE(a.eligible(now));
+  EXPECT_TRUE(a.eligible(now + milliseconds(500)));
 }
 
-TEST(Ability, ALateEventLoop) {
-  Ability a{AbilitySettings{}};
+TEST(Eligibility, ALateEventLoop) {
+  Eligibility a{EligibilitySettings{}};
   Time now = seconds(1);
   for (int i = 0; i < 2; ++i) a.on_lateness(now += milliseconds(500), milliseconds(300));
-  EXPECT_TRUE(a.able(now)) << "twice is chance";
+  EXPECT_TRUE(a.eligible(now)) << "twice is chance";
   a.on_lateness(now += milliseconds(500), milliseconds(300));
-  EXPECT_FALSE(a.able(now));
+  EXPECT_FALSE(a.eligible(now));
   EXPECT_NE(a.why().find("late"), std::string::npos);
   const Time then = now;
-  while (!a.able(now) && now < then + seconds(20)) now = std::max(now + milliseconds(1), a.next());
+  while (!a.eligible(now) && now < then + seconds(20))
+    now = std::max(now + milliseconds(1), a.next());
   EXPECT_GE(now - then, seconds(2));
   EXPECT_LE(now - then, seconds(5));
 }
 
 // Against what is stated: able only where nothing has been missing for longer than its grace; not
 // able without a cause within the stated times; next() never misses a change.
-TEST(Ability, AnyNews) {
+TEST(Eligibility, AnyNews) {
   for (std::uint32_t seed = 1; seed <= 300; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937 random(seed);
-    const AbilitySettings s;
-    Ability a{s};
+    const EligibilitySettings s;
+    Eligibility a{s};
     Time now = seconds(1);
-    bool there[Ability::kParts] = {true, true, true, true};
-    Time since[Ability::kParts] = {};
+    bool there[Eligibility::kParts] = {true, true, true, true};
+    Time since[Eligibility::kParts] = {};
     Time quiet_since = now;
     for (int i = 0; i < 200; ++i) {
       const Time until = now + milliseconds(random() % 1500);
       // Whatever changes by itself changes when it said.
       while (true) {
-        const bool before = a.able(now);
+        const bool before = a.eligible(now);
         const Time next = a.next();
         const Time step = std::min(until, std::max(next, now + milliseconds(1)));
         if (step - now > milliseconds(2)) {
-          ASSERT_EQ(a.able(step - milliseconds(1)), before) << "it changed ahead of next()";
+          ASSERT_EQ(a.eligible(step - milliseconds(1)), before) << "it changed ahead of next()";
         }
         now = step;
         if (now >= until) break;
       }
-      const auto part = random() % Ability::kParts;
+      const auto part = random() % Eligibility::kParts;
       if (random() % 6 == 0) {
         a.on_lateness(now, milliseconds(random() % 400));
       } else {
@@ -253,27 +254,28 @@
         there[part] = good;
         a.on_part(now, static_cast<Part>(part), good);
       }
-      const bool able = a.able(now);
+      const bool eligible = a.eligible(now);
       bool missing = false;
-      for (std::size_t p = 0; p < Ability::kParts; ++p) {
+      for (std::size_t p = 0; p < Eligibility::kParts; ++p) {
         const bool waits = p == 0 || p == 2;
         missing = missing || (!there[p] && (!waits || now - since[p] >= s.grace));
       }
       if (missing) {
-        EXPECT_FALSE(able);
+        EXPECT_FALSE(eligible);
         EXPECT_FALSE(a.why().empty());
         quiet_since = now;
       }
     }
-    for (std::size_t p = 0; p < Ability::kParts; ++p) a.on_part(now, static_cast<Part>(p), true);
-    EXPECT_TRUE(a.able(now) || [&] {
+    for (std::size_t p = 0; p < Eligibility::kParts; ++p)
+      a.on_part(now, static_cast<Part>(p), true);
+    EXPECT_TRUE(a.eligible(now) || [&] {
       const Time end = now + s.late_window + s.steady * 16 + milliseconds(10);
-      while (now < end && !a.able(now)) now = std::max(now + milliseconds(1), a.next());
-      return a.able(now);
+      while (now < end && !a.eligible(now)) now = std::max(now + milliseconds(1), a.next());
+      return a.eligible(now);
     }());
   }
 }
 
 }  // namespace
-}  // namespace address
-}  // namespace silverpin
+}  // namespace lease
+}  // namespace balancer
--- a/tests/client_session_test.cc
+++ b/tests/client_session_test.cc
@@ -3,7 +3,7 @@
 
 #include "node_harness.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 class ClientSessionTest : public NodeTest {
@@ -127,7 +127,7 @@
     most = std::max(most, limits->bytes.used());
     return limits->clients.used() == 0;
   }));
-  EXPECT_LE(most, limits->bytes.most());
+  EXPECT_LE(most, limits->bytes.max());
   EXPECT_EQ(limits->bytes.used(), 0u);
 }
 
@@ -255,4 +255,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/cluster_test.cc
+++ b/tests/cluster_test.cc
@@ -11,7 +11,7 @@
 #include "cluster/scan.h"
 #include "cluster/slots.h"
 
-namespace silverpin::cluster {
+namespace balancer::cluster {
 namespace {
 
 using std::chrono::milliseconds;
@@ -489,4 +489,4 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, ScanPlanTest, ::testing::Range(1u, 13u));
 
 }  // namespace
-}  // namespace silverpin::cluster
+}  // namespace balancer::cluster
--- a/tests/sharing_test.cc
+++ b/tests/connection_selector_test.cc
@@ -1,4 +1,4 @@
-#include "pool/sharing.h"
+#include "connection_pool/connection_selector.h"
 
 #include <gtest/gtest.h>
 
@@ -7,27 +7,27 @@
 #include <random>
 #include <string>
 
-namespace silverpin::pool {
+namespace balancer::connection_pool {
 namespace {
 
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using Kind = Sharing::Choice::Kind;
+using Kind = ConnectionSelector::Choice::Kind;
 
-SharingSettings shared(std::size_t spread = 1) {
-  SharingSettings s;
-  s.most_depth = 64;
+ConnectionSelectorSettings shared(std::size_t spread = 1) {
+  ConnectionSelectorSettings s;
+  s.max_depth = 64;
   s.shared = true;
-  s.most_unsafe = 4;
+  s.max_unsafe = 4;
   s.spread = spread;
   return s;
 }
 
-class SharingTest : public ::testing::Test {
+class ConnectionSelectorTest : public ::testing::Test {
  protected:
   // Starts an attempt wherever the module says; the connection's number, or -1 where it must wait.
-  int start(Sharing& s, const Want& want, bool may_open = true) {
+  int start(ConnectionSelector& s, const AttemptTraits& want, bool may_open = true) {
     const auto choice = s.choose(now, want, may_open);
     if (choice.kind == Kind::kWait) return -1;
     ConnectionId id = choice.connection;
@@ -39,7 +39,8 @@
     return static_cast<int>(id);
   }
   // So many answers, each after `took`, on a connection of their own.
-  void learn(Sharing& s, int n, Duration took = microseconds(100), std::uint8_t kind = 0) {
+  void learn(ConnectionSelector& s, int n, Duration took = microseconds(100),
+             std::uint8_t kind = 0) {
     const auto id = s.on_open(now);
     s.on_up(id, now);
     for (int i = 0; i < n; ++i) {
@@ -53,10 +54,10 @@
   Time now{seconds(100)};
 };
 
-TEST_F(SharingTest, ExclusiveConnectionsTakeOneAttemptEach) {
-  SharingSettings settings;
-  settings.most_depth = 4;
-  Sharing s(settings);
+TEST_F(ConnectionSelectorTest, ExclusiveConnectionsTakeOneAttemptEach) {
+  ConnectionSelectorSettings settings;
+  settings.max_depth = 4;
+  ConnectionSelector s(settings);
   EXPECT_EQ(start(s, {}), 0);
   EXPECT_EQ(start(s, {}), 1);
   EXPECT_EQ(s.depth(0), 1u);
@@ -67,9 +68,9 @@
   EXPECT_EQ(start(s, {}, false), -1);
 }
 
-TEST_F(SharingTest, AnUnsafeAttemptTakesNoIdleConnectionThatMayBeClosed) {
-  SharingSettings settings;
-  Sharing s(settings);
+TEST_F(ConnectionSelectorTest, AnUnsafeAttemptTakesNoIdleConnectionThatMayBeClosed) {
+  ConnectionSelectorSettings settings;
+  ConnectionSelector s(settings);
   start(s, {});
   s.on_answered(0, now, true);
   now += milliseconds(10);
@@ -86,16 +87,16 @@
   EXPECT_EQ(s.choose(now, {}, true).kind, Kind::kOpen) << "about to be retired";
 }
 
-TEST_F(SharingTest, APipelineStaysOnOneConnection) {
-  Sharing s(shared(4));
+TEST_F(ConnectionSelectorTest, APipelineStaysOnOneConnection) {
+  ConnectionSelector s(shared(4));
   EXPECT_EQ(start(s, {.flow = 7}), 0);
   for (int i = 1; i < 64; ++i) EXPECT_EQ(start(s, {.flow = 7}), 0);
   EXPECT_EQ(s.depth(0), 64u);
   EXPECT_EQ(start(s, {.flow = 7}), 1) << "a full one takes no more";
 }
 
-TEST_F(SharingTest, ClientsShareOnceAnswersHaveShownThatNothingIsSlow) {
-  Sharing s(shared());
+TEST_F(ConnectionSelectorTest, ClientsShareOnceAnswersHaveShownThatNothingIsSlow) {
+  ConnectionSelector s(shared());
   EXPECT_EQ(s.shared_depth(), 1u) << "unknown, so taken for dear";
   learn(s, 4000);
   EXPECT_GT(s.shared_depth(), 16u);
@@ -103,8 +104,8 @@
   EXPECT_EQ(start(s, {.flow = 2}), 0);
 }
 
-TEST_F(SharingTest, SpreadsOverAFewConnectionsBeforeItShares) {
-  Sharing s(shared(3));
+TEST_F(ConnectionSelectorTest, SpreadsOverAFewConnectionsBeforeItShares) {
+  ConnectionSelector s(shared(3));
   learn(s, 4000);
   for (std::uint64_t flow = 1; flow <= 3; ++flow)
     EXPECT_EQ(start(s, {.flow = flow}), static_cast<int>(flow - 1));
@@ -113,8 +114,8 @@
 }
 
 // One in a hundred slow: behind each of them others would wait.
-TEST_F(SharingTest, SlowAnswersOfNoKindKeepClientsApart) {
-  Sharing s(shared());
+TEST_F(ConnectionSelectorTest, SlowAnswersOfNoKindKeepClientsApart) {
+  ConnectionSelector s(shared());
   for (int i = 0; i < 100; ++i) {
     learn(s, 99);
     learn(s, 1, milliseconds(50));
@@ -126,8 +127,8 @@
 }
 
 // Where it is one command that is slow, that one travels alone and the others go on sharing.
-TEST_F(SharingTest, AKindThatIsSlowTravelsAlone) {
-  Sharing s(shared());
+TEST_F(ConnectionSelectorTest, AKindThatIsSlowTravelsAlone) {
+  ConnectionSelector s(shared());
   learn(s, 4000);
   for (int i = 0; i < 40; ++i) {
     learn(s, 99);
@@ -142,8 +143,8 @@
   EXPECT_EQ(start(s, {.flow = 1}), alone) << "its own client waits for it in any case";
 }
 
-TEST_F(SharingTest, AConnectionThatHasGoneQuietGetsNothingMore) {
-  Sharing s(shared());
+TEST_F(ConnectionSelectorTest, AConnectionThatHasGoneQuietGetsNothingMore) {
+  ConnectionSelector s(shared());
   learn(s, 4000);
   ASSERT_EQ(start(s, {.flow = 1}), 0);
   now += milliseconds(3);
@@ -155,8 +156,8 @@
   EXPECT_FALSE(s.overdue(0, now));
 }
 
-TEST_F(SharingTest, OneConnectionCarriesFewThatMustNeverRunTwice) {
-  Sharing s(shared());
+TEST_F(ConnectionSelectorTest, OneConnectionCarriesFewThatMustNeverRunTwice) {
+  ConnectionSelector s(shared());
   learn(s, 4000);
   for (int i = 0; i < 4; ++i) EXPECT_EQ(start(s, {.flow = 1, .unsafe = true}), 0);
   EXPECT_EQ(start(s, {.flow = 1, .unsafe = true}), 1);
@@ -164,8 +165,8 @@
   EXPECT_EQ(start(s, {.flow = 2}, false), 1);
 }
 
-TEST_F(SharingTest, WhatIsOrderedGoesBehindOrWaits) {
-  Sharing s(shared(4));
+TEST_F(ConnectionSelectorTest, WhatIsOrderedGoesBehindOrWaits) {
+  ConnectionSelector s(shared(4));
   learn(s, 4000);
   ASSERT_EQ(start(s, {.flow = 1, .order = 5}), 0);
   EXPECT_EQ(start(s, {.flow = 1, .order = 5, .ordered = true}), 0);
@@ -180,8 +181,8 @@
   EXPECT_EQ(start(s, {.flow = 1, .order = 5, .ordered = true}), 1);
 }
 
-TEST_F(SharingTest, OneThatIsToCloseIsNotTaken) {
-  Sharing s(shared());
+TEST_F(ConnectionSelectorTest, OneThatIsToCloseIsNotTaken) {
+  ConnectionSelector s(shared());
   learn(s, 4000);
   ASSERT_EQ(start(s, {.flow = 1}), 0);
   ASSERT_EQ(start(s, {.flow = 1}), 0);
@@ -199,14 +200,14 @@
   SCOPED_TRACE("seed " + std::to_string(GetParam()));
   std::mt19937_64 random(GetParam());
   const auto below = [&](std::uint64_t n) { return random() % n; };
-  SharingSettings settings = shared(1 + below(4));
-  settings.most_depth = 1 + below(20);
-  settings.shared = settings.most_depth > 1 && below(4) > 0;
-  Sharing s(settings);
+  ConnectionSelectorSettings settings = shared(1 + below(4));
+  settings.max_depth = 1 + below(20);
+  settings.shared = settings.max_depth > 1 && below(4) > 0;
+  ConnectionSelector s(settings);
   Time now{seconds(1)};
   struct Mine {
     bool up = false, keeps_open = true;
-    std::deque<Want> out;
+    std::deque<AttemptTraits> out;
     std::deque<std::uint64_t> number;
   };
   std::map<ConnectionId, Mine> mine;
@@ -221,7 +222,7 @@
       case 0:
       case 1:
       case 2: {
-        Want w;
+        AttemptTraits w;
         w.flow = below(5);
         w.order = 1 + below(12);
         w.ordered = true;
@@ -239,10 +240,10 @@
         ASSERT_TRUE(mine.count(id)) << "a connection that is not open";
         Mine& m = mine[id];
         ASSERT_TRUE(m.keeps_open);
-        ASSERT_LT(m.out.size(), settings.most_depth);
+        ASSERT_LT(m.out.size(), settings.max_depth);
         if (w.unsafe && !m.out.empty()) {
           ASSERT_LT(std::count_if(m.out.begin(), m.out.end(), [](auto& o) { return o.unsafe; }),
-                    static_cast<std::ptrdiff_t>(settings.most_unsafe));
+                    static_cast<std::ptrdiff_t>(settings.max_unsafe));
         }
         if (!m.out.empty()) {
           ASSERT_FALSE(s.overdue(id, now));
@@ -309,11 +310,11 @@
     ASSERT_TRUE(std::is_sorted(s.idle().begin(), s.idle().end(),
                                [&](auto a, auto b) { return s.idle_since(a) < s.idle_since(b); }));
     ASSERT_GE(s.shared_depth(), 1u);
-    ASSERT_LE(s.shared_depth(), std::max<std::size_t>(1, settings.most_depth));
+    ASSERT_LE(s.shared_depth(), std::max<std::size_t>(1, settings.max_depth));
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomSharingTest, ::testing::Range(1u, 17u));
 
 }  // namespace
-}  // namespace silverpin::pool
+}  // namespace balancer::connection_pool
--- a/tests/core_harness.h
+++ b/tests/core_harness.h
@@ -11,14 +11,14 @@
 #include <thread>
 #include <utility>
 
-#include "front/memcache/cache_connection.h"
-#include "front/memcache/origin_connection.h"
+#include "frontend/memcache/cache_connection.h"
+#include "frontend/memcache/origin_connection.h"
 #include "net/client_listener.h"
 #include "node_harness.h"
 
 // The core with real sockets on both sides, on the test's own event loop. Lists are the test's
 // calls, so that it decides between which two handlers one comes.
-namespace silverpin::node {
+namespace balancer::node {
 
 // A server that can stop taking connections at the kernel: until let() they neither come up nor
 // fail. What its peers write is theirs as with Server.
@@ -285,4 +285,4 @@
   std::unique_ptr<ClientListener> listener;
 };
 
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/crossings_test.cc
+++ b/tests/crossings_test.cc
@@ -5,7 +5,7 @@
 
 #include "core_harness.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 using std::chrono::milliseconds;
@@ -56,7 +56,7 @@
 }
 
 TEST_P(LeavingClientTest, BehindAnotherForAPlace) {
-  site.most_connections = 1;
+  site.max_connections = 1;
   begin();
   list({listed("h", cache.server.local())});
   auto first = client(), c = client(), last = client();
@@ -74,7 +74,7 @@
 
 // Written whole behind another: it stays as it is, and what comes for it spoils nobody's answer.
 TEST_P(LeavingClientTest, BehindAnotherOnItsConnection) {
-  site.most_connections = 1;
+  site.max_connections = 1;
   site.streams_per_connection = 8;
   site.slow_after = std::chrono::hours(1);  // also on a slow machine the first is not overdue
   begin();
@@ -176,7 +176,7 @@
   begin();
   list({listed("h", cache.server.local())});
   bool asked = false;
-  pool->mind_standstills([&] { asked = true; }, [](const std::string&) {});
+  pool->enable_stall_guard([&] { asked = true; }, [](const std::string&) {});
   auto c = client(), other = client();
   ASSERT_TRUE(wait([&] { return limits->clients.used() == 2; }));
   c->send(get("k", "1"));
@@ -204,7 +204,7 @@
 
 TEST_P(UnreadClientTest, IsHeardToLeave) {
   const auto [unread, by_reset] = GetParam();
-  site.most_connections = 1;
+  site.max_connections = 1;
   begin();
   list({listed("h", cache.server.local())});
   auto first = client();
@@ -219,12 +219,12 @@
   const std::size_t taken = unread == Unread::kFullPipeline ? 257 : 3;
   ASSERT_TRUE(wait([&] { return pool->open() == taken; }));
   if (unread == Unread::kShortOfMemory) {
-    limits->bytes.set_most(1);
+    limits->bytes.set_max(1);
     c->send(get("k", "unread"));
     run_for(io, milliseconds(20));
   }
   ASSERT_TRUE(gone(c, by_reset));
-  limits->bytes.set_most(16u << 20);
+  limits->bytes.set_max(16u << 20);
   ASSERT_TRUE(wait([&] { return pool->open() == 1; }));
   cache.answer("first", "v");
   ASSERT_TRUE(wait([&] { return first->in == FakeCache::value("first", "v"); }));
@@ -261,7 +261,7 @@
   auto busy = client();
   busy->send(get("k", "0"));
   ASSERT_TRUE(wait([&] { return cache.saw("0"); }));
-  limits->clients.set_most(1);
+  limits->clients.set_max(1);
   auto c = client();
   c->send(get("k", "1"));
   if (GetParam()) c->socket.set_option(asio::socket_base::linger(true, 0));
@@ -329,7 +329,7 @@
 
 TEST_P(ListAndAttemptTest, ForAPlace) {
   site.policy.max_attempts = 1;
-  site.most_connections = 1;
+  site.max_connections = 1;
   begin();
   list({listed("h", old.server.local())});
   auto first = client(), c = client();
@@ -577,7 +577,7 @@
   c->send("m");
   ASSERT_TRUE(wait([&] { return limits->clients.used() == 1; }));
   run_for(io, milliseconds(1050));  // a slow writer
-  limits->clients.set_most(1);
+  limits->clients.set_max(1);
   auto other = client();
   other->send("mn\r\n");
   // Between the moment in which the loop has heard of the newcomer, and its acceptance.
@@ -613,7 +613,7 @@
   auto busy = client();
   busy->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return cache.saw("1"); }));
-  limits->clients.set_most(1);
+  limits->clients.set_max(1);
   auto late = client();
   late->send("mn\r\n");
   EXPECT_FALSE(listener->stop());
@@ -691,10 +691,11 @@
 class ShortOfMemoryTest : public CoreTest {
  protected:
   void SetUp() override {
-    for (RequestClass& klass : site.policy.classes) klass.deadline = milliseconds(1000);
+    for (RequestClass& request_class : site.policy.classes)
+      request_class.deadline = milliseconds(1000);
     begin();
     list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
-    hold = Lease(limits->bytes, limits->bytes.most());
+    hold = Lease(limits->bytes, limits->bytes.max());
   }
   void expect_refused(const std::string& request) {
     auto c = client();
@@ -714,4 +715,4 @@
 TEST_F(ShortOfMemoryTest, ALongWriteIsRefused) { expect_refused(put("k", "1", 200u << 10)); }
 
 }  // namespace
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/customer_test.cc
+++ b/tests/customer_test.cc
@@ -7,7 +7,7 @@
 
 #include "core_harness.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 class Draw {
@@ -219,4 +219,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/deadline_test.cc
+++ b/tests/deadline_test.cc
@@ -4,7 +4,7 @@
 
 #include "core_harness.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 using std::chrono::milliseconds;
@@ -154,7 +154,7 @@
 // The host has hung: after a while the module sends a second copy to the origin, while the first is
 // still out.
 TEST_F(DeadlineTest, SecondCopyWhileTheFirstIsOut) {
-  site.policy.second_copies = true;
+  site.policy.hedging = true;
   begin();
   list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
   Time first_at{0}, second_at{0};
@@ -285,4 +285,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/descriptor_test.cc
+++ b/tests/descriptor_test.cc
@@ -4,7 +4,7 @@
 
 #include "program_harness.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 using State = SwitchableDiscovery::State;
@@ -91,4 +91,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/discovery_schedule_test.cc
+++ b/tests/discovery_poll_scheduler_test.cc
@@ -1,6 +1,6 @@
 // The bound on how late a change of the host list is heard of, on a clock that the test moves: the
 // client's schedule, the policy's pauses after refused calls, and a service that fails in each way.
-#include "recovery/discovery_schedule.h"
+#include "recovery/discovery_poll_scheduler.h"
 
 #include <gtest/gtest.h>
 
@@ -14,13 +14,13 @@
 #include "fake_sink.h"
 #include "policy/policy.h"
 
-namespace silverpin::recovery {
+namespace balancer::recovery {
 namespace {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using Mode = DiscoverySchedule::Mode;
-using Failure = DiscoverySchedule::Failure;
+using Mode = DiscoveryPollScheduler::Mode;
+using Failure = DiscoveryPollScheduler::Failure;
 
 constexpr Duration kToldAfter = seconds(6);
 constexpr Duration kToldAfterWait = seconds(2);  // behind the wait of a watch
@@ -32,7 +32,7 @@
   kSilent,       // never answers
   kUnreachable,  // connections never come up
   kReset,        // breaks connections under calls
-  kRefused,      // refuses connections
+  kRejected,     // refuses connections
   kTurnedAway,   // answers 503
   kHangsInHead,
   kHangsInBody,
@@ -56,7 +56,7 @@
   Mode mode = Mode::kPushed;
   Versions versions = Versions::kChanges;
   Duration latency = milliseconds(10);  // of an answer
-  Duration ask_within = seconds(10);
+  Duration max_poll_interval = seconds(10);
 };
 
 // One balancer and its service under one clock.
@@ -101,13 +101,14 @@
   }
 
  private:
-  enum class Event { kConnected, kBytes, kAnswer, kBroken, kRefused };
+  enum class Event { kConnected, kBytes, kAnswer, kBroken, kRejected };
 
   static Settings settings(const Scenario& scenario) {
     Settings s;
-    s.classes = {{milliseconds(300), milliseconds(750), Repeat::kSafe, Scope::kAll, Duration{0}}};
-    s.list_on_request = scenario.mode == Mode::kOnRequest;
-    s.ask_within = scenario.ask_within;
+    s.classes = {{milliseconds(300), milliseconds(750), Idempotency::kIdempotent,
+                  DeduplicationScope::kAll, Duration{0}}};
+    s.discovery_is_polled = scenario.mode == Mode::kOnRequest;
+    s.max_poll_interval = scenario.max_poll_interval;
     return s;
   }
 
@@ -132,11 +133,11 @@
       return on_event(event);
     }
     switch (schedule_.due(now_)) {
-      case DiscoverySchedule::Step::kCall:
+      case DiscoveryPollScheduler::Step::kCall:
         return begin();
-      case DiscoverySchedule::Step::kGiveUp:
+      case DiscoveryPollScheduler::Step::kCancelCall:
         return fail(Failure::kBroken);
-      case DiscoverySchedule::Step::kNothing:
+      case DiscoveryPollScheduler::Step::kNothing:
         return;
     }
   }
@@ -161,16 +162,16 @@
   // What the trouble does to the call that is out. It stays so when the trouble is over.
   void spoil() {
     is_spoilt_ = true;
-    const bool comes_up = trouble_ != Trouble::kUnreachable && trouble_ != Trouble::kRefused;
+    const bool comes_up = trouble_ != Trouble::kUnreachable && trouble_ != Trouble::kRejected;
     if (!is_connected_ && comes_up) answers_.emplace(now_, Event::kConnected);
     is_connected_ = is_connected_ || comes_up;
     switch (trouble_) {
       case Trouble::kReset:
-      case Trouble::kRefused:
+      case Trouble::kRejected:
         answers_.emplace(now_ + milliseconds(1), Event::kBroken);
         break;
       case Trouble::kTurnedAway:
-        answers_.emplace(now_ + scenario_.latency, Event::kRefused);
+        answers_.emplace(now_ + scenario_.latency, Event::kRejected);
         break;
       case Trouble::kHangsInHead:
         answers_.emplace(now_ + milliseconds(1), Event::kBytes);
@@ -195,8 +196,8 @@
         return schedule_.on_answer_bytes(now_);
       case Event::kBroken:
         return fail(Failure::kBroken);
-      case Event::kRefused:
-        return fail(Failure::kRefused);
+      case Event::kRejected:
+        return fail(Failure::kRejected);
       case Event::kAnswer:
         return on_answer();
     }
@@ -219,18 +220,18 @@
   }
   void fail(Failure failure) {
     hang_up();
-    if (!schedule_.on_failure(now_, failure)) policy_.on_hosts(now_, ListKind::kRefused, {});
+    if (!schedule_.on_failure(now_, failure)) policy_.on_hosts(now_, ListKind::kRejected, {});
   }
 
   const Scenario scenario_;
   Time now_{0};
-  DiscoverySchedule schedule_;
+  DiscoveryPollScheduler schedule_;
   std::multimap<Time, std::uint64_t> policy_timers_;
   Policy policy_;
   Trouble trouble_ = Trouble::kNone;
   std::uint64_t seq_ = 41;
   std::multimap<Time, Event> answers_;
-  DiscoverySchedule::Call call_;
+  DiscoveryPollScheduler::Call call_;
   Time begun_{0}, heard_at_{0};
   bool is_out_ = false, is_connected_ = false, is_spoilt_ = false;
   std::uint64_t heard_seq_ = 0, calls_ = 0;
@@ -254,7 +255,7 @@
   return simulation.heard_at() - bound;
 }
 
-double in_seconds(Duration d) { return d == Duration::max() ? 1e9 : silverpin::seconds(d); }
+double in_seconds(Duration d) { return d == Duration::max() ? 1e9 : balancer::seconds(d); }
 
 using Case = std::tuple<Mode, Trouble, Versions>;
 
@@ -287,10 +288,11 @@
 TEST_P(DiscoveryBound, AChangeIsHeardWithinSixSecondsOfTheServicesReturn) {
   const auto [mode, trouble, versions] = GetParam();
   Duration worst = Duration::min();
-  for (const Duration ask_within : {Duration(seconds(10)), Duration(seconds(60)), Duration(0)}) {
-    if (mode == Mode::kPushed && ask_within != seconds(10)) continue;
+  for (const Duration max_poll_interval :
+       {Duration(seconds(10)), Duration(seconds(60)), Duration(0)}) {
+    if (mode == Mode::kPushed && max_poll_interval != seconds(10)) continue;
     const Scenario scenario{mode, versions, milliseconds(mode == Mode::kPushed ? 10 : 400),
-                            ask_within};
+                            max_poll_interval};
     std::uint64_t seed = 0;
     for (Time from = seconds(10); from < seconds(16); from += milliseconds(230)) {
       for (const int lasts_ms : {0, 300, 1700, 2900, 5600, 11'000, 40'000}) {
@@ -302,7 +304,7 @@
         worst = std::max(worst, late);
         ASSERT_LE(in_seconds(late), 0)
             << "trouble from " << in_seconds(from) << " s for " << lasts_ms << " ms, ask_within "
-            << in_seconds(ask_within) << " s, seed " << seed;
+            << in_seconds(max_poll_interval) << " s, seed " << seed;
       }
     }
   }
@@ -323,7 +325,7 @@
     scenario.mode = mode;
     scenario.versions = Versions(up_to(static_cast<int>(Versions::kCount) - 1));
     scenario.latency = milliseconds(up_to(mode == Mode::kPushed ? 100 : 700));
-    scenario.ask_within = seconds(up_to(120));
+    scenario.max_poll_interval = seconds(up_to(120));
   }
   int up_to(int most) { return static_cast<int>(random_() % (most + 1)); }
   Trouble trouble() { return Trouble(up_to(static_cast<int>(Trouble::kCount) - 1)); }
@@ -373,12 +375,12 @@
 // A list of megabytes over a slow link takes longer than silence is borne, and is heard all the
 // same.
 TEST_P(DiscoveryMode, AListThatComesSlowlyButSteadilyIsNotGivenUp) {
-  DiscoverySchedule schedule(GetParam(), 0, 1);
+  DiscoveryPollScheduler schedule(GetParam(), 0, 1);
   schedule.start(Time{0});
   schedule.begin(Time{0}, false);
   schedule.on_connected(milliseconds(5));
   for (Time at = milliseconds(100); at <= milliseconds(2900); at += milliseconds(400)) {
-    ASSERT_EQ(schedule.due(at), DiscoverySchedule::Step::kNothing) << in_seconds(at);
+    ASSERT_EQ(schedule.due(at), DiscoveryPollScheduler::Step::kNothing) << in_seconds(at);
     schedule.on_answer_bytes(at);
   }
   EXPECT_TRUE(schedule.on_list(41, true));
@@ -387,21 +389,21 @@
 
 // What the bound costs: a service that is away is not called in a busy loop, whatever the settings.
 TEST_P(DiscoveryMode, AServiceThatIsAwayIsCalledAtABoundedRate) {
-  for (const int ask_within : {0, 10, 60}) {
+  for (const int max_poll_interval : {0, 10, 60}) {
     Scenario scenario;
     scenario.mode = GetParam();
-    scenario.ask_within = seconds(ask_within);
+    scenario.max_poll_interval = seconds(max_poll_interval);
     Simulation simulation(scenario, 1);
     simulation.run_until(seconds(20));
-    simulation.set_trouble(Trouble::kRefused);
+    simulation.set_trouble(Trouble::kRejected);
     const auto before = simulation.calls();
     simulation.run_until(seconds(120));
     const double rate = static_cast<double>(simulation.calls() - before) / 100;
-    const double most = scenario.mode == Mode::kPushed ? 2.2 : ask_within == 0 ? 1.5 : 0.8;
-    EXPECT_LE(rate, most) << "calls a second, ask_within " << ask_within;
-    EXPECT_GE(rate, 0.5) << "calls a second, ask_within " << ask_within;
+    const double most = scenario.mode == Mode::kPushed ? 2.2 : max_poll_interval == 0 ? 1.5 : 0.8;
+    EXPECT_LE(rate, most) << "calls a second, ask_within " << max_poll_interval;
+    EXPECT_GE(rate, 0.5) << "calls a second, ask_within " << max_poll_interval;
   }
 }
 
 }  // namespace
-}  // namespace silverpin::recovery
+}  // namespace balancer::recovery
--- a/tests/discovery_test.cc
+++ b/tests/discovery_test.cc
@@ -4,7 +4,7 @@
 #include "node/discovery_list.h"
 #include "node_harness.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 constexpr std::size_t kMaxListBytes = 1u << 20;
@@ -289,4 +289,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/dissemination_fault_test.cc
+++ b/tests/dissemination_fault_test.cc
@@ -4,7 +4,7 @@
 
 #include "dissemination_sim.h"
 
-namespace silverpin::dissemination {
+namespace balancer::dissemination {
 namespace {
 
 using std::chrono::milliseconds;
@@ -219,4 +219,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::dissemination
+}  // namespace balancer::dissemination
--- a/tests/dissemination_log_test.cc
+++ b/tests/dissemination_log_test.cc
@@ -5,7 +5,7 @@
 #include "dissemination/change_log.h"
 #include "dissemination/range_repair.h"
 
-namespace silverpin::dissemination {
+namespace balancer::dissemination {
 namespace {
 
 EntryPtr entry(Sequence sequence, std::string key = "key", std::string value = "") {
@@ -135,4 +135,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::dissemination
+}  // namespace balancer::dissemination
--- a/tests/dissemination_parts_test.cc
+++ b/tests/dissemination_parts_test.cc
@@ -10,7 +10,7 @@
 #include "dissemination/source.h"
 #include "dissemination/watermark.h"
 
-namespace silverpin::dissemination {
+namespace balancer::dissemination {
 namespace {
 
 using std::chrono::milliseconds;
@@ -250,4 +250,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::dissemination
+}  // namespace balancer::dissemination
--- a/tests/dissemination_sim.h
+++ b/tests/dissemination_sim.h
@@ -20,7 +20,7 @@
 // doubles, delays and cuts; members are killed, restarted, paused. An auditor compares every change
 // that takes effect with what the sources numbered, and every watermark with what members have.
 // Used by the tests and by bench/dissemination.cc.
-namespace silverpin::dissemination {
+namespace balancer::dissemination {
 
 // Counts of durations in steps of a millisecond.
 class LatencyCounts {
@@ -533,4 +533,4 @@
   bool rebuild_due_ = false;
 };
 
-}  // namespace silverpin::dissemination
+}  // namespace balancer::dissemination
--- a/tests/dissemination_sim_test.cc
+++ b/tests/dissemination_sim_test.cc
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-namespace silverpin::dissemination {
+namespace balancer::dissemination {
 namespace {
 
 using std::chrono::milliseconds;
@@ -305,4 +305,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::dissemination
+}  // namespace balancer::dissemination
--- a/tests/fake_sink.h
+++ b/tests/fake_sink.h
@@ -5,7 +5,7 @@
 
 #include "policy/policy.h"
 
-namespace silverpin {
+namespace balancer {
 
 // Records what a Policy does.
 struct FakeSink : ActionSink {
@@ -22,7 +22,7 @@
   void send(RequestId id, std::string_view host, Time until) override {
     sent.push_back({id, std::string(host), until});
   }
-  void refuse(RequestId id, Duration wait) override {
+  void reject(RequestId id, Duration wait) override {
     refused.push_back(id);
     waits.push_back(wait);
   }
@@ -39,4 +39,4 @@
   int subscribed = 0;
 };
 
-}  // namespace silverpin
+}  // namespace balancer
--- a/tests/fuzz/bgp_fuzz.cc
+++ b/tests/fuzz/bgp_fuzz.cc
@@ -8,13 +8,13 @@
 #include <string_view>
 #include <vector>
 
-#include "announce/bgp_session.h"
 #include "proto/bgp.h"
+#include "route_announcement/bgp_session.h"
 
 namespace {
 
-using namespace silverpin::bgp;
-using silverpin::Time;
+using namespace balancer::bgp;
+using balancer::Time;
 
 void must(bool holds) {
   if (!holds) std::abort();
@@ -23,7 +23,7 @@
 std::string text_of(const Message& m, bool four_octets) {
   if (const auto* u = std::get_if<Update>(&m)) {
     const std::string wire = encode(*u, four_octets);
-    if (wire.size() <= kMostMessage) {
+    if (wire.size() <= kMaxMessage) {
       Reader again;
       again.set_four_octets(four_octets);
       again.feed(wire);
@@ -77,7 +77,7 @@
     session.on_bytes(now, Session::Way::kOut, bytes.substr(at, 7));
     now += std::chrono::milliseconds(500);
     session.on_timer(now);
-    for (const auto& a : session.take_actions()) must(a.bytes.size() <= 2 * kMostMessage);
+    for (const auto& a : session.take_actions()) must(a.bytes.size() <= 2 * kMaxMessage);
   }
   must(session.next() > Time{0});
 }
--- a/tests/fuzz/group_fuzz.cc
+++ b/tests/fuzz/group_fuzz.cc
@@ -5,45 +5,45 @@
 #include <string>
 #include <string_view>
 
-#include "group/instance.h"
+#include "group/group_node.h"
 #include "proto/group_wire.h"
 #include "proto/seal.h"
 
 namespace {
 
-using namespace silverpin;
-using namespace silverpin::group;
+using namespace balancer;
+using namespace balancer::group;
 
 void must(bool holds) {
   if (!holds) std::abort();
 }
 
 struct Nowhere : Memory {
-  bool keep(const address::VoterRecord&) override { return true; }
+  bool keep(const lease::VoterRecord&) override { return true; }
 };
 
 void give(const Datagram& d) {
-  InstanceSettings s;
+  GroupNodeSettings s;
   s.name = "n0";
   s.endpoint = "127.0.0.1:1";
   s.life = 1;
   s.group.seeds = {"127.0.0.1:2"};
-  s.keeper.addresses = {{"svc", {}}};
+  s.lease_manager.addresses = {{"svc", {}}};
   s.founding.names = {"n0", "n1", "n2"};
   Nowhere memory;
   Time now = std::chrono::seconds(100);
-  Instance instance(s, address::VoterRecord{s.founding, {}}, memory, 1, now);
-  instance.on_able(now, true, "ready");
+  GroupNode instance(s, lease::VoterRecord{s.founding, {}}, memory, 1, now);
+  instance.on_eligible(now, true, "ready");
   for (int i = 0; i < 20; ++i) {
     instance.on_datagram(now, "127.0.0.1:2", d);
     now += std::chrono::milliseconds(137);
     instance.on_timer(now);
     for (const auto& out : instance.take_sends()) must(out.endpoint.size() <= 64);
-    instance.take_carries();
+    instance.take_route_actions();
     instance.take_lines();
   }
-  must(instance.group().members().size() <= s.group.most_members);
-  must(address::valid(instance.voters()));
+  must(instance.group().members().size() <= s.group.max_members);
+  must(lease::valid(instance.voters()));
 }
 
 }  // namespace
@@ -51,7 +51,7 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
   if (const auto d = decode(bytes)) {
-    must(!d->sender.empty() && d->sender.size() <= kMostName && d->sequence > 0);
+    must(!d->sender.empty() && d->sender.size() <= kMaxName && d->sequence > 0);
     const auto again = decode(encode(*d));
     must(again && encode(*again) == encode(*d));
     give(*d);
--- a/tests/fuzz/handover_fuzz.cc
+++ b/tests/fuzz/hot_restart_fuzz.cc
@@ -5,12 +5,12 @@
 #include <cstdlib>
 #include <string_view>
 
-#include "handover/turn.h"
-#include "proto/handover_wire.h"
+#include "hot_restart/hot_restart_state.h"
+#include "proto/hot_restart_wire.h"
 
 namespace {
 
-using namespace silverpin::handover;
+using namespace balancer::hot_restart;
 
 void must(bool holds) {
   if (!holds) std::abort();
@@ -24,15 +24,15 @@
   const std::string again = encode(*message);
   must(decode(again) == message);
   if (const auto* s = std::get_if<Snapshot>(&*message)) {
-    must(s->hosts.size() <= kEntriesPerPart && s->words.size() <= kEntriesPerPart);
+    must(s->hosts.size() <= kEntriesPerPart && s->overrides.size() <= kEntriesPerPart);
     must(s->listeners.size() <= kMaxDescriptors);
     Snapshot whole;
     for (int i = 0; i < 100; ++i)
       if (!append(whole, *s)) break;
-    must(whole.hosts.size() <= kMaxHosts && whole.words.size() <= kMaxWords);
-    Turn turn({1000, 1000000});
-    turn.on_predecessor(s->held);
-    const Share share = turn.share(std::chrono::seconds(1), {}, {});
+    must(whole.hosts.size() <= kMaxHosts && whole.overrides.size() <= kMaxOverrides);
+    HotRestartState state({1000, 1000000});
+    state.on_predecessor(s->held);
+    const ResourceShare share = state.share(std::chrono::seconds(1), {}, {});
     must(share.descriptors <= 1000 && share.bytes <= 1000000);
   }
   return 0;
--- a/tests/fuzz/memcache_fuzz.cc
+++ b/tests/fuzz/memcache_fuzz.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-using namespace silverpin::memcache;
+using namespace balancer::memcache;
 
 void must(bool holds) {
   if (!holds) std::abort();
--- a/tests/fuzz/resp_fuzz.cc
+++ b/tests/fuzz/resp_fuzz.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-using namespace silverpin::resp;
+using namespace balancer::resp;
 
 const Bounds kBounds{.bulk = 256, .elements = 64, .total = 2048, .line = 128, .depth = 5};
 
--- a/tests/member_test.cc
+++ b/tests/group_runtime_test.cc
@@ -8,12 +8,12 @@
 #include <nlohmann/json.hpp>
 #include <thread>
 
-#include "member/status.h"
+#include "group_runtime/status.h"
 #include "resp_harness.h"
-#include "rig/loopback/loopback_block.h"
 #include "store/store.h"
+#include "testbed/loopback/loopback_block.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 using nlohmann::json;
@@ -23,7 +23,7 @@
 class MemberTest : public RespNodeTest {
  protected:
   void SetUp() override {
-    char name[] = "/tmp/silverpin-member-XXXXXX";
+    char name[] = "/tmp/balancer-member-XXXXXX";
     ASSERT_NE(::mkdtemp(name), nullptr);
     folder = name;
     std::ofstream(folder + "/key") << std::string(64, 'a') << "\n";
@@ -33,7 +33,7 @@
     std::filesystem::remove_all(folder);
   }
   // Its ports are listened on only now and then.
-  rig::LoopbackBlock addresses;
+  testbed::LoopbackBlock addresses;
   const asio::ip::address_v4 here = addresses.address();
   // The only voter of its group, which claims its address by commands.
   void begin_member(const std::string& claim = "true", const std::string& release = "true",
@@ -80,16 +80,16 @@
     }));
     return c;
   }
-  const address::Tenure& tenure() const {
-    return *balancer->member()->instance().keeper().tenure("svc");
+  const lease::LeaseHolder& lease_holder() const {
+    return *balancer->member()->group_node().lease_manager().lease_holder("svc");
   }
-  // Asks through the socket in its folder, as `silverpin address` does.
+  // Asks through the socket in its folder, as `balancer address` does.
   json ask(const std::string& line) {
     std::string answer;
     std::atomic<bool> done = false;
     std::thread asker([&] {
       try {
-        answer = member::ask_member(folder + "/n0.sock", line);
+        answer = group_runtime::ask_member(folder + "/n0.sock", line);
       } catch (const std::exception& e) {
         answer = json{{"error", e.what()}}.dump();
       }
@@ -111,8 +111,8 @@
   auto c = served();
   EXPECT_EQ(c->ask({"SET", "k", "v"}), "+OK\r\n");
   // It stays, over several leases.
-  const Time until = tenure().valid_until() + seconds(3);
-  EXPECT_TRUE(wait([&] { return tenure().valid_until() > until; }));
+  const Time until = lease_holder().valid_until() + seconds(3);
+  EXPECT_TRUE(wait([&] { return lease_holder().valid_until() > until; }));
   EXPECT_EQ(c->ask({"GET", "k"}), "$1\r\nv\r\n");
 }
 
@@ -130,7 +130,7 @@
   EXPECT_EQ(ran("before"), 1);
   // Its clients are sent away, and it takes the address again.
   EXPECT_TRUE(wait([&] { return c->closed(); }));
-  ASSERT_TRUE(wait([this] { return tenure().tenures() >= 2 && listens(); }));
+  ASSERT_TRUE(wait([this] { return lease_holder().lease_holders() >= 2 && listens(); }));
   auto again = served();
   EXPECT_EQ(again->ask({"RPUSH", "k", "after"}), ":2\r\n");
 }
@@ -151,9 +151,10 @@
 }
 
 TEST_F(MemberTest, AClaimThatFailsIsNoTenure) {
-  begin_member("exit 3", "echo released >> " + std::string("$SILVERPIN_ADDRESS.done; true"));
+  begin_member("exit 3", "echo released >> " + std::string("$BALANCER_ADDRESS.done; true"));
   ASSERT_TRUE(wait([this] { return logged("claim exit code 3"); }));
-  ASSERT_TRUE(wait([this] { return tenure().state() != address::Tenure::State::kHolder; }));
+  ASSERT_TRUE(
+      wait([this] { return lease_holder().state() != lease::LeaseHolder::State::kHolder; }));
   std::filesystem::remove("svc.done");
 }
 
@@ -172,7 +173,7 @@
   ASSERT_EQ(c->ask({"SET", "k", "v"}), "+OK\r\n");
   balancer->drain();
   EXPECT_EQ(c->ask({"GET", "k"}), "$1\r\nv\r\n") << "what it had accepted goes on";
-  EXPECT_TRUE(wait([this] { return !tenure().listens(); }));
+  EXPECT_TRUE(wait([this] { return !lease_holder().listens(); }));
   EXPECT_TRUE(wait([&] { return c->closed(); }));
   EXPECT_TRUE(wait([this] { return io.stopped(); }));
   std::filesystem::remove("released");
@@ -194,7 +195,8 @@
 
 TEST_F(MemberTest, TellsWhoHoldsWhatAndWhy) {
   begin_member();
-  ASSERT_TRUE(wait([this] { return tenure().state() == address::Tenure::State::kHolder; }));
+  ASSERT_TRUE(
+      wait([this] { return lease_holder().state() == lease::LeaseHolder::State::kHolder; }));
   json j = ask("status");
   EXPECT_EQ(j["name"], "n0");
   ASSERT_EQ(j["addresses"].size(), 1u);
@@ -202,7 +204,7 @@
   EXPECT_EQ(j["addresses"][0]["state"], "holder");
   EXPECT_EQ(j["addresses"][0]["why"], "elected");
   EXPECT_EQ(j["addresses"][0]["voters_reached"], 1);
-  EXPECT_NE(member::status_text(j.dump()).find("svc"), std::string::npos);
+  EXPECT_NE(group_runtime::status_text(j.dump()).find("svc"), std::string::npos);
   EXPECT_TRUE(ask("move svc").contains("error")) << "nobody else is there";
   EXPECT_TRUE(ask("voters remove n0").contains("error")) << "the last one";
   EXPECT_TRUE(ask("voters add nobody").contains("error"));
@@ -234,7 +236,7 @@
   begin_member();
   EXPECT_TRUE(logged("gives no vote")) << "it says so at once";
   run_for(io, milliseconds(4000));
-  EXPECT_EQ(tenure().tenures(), 0u);
+  EXPECT_EQ(lease_holder().lease_holders(), 0u);
   EXPECT_FALSE(listens());
   EXPECT_EQ(ask("status")["voter"]["remembers"], false);
 }
@@ -255,4 +257,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/group_sim_test.cc
+++ b/tests/group_sim_test.cc
@@ -1,11 +1,11 @@
 // Groups under the simulated clock: elections, moves, splits, pauses, crashes, keys of memory.
-#include "model/group_sim.h"
+#include "fleet_simulation/group_sim.h"
 
 #include <gtest/gtest.h>
 
 #include <cstdlib>
 
-namespace silverpin::group {
+namespace balancer::group {
 namespace {
 
 using std::chrono::milliseconds;
@@ -16,8 +16,8 @@
 class GroupSimTest : public ::testing::Test {
  protected:
   void begin(std::uint64_t seed = 1, int instances = 5, int addresses = 1,
-             address::KeeperSettings keeper = {}) {
-    sim = std::make_unique<GroupSim>(seed, instances, addresses, 3, keeper);
+             lease::LeaseManagerSettings lease_manager = {}) {
+    sim = std::make_unique<GroupSim>(seed, instances, addresses, 3, lease_manager);
     sim->check = [this, addresses] {
       for (int a = 0; a < addresses; ++a)
         for (const auto& who :
@@ -31,7 +31,7 @@
     for (const auto& name : sim->names()) {
       const auto* i = sim->instance(name);
       if (!i) continue;
-      const auto text = [](const address::Voters& v) {
+      const auto text = [](const lease::Voters& v) {
         std::string t = "version " + std::to_string(v.version) + ":";
         for (const auto& n : v.names) t += " " + n;
         return t;
@@ -62,7 +62,7 @@
 TEST(GroupSettings, AThousandMembersAreKnown) {
   membership::Update self;
   self.name = "self";
-  membership::Group group({}, self, 1, Time{0});
+  membership::MembershipProtocol group({}, self, 1, Time{0});
   constexpr std::size_t kOthers = 1024;
   for (std::size_t i = 0; i < kOthers; ++i) {
     membership::Message message;
@@ -81,7 +81,8 @@
   const auto first = sim->holder(kSvc);
   sim->run(seconds(60));
   EXPECT_EQ(sim->holder(kSvc), first);
-  EXPECT_EQ(sim->instance(first)->keeper().tenure(kSvc)->tenures(), 1u) << story();
+  EXPECT_EQ(sim->instance(first)->lease_manager().lease_holder(kSvc)->lease_holders(), 1u)
+      << story();
 }
 
 TEST_F(GroupSimTest, AKilledHoldersAddressMovesWithinTwoSeconds) {
@@ -108,12 +109,13 @@
     EXPECT_LT(until_new(old), seconds(2)) << story();
     sim->run(seconds(4));
     EXPECT_EQ(sim->router.routes[kSvc].count(old), 0u) << "it is still announced\n" << story();
-    EXPECT_EQ(sim->instance(old)->keeper().tenure(kSvc)->state(), address::Tenure::State::kCutOff);
+    EXPECT_EQ(sim->instance(old)->lease_manager().lease_holder(kSvc)->state(),
+              lease::LeaseHolder::State::kCutOff);
     sim->heal();
     sim->run(seconds(20));
-    const auto state = sim->instance(old)->keeper().tenure(kSvc)->state();
-    EXPECT_TRUE(state == address::Tenure::State::kIdle ||
-                state == address::Tenure::State::kCandidate)
+    const auto state = sim->instance(old)->lease_manager().lease_holder(kSvc)->state();
+    EXPECT_TRUE(state == lease::LeaseHolder::State::kIdle ||
+                state == lease::LeaseHolder::State::kCandidate)
         << "it is back, and looks now and then who holds it";
   }
 }
@@ -173,7 +175,7 @@
     sim->run(seconds(10));
     sim->resume(old);  // the check after each event holds here too
     sim->run(milliseconds(1));
-    EXPECT_FALSE(sim->instance(old)->keeper().tenure(kSvc)->listens());
+    EXPECT_FALSE(sim->instance(old)->lease_manager().lease_holder(kSvc)->listens());
     sim->run(seconds(2));
     EXPECT_EQ(sim->router.routes[kSvc].size(), 1u) << story();
   }
@@ -211,8 +213,8 @@
 }
 
 TEST_F(GroupSimTest, WithAllVotersGoneItIsKeptToTheLeasesEndAndReleased) {
-  address::KeeperSettings keeper;
-  begin(4, 6, 1, keeper);
+  lease::LeaseManagerSettings lease_manager;
+  begin(4, 6, 1, lease_manager);
   ASSERT_TRUE(owned());
   sim->run(seconds(2));
   // Voters that hold nothing: the address goes to one that does not vote.
@@ -278,7 +280,7 @@
     const auto holder = sim->holder(kSvc);
     sim->run(seconds(3));
     EXPECT_EQ(sim->holder(kSvc), holder);
-    EXPECT_LE(sim->instance(holder)->keeper().tenure(kSvc)->voters_reached(), 2u)
+    EXPECT_LE(sim->instance(holder)->lease_manager().lease_holder(kSvc)->voters_reached(), 2u)
         << "the one that cannot write has answered";
     if (holder == "n001") continue;
     // Its crash forgets what it never wrote; with the other's it must not make a majority anew.
@@ -291,9 +293,9 @@
 
 // One that is preferred and restarts every 3 s: it never gets what it would lose again.
 TEST_F(GroupSimTest, ThePreferredThatFlaps) {
-  address::KeeperSettings keeper;
-  keeper.addresses = {{"vip", {"n003"}}};
-  begin(6, 5, 0, keeper);
+  lease::LeaseManagerSettings lease_manager;
+  lease_manager.addresses = {{"vip", {"n003"}}};
+  begin(6, 5, 0, lease_manager);
   sim->run(seconds(8));
   ASSERT_EQ(sim->holder("vip"), "n003");
   sim->kill("n003");
@@ -377,7 +379,7 @@
 // All of it at once, under a bad network. The invariant is checked after each event; at the end,
 // once all is well, the address has an owner within the bound.
 void GroupSimTest::everything_at_once(bool forget, bool change) {
-  const char* more = std::getenv("SILVERPIN_GROUP_RUNS");
+  const char* more = std::getenv("BALANCER_GROUP_RUNS");
   const int runs = more ? std::atoi(more) : 25;
   for (int seed = 1; seed <= runs && !HasFatalFailure(); ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
@@ -449,9 +451,9 @@
 TEST_F(GroupSimTest, EverythingAtOnceAndVotersThatChange) { everything_at_once(false, true); }
 
 // A large group, 7 of which vote: all know of all, a death is known, messages stay within their
-// bound. SILVERPIN_GROUP_SIZE=310 is the size that is promised; it takes half a minute.
+// bound. BALANCER_GROUP_SIZE=310 is the size that is promised; it takes half a minute.
 TEST_F(GroupSimTest, ALargeGroup) {
-  const char* more = std::getenv("SILVERPIN_GROUP_SIZE");
+  const char* more = std::getenv("BALANCER_GROUP_SIZE");
   const int size = more ? std::atoi(more) : 100;
   sim = std::make_unique<GroupSim>(1, size, 3, 7);
   sim->run(seconds(20));
@@ -467,8 +469,8 @@
       size, static_cast<double>(sim->datagrams - datagrams) / (10 * size),
       static_cast<double>(sim->bytes - bytes) / (10 * size),
       static_cast<unsigned long long>(sim->writes - writes),
-      static_cast<unsigned long long>(sim->most_datagram));
-  EXPECT_LT(sim->most_datagram + 45, kMostDatagram);
+      static_cast<unsigned long long>(sim->max_datagram));
+  EXPECT_LT(sim->max_datagram + 45, kMaxDatagram);
   EXPECT_EQ(sim->writes, writes) << "nothing is written at rest";
   const Time killed = sim->now();
   const auto victim = GroupSim::name_of(size * 2 / 3);
@@ -483,7 +485,7 @@
         return know == size - 1;
       },
       seconds(60)));
-  std::printf("all know of a death after %.1f s\n", silverpin::seconds(sim->now() - killed));
+  std::printf("all know of a death after %.1f s\n", balancer::seconds(sim->now() - killed));
   for (const auto& name : sim->names()) {
     if (auto* i = sim->instance(name)) {
       int dead = 0;
@@ -494,4 +496,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::group
+}  // namespace balancer::group
--- a/tests/hash_ring_test.cc
+++ b/tests/hash_ring_test.cc
@@ -5,7 +5,7 @@
 #include <map>
 #include <string>
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 constexpr int kKeys = 20000;
@@ -86,4 +86,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin
+}  // namespace balancer
--- a/tests/hiredis_test.cc
+++ b/tests/hiredis_test.cc
@@ -8,7 +8,7 @@
 
 #include "resp_harness.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 using Context = std::unique_ptr<redisContext, decltype(&redisFree)>;
@@ -101,4 +101,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/host_age_test.cc
+++ b/tests/host_age_estimator_test.cc
@@ -1,11 +1,11 @@
 // How old cache hosts are, by a clock that cannot be set.
-#include "recovery/host_age.h"
+#include "recovery/host_age_estimator.h"
 
 #include <gtest/gtest.h>
 
 #include <random>
 
-namespace silverpin::recovery {
+namespace balancer::recovery {
 namespace {
 
 using std::chrono::hours;
@@ -75,4 +75,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::recovery
+}  // namespace balancer::recovery
--- a/tests/host_health_test.cc
+++ b/tests/host_health_test.cc
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 using std::chrono::seconds;
@@ -52,4 +52,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin
+}  // namespace balancer
--- a/tests/handover_test.cc
+++ b/tests/hot_restart_state_test.cc
@@ -1,13 +1,14 @@
 // What a process and the one that takes its place tell each other, and who may do what.
+#include "hot_restart/hot_restart_state.h"
+
 #include <gtest/gtest.h>
 
 #include <limits>
 #include <random>
 
-#include "handover/turn.h"
-#include "proto/handover_wire.h"
+#include "proto/hot_restart_wire.h"
 
-namespace silverpin::handover {
+namespace balancer::hot_restart {
 namespace {
 
 using std::chrono::seconds;
@@ -30,7 +31,7 @@
 std::vector<Message> examples() {
   Snapshot s;
   s.hosts = {host("s-1"), Host{"s-2", "", 0, {}, {}, true, 0, 0, 0, 1}};
-  s.words = {{"s-1", true, seconds(4)}};
+  s.overrides = {{"s-1", true, seconds(4)}};
   s.seq = 41;
   s.listed = s.away = true;
   s.held = {200, 1 << 20};
@@ -39,9 +40,9 @@
           s,
           Busy{},
           Serving{},
-          Word{"s-1", false, seconds(5)},
+          OperatorOverride{"s-1", false, seconds(5)},
           Away{true},
-          Share{100, 1000},
+          ResourceShare{100, 1000},
           Connection{"127.0.0.1:11211", std::string("mg k\0", 5), 7}};
 }
 
@@ -57,7 +58,7 @@
       const auto part = decode(std::string_view(whole).substr(0, n));
       if (const auto* s = part ? std::get_if<Snapshot>(&*part) : nullptr) {
         EXPECT_LE(s->hosts.size(), 2u);
-        EXPECT_LE(s->words.size(), 1u);
+        EXPECT_LE(s->overrides.size(), 1u);
       }
     }
   }
@@ -68,8 +69,8 @@
   EXPECT_FALSE(decode("\xff nonsense"));
   EXPECT_FALSE(decode(encode(Hello{0, "n0"})));
   EXPECT_FALSE(decode(encode(Hello{1, std::string(257, 'n')})));
-  EXPECT_FALSE(decode(encode(Word{"", true, seconds(1)})));
-  EXPECT_FALSE(decode(encode(Word{"a", true, seconds(-1)})));
+  EXPECT_FALSE(decode(encode(OperatorOverride{"", true, seconds(1)})));
+  EXPECT_FALSE(decode(encode(OperatorOverride{"a", true, seconds(-1)})));
   EXPECT_FALSE(decode(encode(Connection{"l", std::string(kMaxInput + 1, 'x'), 0})));
   for (const int kind : {0, 1, 2, 3}) {
     Snapshot s;
@@ -96,7 +97,7 @@
   EXPECT_EQ(got.held, s.held);
   EXPECT_EQ(got.listeners, s.listeners);
   EXPECT_TRUE(got.hosts.empty());
-  EXPECT_TRUE(got.words.empty());
+  EXPECT_TRUE(got.overrides.empty());
 }
 
 TEST(HandoverWire, ALargeFleetComesInParts) {
@@ -123,11 +124,11 @@
 // ---- turns
 
 TEST(HandoverTurn, OneSuccessorAtATimeAndNoneWhileOneComesOfAge) {
-  Turn t({400, 4000});
+  HotRestartState t({400, 4000});
   EXPECT_TRUE(t.accepts());
-  EXPECT_EQ(t.share(seconds(1), {50, 0}, {}), (Share{400, 4000}));
+  EXPECT_EQ(t.share(seconds(1), {50, 0}, {}), (ResourceShare{400, 4000}));
   t.on_predecessor({250, 1000});
-  EXPECT_EQ(t.share(seconds(1), {50, 0}, {}), (Share{150, 3000}));
+  EXPECT_EQ(t.share(seconds(1), {50, 0}, {}), (ResourceShare{150, 3000}));
   EXPECT_FALSE(t.on_successor(seconds(1)));
   t.on_predecessor_ended();
   EXPECT_TRUE(t.on_successor(seconds(1)));
@@ -144,20 +145,20 @@
 }
 
 TEST(HandoverTurn, APredecessorThatCouldNotBeAskedHoldsItsHalfForAWhile) {
-  Turn t({400, 4000});
+  HotRestartState t({400, 4000});
   t.on_predecessor_presumed(seconds(10));
-  EXPECT_EQ(t.share(seconds(9), {}, {}), (Share{200, 2000}));
+  EXPECT_EQ(t.share(seconds(9), {}, {}), (ResourceShare{200, 2000}));
   EXPECT_FALSE(t.on_successor(seconds(9)));
-  EXPECT_EQ(t.share(seconds(10), {}, {}), (Share{400, 4000}));
+  EXPECT_EQ(t.share(seconds(10), {}, {}), (ResourceShare{400, 4000}));
   EXPECT_TRUE(t.on_successor(seconds(10)));
 }
 
 TEST(HandoverTurn, WhatIsInUseCannotBeCalledBack) {
-  Turn t({400, 4000});
+  HotRestartState t({400, 4000});
   ASSERT_TRUE(t.on_successor(seconds(1)));
-  EXPECT_EQ(t.share(seconds(1), {300, 100}, {}), (Share{300, 2000}));
-  EXPECT_EQ(t.share(seconds(1), {250, 100}, {}), (Share{250, 2000}));
-  EXPECT_EQ(t.share(seconds(1), {100, 100}, {}), (Share{200, 2000}));
+  EXPECT_EQ(t.share(seconds(1), {300, 100}, {}), (ResourceShare{300, 2000}));
+  EXPECT_EQ(t.share(seconds(1), {250, 100}, {}), (ResourceShare{250, 2000}));
+  EXPECT_EQ(t.share(seconds(1), {100, 100}, {}), (ResourceShare{200, 2000}));
 }
 
 // Whatever the two use and say, in whatever order what is told arrives, they never may hold more
@@ -171,12 +172,12 @@
     return std::uniform_int_distribution<std::uint64_t>(0, n)(random);
   };
   for (int run = 0; run < 300; ++run) {
-    const Share total{100 + upto(900), 1000 + upto(100000)};
-    Turn old(total), fresh(total);
-    Share used{upto(total.descriptors), upto(total.bytes)};
+    const ResourceShare total{100 + upto(900), 1000 + upto(100000)};
+    HotRestartState old(total), fresh(total);
+    ResourceShare used{upto(total.descriptors), upto(total.bytes)};
     ASSERT_TRUE(old.on_successor(seconds(1)));
-    Share may = old.share(seconds(1), used, {});
-    std::vector<Share> on_the_way;  // to the new one
+    ResourceShare may = old.share(seconds(1), used, {});
+    std::vector<ResourceShare> on_the_way;  // to the new one
     fresh.on_predecessor(may);
     for (int step = 0; step < 60; ++step) {
       if (upto(9) == 0) old.on_successor_serving();
@@ -190,7 +191,7 @@
         fresh.on_predecessor(on_the_way.front());
         on_the_way.erase(on_the_way.begin());
       }
-      const Share theirs = fresh.share(seconds(2), {}, {});
+      const ResourceShare theirs = fresh.share(seconds(2), {}, {});
       ASSERT_LE(may.descriptors + theirs.descriptors, total.descriptors);
       ASSERT_LE(may.bytes + theirs.bytes, total.bytes);
     }
@@ -198,4 +199,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::handover
+}  // namespace balancer::hot_restart
