--- a/tests/upgrade_test.cc
+++ b/tests/hot_restart_test.cc
@@ -15,15 +15,15 @@
 
 #include "net/descriptor_link.h"
 #include "node_harness.h"
-#include "proto/handover_wire.h"
-#include "rig/loopback/loopback_block.h"
+#include "proto/hot_restart_wire.h"
+#include "testbed/loopback/loopback_block.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 using std::chrono::milliseconds;
 
-using rig::text_of;
+using testbed::text_of;
 
 // One start of the program.
 class Process {
@@ -36,21 +36,21 @@
     EXPECT_EQ(::pipe(pipe), 0);
     const std::string config = "ROUTER_CONFIG=" + dir + "/config.json", tmp = "TMPDIR=" + dir,
                       at = "ROUTER_ADMIN=" + text_of(admin);
-    const std::string plan = "SILVERPIN_TEST_FAULTS=" + faults,
-                      preload = "LD_PRELOAD=" SILVERPIN_FAULT_LIBRARY,
+    const std::string plan = "BALANCER_TEST_FAULTS=" + faults,
+                      preload = "LD_PRELOAD=" BALANCER_FAULT_LIBRARY,
                       sanitizer = "ASAN_OPTIONS=verify_asan_link_order=0";
     std::vector<char*> env;
     for (const std::string* variable : {&config, &tmp, &at, &plan, &sanitizer, &preload})
       env.push_back(const_cast<char*>(variable->c_str()));
     if (faults.empty()) env.pop_back();
     env.push_back(nullptr);
-    char* const args[] = {const_cast<char*>(SILVERPIN_PROGRAM), nullptr};
+    char* const args[] = {const_cast<char*>(BALANCER_PROGRAM), nullptr};
     pid = ::fork();
     if (pid == 0) {
       ::dup2(pipe[1], 2);
       ::close_range(3, ~0U, 0);            // the test's own
       ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // it ends with the test, and gives its address back
-      ::execve(SILVERPIN_PROGRAM, args, env.data());
+      ::execve(BALANCER_PROGRAM, args, env.data());
       ::_exit(127);
     }
     ::close(pipe[1]);
@@ -72,7 +72,7 @@
   // Until the program runs the descriptors are the test's own.
   bool runs() const {
     std::error_code e;
-    return std::filesystem::equivalent("/proc/" + std::to_string(pid) + "/exe", SILVERPIN_PROGRAM,
+    return std::filesystem::equivalent("/proc/" + std::to_string(pid) + "/exe", BALANCER_PROGRAM,
                                        e);
   }
   std::size_t descriptors() const {
@@ -107,10 +107,10 @@
   char chunk_[4096];
 };
 
-class UpgradeTest : public ::testing::Test {
+class HotRestartTest : public ::testing::Test {
  protected:
   void SetUp() override {
-    char dir[] = "/tmp/silverpin-upgrade-XXXXXX";
+    char dir[] = "/tmp/balancer-upgrade-XXXXXX";
     ASSERT_NE(::mkdtemp(dir), nullptr);
     dir_ = dir;
     listen_ = addresses_.next_endpoint();
@@ -139,13 +139,13 @@
     if (run_until(io_, done)) return ::testing::AssertionSuccess();
     return ::testing::AssertionFailure() << "it never came to that";
   }
-  int call(const Process& p, const std::string& words) {
+  int call(const Process& p, const std::string& overrides) {
     auto c = std::make_shared<Peer>(tcp::socket(io_));
     boost::system::error_code e;
     c->socket.connect(p.admin, e);
     if (e) return 0;
     c->read();
-    c->send(words + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
+    c->send(overrides + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
     if (!run_until(io_, [&] { return c->closed; })) return 0;
     return c->in.starts_with("HTTP/1.1 ") ? std::stoi(c->in.substr(9, 3)) : 0;
   }
@@ -178,7 +178,7 @@
   }
 
   static constexpr std::size_t kSockets = 256, kMemoryMb = 48;
-  rig::LoopbackBlock addresses_;
+  testbed::LoopbackBlock addresses_;
   asio::io_context io_{1};
   FakeDiscovery discovery_{io_};
   std::vector<std::string> lines_;  // of the commands that came to host s-1
@@ -286,17 +286,17 @@
 };
 
 // It has not been run without the passed sockets and connections.
-TEST_F(UpgradeTest, TwentyInARowTurnNobodyBack) {
+TEST_F(HotRestartTest, TwentyInARowTurnNobodyBack) {
   auto now = start();
   ASSERT_TRUE(serving(*now));
   Load load(io_, listen_, 20);
-  std::size_t most_descriptors = 0, most_kb = 0;
+  std::size_t max_descriptors = 0, max_kb = 0;
   for (int i = 0; i < 20; ++i) {
     run_for(io_, milliseconds(100));
     auto next = start();
     const auto measure = [&] {
-      most_descriptors = std::max(most_descriptors, now->descriptors() + next->descriptors());
-      most_kb = std::max(most_kb, now->resident_kb() + next->resident_kb());
+      max_descriptors = std::max(max_descriptors, now->descriptors() + next->descriptors());
+      max_kb = std::max(max_kb, now->resident_kb() + next->resident_kb());
     };
     ASSERT_TRUE(wait([&] {
       measure();
@@ -317,16 +317,16 @@
   EXPECT_GT(load.served, 100);
   EXPECT_EQ(load.turned_back, 0);
   EXPECT_EQ(load.odd, 0);
-  EXPECT_LE(most_descriptors, kSockets);
+  EXPECT_LE(max_descriptors, kSockets);
 #ifndef __SANITIZE_ADDRESS__  // its shadow is most of what is resident
-  EXPECT_LE(most_kb, kMemoryMb << 10);
+  EXPECT_LE(max_kb, kMemoryMb << 10);
 #endif
   std::printf("%d requests served over 20 upgrades, both at most %zu descriptors and %zu kB\n",
-              load.served, most_descriptors, most_kb);
+              load.served, max_descriptors, max_kb);
 }
 
 // Half a command that was written to the old process is finished at the new one.
-TEST_F(UpgradeTest, AClientThatWritesSlowlyIsPassedOn) {
+TEST_F(HotRestartTest, AClientThatWritesSlowlyIsPassedOn) {
   auto old = start();
   ASSERT_TRUE(serving(*old));
   auto slow = Peer::dial(io_, listen_), idle = Peer::dial(io_, listen_);
@@ -344,7 +344,7 @@
 
 // Connections that wait in the accept queue when the old one is told to end: it stands still, so
 // that none is accepted before the signal.
-TEST_F(UpgradeTest, WhoWaitsInTheAcceptQueueIsAnswered) {
+TEST_F(HotRestartTest, WhoWaitsInTheAcceptQueueIsAnswered) {
   auto old = start();
   ASSERT_TRUE(serving(*old));
   auto next = start();
@@ -368,7 +368,7 @@
 }
 
 // Out, gone from the list, two upgrades, back on the list with a new start: out still. Then ready.
-TEST_F(UpgradeTest, OperatorsWordsHoldOverUpgrades) {
+TEST_F(HotRestartTest, OperatorsWordsHoldOverUpgrades) {
   auto old = start();
   ASSERT_TRUE(serving(*old));
   const std::string with = discovery_.hosts;
@@ -391,7 +391,7 @@
 
 // The folder takes nothing for a while, in which an operator is told yes. Behind it the word is
 // kept: whoever starts next heeds it, though the process that heard it was killed.
-TEST_F(UpgradeTest, AWordIsKeptOnceTheFolderCanBeWritten) {
+TEST_F(HotRestartTest, AWordIsKeptOnceTheFolderCanBeWritten) {
   auto first = start("storage_from_ms=0,storage_until_ms=2000");
   ASSERT_TRUE(serving(*first));
   EXPECT_EQ(call(*first, "POST /cache-hosts/s-1/maint"), 200);
@@ -407,7 +407,7 @@
 }
 
 // The same of the socket by which the next version finds this one.
-TEST_F(UpgradeTest, TheNextVersionFindsAProcessWhoseFolderFailedAtItsStart) {
+TEST_F(HotRestartTest, TheNextVersionFindsAProcessWhoseFolderFailedAtItsStart) {
   auto old = start("storage_from_ms=0,storage_until_ms=2000");
   ASSERT_TRUE(serving(*old));
   ASSERT_TRUE(wait([&] { return std::filesystem::exists(dir_ + "/silverpin-n%2f0.sock"); }));
@@ -417,7 +417,7 @@
 }
 
 // As many words as a process takes are read again by the next.
-TEST_F(UpgradeTest, ManyWordsAreKeptOverAKill) {
+TEST_F(HotRestartTest, ManyWordsAreKeptOverAKill) {
   constexpr int kHosts = 600;
   discovery_.hosts.clear();
   for (int i = 0; i < kHosts; ++i)
@@ -434,7 +434,7 @@
 }
 
 // A word given to either is heard by both, while both are there.
-TEST_F(UpgradeTest, BothProcessesHearAWord) {
+TEST_F(HotRestartTest, BothProcessesHearAWord) {
   auto old = start();
   ASSERT_TRUE(serving(*old));
   auto kept = Peer::dial(io_, listen_);  // stays the old one's until it is told to end
@@ -455,7 +455,7 @@
 }
 
 // The new one is killed after it has taken over the new clients: the old one takes them again.
-TEST_F(UpgradeTest, TheNewOneMayDie) {
+TEST_F(HotRestartTest, TheNewOneMayDie) {
   auto old = start();
   ASSERT_TRUE(serving(*old));
   for (int i = 0; i < 3; ++i) {
@@ -471,7 +471,7 @@
 }
 
 // A version that cannot start says why and ends; the old one goes on untouched.
-TEST_F(UpgradeTest, AVersionWithABadConfigurationChangesNothing) {
+TEST_F(HotRestartTest, AVersionWithABadConfigurationChangesNothing) {
   auto old = start();
   ASSERT_TRUE(serving(*old));
   write_config("nowhere");
@@ -488,7 +488,7 @@
 
 // Somebody holds the file and does not answer, answers nonsense, or breaks off in the middle: the
 // new one listens beside, within its time, and is presumed to have half of the limits.
-TEST_F(UpgradeTest, APredecessorThatCannotBeAsked) {
+TEST_F(HotRestartTest, APredecessorThatCannotBeAsked) {
   for (const int kind : {0, 1, 2, 3}) {
     auto old = start();
     ASSERT_TRUE(serving(*old));
@@ -509,9 +509,9 @@
       ASSERT_TRUE(peer);
       std::string part = "\xff nonsense";
       if (kind == 3) {
-        handover::Snapshot s;
+        hot_restart::Snapshot s;
         s.more = true;
-        part = handover::encode(s);
+        part = hot_restart::encode(s);
       }
       EXPECT_TRUE(send_packet(peer.get(), part, {}));
     }
@@ -531,7 +531,7 @@
 
 // The new process stands still, so that the client's connection lies between the two for as long as
 // the test wants. The old one is kept by a request that gets no answer.
-class PassingTest : public UpgradeTest {
+class PassingTest : public HotRestartTest {
  protected:
   void begin() {
     old = start();
@@ -654,7 +654,7 @@
 
 // The new one stands still between its question and its yes, and the old one is told to end, or
 // killed: who is connected is answered, and who comes then has one of the two.
-TEST_F(UpgradeTest, TheOldOneEndsBeforeTheYes) {
+TEST_F(HotRestartTest, TheOldOneEndsBeforeTheYes) {
   for (const int signal : {SIGTERM, SIGKILL}) {
     auto old = start();
     ASSERT_TRUE(serving(*old));
@@ -690,4 +690,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/lease_model_test.cc
+++ b/tests/lease_model_test.cc
@@ -3,7 +3,7 @@
 // at the ends of what they may differ by.
 //
 // The exhaustive walk goes breadth first to a stated number of steps and merges states that are the
-// same; SILVERPIN_MODEL_STEPS deepens it. Random walks go further.
+// same; BALANCER_MODEL_STEPS deepens it. Random walks go further.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -12,18 +12,18 @@
 #include <random>
 #include <unordered_set>
 
-#include "address/succession.h"
-#include "address/tenure.h"
-#include "address/voter.h"
+#include "lease/lease_holder.h"
+#include "lease/voter.h"
+#include "lease/voter_reconfiguration.h"
 
-namespace silverpin::address {
+namespace balancer::lease {
 namespace {
 
 using std::chrono::milliseconds;
 
 constexpr Duration kTick = milliseconds(250);
 constexpr std::size_t kVoters = 4, kCandidates = 2,
-                      kMostOnTheWay = 12;  // the fourth at first only in name
+                      kMaxOnTheWay = 12;  // the fourth at first only in name
 const Voters kAll{1, {"a", "b", "c"}};
 const std::string kNames[kVoters] = {"a", "b", "c", "d"};
 const std::string kAddress = "svc";
@@ -43,8 +43,8 @@
     bool to_voter;
     int voter, candidate;
     std::uint64_t life;  // of the candidate
-    Ask ask;
-    Reply reply;
+    VoteRequest ask;
+    VoteReply reply;
     int driver = -1;  // else of a candidate
     Change change{};
     Changed changed{};
@@ -81,7 +81,7 @@
   bool two_serve() const {
     int serve = 0;
     for (std::size_t c = 0; c < kCandidates; ++c) {
-      const Tenure& t = *candidates[c];
+      const LeaseHolder& t = *candidates[c];
       if (!t.may_serve(local(c), Duration{0})) continue;
       const auto since = t.giving_up_since();
       serve += !since || local(c) - *since >= times().overlap;
@@ -99,10 +99,10 @@
       p.ask = s.ask;
       net.push_back(std::move(p));
     }
-    for (const auto& carry : candidates[c]->take_carries())
-      if (carry.kind == Tenure::Carry::Kind::kWithdraw) withdrawing[c] = true;
+    for (const auto& carry : candidates[c]->take_route_actions())
+      if (carry.kind == LeaseHolder::RouteAction::Kind::kWithdraw) withdrawing[c] = true;
     // The oldest are lost.
-    while (net.size() > kMostOnTheWay) net.erase(net.begin());
+    while (net.size() > kMaxOnTheWay) net.erase(net.begin());
   }
 
   void tick() {
@@ -112,7 +112,7 @@
       if (std::exchange(withdrawing[c], false)) candidates[c]->on_withdrawn(local(c));
       for (int i = 0; i < 8 && candidates[c]->next() <= local(c); ++i)
         candidates[c]->on_timer(local(c));
-      if (candidates[c]->state() == Tenure::State::kIdle)
+      if (candidates[c]->state() == LeaseHolder::State::kIdle)
         candidates[c]->want(local(c), true, static_cast<int>(c));
       collect(c);
     }
@@ -136,8 +136,8 @@
       back.to_voter = false;
       back.reply = d.reply;
       // One that is no voter grants nothing, and says who is.
-      if (p.ask.kind == Ask::Kind::kLease && !voters[v]->record().voters.has(kNames[v]))
-        back.reply.verdict = Reply::Verdict::kVoters;
+      if (p.ask.kind == VoteRequest::Kind::kLease && !voters[v]->record().voters.has(kNames[v]))
+        back.reply.verdict = VoteReply::Verdict::kVoters;
       net.push_back(std::move(back));
     } else if (p.life == lives[c]) {
       candidates[c]->on_reply(local(c), kNames[p.voter], p.reply);
@@ -187,7 +187,7 @@
       p.change = s.change;
       net.push_back(std::move(p));
     }
-    while (net.size() > kMostOnTheWay) net.erase(net.begin());
+    while (net.size() > kMaxOnTheWay) net.erase(net.begin());
   }
   // Whoever has heard a voter say by whom it goes may tell another.
   void catch_up(std::size_t from, std::size_t to) {
@@ -240,12 +240,12 @@
   int faults = 0;
   std::optional<Voter> voters[kVoters];
   std::optional<VoterRecord> disk[kVoters];
-  std::optional<Tenure> candidates[kCandidates];
+  std::optional<LeaseHolder> candidates[kCandidates];
   std::uint64_t lives[kCandidates] = {0, 0};
   bool paused[kCandidates] = {false, false};
   bool withdrawing[kCandidates] = {false, false};
   std::vector<Packet> net;
-  std::optional<Succession> drivers[kCandidates];
+  std::optional<VoterReconfiguration> drivers[kCandidates];
   std::uint64_t attempts = 0;
   std::map<std::uint32_t, Voters> sets;  // that anybody has gone by, by number
   bool two_sets = false;                 // had one number
@@ -253,9 +253,9 @@
 
 // Calls `visit` with each world that is one step away and the step's name.
 template <typename Visit>
-void each_step(const World& w, int most_faults, Visit&& visit) {
+void each_step(const World& w, int max_faults, Visit&& visit) {
   const auto step = [&](const std::string& name, int faults, auto&& act) {
-    if (w.faults + faults > most_faults) return;
+    if (w.faults + faults > max_faults) return;
     World next(w);
     next.faults += faults;
     act(next);
@@ -277,7 +277,7 @@
     } else {
       step("pause " + std::to_string(c), 1, [c](World& n) { n.paused[c] = true; });
       step("restart " + std::to_string(c), 1, [c](World& n) { n.start(c); });
-      if (w.candidates[c]->state() == Tenure::State::kHolder)
+      if (w.candidates[c]->state() == LeaseHolder::State::kHolder)
         step("hand over " + std::to_string(c), 1, [c](World& n) { n.hand_over(c); });
     }
   }
@@ -303,7 +303,7 @@
   World voting(w);
   for (int i = 0; i < 40; ++i)
     for (std::size_t n = 0; n < voting.net.size(); ++n)
-      if (voting.net[n].ask.kind == Ask::Kind::kQuery) {
+      if (voting.net[n].ask.kind == VoteRequest::Kind::kQuery) {
         voting.deliver(n, false);
         break;
       }
@@ -332,7 +332,7 @@
 }
 
 TEST(LeaseModelTest, NoTwoHoldersInAnyStateWithinSoManySteps) {
-  const char* deeper = std::getenv("SILVERPIN_MODEL_STEPS");
+  const char* deeper = std::getenv("BALANCER_MODEL_STEPS");
   const int steps = deeper ? std::atoi(deeper) : 3;
   constexpr int kFaults = 2;
   std::size_t held = 0;
@@ -364,9 +364,9 @@
 
 // Far into runs, by chance: with each message as likely to come now, later, twice or never.
 TEST(LeaseModelTest, NoTwoHoldersInLongRandomRuns) {
-  const char* more = std::getenv("SILVERPIN_MODEL_RUNS");
+  const char* more = std::getenv("BALANCER_MODEL_RUNS");
   const int runs = more ? std::atoi(more) : 400;
-  std::size_t tenures = 0;
+  std::size_t lease_holders = 0;
   for (int seed = 1; seed <= runs; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(static_cast<std::uint64_t>(seed));
@@ -387,24 +387,24 @@
         w.paused[c] = !w.paused[c] && random() % 2;
       } else if (roll < 98) {
         if (random() % 4 == 0) w.start(c);
-      } else if (w.candidates[c]->state() == Tenure::State::kHolder) {
+      } else if (w.candidates[c]->state() == LeaseHolder::State::kHolder) {
         w.hand_over(c);
       }
       ASSERT_LE(w.holders(), 1) << "step " << i << "\n" << w.fingerprint();
       ASSERT_FALSE(w.two_serve()) << "step " << i << "\n" << w.fingerprint();
     }
-    for (const auto& t : w.candidates) tenures += t->tenures();
+    for (const auto& t : w.candidates) lease_holders += t->lease_holders();
   }
-  EXPECT_GT(tenures, static_cast<std::size_t>(runs)) << "hardly anybody was ever elected";
+  EXPECT_GT(lease_holders, static_cast<std::size_t>(runs)) << "hardly anybody was ever elected";
 }
 
 // The same while voters come and go by the wishes of two drivers that know nothing of each other
 // and may be gone at any moment. Nobody forgets here: one that has come back to an old set by
 // forgetting, and hears of no newer one, is what the operators' page warns of.
 TEST(LeaseModelTest, NoTwoHoldersWhileVotersChange) {
-  const char* more = std::getenv("SILVERPIN_MODEL_RUNS");
+  const char* more = std::getenv("BALANCER_MODEL_RUNS");
   const int runs = more ? std::atoi(more) : 400;
-  std::size_t tenures = 0, changes = 0;
+  std::size_t lease_holders = 0, changes = 0;
   for (int seed = 1; seed <= runs; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(static_cast<std::uint64_t>(seed));
@@ -432,10 +432,10 @@
       ASSERT_LE(w.holders(), 1) << "step " << i << "\n" << w.fingerprint();
       ASSERT_FALSE(w.two_serve()) << "step " << i << "\n" << w.fingerprint();
     }
-    for (const auto& t : w.candidates) tenures += t->tenures();
+    for (const auto& t : w.candidates) lease_holders += t->lease_holders();
     for (const auto& v : w.voters) changes += v->record().voters.version - 1;
   }
-  EXPECT_GT(tenures, static_cast<std::size_t>(runs)) << "hardly anybody was ever elected";
+  EXPECT_GT(lease_holders, static_cast<std::size_t>(runs)) << "hardly anybody was ever elected";
   EXPECT_GT(changes, static_cast<std::size_t>(runs)) << "hardly any change was taken over";
 }
 
@@ -493,4 +493,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::address
+}  // namespace balancer::lease
--- a/tests/leaving_client_test.cc
+++ b/tests/leaving_client_test.cc
@@ -35,7 +35,7 @@
 #include "resp_harness.h"
 #include "scripted_node.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 using std::chrono::milliseconds;
@@ -67,7 +67,7 @@
 INSTANTIATE_TEST_SUITE_P(ByFinAndReset, GoneClientTest, ::testing::Bool());
 
 TEST_P(GoneClientTest, BehindThoseTakenInOneTurn) {
-  site.most_connections = 1;
+  site.max_connections = 1;
   begin();
   list({listed("h", cache.server.local())});
   auto c = client();
@@ -129,7 +129,7 @@
 }
 
 TEST_P(GoneClientTest, ItsSlowCopyIsDueBehindTheLeaving) {
-  site.policy.second_copies = true;
+  site.policy.hedging = true;
   for (RequestClass& c : site.policy.classes) c.aim = milliseconds(800);  // slow behind the half
   begin_and_leave();
   auto other = client();
@@ -222,7 +222,7 @@
 }
 
 TEST_P(UnheardLeavingTest, BehindAPlaceThatComesFree) {
-  site.most_connections = 1;
+  site.max_connections = 1;
   begin();
   list({listed("h", cache.server.local())});
   auto first = client(), c = client();
@@ -352,4 +352,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/leaving_load_test.cc
+++ b/tests/leaving_load_test.cc
@@ -11,7 +11,7 @@
 #include "core_harness.h"
 #include "program_harness.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 using std::chrono::milliseconds;
@@ -243,4 +243,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/long_value_test.cc
+++ b/tests/long_value_test.cc
@@ -6,7 +6,7 @@
 #include "net/value_stream.h"
 #include "node_harness.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 using std::chrono::milliseconds;
@@ -164,7 +164,7 @@
   int whole = 0;
   for (int i = 0; i < 100; ++i) whole += readers[i]->in == answer(std::to_string(i), value);
   EXPECT_EQ(whole, 100);
-  EXPECT_LE(most, limits->bytes.most());
+  EXPECT_LE(most, limits->bytes.max());
 }
 
 // The client can tell: it gets what came, and a close.
@@ -309,4 +309,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/loopback_block_test.cc
+++ b/tests/loopback_block_test.cc
@@ -1,5 +1,5 @@
 // Addresses of tests and of the rig: no two processes get the same.
-#include "rig/loopback/loopback_block.h"
+#include "testbed/loopback/loopback_block.h"
 
 #include <fcntl.h>
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 #include <set>
 #include <vector>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 namespace asio = boost::asio;
@@ -154,4 +154,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/tests/mass_restart_test.cc
+++ b/tests/mass_restart_test.cc
@@ -4,7 +4,7 @@
 
 #include "program_harness.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 using State = SwitchableDiscovery::State;
@@ -77,4 +77,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/node_harness.h
+++ b/tests/node_harness.h
@@ -14,7 +14,7 @@
 #include "node/balancer.h"
 
 // Peers of a few lines on loopback, all on the test's own event loop.
-namespace silverpin::node {
+namespace balancer::node {
 
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
@@ -221,4 +221,4 @@
   std::unique_ptr<Balancer> balancer;
 };
 
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/operator_test.cc
+++ b/tests/operator_test.cc
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 const std::string kPool = "[[pool]]\nname = \"p\"\nseeds = [\"127.0.0.1:7000\"]\n";
@@ -75,10 +75,10 @@
   ASSERT_EQ(all.pools.size(), 1u);
   const auto& classes = all.pools[0].site.policy.classes;
   ASSERT_EQ(classes.size(), 3u);
-  EXPECT_EQ(classes[0].repeat, Repeat::kUnsafe) << "some of it writes";
-  EXPECT_EQ(classes[1].repeat, Repeat::kSafe);
-  EXPECT_EQ(classes[2].repeat, Repeat::kUnsafe);
-  EXPECT_FALSE(all.pools[0].site.policy.second_copies);
+  EXPECT_EQ(classes[0].idempotency, Idempotency::kNone) << "some of it writes";
+  EXPECT_EQ(classes[1].idempotency, Idempotency::kIdempotent);
+  EXPECT_EQ(classes[2].idempotency, Idempotency::kNone);
+  EXPECT_FALSE(all.pools[0].site.policy.hedging);
 }
 
 TEST(OperatorFile, OnlyPasswordsAreTakenOver) {
@@ -106,8 +106,8 @@
   EXPECT_EQ(all.group->name, "silverpin") << "the process's";
   EXPECT_EQ(all.group->announce, "127.0.0.1:7946");
   EXPECT_EQ(all.group->founding.names, (std::vector<std::string>{"a", "b"}));
-  ASSERT_EQ(all.group->keeper.addresses.size(), 1u);
-  EXPECT_EQ(all.group->keeper.addresses[0].prefer, std::vector<std::string>{"a"});
+  ASSERT_EQ(all.group->lease_manager.addresses.size(), 1u);
+  EXPECT_EQ(all.group->lease_manager.addresses[0].prefer, std::vector<std::string>{"a"});
   EXPECT_EQ(all.group->addresses[0].prefix, (bgp::Prefix{0x0a090001, 32}));
   ASSERT_TRUE(all.group->bgp);
   EXPECT_EQ(all.group->bgp->routers[0].as, 64513u);
@@ -167,15 +167,15 @@
 // Lists of balancers and servers: no default and no bound below what the fleets need.
 TEST(OperatorFile, ListsOfBalancersAndServersHoldThousands) {
   const Operator defaults = parse_operator(kGroup + kAddress + kBgp + kPool, "o.toml");
-  EXPECT_GE(defaults.group->membership.most_members, 1024u);
-  EXPECT_GE(defaults.pools[0].cluster.most_nodes, 1024u);
+  EXPECT_GE(defaults.group->membership.max_members, 1024u);
+  EXPECT_GE(defaults.pools[0].cluster.max_nodes, 1024u);
   const Operator largest = parse_operator(kGroup + "most_members = 16384\n" + kAddress + kBgp +
                                               kPool + "most_nodes = 16384\nbalancers = 16384\n",
                                           "o.toml");
-  EXPECT_EQ(largest.group->membership.most_members, 16384u);
-  EXPECT_EQ(largest.pools[0].cluster.most_nodes, 16384u);
+  EXPECT_EQ(largest.group->membership.max_members, 16384u);
+  EXPECT_EQ(largest.pools[0].cluster.max_nodes, 16384u);
   EXPECT_EQ(largest.pools[0].site.policy.balancers, 16384);
 }
 
 }  // namespace
-}  // namespace silverpin
+}  // namespace balancer
--- a/tests/pipeline_test.cc
+++ b/tests/pipeline_test.cc
@@ -7,7 +7,7 @@
 #include "resp_harness.h"
 #include "scripted_node.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 // What is shared, and for how long, follows from measured times. Here only what takes this long is
@@ -221,7 +221,7 @@
     Clock clock;
     std::vector<std::pair<Result, std::string>> ends;
     Time now() const override { return clock.now(); }
-    Permit permit(const Attempt&) const override { return Permit::kGo; }
+    SendPermission may_send(const Attempt&) const override { return SendPermission::kGo; }
     void on_begin(const AttemptPtr&, const StreamPtr&) override {}
     void on_end(const AttemptPtr& attempt, Result result, std::string value) override {
       if (!std::exchange(attempt->ended, true)) ends.emplace_back(result, std::move(value));
@@ -238,7 +238,7 @@
   const RespLogin login;
   UpstreamTimes times{.connect_timeout = std::chrono::seconds(5), .retire_idle = {}, .sharing = {}};
   times.sharing.shared = true;
-  times.sharing.most_depth = 8;
+  times.sharing.max_depth = 8;
   Upstreams upstreams(io, limits, events, times, [&](bool, AttemptEvents& e, UpstreamOwner& o) {
     return std::make_shared<RespConnection>(io, limits, e, o, login, resp::Bounds{});
   });
@@ -360,4 +360,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/policy_test.cc
+++ b/tests/policy_test.cc
@@ -11,7 +11,7 @@
 
 #include "fake_sink.h"
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 using std::chrono::milliseconds;
@@ -19,10 +19,12 @@
 
 Settings settings() {
   Settings s;
-  s.classes = {{milliseconds(300), milliseconds(750), Repeat::kSafe, Scope::kAll, Duration{0}},
-               {seconds(1), seconds(5), Repeat::kKeyed, Scope::kAll, seconds(10)},
-               {seconds(1), seconds(5), Repeat::kUnsafe, Scope::kAll, Duration{0}}};
-  s.look_aside = true;
+  s.classes = {
+      {milliseconds(300), milliseconds(750), Idempotency::kIdempotent, DeduplicationScope::kAll,
+       Duration{0}},
+      {seconds(1), seconds(5), Idempotency::kIdempotencyKey, DeduplicationScope::kAll, seconds(10)},
+      {seconds(1), seconds(5), Idempotency::kNone, DeduplicationScope::kAll, Duration{0}}};
+  s.cache_aside = true;
   s.max_attempts = 6;
   s.cold = {0.2, seconds(20)};
   s.max_retry_after = seconds(1);
@@ -43,13 +45,13 @@
     e.origin = true;
     return e;
   }
-  static Request request(RequestId id, int klass, bool write, std::string_view key = "k") {
+  static Request request(RequestId id, int request_class, bool write, std::string_view key = "k") {
     Request q;
     q.id = id;
-    q.klass = klass;
+    q.request_class = request_class;
     q.key = key;
     q.write = write;
-    q.budget = klass == 0 ? milliseconds(700) : seconds(5);
+    q.budget = request_class == 0 ? milliseconds(700) : seconds(5);
     return q;
   }
   FakeSink sink;
@@ -115,10 +117,10 @@
   EXPECT_TRUE(policy.on_maintenance(seconds(2), "a", true));
   policy.on_hosts(seconds(3), ListKind::kWhole, {entry("b"), origin()});
   EXPECT_TRUE(policy.on_maintenance(seconds(4), "a", false)) << "an operator knows it";
-  EXPECT_TRUE(policy.words().contains("a"));
+  EXPECT_TRUE(policy.overrides().contains("a"));
   // Once it cannot be cold any more nothing of it is kept.
   EXPECT_FALSE(policy.on_maintenance(seconds(100), "a", true));
-  EXPECT_TRUE(policy.words().empty());
+  EXPECT_TRUE(policy.overrides().empty());
 }
 
 // On its return it is cold, whatever it was before, and what was learnt of the old process does not
@@ -168,7 +170,7 @@
     policy.on_hosts(seconds(2), ListKind::kWhole, {entry(id), origin()});
     taken += policy.on_maintenance(seconds(2), id, true);
   }
-  EXPECT_EQ(policy.words().size(), static_cast<std::size_t>(taken));
+  EXPECT_EQ(policy.overrides().size(), static_cast<std::size_t>(taken));
   EXPECT_EQ(taken, 4096);
 }
 
@@ -405,7 +407,7 @@
   // Slow answers of the first host, then how often each key was served of so many times asked.
   std::map<std::string, int> served_by_key(int hosts) {
     Settings s = settings();
-    s.look_aside = false;
+    s.cache_aside = false;
     FakeSink sink;
     PinnedPlacement placement;
     Policy policy(s, 1, seconds(1), sink, &placement);
@@ -597,7 +599,7 @@
   for (const std::string& name : ids) entries.push_back(entry(name));
   lone.on_hosts(seconds(1), ListKind::kWhole, entries);
   for (const double open : {0.1, 0.5, 0.9}) {
-    lone.take_up(seconds(2), {0, open, 1, {}});
+    lone.restore(seconds(2), {0, open, 1, {}});
     sink.waits.clear();
     RequestId fresh = 1000 * static_cast<RequestId>(10 * open);
     for (int i = 0; i < 400; ++i) {
@@ -626,7 +628,7 @@
     std::vector<HostEntry> entries = {origin()};
     for (const std::string& name : ids) entries.push_back(entry(name));
     lone.on_hosts(seconds(1), ListKind::kWhole, entries);
-    lone.take_up(seconds(2), {0, open, 1, {}});
+    lone.restore(seconds(2), {0, open, 1, {}});
     const auto fetched = [&](RequestId fresh, Duration miss_takes) {
       const auto before = sink.sent.size();
       lone.on_request(seconds(2), request(fresh, 0, false, "d" + std::to_string(fresh)));
@@ -751,4 +753,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin
+}  // namespace balancer
--- a/tests/program_harness.h
+++ b/tests/program_harness.h
@@ -11,10 +11,10 @@
 #include <vector>
 
 #include "node_harness.h"
-#include "rig/balancer_process.h"
+#include "testbed/balancer_process.h"
 
 // The built program as processes of their own, between peers on the test's event loop.
-namespace silverpin::node {
+namespace balancer::node {
 
 // Discovery that can be away: it answers nothing then, or breaks its connections off.
 class SwitchableDiscovery {
@@ -70,10 +70,10 @@
 
 class ProcessTest : public ::testing::Test {
  protected:
-  using Process = rig::BalancerProcess;
+  using Process = testbed::BalancerProcess;
 
   void SetUp() override {
-    char made[] = "/tmp/silverpin-test-XXXXXX";
+    char made[] = "/tmp/balancer-test-XXXXXX";
     ASSERT_NE(::mkdtemp(made), nullptr);
     folder = made;
   }
@@ -89,7 +89,7 @@
       files.platform = [this](const std::string& listen) { return config_text(listen); };
       files.faults = faults;
       processes.push_back(
-          std::make_unique<Process>(context, SILVERPIN_PROGRAM, folder, i, std::move(files)));
+          std::make_unique<Process>(context, BALANCER_PROGRAM, folder, i, std::move(files)));
     }
   }
   std::string config_text(const std::string& listen) const {
@@ -109,9 +109,9 @@
            << "it never came to that; the log: " << processes.at(0)->last_log_lines();
   }
 
-  rig::Scenario scenario;
+  testbed::Scenario scenario;
   asio::io_context io{1};
-  rig::Context context{io, scenario};
+  testbed::Context context{io, scenario};
   SwitchableDiscovery discovery{io};
   std::string folder, settings = test_settings(), known;
   std::string faults;  // of their machines; see rig/faults/fault_plan.h
@@ -119,4 +119,4 @@
   std::vector<std::unique_ptr<Process>> processes;
 };
 
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/program_test.cc
+++ b/tests/program_test.cc
@@ -14,13 +14,13 @@
 
 #include "node_harness.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 class ProgramTest : public ::testing::Test {
  protected:
   void SetUp() override {
-    char dir[] = "/tmp/silverpin-test-XXXXXX";
+    char dir[] = "/tmp/balancer-test-XXXXXX";
     ASSERT_NE(::mkdtemp(dir), nullptr);
     dir_ = dir;
   }
@@ -47,7 +47,7 @@
     ASSERT_EQ(::pipe(pipe), 0);
     const std::string variable = "ROUTER_CONFIG=" + dir_ + "/config.json";
     char* const env[] = {platform ? const_cast<char*>(variable.c_str()) : nullptr, nullptr};
-    std::vector<char*> args = {const_cast<char*>(SILVERPIN_PROGRAM)};
+    std::vector<char*> args = {const_cast<char*>(BALANCER_PROGRAM)};
     for (const auto& w : words) args.push_back(const_cast<char*>(w.c_str()));
     args.push_back(nullptr);
     pid_ = ::fork();
@@ -55,7 +55,7 @@
       ::dup2(pipe[1], 2);
       ::close_range(3, ~0U, 0);            // the test's own
       ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // it ends with the test
-      ::execve(SILVERPIN_PROGRAM, args.data(), env);
+      ::execve(BALANCER_PROGRAM, args.data(), env);
       ::_exit(127);
     }
     ASSERT_GT(pid_, 0);
@@ -268,7 +268,7 @@
   };
   ASSERT_TRUE(wait([&] {
     read_log();
-    return logged("silverpin lane-1: RESP on 127.0.0.1:") && log_.ends_with('\n');
+    return logged("balancer lane-1: RESP on 127.0.0.1:") && log_.ends_with('\n');
   }));
   EXPECT_FALSE(logged("listening on"));
   auto c = client("RESP on 127.0.0.1:");
@@ -279,7 +279,7 @@
   ::kill(pid_, SIGHUP);
   ASSERT_TRUE(wait([&] {
     read_log();
-    return logged("silverpin lane-1: reloaded");
+    return logged("balancer lane-1: reloaded");
   }));
   ::kill(pid_, SIGTERM);
   ASSERT_TRUE(wait([&] { return exited(); }));
@@ -289,7 +289,7 @@
 TEST_F(ProgramTest, WithNeitherFileItSaysSo) {
   launch({}, false);
   ASSERT_TRUE(wait([&] { return exited() && log_.ends_with('\n'); }));
-  EXPECT_EQ(log_, "silverpin: neither ROUTER_CONFIG is set nor --operator given\n");
+  EXPECT_EQ(log_, "balancer: neither ROUTER_CONFIG is set nor --operator given\n");
   EXPECT_EQ(WEXITSTATUS(*status_), 1);
 }
 
@@ -300,7 +300,7 @@
                          "\"p\"\nrequire_auth = true\n";
   const auto output = [](const std::string& words) {
     std::string out;
-    FILE* pipe = ::popen(("env -u ROUTER_CONFIG " SILVERPIN_PROGRAM " " + words).c_str(), "r");
+    FILE* pipe = ::popen(("env -u ROUTER_CONFIG " BALANCER_PROGRAM " " + words).c_str(), "r");
     char piece[256];
     while (std::fgets(piece, sizeof piece, pipe)) out += piece;
     ::pclose(pipe);
@@ -310,7 +310,7 @@
             "RESP on 127.0.0.1:6400, pool p, with passwords\n"
             "pool p: up to 9 connections to the cluster of 127.0.0.1:7000\n"
             "limits: 512 MB, 4096 descriptors\nnothing wrong\n");
-  EXPECT_TRUE(output("--version").starts_with("silverpin 0."));
+  EXPECT_TRUE(output("--version").starts_with("balancer 0."));
 }
 
 TEST_F(ProgramTest, ABadOperatorsFile) {
@@ -385,4 +385,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/resp_harness.h
+++ b/tests/resp_harness.h
@@ -10,10 +10,10 @@
 
 #include "node_harness.h"
 #include "proto/resp.h"
-#include "rig/servers/resp_cluster.h"
+#include "testbed/servers/resp_cluster.h"
 
 // RESP clients, and a balancer between them and a cluster in the same process and event loop.
-namespace silverpin::node {
+namespace balancer::node {
 
 using Words = std::vector<std::string>;
 
@@ -78,7 +78,7 @@
 
 class RespNodeTest : public ::testing::Test {
  protected:
-  using RespCluster = rig::RespCluster;
+  using RespCluster = testbed::RespCluster;
   using Fault = RespCluster::Fault;
 
   void begin(int primaries = 3, int replicas = 0, const std::string& pool = "",
@@ -131,4 +131,4 @@
   std::unique_ptr<Balancer> balancer;
 };
 
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/resp_node_test.cc
+++ b/tests/resp_node_test.cc
@@ -5,7 +5,7 @@
 #include "cluster/slots.h"
 #include "resp_harness.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 using cluster::slot_of;
@@ -413,7 +413,7 @@
 // A booking runs at most once, whatever becomes of the connection at and behind a redirection.
 class RespBookingTest
     : public RespNodeTest,
-      public ::testing::WithParamInterface<std::tuple<rig::RespCluster::Fault, bool>> {};
+      public ::testing::WithParamInterface<std::tuple<testbed::RespCluster::Fault, bool>> {};
 
 TEST_P(RespBookingTest, IsNeverReplayedAfterARedirection) {
   const auto [fault, ask] = GetParam();
@@ -434,13 +434,14 @@
   EXPECT_LE(ran("id"), 1);
 }
 
-INSTANTIATE_TEST_SUITE_P(Faults, RespBookingTest,
-                         ::testing::Combine(::testing::Values(rig::RespCluster::Fault::kCloseBefore,
-                                                              rig::RespCluster::Fault::kCloseAfter,
-                                                              rig::RespCluster::Fault::kHalfReply,
-                                                              rig::RespCluster::Fault::kSilent,
-                                                              rig::RespCluster::Fault::kGarbage),
-                                            ::testing::Bool()));
+INSTANTIATE_TEST_SUITE_P(
+    Faults, RespBookingTest,
+    ::testing::Combine(::testing::Values(testbed::RespCluster::Fault::kCloseBefore,
+                                         testbed::RespCluster::Fault::kCloseAfter,
+                                         testbed::RespCluster::Fault::kHalfReply,
+                                         testbed::RespCluster::Fault::kSilent,
+                                         testbed::RespCluster::Fault::kGarbage),
+                       ::testing::Bool()));
 
 // A redirection whose text breaks off proves nothing.
 TEST_F(RespNodeTest, HalfARedirectionProvesNothing) {
@@ -641,7 +642,7 @@
   const std::uint32_t seed = GetParam();
   SCOPED_TRACE(seed);
   std::mt19937 random(seed);
-  const char* scale = std::getenv("SILVERPIN_SOAK");
+  const char* scale = std::getenv("BALANCER_SOAK");
   const int moves = scale ? 200 : 20, failovers = scale ? 20 : 2;
   begin(3, 2, "most_attempts = 12\n");
   constexpr int kClients = 8, kKeys = 60;
@@ -751,4 +752,4 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, RespSoakTest, ::testing::Range(1u, 11u));
 
 }  // namespace
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/resp_test.cc
+++ b/tests/resp_test.cc
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-namespace silverpin::resp {
+namespace balancer::resp {
 namespace {
 
 Bounds small() { return {.bulk = 64, .elements = 32, .total = 400, .line = 80, .depth = 4}; }
@@ -323,4 +323,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::resp
+}  // namespace balancer::resp
--- a/tests/pace_test.cc
+++ b/tests/retry_schedule_test.cc
@@ -1,4 +1,4 @@
-#include "recovery/pace.h"
+#include "recovery/retry_schedule.h"
 
 #include <gtest/gtest.h>
 
@@ -8,13 +8,13 @@
 #include <string>
 #include <vector>
 
-namespace silverpin::recovery {
+namespace balancer::recovery {
 namespace {
 
 using std::chrono::milliseconds;
 
-TEST(Pace, WaitsWithinItsBounds) {
-  Pace pace(milliseconds(250), milliseconds(750));
+TEST(RetrySchedule, WaitsWithinItsBounds) {
+  RetrySchedule pace(milliseconds(250), milliseconds(750));
   EXPECT_EQ(pace.mean(), milliseconds(500));
   EXPECT_EQ(pace.after_failure(0, 0), Duration{0});
   EXPECT_EQ(pace.after_failure(0, 0.9), milliseconds(250)) << "a second failure in a row";
@@ -29,7 +29,7 @@
   std::uniform_real_distribution<double> chance(0, 1);
   std::vector<double> all;
   for (int i = 0; i < n; ++i) {
-    Pace pace(milliseconds(250), milliseconds(750));
+    RetrySchedule pace(milliseconds(250), milliseconds(750));
     if (by_chance_alone) pace.after_failure(0, 0);  // no first wait of its own
     for (double t = 0; t < end;) {
       const double a = chance(random), b = chance(random);
@@ -52,7 +52,7 @@
 }
 
 // The sum over the fleet: from the first instant on n / 0.5 s, in any tenth of a second alike.
-TEST(Pace, AFleetThatFailsInStepCallsAtAnEvenRate) {
+TEST(RetrySchedule, AFleetThatFailsInStepCallsAtAnEvenRate) {
   for (int seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(static_cast<std::uint64_t>(seed));
@@ -74,7 +74,7 @@
 
 // What it is for: with the same intervals from the first one on nobody calls for 0.25 s, and then
 // half as many again as on average come at once.
-TEST(Pace, IntervalsFromTheFirstOneOnWouldBeAWave) {
+TEST(RetrySchedule, IntervalsFromTheFirstOneOnWouldBeAWave) {
   std::mt19937_64 random(1);
   const auto all = calls(3000, 5, random, true);
   EXPECT_GT(all.front(), 0.24);
@@ -82,4 +82,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::recovery
+}  // namespace balancer::recovery
--- a/tests/rules_test.cc
+++ b/tests/rules_test.cc
@@ -8,7 +8,7 @@
 
 #include "policy/policy.h"
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 using std::chrono::milliseconds;
@@ -43,35 +43,36 @@
   void send(RequestId id, std::string_view host, Time until) override {
     ASSERT_TRUE(books.count(id));
     Book& b = books[id];
-    const RequestClass& c = settings.classes[b.q.klass];
+    const RequestClass& c = settings.classes[b.q.request_class];
     const Place& place = places.at(std::string(host));
     EXPECT_FALSE(b.over) << "sent after its end";
     EXPECT_LE(until, b.deadline);
     EXPECT_EQ(place.state, HostState::kServing) << "sent to a host that drains or is gone";
     EXPECT_LT(static_cast<int>(b.tries.size()), settings.max_attempts);
     for (const auto& t : b.tries) {
-      if (!settings.second_copies) {
+      if (!settings.hedging) {
         EXPECT_FALSE(t.out) << "two attempts out";
       }
-      if (c.repeat == Repeat::kSafe || !t.may_have_run()) continue;
-      EXPECT_NE(c.repeat, Repeat::kUnsafe) << "an unsafe request sent twice";
+      if (c.idempotency == Idempotency::kIdempotent || !t.may_have_run()) continue;
+      EXPECT_NE(c.idempotency, Idempotency::kNone) << "an unsafe request sent twice";
       const Place& first = places.at(t.host);
-      if (c.scope != Scope::kAll) {
+      if (c.scope != DeduplicationScope::kAll) {
         EXPECT_EQ(first.zone, place.zone);
       }
-      if (c.scope == Scope::kCell) {
+      if (c.scope == DeduplicationScope::kCell) {
         EXPECT_EQ(first.cell, place.cell);
       }
-      EXPECT_LE(now - t.at, c.repeat_window);
+      EXPECT_LE(now - t.at, c.deduplication_window);
     }
     b.tries.push_back({std::string(host), now});
     out.push_back({id, static_cast<int>(b.tries.size()) - 1});
   }
-  void refuse(RequestId id, Duration) override {
+  void reject(RequestId id, Duration) override {
     const Book& b = books[id];
-    const RequestClass& c = settings.classes[b.q.klass];
+    const RequestClass& c = settings.classes[b.q.request_class];
     const bool harmless =
-        c.repeat == Repeat::kSafe || (c.repeat == Repeat::kKeyed && c.scope == Scope::kAll);
+        c.idempotency == Idempotency::kIdempotent ||
+        (c.idempotency == Idempotency::kIdempotencyKey && c.scope == DeduplicationScope::kAll);
     for (const auto& t : b.tries) EXPECT_TRUE(harmless || !t.may_have_run()) << "false promise";
     end(id);
   }
@@ -93,19 +94,20 @@
   std::set<std::pair<Time, std::uint64_t>> timers;
 };
 
-void play(std::uint32_t seed, Repeat repeat, Scope scope, bool copies, bool aside) {
+void play(std::uint32_t seed, Idempotency idempotency, DeduplicationScope scope, bool copies,
+          bool aside) {
   std::mt19937 random(seed);
   const auto pick = [&](unsigned n) { return static_cast<int>(random() % n); };
   Settings s;
   RequestClass c;
   c.aim = milliseconds(300);
   c.deadline = seconds(3);
-  c.repeat = repeat;
+  c.idempotency = idempotency;
   c.scope = scope;
-  c.repeat_window = milliseconds(400);
+  c.deduplication_window = milliseconds(400);
   s.classes = {c};
-  s.look_aside = aside;
-  s.second_copies = copies;
+  s.cache_aside = aside;
+  s.hedging = copies;
   s.max_attempts = 4;
   s.cold = {0.2, seconds(5)};
   Checker check(s);
@@ -178,14 +180,16 @@
 
 TEST(Rules, HoldOverRandomEventsForEveryKindOfRequest) {
   std::uint32_t seed = 1;
-  for (const Repeat repeat : {Repeat::kSafe, Repeat::kKeyed, Repeat::kUnsafe})
-    for (const Scope scope : {Scope::kAll, Scope::kZone, Scope::kCell})
+  for (const Idempotency idempotency :
+       {Idempotency::kIdempotent, Idempotency::kIdempotencyKey, Idempotency::kNone})
+    for (const DeduplicationScope scope :
+         {DeduplicationScope::kAll, DeduplicationScope::kZone, DeduplicationScope::kCell})
       for (const bool copies : {false, true})
         for (const bool aside : {false, true}) {
-          play(seed++, repeat, scope, copies, aside);
+          play(seed++, idempotency, scope, copies, aside);
           if (HasFailure()) return;
         }
 }
 
 }  // namespace
-}  // namespace silverpin
+}  // namespace balancer
--- a/tests/scripted_node.h
+++ b/tests/scripted_node.h
@@ -11,7 +11,7 @@
 #include "node_harness.h"
 #include "proto/resp.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 
 // A RESP server of which the test decides each answer: `on_command` is given every data command in
 // the order of its connection. Says of itself that all slots are those of `owner`.
@@ -103,4 +103,4 @@
   std::optional<std::size_t> left_;
 };
 
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/seal_test.cc
+++ b/tests/seal_test.cc
@@ -12,7 +12,7 @@
 #include "proto/group_wire.h"
 #include "settings/field_error.h"
 
-namespace silverpin::group {
+namespace balancer::group {
 namespace {
 
 using std::chrono::seconds;
@@ -72,7 +72,7 @@
 }
 
 TEST(SealTest, KeyFiles) {
-  char name[] = "/tmp/silverpin-keys-XXXXXX";
+  char name[] = "/tmp/balancer-keys-XXXXXX";
   ::close(::mkstemp(name));
   const auto fault = [&](const std::string& text) {
     std::ofstream(name, std::ios::trunc) << text;
@@ -167,8 +167,8 @@
       9,
       "n3",
       {{"n1", "127.0.0.1:1", 5, 2, membership::State::kSuspect, std::string("\0\x01", 2)}}});
-  address::Ask ask;
-  ask.kind = address::Ask::Kind::kRelease;
+  lease::VoteRequest ask;
+  ask.kind = lease::VoteRequest::Kind::kRelease;
   ask.address = "svc";
   ask.term = 7;
   ask.holder = {"n1", 3};
@@ -176,8 +176,8 @@
   ask.voters = 1;
   ask.successor = "n2";
   add(ask);
-  address::Reply reply;
-  reply.verdict = address::Reply::Verdict::kHeld;
+  lease::VoteReply reply;
+  reply.verdict = lease::VoteReply::Verdict::kHeld;
   reply.address = "svc";
   reply.number = 12;
   reply.term = 7;
@@ -185,18 +185,18 @@
   reply.left = std::chrono::milliseconds(250);
   reply.voters = {2, {"n1", "n2", "n3"}};
   add(reply);
-  add(address::Tell{address::Tell::Kind::kAnnounces, "svc", 8});
-  add(address::Change{
-      address::Change::Kind::kAccept, 3, {7, "n1"}, {1, {"a", "b", "c"}}, {2, {"a", "b"}}, true});
-  add(address::Changed{address::Change::Kind::kAccept,
-                       3,
-                       true,
-                       true,
-                       {1, {"a", "b", "c"}},
-                       {8, "n2"},
-                       {7, "n1"},
-                       {2, {"a", "b"}},
-                       "because"});
+  add(lease::TransferMessage{lease::TransferMessage::Kind::kAnnounces, "svc", 8});
+  add(lease::Change{
+      lease::Change::Kind::kAccept, 3, {7, "n1"}, {1, {"a", "b", "c"}}, {2, {"a", "b"}}, true});
+  add(lease::Changed{lease::Change::Kind::kAccept,
+                     3,
+                     true,
+                     true,
+                     {1, {"a", "b", "c"}},
+                     {8, "n2"},
+                     {7, "n1"},
+                     {2, {"a", "b"}},
+                     "because"});
   return all;
 }
 
@@ -209,16 +209,16 @@
     EXPECT_EQ(read->sender, "n1");
   }
   const auto reply = decode(encode(samples()[2]));
-  const auto& r = std::get<address::Reply>(reply->body);
+  const auto& r = std::get<lease::VoteReply>(reply->body);
   EXPECT_EQ(r.left, std::chrono::milliseconds(250));
   EXPECT_EQ(r.voters.names.size(), 3u);
-  EXPECT_EQ(r.holder, (address::Holder{"n3", 4}));
+  EXPECT_EQ(r.holder, (lease::Holder{"n3", 4}));
   const Meta meta{true, false, 3, {{"svc", 7}}};
   const auto m = decode_meta(encode(meta));
   ASSERT_TRUE(m);
   EXPECT_EQ(m->holds, meta.holds);
-  EXPECT_TRUE(m->able);
-  address::VoterRecord record{{2, {"a", "b"}}, {{"svc", {5, {"n1", 9}}}}};
+  EXPECT_TRUE(m->eligible);
+  lease::VoterRecord record{{2, {"a", "b"}}, {{"svc", {5, {"n1", 9}}}}};
   EXPECT_EQ(decode_record(encode(record)), record);
   record.promised = {9, "n2"};
   record.accepted_at = {7, "n1"};
@@ -232,7 +232,7 @@
   EXPECT_FALSE(decode("nonsense"));
   auto bad = [](auto&& change) {
     Datagram d = samples()[1];
-    change(d, std::get<address::Ask>(d.body));
+    change(d, std::get<lease::VoteRequest>(d.body));
     return !decode(encode(d)).has_value();
   };
   EXPECT_FALSE(bad([](auto&, auto&) {}));
@@ -241,14 +241,14 @@
   EXPECT_TRUE(bad([](auto& d, auto&) { d.sequence = 0; }));
   EXPECT_TRUE(bad([](auto&, auto& a) { a.address.clear(); }));
   EXPECT_TRUE(bad([](auto&, auto& a) { a.address = std::string(65, 'x'); }));
-  EXPECT_TRUE(bad([](auto&, auto& a) { a.kind = static_cast<address::Ask::Kind>(9); }));
+  EXPECT_TRUE(bad([](auto&, auto& a) { a.kind = static_cast<lease::VoteRequest::Kind>(9); }));
   EXPECT_TRUE(bad([](auto&, auto& a) { a.successor = "\x7f"; }));
   Datagram unsorted = samples()[5];
-  std::get<address::Changed>(unsorted.body).voters.names = {"b", "a"};
+  std::get<lease::Changed>(unsorted.body).voters.names = {"b", "a"};
   EXPECT_FALSE(decode(encode(unsorted)));
   EXPECT_FALSE(decode_record("x"));
-  EXPECT_FALSE(decode_record(encode(address::VoterRecord{})));
+  EXPECT_FALSE(decode_record(encode(lease::VoterRecord{})));
 }
 
 }  // namespace
-}  // namespace silverpin::group
+}  // namespace balancer::group
--- a/tests/sketch_test.cc
+++ b/tests/sketch_test.cc
@@ -12,7 +12,7 @@
 #include "trace/heavy_hitters.h"
 #include "trace/quantile_sketch.h"
 
-namespace silverpin::trace {
+namespace balancer::trace {
 namespace {
 
 HeavyHitters::Options small(std::mt19937_64& random) {
@@ -44,11 +44,11 @@
       total += times;
     }
     ASSERT_EQ(sketch.total(), total);
-    const double most_above = std::exp(1) * static_cast<double>(total) / 512;
+    const double max_above = std::exp(1) * static_cast<double>(total) / 512;
     for (const auto& [text, n] : exact) {
       ASSERT_GE(sketch.count(text), n) << text;
       ++asked;
-      beyond += static_cast<double>(sketch.count(text) - n) > most_above;
+      beyond += static_cast<double>(sketch.count(text) - n) > max_above;
     }
     const auto top = sketch.top();
     ASSERT_EQ(top.size(), 8u);
@@ -70,13 +70,13 @@
   HeavyHitters::Options options;
   options.most = 10;
   HeavyHitters sketch(options);
-  const std::size_t most = sketch.most_bytes();
+  const std::size_t most = sketch.max_bytes();
   EXPECT_LT(most, 200'000u);
   for (int i = 0; i < 1'000'000; ++i) {
     sketch.add("key:" + std::to_string(i));
     if (i % 100 == 0) sketch.add("hot:" + std::to_string(i / 100 % 10));
   }
-  EXPECT_EQ(sketch.most_bytes(), most);
+  EXPECT_EQ(sketch.max_bytes(), most);
   const auto top = sketch.top();
   ASSERT_EQ(top.size(), 10u);
   for (const auto& e : top) {
@@ -87,7 +87,7 @@
 
 TEST(HeavyHittersTest, LongTextsAreCutAndCountedWhole) {
   HeavyHitters::Options options;
-  options.most_text = 4;
+  options.max_text = 4;
   HeavyHitters sketch(options);
   sketch.add("abcdef", 3);
   sketch.add("abcdxx", 2);
@@ -116,7 +116,7 @@
                          +[](HeavyHitters::Options& o) { o.depth = 0; },
                          +[](HeavyHitters::Options& o) { o.depth = 17; },
                          +[](HeavyHitters::Options& o) { o.most = 0; },
-                         +[](HeavyHitters::Options& o) { o.most_text = 0; }}) {
+                         +[](HeavyHitters::Options& o) { o.max_text = 0; }}) {
     HeavyHitters::Options o;
     set(o);
     EXPECT_THROW(HeavyHitters{o}, std::invalid_argument);
@@ -209,4 +209,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::trace
+}  // namespace balancer::trace
--- a/tests/standing_test.cc
+++ b/tests/stall_guard_test.cc
@@ -1,69 +1,69 @@
-#include "recovery/standing.h"
+#include "recovery/stall_guard.h"
 
 #include <gtest/gtest.h>
 
 #include <random>
 #include <string>
 
-namespace silverpin::recovery {
+namespace balancer::recovery {
 namespace {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using Stage = Standing::Stage;
+using Stage = StallGuard::Stage;
 
-TEST(Standing, HoldsAfterAGapUntilAWordThatWasAskedForSince) {
-  Standing s(seconds(1));
-  EXPECT_FALSE(s.look(milliseconds(1999)));
-  EXPECT_EQ(s.stage(), Stage::kSure);
-  EXPECT_TRUE(s.look(seconds(9)));
-  EXPECT_FALSE(s.look(seconds(9))) << "one standstill is one";
-  EXPECT_TRUE(s.holds());
+TEST(StallGuard, HoldsAfterAGapUntilAWordThatWasAskedForSince) {
+  StallGuard s(seconds(1));
+  EXPECT_FALSE(s.observe(milliseconds(1999)));
+  EXPECT_EQ(s.stage(), Stage::kFresh);
+  EXPECT_TRUE(s.observe(seconds(9)));
+  EXPECT_FALSE(s.observe(seconds(9))) << "one standstill is one";
+  EXPECT_TRUE(s.is_holding());
   EXPECT_EQ(s.stood_still(), milliseconds(7001));
   // Asked for before, answered behind: may have lain there all the time.
-  EXPECT_FALSE(s.on_word(milliseconds(1900)));
-  EXPECT_TRUE(s.holds());
-  EXPECT_TRUE(s.on_word(milliseconds(9002)));
-  EXPECT_EQ(s.stage(), Stage::kSure);
-  EXPECT_FALSE(s.on_word(milliseconds(9003))) << "nothing was held";
+  EXPECT_FALSE(s.on_discovery_answer(milliseconds(1900)));
+  EXPECT_TRUE(s.is_holding());
+  EXPECT_TRUE(s.on_discovery_answer(milliseconds(9002)));
+  EXPECT_EQ(s.stage(), Stage::kFresh);
+  EXPECT_FALSE(s.on_discovery_answer(milliseconds(9003))) << "nothing was held";
   EXPECT_FALSE(s.on_hold_over(seconds(10)));
 }
 
-TEST(Standing, GoesOnUnsureWhereNoWordComesAndIsSureWithTheNextOne) {
-  Standing s(seconds(1));
-  ASSERT_TRUE(s.look(seconds(5)));
+TEST(StallGuard, GoesOnUnsureWhereNoWordComesAndIsSureWithTheNextOne) {
+  StallGuard s(seconds(1));
+  ASSERT_TRUE(s.observe(seconds(5)));
   EXPECT_EQ(s.until(), milliseconds(5250));
   EXPECT_FALSE(s.on_hold_over(milliseconds(5249)));
   EXPECT_TRUE(s.on_hold_over(milliseconds(5250)));
-  EXPECT_EQ(s.stage(), Stage::kUnsure);
-  EXPECT_FALSE(s.holds());
-  EXPECT_FALSE(s.on_word(milliseconds(5700)));
-  EXPECT_EQ(s.stage(), Stage::kSure);
+  EXPECT_EQ(s.stage(), Stage::kStale);
+  EXPECT_FALSE(s.is_holding());
+  EXPECT_FALSE(s.on_discovery_answer(milliseconds(5700)));
+  EXPECT_EQ(s.stage(), Stage::kFresh);
 }
 
-TEST(Standing, WhatIsReadShortlyBehindItMayBeAsOldAsTheStandstill) {
-  Standing s(seconds(1));
-  s.look(milliseconds(1800));
+TEST(StallGuard, WhatIsReadShortlyBehindItMayBeAsOldAsTheStandstill) {
+  StallGuard s(seconds(1));
+  s.observe(milliseconds(1800));
   EXPECT_EQ(s.unnoticed(milliseconds(1801)), Duration{0});
-  s.look(seconds(5));
+  s.observe(seconds(5));
   EXPECT_EQ(s.unnoticed(seconds(5)), milliseconds(3200));
-  s.on_word(milliseconds(5001));
+  s.on_discovery_answer(milliseconds(5001));
   EXPECT_EQ(s.unnoticed(milliseconds(5049)), milliseconds(3200)) << "sure of the list, not of them";
   EXPECT_EQ(s.unnoticed(milliseconds(5050)), Duration{0});
 }
 
 // One that runs for 100 ms in every 2 s holds for three of its turns and not for ever.
-TEST(Standing, OneThatRunsForMomentsOnlyDoesNotHoldForEver) {
-  Standing s(Time{0});
+TEST(StallGuard, OneThatRunsForMomentsOnlyDoesNotHoldForEver) {
+  StallGuard s(Time{0});
   int held = 0;
   for (int turn = 1; turn <= 10; ++turn) {
     const Time woken = seconds(2 * turn);
-    s.look(woken);
+    s.observe(woken);
     const Time end = woken + milliseconds(100);
     s.on_hold_over(std::min(end, s.until()));
-    held += s.holds();
-    s.look(end);
-    if (s.holds()) continue;
+    held += s.is_holding();
+    s.observe(end);
+    if (s.is_holding()) continue;
     EXPECT_EQ(turn, 3);
     break;
   }
@@ -72,20 +72,20 @@
 
 // Whatever comes in whatever order: it holds only after a gap, never for longer than the bound of
 // the time in which it runs, and no word from before its last standstill makes it sure.
-TEST(Standing, RandomLooksWordsAndGaps) {
+TEST(StallGuard, RandomLooksWordsAndGaps) {
   for (int seed = 1; seed <= 300; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(static_cast<std::uint64_t>(seed));
     const auto below = [&random](int n) { return static_cast<int>(random() % n); };
-    const Standing::Bounds bounds;
+    const StallGuard::Bounds bounds;
     Time now = seconds(1), looked = now, woken{0};
-    Standing s(now, bounds);
+    StallGuard s(now, bounds);
     Duration held_running{0};
     bool sure = true;
     for (int i = 0; i < 400; ++i) {
       const Duration step =
           below(20) == 0 ? milliseconds(1000 + below(9000)) : milliseconds(below(120));
-      const bool was_held = s.holds();
+      const bool was_held = s.is_holding();
       if (was_held && step < bounds.still) held_running += step;
       now += step;
       const bool still = now - looked >= bounds.still;
@@ -97,22 +97,22 @@
       }
       switch (below(3)) {
         case 0:
-          EXPECT_EQ(s.look(now), still);
+          EXPECT_EQ(s.observe(now), still);
           break;
         case 1: {
           const Time asked = now - milliseconds(below(200));
-          EXPECT_EQ(s.look(now), still);
-          s.on_word(asked);
+          EXPECT_EQ(s.observe(now), still);
+          s.on_discovery_answer(asked);
           sure = sure || asked >= woken;
           break;
         }
         default:
-          EXPECT_EQ(s.look(now), still);
+          EXPECT_EQ(s.observe(now), still);
       }
       // The timer comes when it is due, or late where the process stood still.
       s.on_hold_over(now);
-      EXPECT_EQ(s.stage() == Stage::kSure, sure);
-      if (s.holds()) {
+      EXPECT_EQ(s.stage() == Stage::kFresh, sure);
+      if (s.is_holding()) {
         EXPECT_LE(held_running, bounds.hold + milliseconds(120));
       }
     }
@@ -121,4 +121,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::recovery
+}  // namespace balancer::recovery
--- a/tests/store_test.cc
+++ b/tests/store_test.cc
@@ -13,7 +13,7 @@
 #include <memory>
 #include <random>
 
-namespace silverpin::store {
+namespace balancer::store {
 namespace {
 
 namespace fs = std::filesystem;
@@ -21,7 +21,7 @@
 class StoreTest : public ::testing::Test {
  protected:
   void SetUp() override {
-    char dir[] = "/tmp/silverpin-store-XXXXXX";
+    char dir[] = "/tmp/balancer-store-XXXXXX";
     ASSERT_NE(::mkdtemp(dir), nullptr);
     dir_ = dir;
   }
@@ -205,4 +205,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::store
+}  // namespace balancer::store
--- a/tests/storm_test.cc
+++ b/tests/storm_test.cc
@@ -11,7 +11,7 @@
 
 #include "core_harness.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 using std::chrono::milliseconds;
@@ -28,14 +28,15 @@
 class Sink : public RequestSink {
  public:
   Sink(RequestSink& core, Defect defect) : core_(core), defect_(defect) {}
-  void submit(const std::shared_ptr<Caller>& caller, Ticket ticket, Ask ask) override {
+  void submit(const std::shared_ptr<ResponseSink>& caller, ResponseSlot ticket,
+              RequestSpec ask) override {
     // The core keeps what it has taken until it says that its name is free; so does one that
     // forgets.
     if (defect_ == Defect::kLosesARequest && ++taken_ % 50 == 0)
       return lost_.push_back(std::move(ask.payload));
     core_.submit(caller, ticket, std::move(ask));
   }
-  void withdraw(Caller& caller) override {
+  void withdraw(ResponseSink& caller) override {
     if (defect_ != Defect::kForgetsLeavings) core_.withdraw(caller);
   }
 
@@ -43,7 +44,7 @@
   RequestSink& core_;
   const Defect defect_;
   int taken_ = 0;
-  std::vector<PayloadPtr> lost_;
+  std::vector<RequestPayloadPtr> lost_;
 };
 
 // The core's attempts with a defect.
@@ -51,9 +52,11 @@
  public:
   Events(AttemptEvents& core, Defect defect) : core_(core), defect_(defect) {}
   Time now() const override { return core_.now(); }
-  Permit permit(const Attempt& a) const override {
-    const Permit p = core_.permit(a);
-    return defect_ == Defect::kGoesOnToDrained && p == Permit::kElsewhere ? Permit::kGo : p;
+  SendPermission may_send(const Attempt& a) const override {
+    const SendPermission p = core_.may_send(a);
+    return defect_ == Defect::kGoesOnToDrained && p == SendPermission::kElsewhere
+               ? SendPermission::kGo
+               : p;
   }
   void on_begin(const AttemptPtr& a, const StreamPtr& s) override { core_.on_begin(a, s); }
   void on_end(const AttemptPtr& a, Result result, std::string value) override {
@@ -95,7 +98,7 @@
       "specifics":{"mode":"aside","originKind":1},"discovery":"pushed",
       "policyLimits":{"secondCopies":true,"maxAttempts":6,"connectTimeout":300000000,
         "connIdle":15000000000,"streamsPerConn":2,"mostHeld":1000}})");
-    site.most_connections = 5;
+    site.max_connections = 5;
     begin();
     for (int i = 0; i < 3; ++i) add_cache("h" + std::to_string(i));
     origin_ = std::make_unique<ScriptedOrigin>(io);
@@ -116,7 +119,7 @@
 
   struct Asked {
     std::string id;
-    char klass;
+    char request_class;
   };
   struct Client {
     std::shared_ptr<Peer> peer;
@@ -184,14 +187,14 @@
   }
 
   void ask(Client& c) {
-    const char klass = "rrrsb"[below(5)];
-    const std::string id = std::string(1, klass) + std::to_string(++last_);
+    const char request_class = "rrrsb"[below(5)];
+    const std::string id = std::string(1, request_class) + std::to_string(++last_);
     const std::string key = "k" + std::to_string(below(6));
-    c.open.push_back({id, klass});
+    c.open.push_back({id, request_class});
     const std::size_t size = tight_ ? static_cast<std::size_t>(below(60'000)) : 2;
-    c.peer->send(klass == 'r'   ? get(key, id)
-                 : klass == 's' ? put(key, id, size, "c=save,k=" + id)
-                                : put(key, id, size));
+    c.peer->send(request_class == 'r'   ? get(key, id)
+                 : request_class == 's' ? put(key, id, size, "c=save,k=" + id)
+                                        : put(key, id, size));
   }
 
   Client& connect() {
@@ -207,7 +210,7 @@
         const bool names_it = line.starts_with("VA ") || line.starts_with("HD ");
         if (names_it && (line + " ").find(" O" + asked.id + " ") == std::string::npos)
           breach(asked.id + " was answered with " + line);
-        if (line.starts_with("SERVER_ERROR busy") && asked.klass == 'b' &&
+        if (line.starts_with("SERVER_ERROR busy") && asked.request_class == 'b' &&
             may_have_run_.count(asked.id))
           breach(asked.id + " was refused though it may have run");
       }
@@ -412,4 +415,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/rig/auditor_test.cc
+++ b/tests/testbed/auditor_test.cc
@@ -1,9 +1,9 @@
 // The judge itself, told of one request at a time.
-#include "rig/judge/auditor.h"
+#include "testbed/audit/auditor.h"
 
 #include "rig_harness.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 using std::chrono::milliseconds;
@@ -11,8 +11,8 @@
 class AuditorTest : public ::testing::Test {
  protected:
   static constexpr int kRead = 0, kSave = 1, kBook = 2;
-  RequestNumber send(int klass, std::uint64_t effect = 1, Time at = milliseconds(0)) {
-    return audit.on_sent(at, klass, 0, effect, at + milliseconds(1000), "key", 0.01);
+  RequestNumber send(int request_class, std::uint64_t effect = 1, Time at = milliseconds(0)) {
+    return audit.on_sent(at, request_class, 0, effect, at + milliseconds(1000), "key", 0.01);
   }
   int run(RequestNumber r, Time at, bool repeat = false) {
     const int attempt = audit.on_arrived(at, r, host);
@@ -250,4 +250,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/tests/rig/cold_fleet_test.cc
+++ b/tests/testbed/cold_fleet_test.cc
@@ -4,16 +4,16 @@
 #include <cstdio>
 #include <string>
 
-#include "model/plant.h"
+#include "fleet_simulation/plant.h"
 
-namespace silverpin::model {
+namespace balancer::fleet_simulation {
 namespace {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-rig::HostSpec cold_spec() {
-  rig::HostSpec spec;
+testbed::HostSpec cold_spec() {
+  testbed::HostSpec spec;
   spec.cores = 2;
   spec.cold_share = 0.1;
   spec.cold_time = seconds(10);
@@ -22,8 +22,8 @@
   return spec;
 }
 
-rig::Scenario one_class() {
-  return rig::parse_scenario(R"(
+testbed::Scenario one_class() {
+  return testbed::parse_scenario(R"(
 name = "cold"
 [[class]]
 name = "read"
@@ -33,12 +33,12 @@
 [[kind]]
 name = "k"
 )",
-                             "cold.toml");
+                                 "cold.toml");
 }
 
 TEST(ColdLoads, TheSumOfAllBalancersIsHeldAgainstBudgetAndChance) {
-  const rig::Scenario scenario = one_class();
-  rig::ColdLoads loads(scenario);
+  const testbed::Scenario scenario = one_class();
+  testbed::ColdLoads loads(scenario);
   loads.on_start(seconds(0), 3, "h3", cold_spec());
   // N: 2 x 2 cores x 0.1 x 1 s / 10 ms = 40; the bound is 40 + 2 x 6.32 + 2 = 54.6.
   for (int i = 0; i < 54; ++i) EXPECT_FALSE(loads.on_request(milliseconds(i), 3, 0.01, 0.1, i % 9));
@@ -52,8 +52,8 @@
 }
 
 TEST(ColdLoads, WhatLiesBeforeTheWindowAndWarmHostsCountForNothing) {
-  const rig::Scenario scenario = one_class();
-  rig::ColdLoads loads(scenario);
+  const testbed::Scenario scenario = one_class();
+  testbed::ColdLoads loads(scenario);
   EXPECT_FALSE(loads.on_request(seconds(0), 3, 1, 0.1, 0)) << "no host has started cold";
   loads.on_start(seconds(0), 3, "h3", cold_spec());
   for (int i = 0; i < 54; ++i) loads.on_request(milliseconds(i), 3, 0.01, 0.1, 0);
@@ -74,7 +74,7 @@
   double tip_multiple = 2, tip_s = 1, cold_share = 0.16, cold_s = 12;
   double zipf = 1.0, drift_per_s = 0, unevenness = 1.0;
   // All hosts but one are lost at once and come back cold one by one.
-  bool most_hosts_lost = false;
+  bool max_hosts_lost = false;
 };
 
 void PrintTo(const Deployment& d, std::ostream* out) { *out << d.name; }
@@ -102,7 +102,7 @@
   return text;
 }
 
-rig::Scenario cold_fleet(const Deployment& d, std::uint64_t seed) {
+testbed::Scenario cold_fleet(const Deployment& d, std::uint64_t seed) {
   char text[4096];
   std::snprintf(text, sizeof text, R"(
 name = "cold-fleet-%s"
@@ -157,13 +157,13 @@
                 d.name, static_cast<unsigned long long>(seed), 20 + static_cast<int>(seed % 11),
                 d.work_ms, kHosts, d.cold_share, d.cold_s, d.tip_multiple, d.tip_s, d.rate, d.zipf,
                 d.drift_per_s);
-  return rig::parse_scenario(text + (d.most_hosts_lost ? all_but_one_lost() : kJoinAndReturn),
-                             "cold_fleet.toml");
+  return testbed::parse_scenario(text + (d.max_hosts_lost ? all_but_one_lost() : kJoinAndReturn),
+                                 "cold_fleet.toml");
 }
 
 // Plays it, prints the fullest window of each start beside its bound, and tells how many were over.
 int starts_over_bound(const Deployment& d, std::uint64_t seed, bool ignores_warmth) {
-  const rig::Scenario scenario = cold_fleet(d, seed);
+  const testbed::Scenario scenario = cold_fleet(d, seed);
   Options options;
   options.unevenness = d.unevenness;
   options.ignores_warmth = ignores_warmth;
@@ -205,8 +205,8 @@
         Deployment{
             .name = "hot_keys", .tip_s = 0.5, .zipf = 1.6, .drift_per_s = 20, .unevenness = 1.5},
         Deployment{
-            .name = "most_hosts_lost", .cold_share = 0.1, .cold_s = 22, .most_hosts_lost = true}),
+            .name = "most_hosts_lost", .cold_share = 0.1, .cold_s = 22, .max_hosts_lost = true}),
     [](const auto& d) { return std::string(d.param.name); });
 
 }  // namespace
-}  // namespace silverpin::model
+}  // namespace balancer::fleet_simulation
--- a/tests/rig/moves_test.cc
+++ b/tests/testbed/failover_test.cc
@@ -1,6 +1,6 @@
 // A service address that moves, against real processes: each kind of trouble once. What is asserted
 // is that another serves afterwards, and that the old one does not; the times are the report's.
-#include "rig/moves.h"
+#include "testbed/failover_test.h"
 
 #include <gtest/gtest.h>
 #include <stdlib.h>
@@ -9,14 +9,14 @@
 #include <fstream>
 #include <nlohmann/json.hpp>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
-TEST(MovesTest, EachKindOfTroubleOnce) {
-  char name[] = "/tmp/silverpin-moves-XXXXXX";
+TEST(FailoverTest, EachKindOfTroubleOnce) {
+  char name[] = "/tmp/balancer-moves-XXXXXX";
   ASSERT_NE(::mkdtemp(name), nullptr);
   MoveOptions options;
-  options.program = SILVERPIN_PROGRAM;
+  options.program = BALANCER_PROGRAM;
   options.folder = name;
   options.rounds = 7;
   options.progress = false;
@@ -31,11 +31,11 @@
 }
 
 // Each process starts while no file can be written or synced. Once that is over its voters vote.
-TEST(MovesTest, VotersWhoseStorageFailsAtTheStartVoteOnceItWorks) {
-  char name[] = "/tmp/silverpin-moves-XXXXXX";
+TEST(FailoverTest, VotersWhoseStorageFailsAtTheStartVoteOnceItWorks) {
+  char name[] = "/tmp/balancer-moves-XXXXXX";
   ASSERT_NE(::mkdtemp(name), nullptr);
   MoveOptions options;
-  options.program = SILVERPIN_PROGRAM;
+  options.program = BALANCER_PROGRAM;
   options.folder = name;
   options.rounds = 1;
   options.progress = false;
@@ -44,9 +44,9 @@
   std::filesystem::remove_all(name);
 }
 
-TEST(MovesTest, AnUnknownTroubleIsNamed) {
+TEST(FailoverTest, AnUnknownTroubleIsNamed) {
   MoveOptions options;
-  options.program = SILVERPIN_PROGRAM;
+  options.program = BALANCER_PROGRAM;
   options.folder = "/tmp";
   options.only = "frob";
   EXPECT_EQ(check_moves(options), "there is no trouble 'frob'");
@@ -57,4 +57,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/tests/rig/stampede_test.cc
+++ b/tests/testbed/herd_check_test.cc
@@ -1,8 +1,8 @@
-#include "rig/judge/stampede.h"
+#include "testbed/audit/herd_check.h"
 
 #include <gtest/gtest.h>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 using std::chrono::milliseconds;
@@ -16,9 +16,9 @@
   all.count(Stampede::Kind::kProbe, milliseconds(2310));
   const auto f = all.figures(Stampede::Kind::kConnection, seconds(1), seconds(2), seconds(4));
   EXPECT_DOUBLE_EQ(f.mean_before, 2);
-  EXPECT_DOUBLE_EQ(f.most_before, 2);
+  EXPECT_DOUBLE_EQ(f.max_before, 2);
   EXPECT_DOUBLE_EQ(f.most, 7);
-  EXPECT_DOUBLE_EQ(f.most_at, 2.3);
+  EXPECT_DOUBLE_EQ(f.max_at, 2.3);
   EXPECT_DOUBLE_EQ(f.times(), 3.5);
   EXPECT_EQ(f.all, 7u);
   // A mean below one a tenth counts as one: five in a tenth after silence are five times.
@@ -39,4 +39,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/tests/rig/host_model_test.cc
+++ b/tests/testbed/host_model_test.cc
@@ -1,15 +1,15 @@
 // The host model in simulated time, against sums done by hand and properties that must hold for any
 // work.
-#include "rig/model/host_model.h"
+#include "testbed/model/host_model.h"
 
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <map>
 
-#include "rig/model/histogram.h"
+#include "testbed/model/histogram.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 using std::chrono::milliseconds;
@@ -271,4 +271,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/tests/rig/links_test.cc
+++ b/tests/testbed/links_test.cc
@@ -1,5 +1,5 @@
 // What passes a link between a balancer and a host, and what a trouble makes of it.
-#include "rig/servers/links.h"
+#include "testbed/servers/links.h"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 #include <boost/asio/write.hpp>
 #include <string>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 using boost::system::error_code;
@@ -138,4 +138,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/tests/rig/plant_test.cc
+++ b/tests/testbed/plant_test.cc
@@ -1,4 +1,4 @@
-#include "model/plant.h"
+#include "fleet_simulation/plant.h"
 
 #include <gtest/gtest.h>
 
@@ -7,22 +7,22 @@
 #include <stdexcept>
 #include <string>
 
-#include "model/tables.h"
-#include "rig/judge/service.h"
+#include "fleet_simulation/tables.h"
+#include "testbed/audit/service.h"
 
-namespace silverpin::model {
+namespace balancer::fleet_simulation {
 namespace {
 
 using std::chrono::seconds;
 
-rig::Scenario scenario(const std::string& incidents, int balancers = 3) {
-  return rig::parse_scenario(R"(
+testbed::Scenario scenario(const std::string& incidents, int balancers = 3) {
+  return testbed::parse_scenario(R"(
 name = "plant"
 length_s = 16
 warm_up_s = 2
 [balancers]
 count = )" + std::to_string(balancers) +
-                                 R"(
+                                     R"(
 [[class]]
 name = "read"
 share = 90
@@ -53,7 +53,7 @@
 [discovery]
 delay_ms = [100, 400]
 )" + incidents,
-                             "plant.toml");
+                                 "plant.toml");
 }
 
 const char kTroubles[] = R"(
@@ -83,9 +83,9 @@
 
 // One seed, one result: that is what makes a failing run one that can be looked into.
 TEST(Plant, OneSeedGivesOneResult) {
-  const rig::Scenario s = scenario(kTroubles);
+  const testbed::Scenario s = scenario(kTroubles);
   EXPECT_EQ(table(s, {}), table(s, {}));
-  rig::Scenario other = s;
+  testbed::Scenario other = s;
   other.seed = 2;
   EXPECT_NE(table(s, {}), table(other, {}));
 }
@@ -94,7 +94,7 @@
 TEST(Plant, EveryTryHasOneAnswerThroughAllTroubles) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    rig::Scenario s = scenario(kTroubles, 1 + static_cast<int>(seed) * 3);
+    testbed::Scenario s = scenario(kTroubles, 1 + static_cast<int>(seed) * 3);
     s.seed = seed;
     Plant plant(s, {});
     plant.run();
@@ -112,7 +112,7 @@
 }
 
 TEST(Plant, ALoopThatIsHeldStaysWhereItIs) {
-  const rig::Scenario s = scenario(kTroubles);
+  const testbed::Scenario s = scenario(kTroubles);
   Options options;
   options.origin_held = 0.25;
   Plant plant(s, options);
@@ -124,7 +124,7 @@
 }
 
 TEST(Plant, WhatItDoesNotPlayIsAnError) {
-  const rig::Scenario s =
+  const testbed::Scenario s =
       scenario("[[incident]]\nwhat = \"discovery-down\"\nat_s = 1\nfor_s = 1\n");
   EXPECT_THROW(Plant(s, {}), std::invalid_argument);
 }
@@ -144,8 +144,8 @@
 struct LoopsTest : testing::TestWithParam<Trouble> {};
 
 TEST_P(LoopsTest, ComeBackAndStarveNoWrites) {
-  rig::Scenario s = rig::load_scenario(SILVERPIN_SCENARIOS "/caches-lost.toml");
-  s.incidents = rig::parse_scenario(
+  testbed::Scenario s = testbed::load_scenario(BALANCER_SCENARIOS "/caches-lost.toml");
+  s.incidents = testbed::parse_scenario(
                     "name = \"t\"\n[[class]]\nname = \"c\"\n[[tenant]]\nname = \"t\"\n"
                     "[[kind]]\nname = \"k\"\n" +
                         std::string(GetParam().incidents),
@@ -154,7 +154,7 @@
   s.length = seconds(GetParam().over + 25);
   Plant plant(s, {});
   plant.run();
-  const auto worth = rig::worth_by_second(plant.tally().by_second());
+  const auto worth = testbed::worth_by_second(plant.tally().by_second());
   const auto mean = [&](int from, int to) {
     double sum = 0;
     for (int t = from; t < to; ++t) sum += worth[static_cast<std::size_t>(t)];
@@ -201,7 +201,7 @@
 
 TEST(Service, IsFullOnceItStays) {
   const auto dip = worth({{20, 0.95}, {4, 0.5}, {30, 0.94}});
-  const rig::Service s = rig::service_after(dip, 2, 20, 54);
+  const testbed::Service s = testbed::service_after(dip, 2, 20, 54);
   EXPECT_DOUBLE_EQ(s.before, 0.95);
   EXPECT_DOUBLE_EQ(s.worst, 0.5);
   EXPECT_EQ(s.full_after, 4);
@@ -211,12 +211,12 @@
 
 TEST(Service, IsNotFullWhereItFallsBack) {
   const auto swings = worth({{20, 0.95}, {4, 0.5}, {5, 0.95}, {2, 0.8}, {20, 0.95}});
-  EXPECT_EQ(rig::service_after(swings, 2, 20, 51).full_after, 11);
+  EXPECT_EQ(testbed::service_after(swings, 2, 20, 51).full_after, 11);
   const auto never = worth({{20, 0.95}, {20, 0.9}});
-  EXPECT_EQ(rig::service_after(never, 2, 20, 40).full_after, std::nullopt);
-  EXPECT_EQ(rig::service_after(never, 2, 50, 40).full_after, std::nullopt);
-  EXPECT_NEAR(rig::swing(worth({{10, 0.9}, {10, 0.5}, {10, 0.7}}), 10, 30), 0.2, 1e-9);
+  EXPECT_EQ(testbed::service_after(never, 2, 20, 40).full_after, std::nullopt);
+  EXPECT_EQ(testbed::service_after(never, 2, 50, 40).full_after, std::nullopt);
+  EXPECT_NEAR(testbed::swing(worth({{10, 0.9}, {10, 0.5}, {10, 0.7}}), 10, 30), 0.2, 1e-9);
 }
 
 }  // namespace
-}  // namespace silverpin::model
+}  // namespace balancer::fleet_simulation
--- a/tests/rig/planted_test.cc
+++ b/tests/testbed/planted_test.cc
@@ -3,7 +3,7 @@
 
 #include "rig_harness.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 class PlantedTest : public ::testing::Test {
@@ -153,4 +153,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/tests/rig/program_test.cc
+++ b/tests/testbed/program_test.cc
@@ -13,13 +13,13 @@
 
 #include "rig_harness.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 class RigProgramTest : public ::testing::Test {
  protected:
   void SetUp() override {
-    char dir[] = "/tmp/silverpin-rig-XXXXXX";
+    char dir[] = "/tmp/balancer-rig-XXXXXX";
     ASSERT_NE(::mkdtemp(dir), nullptr);
     dir_ = dir;
   }
@@ -31,7 +31,7 @@
   // Its exit code; what it printed is in out_.
   int run(const std::string& arguments) {
     const std::string command =
-        std::string(SILVERPIN_RIG) + " " + arguments + " >" + dir_ + "/out 2>&1";
+        std::string(BALANCER_TESTBED) + " " + arguments + " >" + dir_ + "/out 2>&1";
     const int status = std::system(command.c_str());
     std::ifstream in(dir_ + "/out");
     std::ostringstream text;
@@ -86,7 +86,7 @@
 
 // The scenario, with its troubles from the first seconds on.
 std::string short_cold_throng() {
-  std::ifstream in(SILVERPIN_SCENARIOS "/cold-throng.toml");
+  std::ifstream in(BALANCER_SCENARIOS "/cold-throng.toml");
   std::ostringstream whole;
   whole << in.rdbuf();
   std::string text = whole.str();
@@ -119,7 +119,7 @@
   write(short_cold_throng());
   std::ofstream(dir_ + "/rampless")
       << "#!/bin/sh\nsed -i 's/\"startCapacity\":[0-9.]*/\"startCapacity\":1.0/' "
-         "\"$ROUTER_CONFIG\" || exit 1\nexec '" SILVERPIN_PROGRAM "'\n";
+         "\"$ROUTER_CONFIG\" || exit 1\nexec '" BALANCER_PROGRAM "'\n";
   std::filesystem::permissions(dir_ + "/rampless", std::filesystem::perms::owner_all);
   EXPECT_EQ(run(rehearse() + " --program " + dir_ + "/rampless"), 1) << out_;
   EXPECT_EQ(out_.find(", cold hosts 0\n"), std::string::npos) << out_;
@@ -214,7 +214,7 @@
   const pid_t pid = ::fork();
   if (pid == 0) {
     const std::string file = dir_ + "/s.toml";
-    ::execl(SILVERPIN_RIG, SILVERPIN_RIG, "rehearse", file.c_str(), "--quiet", "--out",
+    ::execl(BALANCER_TESTBED, BALANCER_TESTBED, "rehearse", file.c_str(), "--quiet", "--out",
             folder.c_str(), static_cast<char*>(nullptr));
     ::_exit(127);
   }
@@ -236,4 +236,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/tests/rig/readiness_test.cc
+++ b/tests/testbed/readiness_test.cc
@@ -1,9 +1,9 @@
 // How long restarted balancers took, with the test's own time.
-#include "rig/judge/readiness.h"
+#include "testbed/audit/readiness.h"
 
 #include <gtest/gtest.h>
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 using std::chrono::milliseconds;
@@ -60,4 +60,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/tests/rig/resp_fleet_test.cc
+++ b/tests/testbed/resp_fleet_test.cc
@@ -1,11 +1,11 @@
 // The judge and the RESP side of a run: commands sent by hand to emulated nodes, each of which
 // breaks a rule or breaks none.
-#include "rig/servers/resp_fleet.h"
+#include "testbed/servers/resp_fleet.h"
 
-#include "rig/load/load.h"
 #include "rig_harness.h"
+#include "testbed/load/load.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 std::string resp_scenario(const std::string& cluster = "", const std::string& incidents = "") {
@@ -25,7 +25,9 @@
     fleet = std::make_unique<RespFleet>(*context, 0);
     fleet->fill(Arrivals(scenario).popular());
   }
-  const ClassSpec& klass(int k) const { return scenario.classes[static_cast<std::size_t>(k)]; }
+  const ClassSpec& request_class(int k) const {
+    return scenario.classes[static_cast<std::size_t>(k)];
+  }
   RequestNumber sent(int k, const std::string& key, std::uint64_t effect) {
     return context->auditor.on_sent(context->now(), k, 0, effect,
                                     context->now() + std::chrono::seconds(20), key, 1e-3);
@@ -33,10 +35,11 @@
   // The reply to the request's command, from the node that has its slot or the other.
   std::string ask(RequestNumber r, int k, const std::string& key, bool astray = false) {
     auto addresses = fleet->addresses();
-    const bool first = cluster::slot_of(klass(k).prefix + key) < cluster::kSlots / 2;
+    const bool first = cluster::slot_of(request_class(k).prefix + key) < cluster::kSlots / 2;
     tcp::socket socket(io);
     socket.connect(endpoint_of(addresses[first != astray ? 0 : 1]));
-    asio::write(socket, asio::buffer(RespFleet::command(*context, klass(k), r, key).wire()));
+    asio::write(socket,
+                asio::buffer(RespFleet::command(*context, request_class(k), r, key).wire()));
     std::string reply;
     resp::ReplyReader reader{resp::Bounds{}};
     bool whole = false;
@@ -139,8 +142,9 @@
   socket.connect(endpoint_of(fleet->addresses()[static_cast<std::size_t>(2 + owner)]));
   const auto read = [&] {
     const auto r = sent(0, "k:a", 9);
-    asio::write(socket, asio::buffer("READONLY\r\n" +
-                                     RespFleet::command(*context, klass(0), r, "a").wire()));
+    asio::write(socket,
+                asio::buffer("READONLY\r\n" +
+                             RespFleet::command(*context, request_class(0), r, "a").wire()));
     std::string got;
     std::array<char, 4096> chunk;
     bool whole = false;
@@ -190,4 +194,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/tests/rig/rig_harness.h
+++ b/tests/testbed/rig_harness.h
@@ -9,10 +9,10 @@
 #include <string>
 
 #include "proto/memcache.h"
-#include "rig/load/load.h"
-#include "rig/servers/fleet.h"
+#include "testbed/load/load.h"
+#include "testbed/servers/fleet.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 
 using tcp = asio::ip::tcp;
 
@@ -223,4 +223,4 @@
   int taken_ = 0;
 };
 
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/tests/rig/scale_test.cc
+++ b/tests/testbed/scale_test.cc
@@ -5,10 +5,10 @@
 #include <cstdlib>
 #include <filesystem>
 
-#include "rig/scale/control_plane.h"
-#include "rig/scale/sweep.h"
+#include "testbed/scale/control_plane.h"
+#include "testbed/scale/sweep.h"
 
-namespace silverpin::rig::scale {
+namespace balancer::testbed::scale {
 namespace {
 
 SweepOptions quick(std::uint64_t seed) {
@@ -155,7 +155,7 @@
 
 SweepOptions quick_with_program() {
   SweepOptions options = quick(1);
-  options.program = SILVERPIN_PROGRAM;
+  options.program = BALANCER_PROGRAM;
   return options;
 }
 
@@ -176,7 +176,7 @@
   const SweepResult result = sweep_restart(quick_with_program());
   ASSERT_EQ(result.table.rows(), 5u);
   // While discovery is away the retries of a balancer lie this far apart at the least.
-  constexpr double kLeastRetrySeconds = 0.25;
+  constexpr double kMinRetrySeconds = 0.25;
   for (std::size_t row = 0; row < result.table.rows(); ++row) {
     SCOPED_TRACE(row);
     const double processes = result.table.at(row, "processes");
@@ -184,7 +184,7 @@
     EXPECT_LE(result.table.at(row, "calls"), 2 * result.table.at(row, "whole_lists") +
                                                  processes * (1 + result.table.at(row, "ready_s")));
     EXPECT_LE(result.table.at(row, "outage_calls"),
-              processes * (2 + result.table.at(row, "outage_s") / kLeastRetrySeconds));
+              processes * (2 + result.table.at(row, "outage_s") / kMinRetrySeconds));
     if (result.table.at(row, "outage_s") > 0) {
       EXPECT_GE(result.table.at(row, "outage_calls"), processes);
     }
@@ -201,7 +201,7 @@
 }
 
 TEST(ScaleSweep, WritesItsTablesAndCharts) {
-  char folder[] = "/tmp/silverpin-scale-test-XXXXXX";
+  char folder[] = "/tmp/balancer-scale-test-XXXXXX";
   ASSERT_NE(::mkdtemp(folder), nullptr);
   SweepOptions options = quick(1);
   options.folder = folder;
@@ -212,4 +212,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::rig::scale
+}  // namespace balancer::testbed::scale
--- a/tests/rig/scenario_test.cc
+++ b/tests/testbed/scenario_test.cc
@@ -1,15 +1,15 @@
 // Scenarios are checked before anything starts, and an error names file, line, key and reason.
-#include "rig/model/scenario.h"
+#include "testbed/model/scenario.h"
 
 #include <filesystem>
 #include <map>
 #include <set>
 
-#include "rig/model/arrivals.h"
-#include "rig/model/draw.h"
 #include "rig_harness.h"
+#include "testbed/model/arrivals.h"
+#include "testbed/model/scenario_generator.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 std::string error_of(const std::string& text) {
@@ -31,7 +31,7 @@
 
 TEST(ScenarioTest, AllThatAreShippedAreGood) {
   int n = 0;
-  for (const auto& file : std::filesystem::directory_iterator(SILVERPIN_SCENARIOS)) {
+  for (const auto& file : std::filesystem::directory_iterator(BALANCER_SCENARIOS)) {
     SCOPED_TRACE(file.path().string());
     EXPECT_NO_THROW(load_scenario(file.path()));
     ++n;
@@ -210,4 +210,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/tests/rig/servers_test.cc
+++ b/tests/testbed/servers_test.cc
@@ -3,11 +3,11 @@
 #include <fstream>
 #include <set>
 
-#include "rig/group_net.h"
-#include "rig/report/report.h"
 #include "rig_harness.h"
+#include "testbed/group_net.h"
+#include "testbed/report/report.h"
 
-namespace silverpin::rig {
+namespace balancer::testbed {
 namespace {
 
 class ServersTest : public ::testing::Test {
@@ -51,8 +51,8 @@
     p->read();
     return p;
   }
-  std::string request(int klass, const std::string& key, RequestNumber* number = nullptr) {
-    const auto r = context->auditor.on_sent(context->now(), klass, 0, ++effects,
+  std::string request(int request_class, const std::string& key, RequestNumber* number = nullptr) {
+    const auto r = context->auditor.on_sent(context->now(), request_class, 0, ++effects,
                                             context->now() + std::chrono::seconds(5), key, 0.002);
     if (number) *number = r;
     return context->wire_id(r);
@@ -288,7 +288,7 @@
 // kernel may give their ports to nobody, and another run may not use their addresses.
 TEST_F(ServersTest, TwoRunsAtOnceShareNoAddress) {
   begin();
-  char folder[] = "/tmp/silverpin-servers-XXXXXX";
+  char folder[] = "/tmp/balancer-servers-XXXXXX";
   ASSERT_NE(::mkdtemp(folder), nullptr);
   Context other_context(io, scenario);
   Fleet other_fleet(other_context);
@@ -357,4 +357,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::rig
+}  // namespace balancer::testbed
--- a/tests/timing_wheel_test.cc
+++ b/tests/timing_wheel_test.cc
@@ -1,11 +1,11 @@
-#include "core/timing_wheel.h"
+#include "dispatch/timing_wheel.h"
 
 #include <gtest/gtest.h>
 
 #include <map>
 #include <random>
 
-namespace silverpin {
+namespace balancer {
 namespace {
 
 using std::chrono::milliseconds;
@@ -110,4 +110,4 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomWheelTest, ::testing::Range(1u, 9u));
 
 }  // namespace
-}  // namespace silverpin
+}  // namespace balancer
--- a/tests/upstream_test.cc
+++ b/tests/upstream_test.cc
@@ -3,7 +3,7 @@
 
 #include "node_harness.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 class UpstreamTest : public NodeTest {
@@ -195,4 +195,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/voter_test.cc
+++ b/tests/voter_test.cc
@@ -1,22 +1,22 @@
-#include "address/voter.h"
+#include "lease/voter.h"
 
 #include <gtest/gtest.h>
 
-namespace silverpin::address {
+namespace balancer::lease {
 namespace {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using Verdict = Reply::Verdict;
+using Verdict = VoteReply::Verdict;
 
 const Voters kThree{1, {"a", "b", "c"}};
 const Holder kX{"x", 1}, kY{"y", 1};
 
-Ask lease(const Holder& holder, Term term, const std::string& address = "svc") {
-  return {Ask::Kind::kLease, address, term, holder, 7, 1, {}};
+VoteRequest lease(const Holder& holder, Term term, const std::string& address = "svc") {
+  return {VoteRequest::Kind::kLease, address, term, holder, 7, 1, {}};
 }
-Ask release(const Holder& holder, Term term, const std::string& successor = {}) {
-  return {Ask::Kind::kRelease, "svc", term, holder, 8, 1, successor};
+VoteRequest release(const Holder& holder, Term term, const std::string& successor = {}) {
+  return {VoteRequest::Kind::kRelease, "svc", term, holder, 8, 1, successor};
 }
 
 class VoterTest : public ::testing::Test {
@@ -75,7 +75,7 @@
   adopt.next = third;
   voter.on_change(now, adopt);
   EXPECT_EQ(voter.record().voters, third);
-  Ask ask = lease(kX, 1);
+  VoteRequest ask = lease(kX, 1);
   ask.voters = 3;
   EXPECT_EQ(voter.on_ask(now, ask).reply.verdict, Verdict::kGranted);
 }
@@ -130,8 +130,8 @@
 }
 
 TEST_F(VoterTest, QueriesPromiseNothing) {
-  Ask query = lease(kX, 9);
-  query.kind = Ask::Kind::kQuery;
+  VoteRequest query = lease(kX, 9);
+  query.kind = VoteRequest::Kind::kQuery;
   auto d = voter.on_ask(now, query);
   EXPECT_EQ(d.reply.verdict, Verdict::kTold);
   EXPECT_TRUE(d.reply.holder.none());
@@ -144,7 +144,7 @@
 }
 
 TEST_F(VoterTest, AnotherSetOfVotersIsNoMajorityHere) {
-  Ask ask = lease(kX, 1);
+  VoteRequest ask = lease(kX, 1);
   ask.voters = 2;
   const auto d = voter.on_ask(now, ask);
   EXPECT_EQ(d.reply.verdict, Verdict::kVoters);
@@ -243,4 +243,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::address
+}  // namespace balancer::lease
--- a/tests/wall_clock_test.cc
+++ b/tests/wall_clock_test.cc
@@ -2,7 +2,7 @@
 // is sent; the age must not come from that clock.
 #include "program_harness.h"
 
-namespace silverpin::node {
+namespace balancer::node {
 namespace {
 
 constexpr int kKeys = 200;
@@ -64,4 +64,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::node
+}  // namespace balancer::node
--- a/tests/wire_test.cc
+++ b/tests/wire_test.cc
@@ -1,8 +1,8 @@
-#include "sim/wire.h"
+#include "simulator_adapter/wire.h"
 
 #include <gtest/gtest.h>
 
-namespace silverpin::sim {
+namespace balancer::simulator_adapter {
 namespace {
 
 const std::string kStart =
@@ -64,4 +64,4 @@
 }
 
 }  // namespace
-}  // namespace silverpin::sim
+}  // namespace balancer::simulator_adapter
