--- a/src/cluster/commands.cc
+++ b/src/cluster/commands.cc
@@ -8,6 +8,7 @@
 
 char upper(char c) { return c >= 'a' && c <= 'z' ? static_cast<char>(c - 'a' + 'A') : c; }
 
+// NOLINTNEXTLINE(readability-function-size): a table of data.
 std::vector<CommandInfo> make_table() {
   using enum Kind;
   std::vector<CommandInfo> t;
--- a/src/frontend/memcache/memcache_front.cc
+++ b/src/frontend/memcache/memcache_front.cc
@@ -53,7 +53,7 @@
     if (final.stream)
       return session.answer(ticket.slot, head_of(command, final.stream->length()), final.stream,
                             "\r\n");
-    session.answer(ticket.slot, text_of(command, std::move(final)));
+    session.answer(ticket.slot, text_of(command, final));
   }
   std::optional<std::string> unread() const override { return reader_.unread(); }
   void forget() override { reader_ = {}; }
--- a/src/frontend/resp/conversation.h
+++ b/src/frontend/resp/conversation.h
@@ -21,7 +21,7 @@
 
 // One RESP client's side. Data commands (data_commands.cc) and transactions (transactions.cc)
 // become requests to the core, as do commands to nodes (node_commands.cc); what the balancer
-// answers itself is in own_commands.cc.
+// answers itself is in local_commands.cc and cluster_commands.cc.
 class RespFront::Conversation : public Dialect {
  public:
   explicit Conversation(RespFront& front)
@@ -76,6 +76,20 @@
   };
 
   Step take(ClientSession& session, resp::Command& command);
+  // Each answers or forwards a command of its group; nothing if the command is not of it.
+  std::optional<Step> take_before_authentication(ClientSession& session,
+                                                 const resp::Command& command);
+  std::optional<Step> take_transaction_command(ClientSession& session,
+                                               const resp::Command& command);
+  std::optional<Step> take_local_command(ClientSession& session, const resp::Command& command);
+  Step say_wrong_arity(ClientSession& session, const resp::Command& command);
+  template <typename Answer>
+  Step say_if(bool arity_fits, ClientSession& session, const resp::Command& command,
+              Answer&& answer);
+  // The error for a command that is not forwarded; `info`: null if it is not known at all.
+  static std::string unsupported(const resp::Command& command, const cluster::CommandInfo* info);
+  std::string reset_connection();
+  std::string server_info() const;
   Step take_data(ClientSession& session, const cluster::CommandInfo& info, resp::Command& command);
   Step take_split(ClientSession& session, const cluster::CommandInfo& info,
                   const resp::Command& command, const std::vector<std::size_t>& keys,
@@ -96,7 +110,12 @@
   std::string hello(const resp::Command& command);
   std::string authenticate(std::string_view user, std::string_view password);
   std::string client(const resp::Command& command);
+  // CLUSTER and COMMAND (cluster_commands.cc).
   std::string cluster(const resp::Command& command) const;
+  std::string cluster_info() const;
+  std::string cluster_slots() const;
+  std::string cluster_shards() const;
+  std::string cluster_nodes() const;
   std::string command_info(const resp::Command& command) const;
   std::string describe(const cluster::CommandInfo& info) const;
   std::string join(Join& j) const;
--- /dev/null
+++ b/src/frontend/resp/local_commands.cc
@@ -0,0 +1,255 @@
+#include <algorithm>
+#include <utility>
+
+#include "frontend/resp/conversation.h"
+
+namespace balancer {
+namespace {
+
+using cluster::CommandInfo;
+using cluster::Kind;
+using cluster::same_word;
+using resp::Command;
+using namespace reply;
+
+// One name for all, as clients compare them with what they know of servers.
+constexpr std::string_view kVersion = "7.0.0";
+constexpr std::size_t kMaxName = 256;
+
+}  // namespace
+
+// ---- commands that the balancer answers
+
+// The order of these groups is part of the dialect: what a client may say before it is
+// authenticated, what ends a transaction, and data before all that the balancer answers itself.
+Dialect::Step RespFront::Conversation::take(ClientSession& session, Command& command) {
+  if (auto step = take_before_authentication(session, command)) return *step;
+  if (!authenticated_) return say(session, error("NOAUTH Authentication required."));
+  if (auto step = take_transaction_command(session, command)) return *step;
+  const CommandInfo* info = cluster::find_command(command[0]);
+  if (info && (info->kind == Kind::kRead || info->kind == Kind::kWrite)) {
+    if (!cluster::arity_fits(*info, command.size())) return say_wrong_arity(session, command);
+    if (!cluster::blocks(*info, command)) return take_data(session, *info, command);
+  }
+  if (in_multi_) {
+    // What the balancer answers itself cannot be part of a unit that runs at a server.
+    abort_multi();
+    return say(session, error("ERR '" + lower(command[0].substr(0, 32)) +
+                              "' is not taken in a transaction here"));
+  }
+  if (auto step = take_local_command(session, command)) return *step;
+  return say(session, unsupported(command, info));
+}
+
+Dialect::Step RespFront::Conversation::say_wrong_arity(ClientSession& session,
+                                                       const Command& command) {
+  abort_multi();
+  return say(session, wrong_arity(command[0]));
+}
+
+// Answers with `answer()` if the command has a number of words that it may have.
+template <typename Answer>
+Dialect::Step RespFront::Conversation::say_if(bool arity_fits, ClientSession& session,
+                                              const Command& command, Answer&& answer) {
+  return arity_fits ? say(session, answer()) : say_wrong_arity(session, command);
+}
+
+std::optional<Dialect::Step> RespFront::Conversation::take_before_authentication(
+    ClientSession& session, const Command& command) {
+  const std::string_view name = command[0];
+  const std::size_t words = command.size();
+  if (same_word(name, "QUIT")) {
+    say(session, simple("OK"));
+    return Step::kLeave;
+  }
+  if (same_word(name, "HELLO")) return say(session, hello(command));
+  if (same_word(name, "AUTH"))
+    return say_if(words == 2 || words == 3, session, command, [&] {
+      return words == 2 ? authenticate("default", command[1])
+                        : authenticate(command[1], command[2]);
+    });
+  return std::nullopt;
+}
+
+std::optional<Dialect::Step> RespFront::Conversation::take_transaction_command(
+    ClientSession& session, const Command& command) {
+  const std::string_view name = command[0];
+  const bool alone = command.size() == 1;
+  if (same_word(name, "RESET"))
+    return say_if(alone, session, command, [this] { return reset_connection(); });
+  if (same_word(name, "MULTI"))
+    return say_if(alone, session, command, [this] {
+      if (in_multi_) return error("ERR MULTI calls can not be nested");
+      in_multi_ = true;
+      return simple("OK");
+    });
+  if (same_word(name, "DISCARD"))
+    return say_if(alone, session, command, [this] {
+      if (!in_multi_) return error("ERR DISCARD without MULTI");
+      reset();
+      return simple("OK");
+    });
+  if (same_word(name, "EXEC")) return alone ? exec(session) : say(session, wrong_arity(name));
+  return std::nullopt;
+}
+
+std::optional<Dialect::Step> RespFront::Conversation::take_local_command(ClientSession& session,
+                                                                         const Command& command) {
+  const std::string_view name = command[0];
+  const std::size_t words = command.size();
+  const auto is = [name](std::string_view word) { return same_word(name, word); };
+  if (is("SCAN")) return scan(session, command);
+  if (is("DBSIZE")) return words == 1 ? dbsize(session) : say(session, wrong_arity(name));
+  if (is("PING"))
+    return say_if(words <= 2, session, command,
+                  [&] { return words == 2 ? bulk(command[1]) : simple("PONG"); });
+  if (is("ECHO")) return say_if(words == 2, session, command, [&] { return bulk(command[1]); });
+  if (is("SELECT"))
+    return say_if(words == 2, session, command, [&] {
+      return command[1] == "0" ? simple("OK") : error("ERR SELECT is not allowed in cluster mode");
+    });
+  if (is("READONLY") || is("READWRITE") || is("ASKING") || is("UNWATCH"))
+    return say_if(words == 1, session, command, [] { return simple("OK"); });
+  if (is("CLIENT")) return say_if(words >= 2, session, command, [&] { return client(command); });
+  if (is("COMMAND")) return say(session, command_info(command));
+  if (is("CLUSTER")) return say_if(words >= 2, session, command, [&] { return cluster(command); });
+  if (is("INFO")) return say(session, server_info());
+  return std::nullopt;
+}
+
+std::string RespFront::Conversation::unsupported(const Command& command, const CommandInfo* info) {
+  const std::string_view name = command[0];
+  if (!info) return error("ERR unknown command '" + std::string(name.substr(0, 128)) + "'");
+  switch (info->kind) {
+    case Kind::kBlocking:
+      return error("ERR blocking commands are not carried here");
+    case Kind::kRead:
+    case Kind::kWrite:
+      return error("ERR BLOCK is not carried here");
+    case Kind::kSubscribe:
+      return error("ERR subscribing and publishing are not carried here");
+    default:
+      return error("ERR '" + lower(name) + "' is not carried here");
+  }
+}
+
+std::string RespFront::Conversation::reset_connection() {
+  reset();
+  version_ = 2;
+  tenant_ = -1;
+  user_ = "default";
+  name_.clear();
+  authenticated_ = !front_.settings_.require_auth;
+  return simple("RESET");
+}
+
+std::string RespFront::Conversation::server_info() const {
+  return bulk("# Server\r\nredis_version:" + std::string(kVersion) +
+              "\r\nredis_mode:cluster\r\n# Clients\r\nmaxclients:" +
+              std::to_string(front_.limits_.clients.max()) +
+              "\r\n# Replication\r\nrole:master\r\n# Cluster\r\ncluster_enabled:1\r\n");
+}
+
+std::string RespFront::Conversation::authenticate(std::string_view user,
+                                                  std::string_view password) {
+  const auto& tenants = front_.pool_.tenants;
+  const auto it = std::find_if(tenants.begin(), tenants.end(),
+                               [user](const RespTenant& t) { return t.name == user; });
+  if (it == tenants.end() || (it->password && *it->password != password))
+    return error("WRONGPASS invalid username-password pair or user is disabled.");
+  tenant_ = static_cast<int>(it - tenants.begin());
+  user_ = user;
+  authenticated_ = true;
+  return simple("OK");
+}
+
+// HELLO [version [AUTH user password] [SETNAME name]]
+std::string RespFront::Conversation::hello(const Command& command) {
+  int version = version_;
+  std::size_t i = 1;
+  if (command.size() > 1) {
+    const auto asked = resp::parse_integer(command[i++]);
+    if (!asked) return error("ERR Protocol version is not an integer or out of range");
+    if (*asked != 2 && *asked != 3) return error("NOPROTO unsupported protocol version");
+    version = static_cast<int>(*asked);
+  }
+  std::optional<std::string> name;
+  while (i < command.size()) {
+    if (same_word(command[i], "AUTH") && i + 2 < command.size()) {
+      auto reply = authenticate(command[i + 1], command[i + 2]);
+      if (reply.starts_with('-')) return reply;
+      i += 3;
+    } else if (same_word(command[i], "SETNAME") && i + 1 < command.size() &&
+               command[i + 1].size() <= kMaxName) {
+      name = command[i + 1];
+      i += 2;
+    } else {
+      return error("ERR Syntax error in HELLO option '" + std::string(command[i].substr(0, 64)) +
+                   "'");
+    }
+  }
+  if (!authenticated_)
+    return error(
+        "NOAUTH HELLO must be called with the client already authenticated, otherwise the HELLO "
+        "<proto> AUTH <user> <pass> option can be used to authenticate the client and select the "
+        "RESP protocol version at the same time");
+  version_ = version;
+  if (name) name_ = *name;
+  std::string out;
+  resp::append_map(out, 7, version_);
+  const auto pair = [&out](std::string_view key, std::string_view value) {
+    resp::append_bulk(out, key);
+    resp::append_bulk(out, value);
+  };
+  pair("server", "redis");
+  pair("version", kVersion);
+  resp::append_bulk(out, "proto");
+  resp::append_integer(out, version_);
+  resp::append_bulk(out, "id");
+  resp::append_integer(out, id_);
+  pair("mode", "cluster");
+  pair("role", "master");
+  resp::append_bulk(out, "modules");
+  resp::append_array(out, 0);
+  return out;
+}
+
+std::string RespFront::Conversation::client(const Command& command) {
+  const auto is = [&](std::string_view word, std::size_t words) {
+    return same_word(command[1], word) && command.size() == words;
+  };
+  const auto clean = [](std::string_view text) {
+    return text.size() <= kMaxName &&
+           std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c <= '~'; });
+  };
+  if (is("ID", 2)) return integer(id_);
+  if (is("GETNAME", 2)) {
+    if (!name_.empty()) return bulk(name_);
+    std::string out;
+    resp::append_null(out, version_);
+    return out;
+  }
+  if (is("SETNAME", 3)) {
+    if (!clean(command[2]))
+      return error("ERR Client names cannot contain spaces, newlines or special characters.");
+    name_ = command[2];
+    return simple("OK");
+  }
+  if (is("SETINFO", 4)) {
+    if (!same_word(command[2], "LIB-NAME") && !same_word(command[2], "LIB-VER"))
+      return error("ERR Unrecognized option '" + std::string(command[2].substr(0, 64)) + "'");
+    return clean(command[3]) ? simple("OK")
+                             : error("ERR " + lower(command[2]) +
+                                     " cannot contain spaces, newlines or special characters.");
+  }
+  if (is("INFO", 2))
+    return bulk("id=" + std::to_string(id_) + " name=" + name_ + " user=" + user_ +
+                " resp=" + std::to_string(version_) + "\n");
+  if (is("NO-EVICT", 3) || is("NO-TOUCH", 3))
+    return same_word(command[2], "ON") || same_word(command[2], "OFF") ? simple("OK")
+                                                                       : error("ERR syntax error");
+  return error("ERR unknown subcommand or wrong number of arguments for '" +
+               std::string(command[1].substr(0, 64)) + "'");
+}
+
+}  // namespace balancer
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -23,8 +23,8 @@
   class Accept {
    public:
     // The constraint keeps it from hiding the copy constructor, which clang-tidy 14 does not see.
-    // NOLINTNEXTLINE(bugprone-forwarding-reference-overload)
     template <typename F>
+    // NOLINTNEXTLINE(bugprone-forwarding-reference-overload)
     requires(!std::is_same_v<std::remove_cvref_t<F>, Accept>) Accept(F&& f)
         : f_(&f), call_([](void* g, Host host) {
             return (*static_cast<std::remove_reference_t<F>*>(g))(host);
--- a/src/proto/resp.h
+++ b/src/proto/resp.h
@@ -41,6 +41,8 @@
   kAttribute = '|',
 };
 
+inline constexpr std::string_view kLineEnd = "\r\n";
+
 // A client's command: its name and arguments as they came, in the form of an array of strings.
 class Command {
  public:
@@ -88,9 +90,18 @@
  private:
   using Item = std::variant<Command, Fault>;
 
+  // kEmpty: an array of no strings, which is skipped.
+  enum class Progress { kNeedsMore, kRead, kEmpty };
+
   // A line from the cursor on, which goes behind it; nothing until its end has come.
   std::optional<std::string_view> take_line();
+  // The same for a line that holds a length. `too_long`: the fault if it is longer than any length.
+  std::variant<std::optional<std::string_view>, Fault> take_length_line(const char* too_long);
   std::optional<Item> take_inline();
+  std::variant<Progress, Fault> read_array_header();
+  std::variant<Progress, Fault> read_string_header();
+  std::variant<Progress, Fault> read_string();
+  Command assemble();
   void compact();
 
   Bounds bounds_;
@@ -121,7 +132,10 @@
  private:
   enum class State { kLine, kBulk, kDone };
 
-  bool on_line(std::string_view line);  // false: malformed
+  // Each returns false for what is malformed.
+  bool on_line(std::string_view line);
+  bool begin_string(Type type, std::string_view line);
+  bool begin_aggregate(Type type, std::string_view line);
   bool open(std::uint64_t elements, bool counts);
   void close_value();
 
--- /dev/null
+++ b/src/proto/resp_reply_reader.cc
@@ -0,0 +1,285 @@
+#include <algorithm>
+#include <utility>
+
+#include "proto/resp.h"
+
+// Replies as servers send them: where they end, and whole ones as a tree.
+namespace balancer::resp {
+namespace {
+
+bool all_digits(std::string_view text) {
+  return !text.empty() &&
+         std::all_of(text.begin(), text.end(), [](char c) { return c >= '0' && c <= '9'; });
+}
+
+std::string_view without_sign(std::string_view text) {
+  if (!text.empty() && (text.front() == '-' || text.front() == '+')) text.remove_prefix(1);
+  return text;
+}
+
+bool is_double(std::string_view text) {
+  if (text == "inf" || text == "-inf" || text == "+inf" || text == "nan" || text == "-nan")
+    return true;
+  text = without_sign(text);
+  const auto digits = [&text] {
+    std::size_t n = 0;
+    while (n < text.size() && text[n] >= '0' && text[n] <= '9') ++n;
+    text.remove_prefix(n);
+    return n;
+  };
+  if (digits() == 0) return false;
+  if (!text.empty() && text.front() == '.') {
+    text.remove_prefix(1);
+    digits();
+  }
+  if (!text.empty() && (text.front() == 'e' || text.front() == 'E')) {
+    text.remove_prefix(1);
+    text = without_sign(text);
+    if (digits() == 0) return false;
+  }
+  return text.empty();
+}
+
+// Of a string or aggregate: -1 is RESP2's null.
+std::optional<std::int64_t> parse_length(std::string_view text) {
+  if (text != "-1" && !all_digits(text)) return std::nullopt;
+  return parse_integer(text);
+}
+
+// Whether a line, without its type, is a value of this type that has no more lines.
+bool is_scalar(Type type, std::string_view line) {
+  switch (type) {
+    case Type::kSimple:
+    case Type::kError:
+      return line.find('\r') == std::string_view::npos;
+    case Type::kInteger:
+      return parse_integer(line).has_value();
+    case Type::kNull:
+      return line.empty();
+    case Type::kBoolean:
+      return line == "t" || line == "f";
+    case Type::kDouble:
+      return is_double(line);
+    case Type::kBigNumber:
+      return all_digits(without_sign(line));
+    default:
+      return false;
+  }
+}
+
+// The format of a verbatim string and its colon: "txt:".
+constexpr std::int64_t kVerbatimPrefix = 4;
+
+}  // namespace
+
+bool ReplyReader::open(std::uint64_t count, bool attribute) {
+  if (count > bounds_.elements || elements_ + count > bounds_.elements) return false;
+  elements_ += count;
+  if (count == 0) {
+    if (!attribute) close_value();
+    return true;
+  }
+  if (open_.size() >= bounds_.depth) return false;
+  open_.push_back({count, attribute});
+  return true;
+}
+
+void ReplyReader::close_value() {
+  while (!open_.empty() && --open_.back().left == 0) {
+    const bool attribute = open_.back().attribute;
+    open_.pop_back();
+    if (attribute) return;  // the value that it belongs to is still to come
+  }
+  ended_ = open_.empty();
+}
+
+bool ReplyReader::on_line(std::string_view line) {
+  if (line.empty()) return false;
+  const Type type = static_cast<Type>(line.front());
+  line.remove_prefix(1);
+  if (!typed_ && type != Type::kAttribute && open_.empty()) {
+    type_ = type;
+    typed_ = true;
+  }
+  switch (type) {
+    case Type::kBulk:
+    case Type::kBulkError:
+    case Type::kVerbatim:
+      return begin_string(type, line);
+    case Type::kArray:
+    case Type::kSet:
+    case Type::kPush:
+    case Type::kMap:
+    case Type::kAttribute:
+      return begin_aggregate(type, line);
+    default:
+      if (!is_scalar(type, line)) return false;
+      close_value();
+      return true;
+  }
+}
+
+bool ReplyReader::begin_string(Type type, std::string_view line) {
+  const auto length = parse_length(line);
+  if (!length) return false;
+  if (*length < 0) {
+    if (type != Type::kBulk) return false;
+    close_value();
+    return true;
+  }
+  if (static_cast<std::uint64_t>(*length) > bounds_.bulk) return false;
+  if (type == Type::kVerbatim && *length < kVerbatimPrefix) return false;
+  bulk_type_ = type;
+  bulk_length_ = static_cast<std::size_t>(*length);
+  bulk_left_ = bulk_length_ + kLineEnd.size();
+  bulk_edge_.clear();
+  state_ = State::kBulk;
+  return true;
+}
+
+bool ReplyReader::begin_aggregate(Type type, std::string_view line) {
+  const auto count = parse_length(line);
+  if (!count) return false;
+  if (*count < 0) {
+    if (type != Type::kArray) return false;
+    close_value();
+    return true;
+  }
+  const auto n = static_cast<std::uint64_t>(*count);
+  if (n > bounds_.elements) return false;
+  if (type == Type::kPush && (n == 0 || !open_.empty())) return false;
+  const bool pairs = type == Type::kMap || type == Type::kAttribute;
+  return open(pairs ? 2 * n : n, type == Type::kAttribute);
+}
+
+ReplyReader::Event ReplyReader::next(std::string_view& input) {
+  if (state_ == State::kDone) {
+    state_ = State::kLine;
+    typed_ = ended_ = false;
+    elements_ = bytes_ = 0;
+    return Event::kEnd;
+  }
+  if (input.empty()) return Event::kMore;
+  const std::string_view all = input;
+  while (!input.empty() && !ended_) {
+    if (state_ == State::kLine) {
+      const auto end = input.find('\n');
+      const auto piece = input.substr(0, end == std::string_view::npos ? end : end + 1);
+      if (line_.size() + piece.size() > bounds_.line + 3) return Event::kMalformed;
+      input.remove_prefix(piece.size());
+      if (end == std::string_view::npos) {
+        line_ += piece;
+        break;
+      }
+      std::string held = std::exchange(line_, {});
+      std::string_view line = piece;
+      if (!held.empty()) line = held += piece;
+      if (!line.ends_with(kLineEnd)) return Event::kMalformed;
+      line.remove_suffix(kLineEnd.size());
+      if (!on_line(line)) return Event::kMalformed;
+      continue;
+    }
+    const auto piece = input.substr(0, bulk_left_);
+    // Kept of the string: the place of a verbatim's colon, and its line end.
+    for (std::size_t i = 0; i < piece.size();) {
+      const std::size_t at = bulk_length_ + 2 - bulk_left_ + i;
+      if (bulk_type_ == Type::kVerbatim && at == 3 && piece[i] != ':') return Event::kMalformed;
+      if (at >= bulk_length_) {
+        if (piece[i] != kLineEnd[at - bulk_length_]) return Event::kMalformed;
+        ++i;
+      } else {
+        i += bulk_type_ == Type::kVerbatim && at < 3 ? 3 - at : bulk_length_ - at;
+      }
+    }
+    bulk_left_ -= piece.size();
+    input.remove_prefix(piece.size());
+    if (bulk_left_ == 0) {
+      state_ = State::kLine;
+      close_value();
+    }
+  }
+  data_ = all.substr(0, all.size() - input.size());
+  bytes_ += data_.size();
+  if (bytes_ > bounds_.total) return Event::kMalformed;
+  if (ended_) state_ = State::kDone;
+  return Event::kData;
+}
+
+std::optional<std::int64_t> Value::integer() const {
+  if (type != Type::kInteger) return std::nullopt;
+  return parse_integer(text);
+}
+
+namespace {
+
+// `wire` was read by a ReplyReader: it is well formed, and its depth is bounded.
+std::size_t build(std::string_view wire, Value& value) {
+  const auto line_end = wire.find(kLineEnd);
+  std::size_t used = line_end + 2;
+  const auto line = wire.substr(1, line_end - 1);
+  value.type = static_cast<Type>(wire.front());
+  const auto items = [&](std::size_t n) {
+    value.items.resize(n);
+    for (Value& item : value.items) used += build(wire.substr(used), item);
+  };
+  switch (value.type) {
+    case Type::kBulk:
+    case Type::kBulkError:
+    case Type::kVerbatim: {
+      const auto length = parse_integer(line).value_or(-1);
+      if (length < 0) {
+        value.null = true;
+        break;
+      }
+      value.text = wire.substr(used, static_cast<std::size_t>(length));
+      used += value.text.size() + 2;
+      if (value.type == Type::kVerbatim) value.text.remove_prefix(4);
+      break;
+    }
+    case Type::kArray:
+    case Type::kSet:
+    case Type::kPush:
+    case Type::kMap: {
+      const auto count = parse_integer(line).value_or(-1);
+      if (count < 0) {
+        value.null = true;
+        break;
+      }
+      items(static_cast<std::size_t>(count) * (value.type == Type::kMap ? 2 : 1));
+      break;
+    }
+    case Type::kAttribute: {
+      Value skipped;
+      for (auto n = 2 * parse_integer(line).value_or(0); n > 0; --n)
+        used += build(wire.substr(used), skipped = {});
+      value = {};
+      used += build(wire.substr(used), value);
+      return used;  // its wire is that of the value without the attribute
+    }
+    case Type::kNull:
+      value.null = true;
+      break;
+    default:
+      value.text = line;
+  }
+  value.wire = wire.substr(0, used);
+  return used;
+}
+
+}  // namespace
+
+std::optional<Value> parse_reply(std::string_view wire, const Bounds& bounds) {
+  ReplyReader reader(bounds);
+  std::string_view input = wire;
+  while (true) {
+    const auto event = reader.next(input);
+    if (event == ReplyReader::Event::kData) continue;
+    if (event != ReplyReader::Event::kEnd || !input.empty()) return std::nullopt;
+    break;
+  }
+  Value value;
+  build(wire, value);
+  return value;
+}
+
+}  // namespace balancer::resp
