--- a/src/dispatch/server_pool.cc
+++ b/src/dispatch/server_pool.cc
@@ -238,8 +238,8 @@
   q.work = ask.work;
   // Behind a standstill a client's time may be over that has just been read of: its request lay in
   // the socket. Nothing of it has gone out, so that a refusal is true, and comes while it may.
-  q.budget = ask.budget - unnoticed;
-  if (drain_end_) q.budget = std::max(Duration{0}, std::min(q.budget, *drain_end_ - now()));
+  q.time_left = ask.budget - unnoticed;
+  if (drain_end_) q.time_left = std::max(Duration{0}, std::min(q.time_left, *drain_end_ - now()));
   Call& call = calls_[q.id];
   call.caller = caller;
   call.ticket = ticket;
--- a/src/fleet_simulation/plant.cc
+++ b/src/fleet_simulation/plant.cc
@@ -25,7 +25,7 @@
   out.balancers = s.balancers;
   for (const testbed::ClassSpec& c : s.classes) {
     RequestClass k;
-    k.aim = c.aim;
+    k.latency_objective = c.aim;
     k.deadline = c.deadline;
     k.idempotency = c.effect == testbed::Effect::kSafe    ? Idempotency::kIdempotent
                     : c.effect == testbed::Effect::kKeyed ? Idempotency::kIdempotencyKey
@@ -345,7 +345,7 @@
   q.key = call->wish.key;
   q.write = scenario_.classes[index(q.request_class)].write();
   if (call->wish.hint > 0) q.work = from_seconds(call->wish.hint);
-  q.budget = until - now_ - 2 * options_.way;
+  q.time_left = until - now_ - 2 * options_.way;
   ++present_.tries;
   balancer.policy->on_request(now_, q);
 }
--- a/src/policy/policy.cc
+++ b/src/policy/policy.cc
@@ -43,7 +43,7 @@
 
 Duration origin_target(const Settings& settings) {
   Duration shortest = Duration::max();
-  for (const RequestClass& c : settings.classes) shortest = std::min(shortest, c.aim);
+  for (const RequestClass& c : settings.classes) shortest = std::min(shortest, c.latency_objective);
   return from_seconds(kTargetShare * std::min(seconds(shortest), 3600.0));
 }
 
@@ -150,19 +150,14 @@
 
 // ---- the four rules
 
-int Policy::count(const RequestState& r, AttemptState fate) {
-  return static_cast<int>(std::count_if(r.attempts.begin(), r.attempts.end(),
-                                        [fate](const Attempt& a) { return a.fate == fate; }));
-}
-
 // No effect twice: a second run of an unsafe request, or of a keyed one where no host remembers the
 // first, would book or charge again.
 bool Policy::retry_allowed(const RequestState& r, const Host& host) const {
   const RequestClass& c = class_of(r);
-  if (!settings_.hedging && count(r, AttemptState::kOut) > 0) return false;
+  if (!settings_.hedging && r.in_flight() > 0) return false;
   if (c.idempotency == Idempotency::kIdempotent) return true;
-  for (const Attempt& a : r.attempts) {
-    if (a.fate == AttemptState::kNeverRan || a.fate == AttemptState::kMissed) continue;
+  for (const AttemptRecord& a : r.attempts) {
+    if (a.state == AttemptState::kNeverRan || a.state == AttemptState::kMissed) continue;
     if (c.idempotency == Idempotency::kNone) return false;
     const Host& first = host_registry_[a.host];
     if (c.scope == DeduplicationScope::kZone && first.zone != host.zone) return false;
@@ -180,13 +175,14 @@
   if (c.idempotency == Idempotency::kIdempotent) return true;
   if (c.idempotency == Idempotency::kIdempotencyKey && c.scope == DeduplicationScope::kAll)
     return true;
-  return count(r, AttemptState::kOut) + count(r, AttemptState::kMayHaveRun) == 0;
+  return r.in_flight() + r.count(AttemptState::kMayHaveRun) == 0;
 }
 
 bool Policy::send(RequestState& r, HostIndex index, Time until) {
   const Host& host = host_registry_[index];
-  if (r.over || r.streaming || now_ >= r.deadline) return false;  // answered once
-  if (static_cast<int>(r.attempts.size()) - r.taken_back >= settings_.max_attempts) return false;
+  if (r.finished || r.is_streaming || now_ >= r.deadline) return false;  // answered once
+  if (static_cast<int>(r.attempts.size()) - r.withdrawn_attempts >= settings_.max_attempts)
+    return false;
   if (!host.takes_new()) return false;        // drains
   if (!retry_allowed(r, host)) return false;  // no effect twice
   if (!may_take(r, index)) return false;      // cold hosts
@@ -200,8 +196,8 @@
 }
 
 void Policy::finish(RequestState& r) {
-  if (r.over || r.streaming) return;
-  r.over = true;
+  if (r.finished || r.is_streaming) return;
+  r.finished = true;
   if (rejection_allowed(r)) {
     sink_.reject(r.id, retry_after(r));
   } else {
@@ -215,7 +211,7 @@
 // stay away until it is over. In step they would be the next overload.
 Duration Policy::retry_after(const RequestState& r) {
   const double room =
-      r.beyond_share ? 0 : std::min(gate_.admit_fraction(), cache_gate_.admit_fraction());
+      r.exceeds_quota ? 0 : std::min(gate_.admit_fraction(), cache_gate_.admit_fraction());
   const Duration wait = uniform() < room ? gate_.target() : kStayAway;
   return std::min(from_seconds(seconds(wait) * (0.5 + uniform())), settings_.max_retry_after);
 }
@@ -243,14 +239,14 @@
   r.write = q.write;
   if (q.work) mean_work_ += 0.01 * (seconds(*q.work) - mean_work_);
   r.work = q.work ? std::max(seconds(*q.work), 0.0) : mean_work_;
-  r.aim = now + c.aim;
-  r.deadline = now + q.budget;
-  r.deadline_tag = timer(r.deadline, TimerKind::kDeadline, r.id);
+  r.objective_at = now + c.latency_objective;
+  r.deadline = now + q.time_left;
+  r.deadline_timer = timer(r.deadline, TimerKind::kDeadline, r.id);
   retry_budget_ = std::min(retry_budget_ + kRetryShare, kRetryDepth);
   // One tenant's burst would jam the hosts for all, for the little its surplus is worth. Where
   // there is room it is served.
-  r.beyond_share = !within_share(q.tenant) && strain_ > kStrained;
-  if (r.beyond_share) {
+  r.exceeds_quota = !within_share(q.tenant) && strain_ > kStrained;
+  if (r.exceeds_quota) {
     give_up(r);
   } else if (q.write && settings_.cache_aside) {
     send_write(r);
@@ -280,10 +276,10 @@
   // the key's owner is asked once more. No budget holds that back, since it is no sign of load and
   // comes once a request; where hosts break off because they are full it would double what they
   // get, until three in a row eject them.
-  const bool broke = r.attempts.size() == 1 && r.attempts.back().broke;
+  const bool broke = r.attempts.size() == 1 && r.attempts.back().connection_failed;
   // A host that names another has done no work and shows no load.
-  const bool retry = !r.attempts.empty() && r.attempts.back().fate != AttemptState::kMissed &&
-                     !broke && !r.attempts.back().redirected;
+  const bool retry = !r.attempts.empty() && r.attempts.back().state != AttemptState::kMissed &&
+                     !broke && !r.attempts.back().host_did_no_work;
   const std::size_t points = replicas(r.key);
   if (retry && (retry_budget_ < 1 || (points == 1 && gate_.admits_all()))) return bypass(r);
   std::optional<HostIndex> choice, ejected;
@@ -296,8 +292,9 @@
     const Host& host = host_registry_[i];
     HostHealth& health = health_[i];
     if (!host.takes_new() || !retry_allowed(r, host)) return false;
-    for (const Attempt& a : r.attempts)
-      if (a.host == i && a.fate != AttemptState::kMissed && !a.redirected && !broke) return false;
+    for (const AttemptRecord& a : r.attempts)
+      if (a.host == i && a.state != AttemptState::kMissed && !a.host_did_no_work && !broke)
+        return false;
     // Slow start key by key: each key comes back once, as the host warms, and the rest stay where
     // they are cached.
     // A host too slow for its keys hands some on in the same manner: at every balancer the same
@@ -332,7 +329,7 @@
   if (!send(r, *choice, r.deadline)) return give_up(r);
   if (retry) retry_budget_ -= 1;
   cache_work_.add(now_, r.work);
-  r.slow_tag = timer(now_ + patience(r), TimerKind::kSlow, r.id);
+  r.slow_timer = timer(now_ + patience(r), TimerKind::kSlow, r.id);
 }
 
 // How many hosts share the key's requests. One standard deviation is taken off the count and as
@@ -360,7 +357,7 @@
   return quotas_[tenant].take(now_, rate, std::max(kMinQuotaDepth, kQuotaSeconds * rate));
 }
 
-void Policy::judge(HostIndex host, bool slow) {
+void Policy::record_latency(HostIndex host, bool slow) {
   health_[host].on_answer(now_, slow);
   strain_ += (slow - strain_) / kStrainSamples;
   cache_gate_.on_sample(now_, slow ? 1 : 0);
@@ -377,8 +374,8 @@
 void Policy::fetch(RequestState& r) {
   const auto it = fetches_.find(r.key);
   if (it != fetches_.end() && it->second.leader != r.id) {
-    if (!r.waiting) it->second.followers.push_back(r.id);
-    r.waiting = true;
+    if (!r.awaits_fetch) it->second.followers.push_back(r.id);
+    r.awaits_fetch = true;
     return;
   }
   if (!send_metered(r)) return give_up(r);
@@ -394,7 +391,7 @@
 bool Policy::send_metered(RequestState& r) {
   const auto target = host_registry_.origin();
   // Where not all can be fetched the turn is for one whose answer may yet come within its aim.
-  if (!gate_.admits_all() && now_ + gate_.target() >= r.aim) return false;
+  if (!gate_.admits_all() && now_ + gate_.target() >= r.objective_at) return false;
   return target && gate_.admit(now_) && send(r, *target, r.deadline);
 }
 
@@ -402,14 +399,14 @@
   const auto it = fetches_.find(leader.key);
   if (it == fetches_.end() || it->second.leader != leader.id) return;
   std::optional<HostIndex> stored_at;
-  for (const Attempt& a : leader.attempts)
-    if (a.fate == AttemptState::kMissed && !stored_at) stored_at = a.host;
+  for (const AttemptRecord& a : leader.attempts)
+    if (a.state == AttemptState::kMissed && !stored_at) stored_at = a.host;
   const std::vector<RequestId> followers = std::move(it->second.followers);
   fetches_.erase(it);
   for (const RequestId id : followers) {
     const auto at = requests_.find(id);
-    if (at == requests_.end() || at->second.over) continue;
-    at->second.waiting = false;
+    if (at == requests_.end() || at->second.finished) continue;
+    at->second.awaits_fetch = false;
     if (stored) {
       ask_cache(at->second, stored_at);
     } else {
@@ -426,7 +423,62 @@
 
 // Nothing more to try. An attempt still out may yet answer.
 void Policy::give_up(RequestState& r) {
-  if (count(r, AttemptState::kOut) == 0) finish(r);
+  if (r.in_flight() == 0) finish(r);
+}
+
+void Policy::apply_to_zone(const Host& host, ZoneSignal signal) {
+  // Where a zone is cut off, to find it out host by host costs each balancer an attempt per host.
+  Zone& zone = zones_[host.zone];
+  if (signal == ZoneSignal::kUnreachable) {
+    if (++zone.failures >= kZoneFailures) zone.health.on_failure(now_, uniform());
+  } else if (signal == ZoneSignal::kReachable) {
+    zone.failures = 0;
+    zone.health.on_success();
+  }
+}
+
+void Policy::apply_to_origin(const AttemptRecord& attempt, OriginSignal signal) {
+  if (signal == OriginSignal::kNone) {
+    gate_.on_dropped(attempt.sent_at, now_);
+  } else {
+    gate_.on_done(attempt.sent_at, now_, signal == OriginSignal::kFailed);
+  }
+}
+
+void Policy::apply_to_host(const AttemptRecord& attempt, HostSignal signal) {
+  HostHealth& health = health_[attempt.host];
+  switch (signal) {
+    case HostSignal::kNone:
+      break;
+    case HostSignal::kInTime:
+      health.on_success();
+      if (!attempt.counted_slow) record_latency(attempt.host, false);
+      break;
+    case HostSignal::kOverloaded:
+      if (!attempt.counted_slow) record_latency(attempt.host, true);
+      break;
+    case HostSignal::kError:
+      health.on_error(now_, uniform());
+      break;
+    case HostSignal::kFailure:
+      health.on_failure(now_, uniform());
+      break;
+  }
+}
+
+void Policy::observe_outcome(const AttemptRecord& attempt, const OutcomeRule& rule, Result result) {
+  const Host& host = host_registry_[attempt.host];
+  if (!host.origin) apply_to_zone(host, rule.zone);
+  // What was learnt from the first byte is not learnt again from the end.
+  if (host.origin) {
+    if (!attempt.is_answering) apply_to_origin(attempt, rule.origin);
+  } else if (!attempt.is_answering || rule.host != HostSignal::kInTime) {
+    apply_to_host(attempt, rule.host);
+  }
+  // Hosts take so many connections: idle ones of a large fleet's balancers would keep the rest out.
+  unconnected_ += ((result == Result::kConnectFailed) - unconnected_) / kStrainSamples;
+  if (unconnected_ > kShortOfConnections && !host.origin && health_[attempt.host].idle())
+    sink_.close_idle(host.id);
 }
 
 void Policy::on_outcome(Time now, const Outcome& o) {
@@ -435,110 +487,83 @@
   if (it == requests_.end()) return;
   RequestState& r = it->second;
   if (o.attempt < 0 || o.attempt >= static_cast<int>(r.attempts.size())) return;
-  Attempt& a = r.attempts[o.attempt];
-  if (a.fate != AttemptState::kOut) return;
-  const Host& host = host_registry_[a.host];
-  HostHealth& health = health_[a.host];
-  if (!a.begun) health.on_ended(a.sent_at);
-  a.fate = o.result == Result::kMiss ? AttemptState::kMissed
-           : never_ran(o.result)     ? AttemptState::kNeverRan
-                                     : AttemptState::kMayHaveRun;
-  a.broke = o.result == Result::kReset;
-  a.redirected = o.result == Result::kRedirected || o.result == Result::kWithdrawn;
-  r.taken_back += o.result == Result::kWithdrawn;
-  const bool served = o.result == Result::kOk;
-  const bool well = served || o.result == Result::kMiss || o.result == Result::kRedirected;
-  if (!host.origin) {
-    // Where a zone is cut off, to find it out host by host costs each balancer an attempt per host.
-    Zone& zone = zones_[host.zone];
-    if (o.result == Result::kConnectFailed || o.result == Result::kReset ||
-        o.result == Result::kTimeout) {
-      if (++zone.failures >= kZoneFailures) zone.health.on_failure(now, uniform());
-    } else if (well || o.result == Result::kRejected) {
-      zone.failures = 0;
-      zone.health.on_success();
-    }
-  }
-  if (a.begun && (host.origin || well)) {  // heard at the first byte
-  } else if (host.origin) {
-    if (o.result == Result::kCancelled || o.result == Result::kNotSent || a.redirected) {
-      gate_.on_dropped(a.sent_at, now);
-    } else {
-      gate_.on_done(a.sent_at, now, !served);
-    }
-  } else if (well) {
-    health.on_success();
-    if (!a.slow) judge(a.host, false);
-  } else if (o.result == Result::kConnectFailed) {
-    health.on_failure(now, uniform());
-  } else if (o.result == Result::kRejected && !a.slow) {
-    judge(a.host, true);  // full: slower still than slow
-  } else if (o.result == Result::kError || o.result == Result::kReset) {
-    // One now and then is the connection's or the request's, and a host that is away refuses the
-    // next connection. A host that answers little else, and at once, would draw in and fail all
-    // its keys: no time-out and no queue ever shows it.
-    health.on_error(now, uniform());
+  AttemptRecord& attempt = r.attempts[o.attempt];
+  if (attempt.state != AttemptState::kInFlight) return;
+  const OutcomeRule& rule = outcome_rule(o.result);
+  if (!attempt.is_answering) health_[attempt.host].on_ended(attempt.sent_at);
+  attempt.state = rule.state;
+  attempt.connection_failed = o.result == Result::kReset;
+  attempt.host_did_no_work = rule.next == NextStep::kSendElsewhere;
+  r.withdrawn_attempts += o.result == Result::kWithdrawn;
+  observe_outcome(attempt, rule, o.result);
+  const bool from_origin = host_registry_[attempt.host].origin;
+  const bool served = rule.next == NextStep::kAnswered;
+  if (o.finished || served) r.finished = true;
+  const AttemptRecord ended = attempt;  // further attempts may move the list
+  const bool refetches = !r.finished && continue_request(r, ended, rule.next);
+  if (from_origin && !refetches) settle_fetch(r, served);
+  erase_if_done(o.id);
+}
+
+// Returns whether the origin is asked again for the key that this request fetches.
+bool Policy::continue_request(RequestState& r, const AttemptRecord& attempt, NextStep step) {
+  const bool from_origin = host_registry_[attempt.host].origin;
+  if (step == NextStep::kFetch && settings_.cache_aside && !r.write) {
+    fetch(r);
+  } else if (step == NextStep::kRejectOrFail || now_ >= r.deadline) {
+    give_up(r);
+  } else if (from_origin && r.write) {
+    after_write_attempt(r, attempt);
+  } else if (from_origin) {
+    if (refetch(r, step)) return true;
+    give_up(r);
+  } else {
+    ask_cache(r);
   }
-  // Hosts take so many connections: idle ones of a large fleet's balancers would keep the rest out.
-  unconnected_ += ((o.result == Result::kConnectFailed) - unconnected_) / kStrainSamples;
-  if (unconnected_ > kShortOfConnections && !host.origin && health.idle())
-    sink_.close_idle(host.id);
-  const bool from_origin = host.origin;
-  bool again = false;  // the fetch goes on
-  if (o.over || served) r.over = true;
-  if (!r.over) {
-    if (o.result == Result::kMiss && settings_.cache_aside && !r.write) {
-      fetch(r);
-    } else if (o.result == Result::kNotSent || now >= r.deadline) {
-      give_up(r);
-    } else if (from_origin && r.write) {
-      if (never_ran(o.result) && !a.redirected) {
-        timer(now + from_seconds(seconds(kResendBackoff) * std::pow(2.0, r.attempts.size()) *
-                                 (0.5 + uniform())),
-              TimerKind::kResend, r.id);
-      } else {
-        send_write(r);
-      }
-    } else if (from_origin) {
-      // An answer that came spoilt or broke off says nothing against a further fetch, within the
-      // budget that keeps retries from adding up, and past the gate like every other.
-      const bool spoilt = o.result == Result::kError || o.result == Result::kReset;
-      again = a.redirected || (spoilt && retry_budget_ >= 1);
-      if (again && spoilt) retry_budget_ -= 1;
-      if (!again || !send_metered(r)) again = false, give_up(r);
-    } else {
-      ask_cache(r);
-    }
+  return false;
+}
+
+void Policy::after_write_attempt(RequestState& r, const AttemptRecord& attempt) {
+  if (attempt.state != AttemptState::kNeverRan || attempt.host_did_no_work) return send_write(r);
+  const double backoff = seconds(kResendBackoff) * std::pow(2.0, r.attempts.size());
+  timer(now_ + from_seconds(backoff * (0.5 + uniform())), TimerKind::kResend, r.id);
+}
+
+// An answer that could not be read or broke off says nothing against a further fetch, within the
+// budget that keeps retries from adding up, and past the gate like every other.
+bool Policy::refetch(RequestState& r, NextStep step) {
+  if (step == NextStep::kRetryFetchToo) {
+    if (retry_budget_ < 1) return false;
+    retry_budget_ -= 1;
+  } else if (step != NextStep::kSendElsewhere) {
+    return false;
   }
-  if (from_origin && !again) settle_fetch(r, served);
-  erase_if_done(o.id);
+  return send_metered(r);
 }
 
-void Policy::on_first_byte(Time now, RequestId id, std::optional<int> attempt) {
+void Policy::on_first_byte(Time now, RequestId id, std::optional<int> number) {
   now_ = now;
   const auto it = requests_.find(id);
   if (it == requests_.end()) return;
   RequestState& r = it->second;
-  r.streaming = true;
-  if (!attempt || *attempt >= static_cast<int>(r.attempts.size())) return;
-  Attempt& a = r.attempts[*attempt];
-  const Host& host = host_registry_[a.host];
-  HostHealth& health = health_[a.host];
-  if (std::exchange(a.begun, true)) return;
-  health.on_ended(a.sent_at);
-  if (host.origin) {
-    gate_.on_done(a.sent_at, now, false);
+  r.is_streaming = true;
+  if (!number || *number >= static_cast<int>(r.attempts.size())) return;
+  AttemptRecord& attempt = r.attempts[*number];
+  if (std::exchange(attempt.is_answering, true)) return;
+  health_[attempt.host].on_ended(attempt.sent_at);
+  const OutcomeRule& rule = outcome_rule(Result::kOk);
+  if (host_registry_[attempt.host].origin) {
+    apply_to_origin(attempt, rule.origin);
     settle_fetch(r, true);
   } else {
-    health.on_success();
-    if (!a.slow) judge(a.host, false);
+    apply_to_host(attempt, rule.host);
   }
 }
 
 void Policy::on_withdrawn(Time now, RequestId id) {
   now_ = now;
   const auto it = requests_.find(id);
-  if (it != requests_.end()) it->second.over = true;
+  if (it != requests_.end()) it->second.finished = true;
   erase_if_done(id);
 }
 
@@ -548,40 +573,42 @@
   if (!t) return;
   if (t->kind == TimerKind::kSubscribe) return sink_.subscribe();
   const auto at = requests_.find(t->id);
-  if (at == requests_.end() || at->second.over) return;
+  if (at == requests_.end() || at->second.finished) return;
   RequestState& r = at->second;
   switch (t->kind) {
     case TimerKind::kDeadline:
       finish(r);
       break;
-    case TimerKind::kSlow: {
-      Attempt& last = r.attempts.back();
-      if (host_registry_[last.host].origin || last.fate != AttemptState::kOut || last.slow ||
-          r.streaming || now - last.sent_at < patience(r))
-        break;
-      last.slow = true;
-      judge(last.host, true);
-      if (count(r, AttemptState::kOut) == 1 && now < r.aim &&
-          class_of(r).idempotency == Idempotency::kIdempotent && settings_.hedging)
-        ask_cache(r);
+    case TimerKind::kSlow:
+      on_slow(r);
       break;
-    }
     default:
-      if (count(r, AttemptState::kOut) == 0) send_write(r);
+      if (r.in_flight() == 0) send_write(r);
   }
   erase_if_done(t->id);
 }
 
+void Policy::on_slow(RequestState& r) {
+  AttemptRecord& last = r.attempts.back();
+  if (host_registry_[last.host].origin || last.state != AttemptState::kInFlight ||
+      last.counted_slow || r.is_streaming || now_ - last.sent_at < patience(r))
+    return;
+  apply_to_host(last, HostSignal::kOverloaded);
+  last.counted_slow = true;
+  if (r.in_flight() == 1 && now_ < r.objective_at &&
+      class_of(r).idempotency == Idempotency::kIdempotent && settings_.hedging)
+    ask_cache(r);
+}
+
 // A request stays known until its last attempt has ended: late outcomes still tell of the hosts.
 void Policy::erase_if_done(RequestId id) {
   const auto it = requests_.find(id);
-  if (it == requests_.end() || !it->second.over || count(it->second, AttemptState::kOut) > 0)
-    return;
+  if (it == requests_.end() || !it->second.finished || it->second.in_flight() > 0) return;
   const auto attempts = std::move(it->second.attempts);
-  for (const std::uint64_t tag : {it->second.deadline_tag, it->second.slow_tag})
+  for (const std::uint64_t tag : {it->second.deadline_timer, it->second.slow_timer})
     if (timers_.take(tag)) sink_.drop_timer(tag);
   requests_.erase(it);
-  for (const Attempt& a : attempts)
+  for (const AttemptRecord& a : attempts)
     if (host_registry_.release(a.host)) health_[a.host] = {};
 }
 
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -14,6 +14,9 @@
 #include "policy/admission_controller.h"
 #include "policy/hash_ring.h"
 #include "policy/host_health.h"
+#include "policy/outcome_table.h"
+#include "policy/request.h"
+#include "policy/request_state.h"
 #include "structures/decaying_sum.h"
 #include "structures/numbered_queue.h"
 #include "structures/recent_counts.h"
@@ -23,23 +26,6 @@
 // does I/O, reads a clock, starts a thread or shares state with another instance.
 namespace balancer {
 
-using RequestId = std::uint64_t;
-
-enum class Idempotency { kIdempotent, kIdempotencyKey, kNone };
-enum class DeduplicationScope {
-  kAll,
-  kZone,
-  kCell
-};  // the hosts that discard a keyed request's repeats
-
-struct RequestClass {
-  Duration aim{0};       // full worth until then
-  Duration deadline{0};  // the client's patience over all its tries
-  Idempotency idempotency = Idempotency::kNone;
-  DeduplicationScope scope = DeduplicationScope::kAll;
-  Duration deduplication_window{0};  // how long repeats of a keyed request are discarded
-};
-
 struct Settings {
   int balancers = 1;
   std::vector<RequestClass> classes;
@@ -54,42 +40,6 @@
   ColdRule cold;
 };
 
-struct Request {
-  RequestId id = 0;
-  int request_class = 0;
-  int tenant = 0;
-  std::optional<std::string_view> key;
-  bool write = false;
-  std::optional<Duration> work;  // a rough hint
-  Duration budget{0};            // until the client gives this try up
-};
-
-enum class Result {
-  kOk,
-  kError,
-  kRejected,
-  kTimeout,
-  kConnectFailed,
-  kReset,
-  kCancelled,
-  kNotSent,
-  kMiss,
-  kRedirected,  // a whole answer that names another host, and proves that nothing ran
-  kWithdrawn    // before its first byte, as the host takes nothing new by now, or is another
-};
-
-constexpr bool never_ran(Result r) {
-  return r == Result::kRejected || r == Result::kConnectFailed || r == Result::kNotSent ||
-         r == Result::kRedirected || r == Result::kWithdrawn;
-}
-
-struct Outcome {
-  RequestId id = 0;
-  int attempt = 0;
-  Result result = Result::kOk;
-  bool over = false;  // the request has had its final answer
-};
-
 class ActionSink {
  public:
   virtual ~ActionSink() = default;
@@ -147,34 +97,6 @@
 
   using Host = HostRegistry::Host;
 
-  enum class AttemptState { kOut, kNeverRan, kMayHaveRun, kMissed };
-
-  struct Attempt {
-    HostIndex host;
-    Time sent_at;
-    AttemptState fate = AttemptState::kOut;
-    bool slow = false;        // and counted as such while still out
-    bool broke = false;       // its connection did
-    bool begun = false;       // to answer
-    bool redirected = false;  // or taken back: the host has done nothing for it
-  };
-
-  struct RequestState {
-    RequestId id;
-    int request_class;
-    std::uint64_t key;
-    bool write;
-    double work;
-    Time aim, deadline;
-    std::vector<Attempt> attempts;
-    int taken_back = 0;                            // of them
-    bool beyond_share = false;                     // of its tenant, and refused for that
-    bool over = false;                             // had its final answer
-    bool streaming = false;                        // its answer has begun
-    bool waiting = false;                          // for a fetch of its key by another request here
-    std::uint64_t deadline_tag = 0, slow_tag = 0;  // of its timers
-  };
-
   enum class TimerKind { kDeadline, kSlow, kResend, kSubscribe };
   struct Timer {
     TimerKind kind;
@@ -188,13 +110,20 @@
   bool retry_allowed(const RequestState& r, const Host& host) const;
   bool rejection_allowed(const RequestState& r) const;
   Duration retry_after(const RequestState& r);
-  static int count(const RequestState& r, AttemptState fate);
 
   // `stored_at`: where a fetch of the key has just been stored, if one has.
   void ask_cache(RequestState& r, std::optional<HostIndex> stored_at = std::nullopt);
   std::size_t replicas(std::uint64_t key);
   bool within_share(int tenant);
-  void judge(HostIndex host, bool slow);
+  void record_latency(HostIndex host, bool slow);
+  void apply_to_zone(const Host& host, ZoneSignal signal);
+  void apply_to_origin(const AttemptRecord& attempt, OriginSignal signal);
+  void apply_to_host(const AttemptRecord& attempt, HostSignal signal);
+  void observe_outcome(const AttemptRecord& attempt, const OutcomeRule& rule, Result result);
+  void after_write_attempt(RequestState& r, const AttemptRecord& attempt);
+  bool refetch(RequestState& r, NextStep step);
+  bool continue_request(RequestState& r, const AttemptRecord& attempt, NextStep step);
+  void on_slow(RequestState& r);
   Duration patience(const RequestState& r) const;
   void fetch(RequestState& r);
   void bypass(RequestState& r);
--- /dev/null
+++ b/src/policy/request_state.h
@@ -0,0 +1,50 @@
+#pragma once
+
+#include <algorithm>
+#include <cstdint>
+#include <vector>
+
+#include "policy/placement.h"
+#include "policy/request.h"
+#include "structures/time.h"
+
+namespace balancer {
+
+enum class AttemptState { kInFlight, kNeverRan, kMayHaveRun, kMissed };
+
+// One attempt of a request at one host.
+struct AttemptRecord {
+  Placement::Host host;
+  Time sent_at;
+  AttemptState state = AttemptState::kInFlight;
+  bool counted_slow = false;       // its host has been charged with a slow answer for it
+  bool connection_failed = false;  // its connection ended before the answer was complete
+  bool is_answering = false;       // the first byte of its answer has come
+  bool host_did_no_work = false;   // redirected or withdrawn
+};
+
+// A request from its arrival until its last attempt has ended.
+struct RequestState {
+  RequestId id = 0;
+  int request_class = 0;
+  std::uint64_t key = 0;  // its point in the placement
+  bool write = false;
+  double work = 0;  // expected, in seconds on an idle host
+  Time objective_at{0}, deadline{0};
+  std::vector<AttemptRecord> attempts;
+  int withdrawn_attempts = 0;
+  bool exceeds_quota = false;                        // rejected because of its tenant's quota
+  bool finished = false;                             // had its final answer
+  bool is_streaming = false;                         // its answer has begun
+  bool awaits_fetch = false;                         // of its key, by another request here
+  std::uint64_t deadline_timer = 0, slow_timer = 0;  // tags
+
+  int count(AttemptState state) const {
+    return static_cast<int>(
+        std::count_if(attempts.begin(), attempts.end(),
+                      [state](const AttemptRecord& a) { return a.state == state; }));
+  }
+  int in_flight() const { return count(AttemptState::kInFlight); }
+};
+
+}  // namespace balancer
--- a/src/settings/operator.cc
+++ b/src/settings/operator.cc
@@ -64,9 +64,9 @@
   c.prefix = keys.text("prefix", "");
   r.idempotency =
       keys.choice("effect", writes ? Idempotency::kNone : Idempotency::kIdempotent, kEffects);
-  r.aim = keys.time("aim_ms", 1e-3, 100, 1, 600'000);
+  r.latency_objective = keys.time("aim_ms", 1e-3, 100, 1, 600'000);
   r.deadline = keys.time("deadline_ms", 1e-3, 1000, 1, 600'000);
-  if (r.deadline < r.aim) keys.bad("deadline_ms", "lies before the aim");
+  if (r.deadline < r.latency_objective) keys.bad("deadline_ms", "lies before the aim");
   c.reads = keys.choice("reads", cluster::Reads::kPrimary, kReads);
   if (c.reads != cluster::Reads::kPrimary && writes)
     keys.bad("reads", "replicas take no writes, and this class has some");
@@ -94,7 +94,7 @@
       return;
   RequestClass r;
   r.idempotency = idempotency;
-  r.aim = std::chrono::milliseconds(100);
+  r.latency_objective = std::chrono::milliseconds(100);
   r.deadline = std::chrono::milliseconds(1000);
   pool.site.classes.push_back(name);
   pool.site.policy.classes.push_back(r);
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -36,7 +36,7 @@
   for (const element e : need<array>(o, "classes")) {
     const auto c = as<object>(e, "classes");
     RequestClass k;
-    k.aim = get_time(c, "aim");
+    k.latency_objective = get_time(c, "aim");
     k.deadline = get_time(c, "giveUp");
     k.idempotency = read_repeat(get_or<std::string_view>(c, "semantics", ""));
     k.scope = read_scope(get_or<std::string_view>(c, "keyScope", ""));
--- a/src/simulator_adapter/wire.cc
+++ b/src/simulator_adapter/wire.cc
@@ -192,7 +192,7 @@
   if (const auto key = find(e, "item")) q.key = as<std::string_view>(*key, "item");
   if (const auto hint = find(e, "predicted"); hint && (bits & kHintValid) != 0)
     q.work = Duration{as<std::int64_t>(*hint, "predicted")};
-  q.budget = Duration{need<std::int64_t>(e, "budget")};
+  q.time_left = Duration{need<std::int64_t>(e, "budget")};
   policy->on_request(now, q);
 }
 
@@ -201,7 +201,7 @@
   o.id = read_id(e);
   o.attempt = small(need<std::int64_t>(e, "sendNo"), "sendNo");
   o.result = read_result(need<std::int64_t>(e, "status"));
-  o.over = need<bool>(e, "complete");
+  o.finished = need<bool>(e, "complete");
   policy->on_outcome(now, o);
 }
 
--- a/tests/leaving_client_test.cc
+++ b/tests/leaving_client_test.cc
@@ -130,7 +130,8 @@
 
 TEST_P(GoneClientTest, ItsSlowCopyIsDueBehindTheLeaving) {
   site.policy.hedging = true;
-  for (RequestClass& c : site.policy.classes) c.aim = milliseconds(800);  // slow behind the half
+  for (RequestClass& c : site.policy.classes)
+    c.latency_objective = milliseconds(800);  // slow behind the half
   begin_and_leave();
   auto other = client();
   other->send(get("j", "2"));  // later, and so is its copy
--- a/tests/policy_test.cc
+++ b/tests/policy_test.cc
@@ -51,7 +51,7 @@
     q.request_class = request_class;
     q.key = key;
     q.write = write;
-    q.budget = request_class == 0 ? milliseconds(700) : seconds(5);
+    q.time_left = request_class == 0 ? milliseconds(700) : seconds(5);
     return q;
   }
   FakeSink sink;
--- a/tests/rules_test.cc
+++ b/tests/rules_test.cc
@@ -100,7 +100,7 @@
   const auto pick = [&](unsigned n) { return static_cast<int>(random() % n); };
   Settings s;
   RequestClass c;
-  c.aim = milliseconds(300);
+  c.latency_objective = milliseconds(300);
   c.deadline = seconds(3);
   c.idempotency = idempotency;
   c.scope = scope;
@@ -148,8 +148,8 @@
       const std::string key = "k" + std::to_string(pick(6));
       q.key = key;
       q.write = pick(3) == 0;
-      q.budget = milliseconds(50 + pick(2000));
-      check.books[q.id] = {q, check.now + q.budget, {}, false};
+      q.time_left = milliseconds(50 + pick(2000));
+      check.books[q.id] = {q, check.now + q.time_left, {}, false};
       policy.on_request(check.now, q);
     } else if (what < 8 && !check.out.empty()) {
       const std::size_t at =
