--- a/src/fleet_simulation/plant.cc
+++ b/src/fleet_simulation/plant.cc
@@ -40,10 +40,10 @@
   out.hedging = true;
   out.max_attempts = s.max_attempts;
   out.max_retry_after = s.max_retry_after;
-  out.cold.start_capacity = 1;
+  out.slow_start.start_capacity = 1;
   for (const testbed::KindSpec& k : s.kinds) {
-    out.cold.start_capacity = std::min(out.cold.start_capacity, k.host.cold_share);
-    out.cold.warm_after = std::max(out.cold.warm_after, k.host.cold_time);
+    out.slow_start.start_capacity = std::min(out.slow_start.start_capacity, k.host.cold_share);
+    out.slow_start.warm_up_time = std::max(out.slow_start.warm_up_time, k.host.cold_time);
   }
   return out;
 }
@@ -141,7 +141,7 @@
                                     "'");
     }
   }
-  if (options.ignores_warmth) settings_.cold = {};
+  if (options.ignores_warmth) settings_.slow_start = {};
   testbed::Random speeds(scenario.seed, 1);
   int number = 0;
   for (const testbed::KindSpec& kind : scenario.kinds)
--- a/src/node/balancer.cc
+++ b/src/node/balancer.cc
@@ -349,7 +349,7 @@
       if (s.listed && s.seq >= memcache_->seq) memcache_->take(list_of(s));
       Policy::PolicyCheckpoint checkpoint{s.work_rate, s.origin_open, s.caches_open, {}};
       for (const auto& h : s.hosts)
-        if (h.share < 1) checkpoint.shares.emplace_back(h.id, h.share);
+        if (h.share < 1) checkpoint.load_factors.emplace_back(h.id, h.share);
       memcache_->pool.restore(checkpoint);
       for (const auto& w : s.overrides) restore(w);
       if (s.away) send_away(true);
@@ -426,7 +426,8 @@
   s.work_rate = checkpoint.work_rate;
   s.origin_open = checkpoint.origin;
   s.caches_open = checkpoint.caches;
-  const std::map<std::string, double> shares(checkpoint.shares.begin(), checkpoint.shares.end());
+  const std::map<std::string, double> shares(checkpoint.load_factors.begin(),
+                                             checkpoint.load_factors.end());
   for (hot_restart::Host& h : s.hosts)
     if (const auto at = shares.find(h.id); at != shares.end()) h.share = at->second;
   s.overrides = overrides();
--- /dev/null
+++ b/src/policy/zone_failure_detector.h
@@ -0,0 +1,28 @@
+#pragma once
+
+#include <map>
+
+#include "policy/outcome_table.h"
+#include "policy/outlier_detector.h"
+#include "policy/uniform_random.h"
+#include "structures/time.h"
+
+namespace balancer {
+
+// Ejects whole zones. Where a zone is cut off, finding that out host by host would cost each
+// balancer an attempt per host.
+class ZoneFailureDetector {
+ public:
+  // The end of an attempt at a cache host of `zone`.
+  void on_outcome(Time now, int zone, ZoneSignal signal, UniformRandom& random);
+  bool is_ejected(Time now, int zone) const;
+
+ private:
+  struct ZoneRecord {
+    int consecutive_failures = 0;
+    OutlierDetector ejection;
+  };
+  std::map<int, ZoneRecord> zones_;
+};
+
+}  // namespace balancer
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -76,8 +76,8 @@
   if (const auto e = find(o, "rules")) {
     const auto rules = as<object>(*e, "rules");
     s.max_poll_interval = get_time(rules, "mustAskIn");
-    s.cold.warm_after = get_time(rules, "warmAfter");
-    s.cold.start_capacity = get_or(rules, "startCapacity", 1.0);
+    s.slow_start.warm_up_time = get_time(rules, "warmAfter");
+    s.slow_start.start_capacity = get_or(rules, "startCapacity", 1.0);
   }
   return site;
 }
--- /dev/null
+++ b/tests/decision_modules_test.cc
@@ -0,0 +1,230 @@
+// The small decision modules, each by itself. How the policy puts them together is in
+// policy_test.cc and rules_test.cc.
+#include <gtest/gtest.h>
+
+#include <vector>
+
+#include "policy/client_retry_after.h"
+#include "policy/fetch_coalescer.h"
+#include "policy/hot_key_spread.h"
+#include "policy/outcome_table.h"
+#include "policy/poll_backoff.h"
+#include "policy/retry_policy.h"
+#include "policy/tenant_quota.h"
+#include "policy/zone_failure_detector.h"
+
+namespace balancer {
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+// ---- outcome table
+
+TEST(OutcomeTableTest, ClaimsThatARequestNeverRanOnlyWhereThatIsProven) {
+  for (const Result result : {Result::kRejected, Result::kConnectFailed, Result::kNotSent,
+                              Result::kRedirected, Result::kWithdrawn})
+    EXPECT_TRUE(never_ran(result));
+  for (const Result result : {Result::kOk, Result::kError, Result::kTimeout, Result::kReset,
+                              Result::kCancelled, Result::kMiss})
+    EXPECT_FALSE(never_ran(result));
+  EXPECT_EQ(outcome_rule(Result::kMiss).state, AttemptState::kMissed);
+}
+
+TEST(OutcomeTableTest, ChargesAHostOnlyWithWhatItDid) {
+  for (const Result result :
+       {Result::kTimeout, Result::kCancelled, Result::kNotSent, Result::kWithdrawn})
+    EXPECT_EQ(outcome_rule(result).host, HostSignal::kNone);
+  EXPECT_EQ(outcome_rule(Result::kConnectFailed).host, HostSignal::kFailure);
+  EXPECT_EQ(outcome_rule(Result::kReset).host, HostSignal::kError);
+  EXPECT_EQ(outcome_rule(Result::kRejected).host, HostSignal::kOverloaded);
+  EXPECT_EQ(outcome_rule(Result::kRedirected).host, HostSignal::kInTime);
+}
+
+TEST(OutcomeTableTest, SendsElsewhereAtNoCostWhatNoHostHasWorkedOn) {
+  for (const Result result : {Result::kRedirected, Result::kWithdrawn}) {
+    EXPECT_EQ(outcome_rule(result).next, NextStep::kSendElsewhere);
+    EXPECT_TRUE(never_ran(result));
+  }
+  EXPECT_EQ(outcome_rule(Result::kNotSent).next, NextStep::kRejectOrFail);
+}
+
+// ---- Retry-After
+
+TEST(ClientRetryAfterTest, CallsBackSoonAsManyAsWouldBeAdmitted) {
+  EXPECT_EQ(client_retry_after(0.3, milliseconds(100), 0.29, 0.5, seconds(10)), milliseconds(100));
+  EXPECT_EQ(client_retry_after(0.3, milliseconds(100), 0.31, 0.5, seconds(10)), seconds(2));
+  EXPECT_EQ(client_retry_after(0, milliseconds(100), 0, 0, seconds(10)), seconds(1));
+  EXPECT_EQ(client_retry_after(0, milliseconds(100), 0, 0.5, milliseconds(700)), milliseconds(700));
+}
+
+// ---- polls of the host list
+
+TEST(PollBackoffTest, DoublesUpToItsBoundAndStartsAnewAfterAList) {
+  PollBackoff backoff(seconds(20));
+  EXPECT_EQ(backoff.initial_delay(0.5), seconds(1));
+  EXPECT_EQ(backoff.after_rejection(0), milliseconds(125));
+  EXPECT_EQ(backoff.after_rejection(0), milliseconds(250));
+  for (int i = 0; i < 20; ++i) backoff.after_rejection(0);
+  EXPECT_EQ(backoff.after_rejection(0), seconds(1));
+  backoff.on_list();
+  EXPECT_EQ(backoff.after_rejection(0), milliseconds(125));
+}
+
+// ---- fetches of one key
+
+TEST(FetchCoalescerTest, LetsOneRequestFetchAndReturnsThoseThatWaitInOrder) {
+  FetchCoalescer fetches;
+  EXPECT_FALSE(fetches.has_other_leader(7, 1));
+  fetches.lead(7, 1);
+  EXPECT_FALSE(fetches.has_other_leader(7, 1)) << "it leads itself";
+  EXPECT_TRUE(fetches.has_other_leader(7, 2));
+  fetches.follow(7, 2);
+  fetches.follow(7, 3);
+  EXPECT_TRUE(fetches.complete(7, 2).empty()) << "a follower completes nothing";
+  EXPECT_EQ(fetches.complete(7, 1), (std::vector<RequestId>{2, 3}));
+  EXPECT_FALSE(fetches.has_other_leader(7, 2));
+  EXPECT_TRUE(fetches.complete(7, 1).empty());
+}
+
+// ---- hot keys
+
+TEST(HotKeySpreadTest, SpreadsOnlyAKeyThatMakesUpMoreThanAnOrdinaryShare) {
+  HotKeySpread keys{Time{0}};
+  EXPECT_EQ(keys.spread(1, 10), 1u);
+  for (std::uint64_t key = 100; key < 600; ++key) keys.on_read(key, Time{0});
+  EXPECT_EQ(keys.spread(100, 10), 1u);
+  for (int i = 0; i < 500; ++i) keys.on_read(1, Time{0});
+  EXPECT_GT(keys.spread(1, 10), 5u);
+  EXPECT_EQ(keys.spread(100, 10), 1u);
+}
+
+// ---- quotas
+
+TEST(TenantQuotaTest, AdmitsABurstAndThenThisBalancersPartOfTheRate) {
+  TenantQuota quota({20, 20}, 2, Time{0});  // 10 a second here, 50 in a burst
+  int admitted = 0;
+  for (int i = 0; i < 100; ++i) admitted += quota.admit(0, Time{0});
+  EXPECT_EQ(admitted, 50);
+  for (int i = 0; i < 100; ++i) admitted += quota.admit(0, seconds(1));
+  EXPECT_EQ(admitted, 60);
+  EXPECT_TRUE(quota.admit(1, seconds(1))) << "another tenant's";
+  EXPECT_TRUE(quota.admit(-1, seconds(1))) << "no quota";
+  EXPECT_TRUE(quota.admit(2, seconds(1))) << "no quota";
+}
+
+// ---- zones
+
+TEST(ZoneFailureDetectorTest, EjectsAZoneAfterEightFailuresInARow) {
+  UniformRandom random(1);
+  ZoneFailureDetector zones;
+  const Time t = seconds(10);
+  for (int i = 0; i < 7; ++i) zones.on_outcome(t, 3, ZoneSignal::kUnreachable, random);
+  zones.on_outcome(t, 3, ZoneSignal::kReachable, random);
+  for (int i = 0; i < 7; ++i) zones.on_outcome(t, 3, ZoneSignal::kUnreachable, random);
+  EXPECT_FALSE(zones.is_ejected(t, 3));
+  zones.on_outcome(t, 3, ZoneSignal::kNone, random);
+  zones.on_outcome(t, 3, ZoneSignal::kUnreachable, random);
+  EXPECT_TRUE(zones.is_ejected(t, 3));
+  EXPECT_FALSE(zones.is_ejected(t, 4));
+  zones.on_outcome(t, 3, ZoneSignal::kReachable, random);
+  EXPECT_FALSE(zones.is_ejected(t, 3));
+}
+
+// ---- retries
+
+struct RetryPolicyTest : ::testing::Test {
+  RetryPolicyTest() : hosts(false, Duration{0}), policy(settings, hosts) {
+    HostEntry a, b, c;
+    a.id = "a";
+    b.id = "b";
+    b.cell = 1;
+    c.id = "c";
+    c.zone = 1;
+    hosts.on_list(ListKind::kWhole, {a, b, c});
+  }
+  void set_class(Idempotency idempotency, DeduplicationScope scope) {
+    settings.classes = {{milliseconds(300), seconds(1), idempotency, scope, seconds(10)}};
+  }
+  // A request whose one attempt, at host a, ended so.
+  RequestState attempted(AttemptState state) const {
+    RequestState request;
+    request.attempts.push_back({*hosts.find("a"), seconds(1), state});
+    return request;
+  }
+  bool may_attempt(const RequestState& request, std::string_view host, Time now) const {
+    return policy.may_attempt(request, hosts[*hosts.find(host)], now);
+  }
+
+  Settings settings;
+  HostRegistry hosts;
+  RetryPolicy policy;
+};
+
+TEST_F(RetryPolicyTest, RepeatsAKeyedRequestOnlyWhereItsFirstRunIsRemembered) {
+  set_class(Idempotency::kIdempotencyKey, DeduplicationScope::kZone);
+  const RequestState ran = attempted(AttemptState::kMayHaveRun);
+  EXPECT_TRUE(may_attempt(ran, "a", seconds(2)));
+  EXPECT_TRUE(may_attempt(ran, "b", seconds(2)));
+  EXPECT_FALSE(may_attempt(ran, "c", seconds(2))) << "another zone";
+  EXPECT_FALSE(may_attempt(ran, "a", seconds(11))) << "the window has passed";
+  EXPECT_TRUE(may_attempt(attempted(AttemptState::kNeverRan), "c", seconds(20)));
+  EXPECT_FALSE(policy.may_reject(ran));
+  set_class(Idempotency::kIdempotencyKey, DeduplicationScope::kCell);
+  EXPECT_FALSE(may_attempt(ran, "b", seconds(2))) << "another cell";
+  set_class(Idempotency::kIdempotencyKey, DeduplicationScope::kAll);
+  EXPECT_TRUE(may_attempt(ran, "c", seconds(2)));
+  EXPECT_TRUE(policy.may_reject(ran));
+}
+
+TEST_F(RetryPolicyTest, NeverRepeatsWhatMayHaveRunWithoutIdempotency) {
+  set_class(Idempotency::kNone, DeduplicationScope::kAll);
+  EXPECT_FALSE(may_attempt(attempted(AttemptState::kMayHaveRun), "a", seconds(2)));
+  EXPECT_FALSE(policy.may_reject(attempted(AttemptState::kMayHaveRun)));
+  EXPECT_FALSE(policy.may_reject(attempted(AttemptState::kInFlight)));
+  EXPECT_TRUE(may_attempt(attempted(AttemptState::kNeverRan), "a", seconds(2)));
+  EXPECT_TRUE(policy.may_reject(attempted(AttemptState::kNeverRan)));
+}
+
+TEST_F(RetryPolicyTest, HedgesOnlyWhereTheSettingsAllowASecondAttemptInFlight) {
+  set_class(Idempotency::kIdempotent, DeduplicationScope::kAll);
+  RequestState request = attempted(AttemptState::kInFlight);
+  request.objective_at = seconds(3);
+  EXPECT_FALSE(may_attempt(request, "b", seconds(2)));
+  EXPECT_FALSE(policy.may_hedge(request, seconds(2)));
+  settings.hedging = true;
+  EXPECT_TRUE(may_attempt(request, "b", seconds(2)));
+  EXPECT_TRUE(policy.may_hedge(request, seconds(2)));
+  EXPECT_FALSE(policy.may_hedge(request, seconds(3))) << "too late to be worth it";
+}
+
+TEST_F(RetryPolicyTest, GivesATenthOfTheRequestsARetryWithFiveInHand) {
+  for (int i = 0; i < 5; ++i) {
+    EXPECT_TRUE(policy.has_budget());
+    policy.spend_budget();
+  }
+  EXPECT_FALSE(policy.has_budget());
+  for (int i = 0; i < 9; ++i) policy.on_request();
+  EXPECT_FALSE(policy.has_budget());
+  for (int i = 0; i < 2; ++i) policy.on_request();
+  EXPECT_TRUE(policy.has_budget());
+}
+
+TEST_F(RetryPolicyTest, CountsAsARetryOnlyAnAttemptAfterOneThatCostAHostWork) {
+  EXPECT_FALSE(policy.is_retry(RequestState{}));
+  EXPECT_FALSE(policy.is_retry(attempted(AttemptState::kMissed)));
+  EXPECT_TRUE(policy.is_retry(attempted(AttemptState::kMayHaveRun)));
+  RequestState request = attempted(AttemptState::kMayHaveRun);
+  request.attempts[0].connection_failed = true;
+  EXPECT_TRUE(policy.retries_same_host(request));
+  EXPECT_FALSE(policy.is_retry(request));
+  request.attempts.push_back(request.attempts[0]);
+  EXPECT_FALSE(policy.retries_same_host(request)) << "once a request";
+  EXPECT_TRUE(policy.is_retry(request));
+  request = attempted(AttemptState::kNeverRan);
+  request.attempts[0].host_did_no_work = true;
+  EXPECT_FALSE(policy.is_retry(request));
+}
+
+}  // namespace
+}  // namespace balancer
--- a/tests/policy_test.cc
+++ b/tests/policy_test.cc
@@ -26,7 +26,7 @@
       {seconds(1), seconds(5), Idempotency::kNone, DeduplicationScope::kAll, Duration{0}}};
   s.cache_aside = true;
   s.max_attempts = 6;
-  s.cold = {0.2, seconds(20)};
+  s.slow_start = {0.2, seconds(20)};
   s.max_retry_after = seconds(1);
   return s;
 }
--- a/tests/rules_test.cc
+++ b/tests/rules_test.cc
@@ -109,7 +109,7 @@
   s.cache_aside = aside;
   s.hedging = copies;
   s.max_attempts = 4;
-  s.cold = {0.2, seconds(5)};
+  s.slow_start = {0.2, seconds(5)};
   Checker check(s);
   Policy policy(s, seed, check.now, check);
   const auto list = [&](bool whole) {
