--- a/bench/timers.cc
+++ b/bench/timers.cc
@@ -35,7 +35,7 @@
   const auto step = [&] {
     const Time now = kLife * static_cast<std::int64_t>(i) / static_cast<std::int64_t>(n);
     auto& place = ring[i % n];
-    if (i % kDueOnce != 0) timers.take_back(place);
+    if (i % kDueOnce != 0) timers.cancel(place);
     place = timers.set(now + kLife, i++);
     timers.advance(now, [&](std::uint64_t v) { due += v; });
   };
--- a/src/connection_pool/connection_selector.cc
+++ b/src/connection_pool/connection_selector.cc
@@ -8,207 +8,243 @@
 
 using std::chrono::milliseconds;
 
-// A write that must not run twice takes no idle connection that has rested for longer: the host may
-// have closed it, or may reset it at the first byte.
-constexpr Duration kFresh = milliseconds(500);
-// A host that closes connections right behind an answer has shown it by then.
-constexpr Duration kRested = milliseconds(20);
-// One that has answered so often stays open behind answers.
-constexpr std::size_t kProven = 2;
-
-// An answer is slow at so many times the usual, and never below the settings' own bound.
-constexpr int kSlowTimes = 8;
-// Answers over which shares and the usual time are learnt; a kind's share over fewer, as it need
-// not be exact.
-constexpr double kSamples = 512, kUsualSamples = 64, kKindSamples = 16;
+// A non-idempotent attempt takes no connection that has been idle for longer: the host may have
+// closed it, or may reset it at the first byte.
+constexpr Duration kMaxIdleForNonIdempotent = milliseconds(500);
+// A host that closes connections right behind an answer has done so by then.
+constexpr Duration kMinIdleBeforeReuse = milliseconds(20);
+// A connection that has answered so often is known to stay open behind answers.
+constexpr std::size_t kMinAnswersForReuse = 2;
+
+// An answer is slow at so many times the usual latency.
+constexpr int kSlowFactor = 8;
+// Answers over which the averages run.
+constexpr double kSlowRatioSamples = 512;
+constexpr double kLatencySamples = 64;
+constexpr double kKindSamples = 16;
+// Keeps the depth finite while no answer has been slow.
+constexpr double kMinSlowRatio = 1e-6;
 
 }  // namespace
 
-Duration ConnectionSelector::slow_after() const {
-  return std::max(settings_.slow_after, kSlowTimes * usual_);
+Duration ConnectionSelector::slow_threshold() const {
+  return std::max(settings_.min_slow_threshold, kSlowFactor * usual_latency_);
 }
 
 std::size_t ConnectionSelector::shared_depth() const {
   if (!settings_.shared) return 1;
-  const double depth = 1 + std::floor(settings_.stall_share / std::max(slow_share_, 1e-6));
+  const double depth =
+      1 + std::floor(settings_.max_slow_wait_ratio / std::max(slow_ratio_, kMinSlowRatio));
   return static_cast<std::size_t>(std::min(depth, static_cast<double>(settings_.max_depth)));
 }
 
-bool ConnectionSelector::overdue(ConnectionId id, Time now) const {
-  const Connection& c = all_[id];
-  return c.up && !c.out.empty() && now - std::max(c.out.front().at, c.since) > slow_after();
+bool ConnectionSelector::is_overdue(const Connection& connection, Time now) const {
+  if (!connection.is_connected || connection.in_flight.empty()) return false;
+  const Time turn = std::max(connection.in_flight.front().assigned_at, connection.last_progress);
+  return now - turn > slow_threshold();
 }
 
-bool ConnectionSelector::holds(const Connection& c, std::uint64_t order) const {
-  return std::any_of(c.out.begin(), c.out.end(),
-                     [order](const Out& o) { return o.want.order == order; });
-}
+// ---- the choice
 
-// Whether the attempt may go behind what is out on a connection that is in use. `others`: so many
-// of other clients may be there.
-bool ConnectionSelector::fits(const Connection& c, Time now, const AttemptTraits& want,
-                              std::size_t others) const {
-  if (!c.open || !c.keeps_open || c.out.size() >= settings_.max_depth) return false;
-  if (want.unsafe && c.unsafe >= settings_.max_unsafe) return false;
-  if (c.up && now - std::max(c.out.front().at, c.since) > slow_after()) return false;
-  std::size_t foreign = c.out.size();
-  if (want.flow != 0)
-    for (const Out& o : c.out) foreign -= o.want.flow == want.flow;
+// Whether the attempt may go behind those in flight on this connection, of which at most
+// `max_foreign` may belong to other clients.
+bool ConnectionSelector::accepts(const Connection& connection, Time now,
+                                 const AttemptTraits& traits, std::size_t max_foreign) const {
+  if (!connection.is_open || !connection.is_reusable) return false;
+  if (connection.in_flight.size() >= settings_.max_depth) return false;
+  if (traits.non_idempotent && connection.non_idempotent >= settings_.max_non_idempotent)
+    return false;
+  if (is_overdue(connection, now)) return false;
+  std::size_t foreign = connection.in_flight.size();
+  if (traits.client_id != 0)
+    for (const InFlightAttempt& attempt : connection.in_flight)
+      foreign -= attempt.traits.client_id == traits.client_id;
   if (foreign == 0) return true;
-  return foreign <= others && c.heavy == 0 && !heavy(want.kind);
-}
-
-// The most recently used of those that have rested for a moment: a host that closes connections
-// right after an answer has shown it by then, and a request that crosses the close may have run for
-// all that can be known. Where it must not be tried again, only such a one will do, or one that has
-// stayed open behind answers. So too where answers do not tell whose they are: a host that answers
-// twice has mostly done so by then, and the connection has been closed for it.
-std::optional<ConnectionId> ConnectionSelector::pick_idle(Time now,
-                                                          const AttemptTraits& want) const {
-  const Duration longest =
-      want.unsafe ? std::min(kFresh, settings_.retire_idle) : settings_.retire_idle;
+  return foreign <= max_foreign && connection.slow_kind == 0 && !is_slow_kind(traits.command_kind);
+}
+
+// The connection that carries the attempt's order group, if it is in flight. Attempts of a group
+// lie on several connections only where they are reads; then a write waits for all but one.
+std::optional<ConnectionSelector::Choice> ConnectionSelector::follow_group(
+    Time now, const AttemptTraits& traits) const {
+  const auto is_in_group = [&traits](const InFlightAttempt& attempt) {
+    return attempt.traits.order_group == traits.order_group;
+  };
+  std::optional<ConnectionId> carrier;
+  for (ConnectionId id = 0; id < connections_.size(); ++id) {
+    const Connection& connection = connections_[id];
+    if (!connection.is_open) continue;
+    if (std::none_of(connection.in_flight.begin(), connection.in_flight.end(), is_in_group))
+      continue;
+    if (carrier) return Choice{Choice::Kind::kWait};
+    carrier = id;
+  }
+  if (!carrier) return std::nullopt;
+  if (!accepts(connections_[*carrier], now, traits, settings_.max_depth))
+    return Choice{Choice::Kind::kWait};
+  return Choice{Choice::Kind::kUse, *carrier};
+}
+
+// A connection on which the same client's last attempt is at the end of the queue: there the
+// attempt waits behind nobody else's.
+std::optional<ConnectionId> ConnectionSelector::find_own(Time now,
+                                                         const AttemptTraits& traits) const {
+  for (ConnectionId id = 0; id < connections_.size(); ++id) {
+    const Connection& connection = connections_[id];
+    if (!connection.is_open || connection.in_flight.empty()) continue;
+    if (connection.in_flight.back().traits.client_id != traits.client_id) continue;
+    if (accepts(connection, now, traits, shared_depth() - 1)) return id;
+  }
+  return std::nullopt;
+}
+
+// The most recently used idle connection on which the host has had time to close behind an answer:
+// a request that crosses the close may have run. If none has been idle for that long, the most
+// recent one will do, except for an attempt that must not be retried, and for one whose answer
+// could be mistaken for a duplicate of the previous one.
+std::optional<ConnectionId> ConnectionSelector::find_idle(Time now,
+                                                          const AttemptTraits& traits) const {
+  const Duration max_idle = traits.non_idempotent
+                                ? std::min(kMaxIdleForNonIdempotent, settings_.max_idle)
+                                : settings_.max_idle;
   for (std::size_t i = idle_.size(); i-- > 0;) {
-    const Connection& c = all_[idle_[i]];
-    if (now - c.since > longest) break;
-    const bool proven = settings_.shared && c.answered >= kProven;
-    if (proven || now - c.since >= kRested) return idle_[i];
+    const Connection& connection = connections_[idle_[i]];
+    const Duration idle_for = now - connection.last_progress;
+    if (idle_for > max_idle) break;
+    const bool stays_open = settings_.shared && connection.answered >= kMinAnswersForReuse;
+    if (stays_open || idle_for >= kMinIdleBeforeReuse) return idle_[i];
   }
-  if (want.unsafe || want.unnamed || idle_.empty() || now - all_[idle_.back()].since > longest)
-    return std::nullopt;
+  if (traits.non_idempotent || traits.answer_lacks_id || idle_.empty()) return std::nullopt;
+  if (now - idle_since(idle_.back()) > max_idle) return std::nullopt;
   return idle_.back();
 }
 
-ConnectionSelector::Choice ConnectionSelector::choose(Time now, const AttemptTraits& want,
+std::optional<ConnectionId> ConnectionSelector::find_least_loaded(Time now,
+                                                                  const AttemptTraits& traits,
+                                                                  std::size_t max_foreign) const {
+  std::optional<ConnectionId> least;
+  for (ConnectionId id = 0; id < connections_.size(); ++id) {
+    const Connection& connection = connections_[id];
+    if (!connection.is_open || connection.in_flight.empty()) continue;
+    if (!accepts(connection, now, traits, max_foreign)) continue;
+    if (!least || depth(id) < depth(*least)) least = id;
+  }
+  return least;
+}
+
+ConnectionSelector::Choice ConnectionSelector::choose(Time now, const AttemptTraits& traits,
                                                       bool may_open) const {
   using Kind = Choice::Kind;
-  if (want.ordered) {
-    // Behind those that it must not overtake; they can be on several connections only where they
-    // are reads, and then it waits for all but one.
-    std::optional<ConnectionId> behind;
-    for (ConnectionId id = 0; id < all_.size(); ++id) {
-      if (!all_[id].open || !holds(all_[id], want.order)) continue;
-      if (behind) return {Kind::kWait};
-      behind = id;
-    }
-    if (behind)
-      return fits(all_[*behind], now, want, settings_.max_depth) ? Choice{Kind::kUse, *behind}
-                                                                 : Choice{Kind::kWait};
-  }
-  if (settings_.shared && want.flow != 0) {
-    // Where its client has others out it waits behind nobody else's.
-    for (ConnectionId id = 0; id < all_.size(); ++id) {
-      const Connection& c = all_[id];
-      if (c.open && !c.out.empty() && c.out.back().want.flow == want.flow &&
-          fits(c, now, want, shared_depth() - 1))
-        return {Kind::kUse, id};
-    }
-  }
-  if (const auto id = pick_idle(now, want)) return {Kind::kUse, *id};
-  std::optional<ConnectionId> least;
-  const auto consider = [&](std::size_t others) {
-    for (ConnectionId id = 0; id < all_.size(); ++id) {
-      const Connection& c = all_[id];
-      if (c.open && !c.out.empty() && fits(c, now, want, others) &&
-          (!least || c.out.size() < all_[*least].out.size()))
-        least = id;
-    }
-  };
-  if (settings_.shared && (open_ >= settings_.spread || !may_open)) consider(shared_depth() - 1);
-  if (least) return {Kind::kUse, *least};
+  if (traits.must_follow_group)
+    if (const auto choice = follow_group(now, traits)) return *choice;
+  if (settings_.shared && traits.client_id != 0)
+    if (const auto id = find_own(now, traits)) return {Kind::kUse, *id};
+  if (const auto id = find_idle(now, traits)) return {Kind::kUse, *id};
+  if (settings_.shared && (open_ >= settings_.min_connections_before_sharing || !may_open))
+    if (const auto id = find_least_loaded(now, traits, shared_depth() - 1))
+      return {Kind::kUse, *id};
   if (may_open) return {Kind::kOpen};
-  // An answer may have to wait behind another, which is better than none.
-  if (!heavy(want.kind)) consider(settings_.max_depth);
-  return least ? Choice{Kind::kUse, *least} : Choice{Kind::kWait};
+  // No connection can be opened: an answer that waits behind another client's is better than none.
+  if (!is_slow_kind(traits.command_kind))
+    if (const auto id = find_least_loaded(now, traits, settings_.max_depth))
+      return {Kind::kUse, *id};
+  return {Kind::kWait};
 }
 
 // ---- events
 
 ConnectionId ConnectionSelector::on_open(Time now) {
   ConnectionId id;
-  if (free_.empty()) {
-    id = static_cast<ConnectionId>(all_.size());
-    all_.emplace_back();
+  if (free_ids_.empty()) {
+    id = static_cast<ConnectionId>(connections_.size());
+    connections_.emplace_back();
   } else {
-    id = free_.back();
-    free_.pop_back();
+    id = free_ids_.back();
+    free_ids_.pop_back();
   }
-  all_[id] = {};
-  all_[id].open = true;
-  all_[id].since = now;
+  connections_[id] = {};
+  connections_[id].is_open = true;
+  connections_[id].last_progress = now;
   ++open_;
   return id;
 }
 
-void ConnectionSelector::rest(ConnectionId id, Time now) {
-  all_[id].since = now;
+void ConnectionSelector::mark_idle(ConnectionId id, Time now) {
+  connections_[id].last_progress = now;
   std::erase(idle_, id);
   idle_.push_back(id);
 }
 
-void ConnectionSelector::on_up(ConnectionId id, Time now) {
-  Connection& c = all_[id];
-  c.up = true;
-  c.since = now;
-  if (c.out.empty()) rest(id, now);
-}
-
-void ConnectionSelector::on_assigned(ConnectionId id, Time now, const AttemptTraits& want) {
-  Connection& c = all_[id];
-  if (c.out.empty()) std::erase(idle_, id);
-  c.out.push_back({want, now});
-  c.unsafe += want.unsafe;
-  c.heavy += heavy(want.kind);
-}
-
-void ConnectionSelector::drop(Connection& c, std::size_t place) {
-  const auto at = c.out.begin() + static_cast<std::ptrdiff_t>(place);
-  c.unsafe -= at->want.unsafe;
-  c.out.erase(at);
-  // A kind may have become heavy, or light again, while it was out.
-  c.heavy = 0;
-  if (heavy_kinds_ > 0)
-    for (const Out& o : c.out) c.heavy += heavy(o.want.kind);
-}
-
-void ConnectionSelector::on_answered(ConnectionId id, Time now, bool keeps_open) {
-  Connection& c = all_[id];
-  if (c.out.empty()) return;
-  const Out front = c.out.front();
-  const Duration took = now - std::max(front.at, c.since);
-  const bool slow = took > slow_after();
-  double& kind = kinds_[front.want.kind % kKinds];
-  const bool was_heavy = kind > kHeavyShare;
-  kind += (slow - kind) / kKindSamples;
-  heavy_kinds_ += (kind > kHeavyShare) - was_heavy;
-  if (!was_heavy) {
-    slow_share_ += (slow - slow_share_) / kSamples;
-    // One that is slow moves the usual no further than to twice itself in as many samples.
-    const Duration seen = usual_ == Duration{0} ? took : std::min(took, 2 * slow_after());
-    usual_ += Duration(
-        static_cast<Duration::rep>(static_cast<double>((seen - usual_).count()) / kUsualSamples));
-  }
-  ++c.answered;
-  c.keeps_open = keeps_open;
-  c.since = now;
-  drop(c, 0);
-  if (c.out.empty() && keeps_open) rest(id, now);
-}
-
-void ConnectionSelector::on_taken_back(ConnectionId id, std::size_t place, Time now) {
-  Connection& c = all_[id];
-  drop(c, place);
-  if (c.out.empty() && c.up && c.keeps_open) rest(id, now);
+void ConnectionSelector::on_connected(ConnectionId id, Time now) {
+  Connection& connection = connections_[id];
+  connection.is_connected = true;
+  connection.last_progress = now;
+  if (connection.in_flight.empty()) mark_idle(id, now);
+}
+
+void ConnectionSelector::on_assigned(ConnectionId id, Time now, const AttemptTraits& traits) {
+  Connection& connection = connections_[id];
+  if (connection.in_flight.empty()) std::erase(idle_, id);
+  connection.in_flight.push_back({traits, now});
+  connection.non_idempotent += traits.non_idempotent;
+  connection.slow_kind += is_slow_kind(traits.command_kind);
+}
+
+void ConnectionSelector::remove_in_flight(Connection& connection, std::size_t place) {
+  const auto at = connection.in_flight.begin() + static_cast<std::ptrdiff_t>(place);
+  connection.non_idempotent -= at->traits.non_idempotent;
+  connection.in_flight.erase(at);
+  // Counted anew, as a kind may have become slow, or fast again, while the attempt was in flight.
+  connection.slow_kind = 0;
+  if (slow_kinds_ == 0) return;
+  for (const InFlightAttempt& attempt : connection.in_flight)
+    connection.slow_kind += is_slow_kind(attempt.traits.command_kind);
+}
+
+void ConnectionSelector::record_latency(std::uint8_t command_kind, Duration latency) {
+  const bool slow = latency > slow_threshold();
+  double& kind_ratio = kind_slow_ratios_[command_kind % kKinds];
+  const bool was_slow_kind = kind_ratio > kSlowKindRatio;
+  kind_ratio += (slow - kind_ratio) / kKindSamples;
+  slow_kinds_ += (kind_ratio > kSlowKindRatio) - was_slow_kind;
+  if (was_slow_kind) return;
+  slow_ratio_ += (slow - slow_ratio_) / kSlowRatioSamples;
+  // Bounded, so that one slow answer moves the average only a little.
+  const Duration sample =
+      usual_latency_ == Duration{0} ? latency : std::min(latency, 2 * slow_threshold());
+  usual_latency_ += Duration(static_cast<Duration::rep>(
+      static_cast<double>((sample - usual_latency_).count()) / kLatencySamples));
+}
+
+void ConnectionSelector::on_answered(ConnectionId id, Time now, bool reusable) {
+  Connection& connection = connections_[id];
+  if (connection.in_flight.empty()) return;
+  const InFlightAttempt& front = connection.in_flight.front();
+  const Time turn = std::max(front.assigned_at, connection.last_progress);
+  record_latency(front.traits.command_kind, now - turn);
+  ++connection.answered;
+  connection.is_reusable = reusable;
+  connection.last_progress = now;
+  remove_in_flight(connection, 0);
+  if (connection.in_flight.empty() && reusable) mark_idle(id, now);
+}
+
+void ConnectionSelector::on_withdrawn(ConnectionId id, std::size_t place, Time now) {
+  Connection& connection = connections_[id];
+  remove_in_flight(connection, place);
+  if (connection.in_flight.empty() && connection.is_connected && connection.is_reusable)
+    mark_idle(id, now);
 }
 
 void ConnectionSelector::on_retired(ConnectionId id) {
-  all_[id].keeps_open = false;
+  connections_[id].is_reusable = false;
   std::erase(idle_, id);
 }
 
 void ConnectionSelector::on_closed(ConnectionId id) {
   std::erase(idle_, id);
-  all_[id] = {};
-  free_.push_back(id);
+  connections_[id] = {};
+  free_ids_.push_back(id);
   --open_;
 }
 
--- a/src/connection_pool/connection_selector.h
+++ b/src/connection_pool/connection_selector.h
@@ -1,5 +1,6 @@
 #pragma once
 
+#include <array>
 #include <cstddef>
 #include <cstdint>
 #include <deque>
@@ -8,126 +9,151 @@
 
 #include "structures/time.h"
 
-// Which connection to a host takes an attempt, and how many at once. No I/O, no clock, no threads.
+// Decides which connection to a host takes an attempt, and how many attempts one connection carries
+// at once. No I/O, no clock, no threads.
 namespace balancer::connection_pool {
 
-using ConnectionId = std::uint32_t;  // a place in the caller's table; given out by on_open()
+// Index of a connection in the caller's table; given out by on_open() and reused after on_closed().
+using ConnectionId = std::uint32_t;
 
-// What an attempt asks of its connection.
+// What an attempt requires of its connection.
 struct AttemptTraits {
-  // Who asks; 0: nobody in particular. Answers go back to a client in the order of its requests, so
-  // one that waits behind another of its own client loses nothing by it.
-  std::uint64_t flow = 0;
-  // Attempts with the same order (0: none) that are out together must reach the host in turn where
-  // the later one is `ordered`.
-  std::uint64_t order = 0;
-  bool ordered = false;
-  // Kinds of request whose time is learnt apart: a small number, of the caller's making.
-  std::uint8_t kind = 0;
-  bool unsafe = false;  // must never run twice
-  // Its answer does not tell whose it is: a late second copy of the one before would pass for it.
-  bool unnamed = false;
+  // The client that sent the request; 0: none in particular. A client gets its answers in the order
+  // of its requests, so one that waits behind another of the same client loses nothing by it.
+  std::uint64_t client_id = 0;
+  // Attempts of one group (0: none) that are in flight together must reach the host in turn where
+  // the later one has `must_follow_group` set.
+  std::uint64_t order_group = 0;
+  bool must_follow_group = false;
+  // Response times are learnt per kind of command: a small number that the caller assigns.
+  std::uint8_t command_kind = 0;
+  // Must never run twice.
+  bool non_idempotent = false;
+  // The answer carries no request id, so a late duplicate of the previous answer would pass for it.
+  bool answer_lacks_id = false;
 };
 
 struct ConnectionSelectorSettings {
-  // Attempts out on one connection. With `shared` false a second one is written behind another only
-  // where no connection can be had.
+  // Attempts in flight on one connection. With `shared` false a second one is written behind
+  // another only where no further connection can be opened. Default: 1.
   std::size_t max_depth = 1;
+  // Whether attempts of several clients share a connection. Default: false.
   bool shared = false;
-  // Of them those that must never run twice: if the connection breaks, each one written may have
-  // run, and none can be tried again.
-  std::size_t max_unsafe = 64;
-  // Connections that are opened before clients share any: what one that breaks takes with it.
-  std::size_t spread = 4;
-  // The share of attempts that may come to wait behind another client's slow one.
-  double stall_share = 0.002;
-  // No answer that took less is slow: above what a busy server's queue or a pause of this process
-  // may come to.
-  Duration slow_after{std::chrono::milliseconds(2)};
-  Duration retire_idle{std::chrono::seconds(5)};  // no attempt goes to one that has rested longer
+  // Non-idempotent attempts in flight on one connection: the most that one reset can fail, as none
+  // of them may be retried. Default: 64.
+  std::size_t max_non_idempotent = 64;
+  // Connections that are opened before clients share any; bounds what one reset takes with it.
+  // Default: 4.
+  std::size_t min_connections_before_sharing = 4;
+  // Ratio of attempts that may have to wait behind another client's slow one. Default: 0.002.
+  double max_slow_wait_ratio = 0.002;
+  // No answer that took less is slow; covers the queue of a busy server and scheduling delays of
+  // this process. Default: 2 ms.
+  Duration min_slow_threshold{std::chrono::milliseconds(2)};
+  // No attempt goes to a connection that has been idle for longer. Default: 5 s.
+  Duration max_idle{std::chrono::seconds(5)};
 };
 
-// The connections to one host and what is out on each.
+// The connections to one host and the attempts in flight on each.
 //
-// Sharing saves work, and costs where an answer is slow: all behind it wait. So the depth up to
-// which clients share follows from what was measured: with a part p of the answers slow, an attempt
-// with n of others' in front of it waits for one with a chance of about n p, which is held at
-// `stall_share`. A slow answer is one that took far longer than is usual, counted from when its
-// turn came. Kinds that are mostly slow are told apart and travel alone. A connection whose front
-// attempt is overdue gets nothing more.
+// Sharing a connection saves work, but all attempts behind a slow answer wait for it. With a ratio
+// p of slow answers, an attempt behind n attempts of other clients waits for a slow one with a
+// probability of about n p; the depth up to which clients share keeps this at
+// `max_slow_wait_ratio`. An answer is slow if it took far longer than usual since its turn came.
+// Kinds of command that are mostly slow do not share a connection with other clients' attempts. A
+// connection whose front attempt is overdue gets nothing more.
 class ConnectionSelector {
  public:
   explicit ConnectionSelector(const ConnectionSelectorSettings& settings) : settings_(settings) {}
 
   struct Choice {
-    enum class Kind { kUse, kOpen, kWait } kind = Kind::kWait;
+    enum class Kind {
+      kUse,   // write it on `connection`
+      kOpen,  // open a connection for it
+      kWait,  // no connection may take it now
+    };
+    Kind kind = Kind::kWait;
     ConnectionId connection = 0;  // of kUse
   };
-  // `may_open`: whether a further connection could be had. Where the connection that is named
-  // proves to be closed already, on_closed() and another call.
-  Choice choose(Time now, const AttemptTraits& want, bool may_open) const;
-
-  // ---- what the caller has done and seen
-
-  ConnectionId on_open(Time now);  // being dialled
-  void on_up(ConnectionId id, Time now);
-  void on_assigned(ConnectionId id, Time now, const AttemptTraits& want);
-  // The front attempt has been answered. `keeps_open`: further answers may follow.
-  void on_answered(ConnectionId id, Time now, bool keeps_open);
-  // The attempt at this place was taken back before a byte of it was written.
-  void on_taken_back(ConnectionId id, std::size_t place, Time now);
-  void on_retired(ConnectionId id);  // takes nothing more, and ends once nothing is out
+  // `may_open`: whether a further connection could be opened. If the chosen connection proves to be
+  // closed already, report on_closed() and call again.
+  Choice choose(Time now, const AttemptTraits& traits, bool may_open) const;
+
+  // ---- events, reported by the caller
+
+  ConnectionId on_open(Time now);  // a connect has begun
+  void on_connected(ConnectionId id, Time now);
+  void on_assigned(ConnectionId id, Time now, const AttemptTraits& traits);
+  // The front attempt has been answered. `reusable`: the connection stays open for further answers.
+  void on_answered(ConnectionId id, Time now, bool reusable);
+  // The attempt at this place in the queue was withdrawn before a byte of it was written.
+  void on_withdrawn(ConnectionId id, std::size_t place, Time now);
+  void on_retired(ConnectionId id);  // takes nothing more, and closes once nothing is in flight
   void on_closed(ConnectionId id);
 
-  // ---- what it knows
+  // ---- state
 
+  // Connections that are connecting or connected.
   std::size_t open() const { return open_; }
   // Idle connections, least recently used first.
   const std::vector<ConnectionId>& idle() const { return idle_; }
-  Time idle_since(ConnectionId id) const { return all_[id].since; }
-  std::size_t depth(ConnectionId id) const { return all_[id].out.size(); }
-  // Whether it has rested for long enough that only a look at the socket tells if the host still
-  // holds it.
-  bool rested(ConnectionId id) const { return all_[id].out.empty(); }
-  bool overdue(ConnectionId id, Time now) const;
-  // How many attempts of clients one connection takes at once.
+  Time idle_since(ConnectionId id) const { return connections_[id].last_progress; }
+  // Attempts in flight.
+  std::size_t depth(ConnectionId id) const { return connections_[id].in_flight.size(); }
+  // Whether the front attempt has waited for longer than slow_threshold().
+  bool is_overdue(ConnectionId id, Time now) const { return is_overdue(connections_[id], now); }
+  // How many attempts of different clients one connection carries at once; at least 1.
   std::size_t shared_depth() const;
-  Duration slow_after() const;
-  double slow_share() const { return slow_share_; }
-  bool heavy(std::uint8_t kind) const { return kinds_[kind % kKinds] > kHeavyShare; }
+  // Answers that took longer are slow.
+  Duration slow_threshold() const;
+  // Ratio of slow answers among those of kinds that are not slow as a whole.
+  double slow_ratio() const { return slow_ratio_; }
+  // Whether answers to this kind of command are mostly slow.
+  bool is_slow_kind(std::uint8_t command_kind) const {
+    return kind_slow_ratios_[command_kind % kKinds] > kSlowKindRatio;
+  }
 
  private:
   static constexpr std::size_t kKinds = 64;
-  static constexpr double kHeavyShare = 0.2;
+  static constexpr double kSlowKindRatio = 0.2;
 
-  struct Out {
-    AttemptTraits want;
-    Time at;
+  struct InFlightAttempt {
+    AttemptTraits traits;
+    Time assigned_at;
   };
   struct Connection {
-    bool open = false, up = false, keeps_open = true;
-    std::deque<Out> out;  // oldest first
-    std::size_t unsafe = 0, heavy = 0;
+    bool is_open = false;
+    bool is_connected = false;
+    bool is_reusable = true;
+    std::deque<InFlightAttempt> in_flight;  // oldest first
+    std::size_t non_idempotent = 0;         // of those in flight
+    std::size_t slow_kind = 0;              // of those in flight
     std::size_t answered = 0;
-    Time since{0};  // it last went idle, answered or came up
+    Time last_progress{0};  // when it last connected, answered or became idle
   };
 
-  bool fits(const Connection& c, Time now, const AttemptTraits& want, std::size_t others) const;
-  std::optional<ConnectionId> pick_idle(Time now, const AttemptTraits& want) const;
-  bool holds(const Connection& c, std::uint64_t order) const;
-  void drop(Connection& c, std::size_t place);
-  void rest(ConnectionId id, Time now);
+  bool is_overdue(const Connection& connection, Time now) const;
+  bool accepts(const Connection& connection, Time now, const AttemptTraits& traits,
+               std::size_t max_foreign) const;
+  std::optional<Choice> follow_group(Time now, const AttemptTraits& traits) const;
+  std::optional<ConnectionId> find_own(Time now, const AttemptTraits& traits) const;
+  std::optional<ConnectionId> find_idle(Time now, const AttemptTraits& traits) const;
+  std::optional<ConnectionId> find_least_loaded(Time now, const AttemptTraits& traits,
+                                                std::size_t max_foreign) const;
+  void remove_in_flight(Connection& connection, std::size_t place);
+  void record_latency(std::uint8_t command_kind, Duration latency);
+  void mark_idle(ConnectionId id, Time now);
 
   const ConnectionSelectorSettings settings_;
-  std::vector<Connection> all_;
-  std::vector<ConnectionId> free_;
+  std::vector<Connection> connections_;  // by ConnectionId
+  std::vector<ConnectionId> free_ids_;
   std::vector<ConnectionId> idle_;
   std::size_t open_ = 0;
-  // Learnt from answers. Until some have come, sharing is taken for dear.
-  double slow_share_ = 0.01;
-  Duration usual_{0};
-  double kinds_[kKinds] = {};
-  int heavy_kinds_ = 0;  // of them
+  // Moving averages over answers. The initial ratio keeps clients apart until some have come.
+  double slow_ratio_ = 0.01;
+  Duration usual_latency_{0};
+  std::array<double, kKinds> kind_slow_ratios_{};
+  int slow_kinds_ = 0;  // kinds over kSlowKindRatio
 };
 
 }  // namespace balancer::connection_pool
--- /dev/null
+++ b/src/dispatch/attempt_timers.cc
@@ -0,0 +1,91 @@
+#include "dispatch/attempt_timers.h"
+
+#include <boost/asio/post.hpp>
+#include <utility>
+
+namespace balancer {
+namespace {
+
+constexpr Duration kTick = std::chrono::milliseconds(1);
+// Time-outs come due by the thousand when a host hangs; other events get their turn in between.
+constexpr std::size_t kMaxDuePerTurn = 64;
+
+}  // namespace
+
+AttemptTimers::AttemptTimers(boost::asio::io_context& io, const Clock& clock, Handlers handlers)
+    : io_(io),
+      clock_(clock),
+      handlers_(std::move(handlers)),
+      wheel_(clock.now(), kTick),
+      loop_timer_(io) {}
+
+void AttemptTimers::set_timeout(const AttemptPtr& attempt) {
+  const auto handle = wheel_.set(attempt->deadline, {attempt, 0});
+  attempt->timer = {handle.index, handle.generation};
+  arm();
+}
+
+void AttemptTimers::cancel_timeout(const Attempt& attempt) {
+  wheel_.cancel({attempt.timer.index, attempt.timer.generation});
+}
+
+void AttemptTimers::set_policy_timer(Time at, std::uint64_t tag) {
+  if (policy_timers_.empty()) first_tag_ = tag;
+  policy_timers_.resize(tag - first_tag_);  // tags that were skipped
+  policy_timers_.push_back(wheel_.set(at, {nullptr, tag}));
+  arm();
+}
+
+void AttemptTimers::cancel_policy_timer(std::uint64_t tag) {
+  if (tag - first_tag_ >= policy_timers_.size()) return;
+  if (const auto& handle = policy_timers_[tag - first_tag_]) wheel_.cancel(*handle);
+  forget_policy_timer(tag);
+}
+
+void AttemptTimers::forget_policy_timer(std::uint64_t tag) {
+  if (tag - first_tag_ >= policy_timers_.size()) return;
+  policy_timers_[tag - first_tag_].reset();
+  for (; !policy_timers_.empty() && !policy_timers_.front(); ++first_tag_)
+    policy_timers_.pop_front();
+}
+
+// The event loop's timer is moved only to an earlier time.
+void AttemptTimers::arm() {
+  const auto next = wheel_.next();
+  if (!next || *next >= loop_timer_at_) return;
+  loop_timer_at_ = *next;
+  loop_timer_.expires_at(clock_.steady(loop_timer_at_));
+  loop_timer_.async_wait([this](const boost::system::error_code& error) {
+    if (!error) on_wheel_due();
+  });
+}
+
+void AttemptTimers::on_wheel_due() {
+  loop_timer_at_ = Time::max();
+  wheel_.advance(clock_.now(), [this](DueTimer due) { due_.push_back(std::move(due)); });
+  arm();
+  run_due();
+}
+
+void AttemptTimers::run_due() {
+  if (run_posted_) return;
+  for (std::size_t n = 0; n < kMaxDuePerTurn && !due_.empty(); ++n) {
+    const DueTimer due = std::move(due_.front());
+    due_.pop_front();
+    if (due.attempt) {
+      handlers_.on_timeout(due.attempt);
+    } else {
+      forget_policy_timer(due.tag);
+      handlers_.on_policy_timer(due.tag);
+    }
+  }
+  handlers_.on_batch_end();
+  if (due_.empty()) return;
+  run_posted_ = true;
+  boost::asio::post(io_, [this] {
+    run_posted_ = false;
+    run_due();
+  });
+}
+
+}  // namespace balancer
--- a/src/dispatch/server_pool.cc
+++ b/src/dispatch/server_pool.cc
@@ -1,40 +1,31 @@
 #include "dispatch/server_pool.h"
 
 #include <algorithm>
-#include <boost/asio/post.hpp>
 #include <utility>
 
 namespace balancer {
 namespace {
 
-using boost::system::error_code;
-
-// Connections are retired at this part of the time after which hosts close them.
-constexpr int kRetirePart = 3;
-constexpr Duration kTimerTick = std::chrono::milliseconds(1);
-constexpr std::size_t kDuePerTurn = 64;
-// Well below the gap that counts as a standstill.
-constexpr Duration kLooks = std::chrono::milliseconds(400);
-// How long a client that was there counts as there: no attempt begins later than this behind the
-// close of its connection, however late the close is read.
-constexpr Duration kSeenLately = std::chrono::milliseconds(50);
-
-std::string ms(Duration d) {
-  return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(d).count()) + " ms";
-}
-
-UpstreamTimes times_of(const SiteSettings& site) {
-  constexpr Duration kConnect = std::chrono::seconds(1), kIdle = std::chrono::seconds(15);
-  UpstreamTimes times;
-  times.connect_timeout = site.connect_timeout > Duration{0} ? site.connect_timeout : kConnect;
-  times.most = site.max_connections;
-  times.sharing.retire_idle =
-      (site.idle_close > Duration{0} ? site.idle_close : kIdle) / kRetirePart;
-  times.sharing.max_depth = static_cast<std::size_t>(std::max(1, site.streams_per_connection));
-  times.sharing.shared = site.shared_connections && times.sharing.max_depth > 1;
-  times.sharing.max_unsafe = site.max_unsafe;
-  times.sharing.slow_after = site.slow_after;
-  return times;
+constexpr Duration kDefaultConnectTimeout = std::chrono::seconds(1);
+constexpr Duration kDefaultIdleClose = std::chrono::seconds(15);
+// Connections are closed after this part of the time after which hosts close them.
+constexpr int kIdleCloseDivisor = 3;
+// How long a client counts as connected once it was known to be: no attempt begins later than this
+// after the close of its connection, even where the process is late to read the close.
+constexpr Duration kConnectedFor = std::chrono::milliseconds(50);
+
+UpstreamSettings upstream_settings(const SiteSettings& site) {
+  const Duration idle_close = site.idle_close > Duration{0} ? site.idle_close : kDefaultIdleClose;
+  UpstreamSettings settings;
+  settings.connect_timeout =
+      site.connect_timeout > Duration{0} ? site.connect_timeout : kDefaultConnectTimeout;
+  settings.max_connections = site.max_connections;
+  settings.selector.max_idle = idle_close / kIdleCloseDivisor;
+  settings.selector.max_depth = static_cast<std::size_t>(std::max(1, site.streams_per_connection));
+  settings.selector.shared = site.shared_connections && settings.selector.max_depth > 1;
+  settings.selector.max_non_idempotent = site.max_unsafe;
+  settings.selector.min_slow_threshold = site.slow_after;
+  return settings;
 }
 
 }  // namespace
@@ -42,375 +33,295 @@
 ServerPool::ServerPool(boost::asio::io_context& io, const Clock& clock, const SiteSettings& site,
                        std::uint64_t seed, Limits& limits, Dial dial,
                        std::function<void()> subscribe, RoutingExtension* routing_extension)
-    : io_(io),
-      clock_(clock),
+    : clock_(clock),
       site_(site),
       subscribe_(std::move(subscribe)),
       routing_extension_(routing_extension),
-      host_ages_(clock.wall_offset()),
-      due_(clock.now(), kTimerTick),
-      timer_(io),
+      host_start_times_(clock.wall_offset()),
+      timers_(
+          io, clock,
+          {[this](const AttemptPtr& attempt) { on_attempt_ended(attempt, Result::kTimeout, {}); },
+           [this](std::uint64_t tag) { policy_.on_timer(now(), tag); },
+           [this] { erase_finished(); }}),
       policy_(site.policy, seed, clock.now(), *this,
               routing_extension ? &routing_extension->placement() : nullptr),
-      upstreams_(io, limits, *this, times_of(site), std::move(dial)),
-      look_timer_(io),
-      hold_timer_(io) {}
+      upstreams_(io, limits, *this, upstream_settings(site), std::move(dial)),
+      stall_hold_(io, clock, [this](const auto& held) { on_released(held); }) {}
 
-Duration ServerPool::longest_deadline(Duration most) const {
+Duration ServerPool::longest_deadline(Duration max) const {
   Duration longest{0};
-  for (const RequestClass& c : site_.policy.classes) longest = std::max(longest, c.deadline);
-  return longest > Duration{0} ? std::min(longest, most) : most;
+  for (const RequestClass& request_class : site_.policy.classes)
+    longest = std::max(longest, request_class.deadline);
+  return longest > Duration{0} ? std::min(longest, max) : max;
 }
 
-// ---- the module's actions
+// ---- the policy's actions
 
 void ServerPool::send(RequestId id, std::string_view host, Time until) {
-  Call& call = calls_.at(id);
+  PendingRequest& request = requests_.at(id);
+  AttemptPtr attempt = make_attempt(id, request, host, until);
+  ++request.attempts_in_flight;
+  // The policy decided on what was known before a stall, if there was one.
+  stall_hold_.observe();
+  attempt->held = stall_hold_.is_holding() && host != origin_;
+  timers_.set_timeout(attempt);
+  if (attempt->held) {
+    stall_hold_.hold(std::move(attempt));
+  } else {
+    upstreams_.start(std::move(attempt), host);
+  }
+}
+
+AttemptPtr ServerPool::make_attempt(RequestId id, PendingRequest& request, std::string_view host,
+                                    Time deadline) {
   auto attempt = std::make_shared<Attempt>();
   attempt->request = id;
-  attempt->number = call.attempts++;
+  attempt->number = request.attempts++;
   attempt->host = host;
-  attempt->payload = call.payload;
-  attempt->until = until;
-  attempt->unsafe = call.unsafe;
+  attempt->payload = request.payload;
+  attempt->deadline = deadline;
+  attempt->non_idempotent = request.non_idempotent;
   if (routing_extension_) routing_extension_->prepare(*attempt);
-  if (const auto* host_now = policy_.host(host)) attempt->host_born = host_now->born();
+  if (const auto* known = policy_.host(host)) attempt->host_started = known->born();
   const RequestClass& request_class =
-      site_.policy.classes[static_cast<std::size_t>(call.request_class)];
+      site_.policy.classes[static_cast<std::size_t>(request.request_class)];
   if (request_class.idempotency == Idempotency::kIdempotencyKey) {
-    if (call.may_run_since) {
-      attempt->begin_by = *call.may_run_since + request_class.deduplication_window;
+    if (request.may_run_since) {
+      attempt->first_byte_deadline = *request.may_run_since + request_class.deduplication_window;
     } else {
-      call.may_run_since = now();
+      request.may_run_since = now();
     }
   }
-  ++call.out;
-  // Decided on what was known before a standstill.
-  look();
-  attempt->held = stall_guard_ && stall_guard_->is_holding() && host != origin_;
-  const auto timer = due_.set(until, {attempt, 0});
-  attempt->timer = {timer.place, timer.life};
-  arm_timer();
-  if (attempt->held) {
-    held_.push_back(std::move(attempt));
-  } else {
-    upstreams_.start(std::move(attempt), host);
-  }
+  return attempt;
 }
 
 void ServerPool::reject(RequestId id, Duration retry_after) {
-  finish(id, {Response::Kind::kRejected, {}, retry_after, nullptr});
+  answer(id, {Response::Kind::kRejected, {}, retry_after, nullptr});
 }
 
-void ServerPool::fail(RequestId id) { finish(id, {}); }
+void ServerPool::fail(RequestId id) { answer(id, {}); }
 
-void ServerPool::set_timer(Time at, std::uint64_t tag) {
-  if (module_timers_.empty()) first_tag_ = tag;
-  module_timers_.resize(tag - first_tag_);  // tags that were passed over
-  module_timers_.push_back(due_.set(at, {nullptr, tag}));
-  arm_timer();
-}
-
-void ServerPool::drop_timer(std::uint64_t tag) {
-  if (tag - first_tag_ >= module_timers_.size()) return;
-  if (const auto& handle = module_timers_[tag - first_tag_]) due_.take_back(*handle);
-  forget_timer(tag);
-}
+void ServerPool::set_timer(Time at, std::uint64_t tag) { timers_.set_policy_timer(at, tag); }
 
-void ServerPool::forget_timer(std::uint64_t tag) {
-  if (tag - first_tag_ >= module_timers_.size()) return;
-  module_timers_[tag - first_tag_].reset();
-  for (; !module_timers_.empty() && !module_timers_.front(); ++first_tag_)
-    module_timers_.pop_front();
-}
+void ServerPool::drop_timer(std::uint64_t tag) { timers_.cancel_policy_timer(tag); }
 
 void ServerPool::close_idle(std::string_view host) { upstreams_.close_idle(host); }
 
-// One timer of the event loop stands for all; it is set anew only where one comes due sooner.
-void ServerPool::arm_timer() {
-  const auto next = due_.next();
-  if (!next || *next >= timer_at_) return;
-  timer_at_ = *next;
-  timer_.expires_at(clock_.steady(timer_at_));
-  timer_.async_wait([this](const error_code& e) {
-    if (!e) on_timer();
-  });
-}
-
-void ServerPool::on_timer() {
-  timer_at_ = Time::max();
-  due_.advance(now(), [this](Due due) { due_now_.push_back(std::move(due)); });
-  arm_timer();
-  work_off();
-}
-
-// A jam's time-outs come due by the thousand. Worked off in one go they would hold up all other
-// pools; in turns, others' events come between.
-void ServerPool::work_off() {
-  if (working_off_) return;
-  for (std::size_t n = 0; n < kDuePerTurn && !due_now_.empty(); ++n) {
-    const Due due = std::move(due_now_.front());
-    due_now_.pop_front();
-    if (due.attempt) {
-      on_end(due.attempt, Result::kTimeout, {});
-    } else {
-      forget_timer(due.tag);
-      policy_.on_timer(now(), due.tag);
-    }
-  }
-  forget_finished();
-  if (due_now_.empty()) return;
-  working_off_ = true;
-  boost::asio::post(io_, [this] {
-    working_off_ = false;
-    work_off();
-  });
-}
-
-// ---- standstills
-
-void ServerPool::enable_stall_guard(std::function<void()> confirm,
-                                    std::function<void(const std::string&)> log) {
-  stall_guard_.emplace(now());
-  confirm_ = std::move(confirm);
-  log_ = std::move(log);
-  watch();
-}
-
-void ServerPool::watch() {
-  look();
-  look_timer_.expires_after(kLooks);
-  look_timer_.async_wait([this](const error_code& e) {
-    if (!e) watch();
-  });
-}
-
-void ServerPool::look() {
-  if (!stall_guard_ || !stall_guard_->observe(now())) return;
-  confirm_();
-  hold_timer_.expires_at(clock_.steady(stall_guard_->until()));
-  hold_timer_.async_wait([this](const error_code& e) {
-    if (e) return;
-    look();
-    if (stall_guard_->on_hold_over(now())) let_go("no list came; what was known goes on");
-  });
-}
-
-void ServerPool::on_confirmed(Duration took) {
-  look();
-  if (stall_guard_ && stall_guard_->on_discovery_answer(now() - took))
-    let_go("the list is confirmed");
-}
-
-// What was held back had been decided on an old list, so it is decided anew, which costs no host
-// anything and counts as no retry.
-void ServerPool::let_go(const char* why) {
-  hold_timer_.cancel();
-  const auto held = std::exchange(held_, {});
-  log_("stood still for " + ms(stall_guard_->stood_still()) + "; " + why + " after " +
-       ms(now() - stall_guard_->woken()) + ", " + std::to_string(held.size()) +
-       " attempt(s) held back");
-  for (const AttemptPtr& attempt : held)
-    on_end(attempt,
-           may_send(*attempt) == SendPermission::kOver ? Result::kNotSent : Result::kWithdrawn, {});
-}
-
 // ---- requests
 
-void ServerPool::submit(const std::shared_ptr<ResponseSink>& caller, ResponseSlot ticket,
-                        RequestSpec ask) {
-  look();
-  const Duration unnoticed = stall_guard_ ? stall_guard_->unnoticed(now()) : Duration{0};
-  if (unnoticed >= ask.budget ||
-      (site_.max_held > 0 && open_ >= static_cast<std::size_t>(site_.max_held)) ||
-      !caller->may_forward() || !caller->is_connected()) {
-    ask.payload->released();
-    caller->on_response(ticket, *ask.payload,
-                        {Response::Kind::kRejected, {}, Duration{0}, nullptr});
+void ServerPool::submit(const std::shared_ptr<ResponseSink>& sink, ResponseSlot slot,
+                        RequestSpec spec) {
+  stall_hold_.observe();
+  if (!may_take(*sink, spec)) {
+    spec.payload->on_released();
+    sink->on_response(slot, *spec.payload, {Response::Kind::kRejected, {}, Duration{0}, nullptr});
     return;
   }
-  Request q;
-  q.id = next_id_++;
-  q.request_class = ask.request_class;
-  q.tenant = ask.tenant;
-  q.key = ask.key;
-  q.write = ask.write;
-  q.work = ask.work;
-  // Behind a standstill a client's time may be over that has just been read of: its request lay in
-  // the socket. Nothing of it has gone out, so that a refusal is true, and comes while it may.
-  q.budget = ask.budget - unnoticed;
-  if (drain_end_) q.budget = std::max(Duration{0}, std::min(q.budget, *drain_end_ - now()));
-  Call& call = calls_[q.id];
-  call.caller = caller;
-  call.ticket = ticket;
-  call.payload = std::move(ask.payload);
-  call.request_class = q.request_class;
-  call.unsafe = site_.policy.classes[static_cast<std::size_t>(q.request_class)].idempotency ==
-                Idempotency::kNone;
-  call.seen_at = now();
-  call.place = caller->open_.size();
-  caller->open_.push_back(q.id);
-  ++open_;
-  if (routing_extension_) routing_extension_->on_request(q.id, *call.payload);
-  policy_.on_request(now(), q);
-  forget_finished();
-}
-
-void ServerPool::withdraw(ResponseSink& caller) {
-  for (const RequestId id : std::vector(caller.open_)) {
-    end_call(id, calls_.at(id));
+  Request request;
+  request.id = next_id_++;
+  request.request_class = spec.request_class;
+  request.tenant = spec.tenant;
+  request.key = spec.key;
+  request.write = spec.write;
+  request.work = spec.work;
+  request.budget = spec.time_left - stall_hold_.max_unread_age();
+  if (drain_end_)
+    request.budget = std::max(Duration{0}, std::min(request.budget, *drain_end_ - now()));
+  const RequestPayloadPtr payload = spec.payload;
+  register_request(request.id, sink, slot, std::move(spec));
+  if (routing_extension_) routing_extension_->on_request(request.id, *payload);
+  policy_.on_request(now(), request);
+  erase_finished();
+}
+
+// Whether a request may be taken; otherwise it is rejected, as nothing of it has run. After a stall
+// it may have lain unread in the socket until its client's time was over.
+bool ServerPool::may_take(const ResponseSink& sink, const RequestSpec& spec) const {
+  if (stall_hold_.max_unread_age() >= spec.time_left) return false;
+  if (site_.max_held > 0 && open_requests_ >= static_cast<std::size_t>(site_.max_held))
+    return false;
+  return sink.may_forward() && sink.is_connected();
+}
+
+void ServerPool::register_request(RequestId id, const std::shared_ptr<ResponseSink>& sink,
+                                  ResponseSlot slot, RequestSpec spec) {
+  PendingRequest& request = requests_[id];
+  request.sink = sink;
+  request.slot = slot;
+  request.payload = std::move(spec.payload);
+  request.request_class = spec.request_class;
+  request.non_idempotent =
+      site_.policy.classes[static_cast<std::size_t>(spec.request_class)].idempotency ==
+      Idempotency::kNone;
+  request.connected_at = now();
+  request.sink_index = sink->open_requests_.size();
+  sink->open_requests_.push_back(id);
+  ++open_requests_;
+}
+
+void ServerPool::withdraw(ResponseSink& sink) {
+  for (const RequestId id : std::vector(sink.open_requests_)) {
+    mark_finished(id, requests_.at(id));
     policy_.on_withdrawn(now(), id);
   }
-  forget_finished();
+  erase_finished();
 }
 
-void ServerPool::fail_open() {
+void ServerPool::fail_open_requests() {
   std::vector<RequestId> open;
-  for (const auto& [id, call] : calls_)
-    if (!call.over) open.push_back(id);
+  for (const auto& [id, request] : requests_)
+    if (!request.finished) open.push_back(id);
   for (const RequestId id : open) {
     fail(id);
     policy_.on_withdrawn(now(), id);
   }
-  forget_finished();
+  erase_finished();
 }
 
-void ServerPool::finish(RequestId id, Response final) {
-  const auto it = calls_.find(id);
-  if (it == calls_.end() || it->second.over) return;
-  const auto caller = it->second.caller;
+void ServerPool::answer(RequestId id, Response response) {
+  const auto it = requests_.find(id);
+  if (it == requests_.end() || it->second.finished) return;
+  const auto sink = it->second.sink;
   const auto payload = it->second.payload;
-  const ResponseSlot ticket = it->second.ticket;
-  end_call(id, it->second);
-  caller->on_response(ticket, *payload, std::move(final));
-}
-
-void ServerPool::end_call(RequestId id, Call& call) {
-  call.over = true;
-  --open_;
-  // The last of its caller's list takes its place there.
-  auto& open = call.caller->open_;
-  calls_.at(open.back()).place = call.place;
-  open[call.place] = open.back();
+  const ResponseSlot slot = it->second.slot;
+  mark_finished(id, it->second);
+  sink->on_response(slot, *payload, std::move(response));
+}
+
+void ServerPool::mark_finished(RequestId id, PendingRequest& request) {
+  request.finished = true;
+  --open_requests_;
+  // Removed from its sink's list by moving the last entry to its place.
+  auto& open = request.sink->open_requests_;
+  requests_.at(open.back()).sink_index = request.sink_index;
+  open[request.sink_index] = open.back();
   open.pop_back();
-  call.caller = nullptr;
+  request.sink = nullptr;
   finished_.push_back(id);
 }
 
-// Requests are erased only here, after the module has returned: its actions name them until then.
-void ServerPool::forget_finished() {
+// Requests are erased only here, after the policy has returned: its actions name them until then.
+void ServerPool::erase_finished() {
   for (const RequestId id : std::exchange(finished_, {})) {
-    const auto it = calls_.find(id);
-    if (it == calls_.end() || it->second.out > 0) continue;
-    it->second.payload->released();
+    const auto it = requests_.find(id);
+    if (it == requests_.end() || it->second.attempts_in_flight > 0) continue;
+    it->second.payload->on_released();
     if (routing_extension_) routing_extension_->on_forgotten(id);
-    calls_.erase(it);
+    requests_.erase(it);
   }
 }
 
 // ---- attempts
 
-// Where this process is late, what lets a request go on may be read before its client's close.
-bool ServerPool::is_connected(const Call& call) const {
-  if (now() - call.seen_at <= kSeenLately) return true;
-  if (!call.caller->is_connected()) return false;
-  call.seen_at = now();
+bool ServerPool::is_connected(const PendingRequest& request) const {
+  if (now() - request.connected_at <= kConnectedFor) return true;
+  if (!request.sink->is_connected()) return false;
+  request.connected_at = now();
   return true;
 }
 
-// Hosts are asked for in the module's own book, which has heard of them first.
+// The time is checked here too: after a stall it may have passed before the time-out fires. The
+// host is looked up in the policy, which is the first to learn of changes.
 SendPermission ServerPool::may_send(const Attempt& attempt) const {
-  const auto it = calls_.find(attempt.request);
-  // Behind a standstill its time may have passed before its time-out has come round.
-  if (it == calls_.end() || it->second.over || attempt.until - now() < kMinAttemptTime ||
-      now() >= attempt.begin_by || !it->second.caller->may_forward() || !is_connected(it->second))
-    return SendPermission::kOver;
+  const auto it = requests_.find(attempt.request);
+  if (it == requests_.end()) return SendPermission::kRequestFinished;
+  const PendingRequest& request = it->second;
+  if (request.finished || attempt.deadline - now() < kMinAttemptTime ||
+      now() >= attempt.first_byte_deadline || !request.sink->may_forward() ||
+      !is_connected(request))
+    return SendPermission::kRequestFinished;
   const auto* host = policy_.host(attempt.host);
-  const bool same = host && host->takes_new() && host->born() == attempt.host_born;
-  return same ? SendPermission::kGo : SendPermission::kElsewhere;
+  const bool is_same_process = host && host->born() == attempt.host_started;
+  return is_same_process && host->takes_new() ? SendPermission::kGranted
+                                              : SendPermission::kHostChanged;
 }
 
-// The first byte is the answer: no other attempt may serve from here on. From now on both sides'
-// pace counts, and neither the attempt's time nor the request's.
-void ServerPool::on_begin(const AttemptPtr& attempt, const StreamPtr& stream) {
-  const auto it = calls_.find(attempt->request);
-  if (attempt->ended || it == calls_.end() || it->second.over) return stream->abandon();
-  due_.take_back({attempt->timer.place, attempt->timer.life});
-  Response final{Response::Kind::kServed, {}, Duration{0}, stream};
-  finish(attempt->request, std::move(final));
+// Attempts that were held rested on an old endpoint list: the policy decides on them anew, which
+// charges no host and counts as no retry.
+void ServerPool::on_released(const std::vector<AttemptPtr>& held) {
+  for (const AttemptPtr& attempt : held)
+    on_attempt_ended(attempt, unsent_result(may_send(*attempt)), {});
+}
+
+// The first byte of a long value is the answer: no other attempt may serve from here on, and
+// neither the attempt's nor the request's deadline counts any more.
+void ServerPool::on_stream_started(const AttemptPtr& attempt, const StreamPtr& stream) {
+  const auto it = requests_.find(attempt->request);
+  if (attempt->ended || it == requests_.end() || it->second.finished) return stream->abandon();
+  timers_.cancel_timeout(*attempt);
+  answer(attempt->request, {Response::Kind::kServed, {}, Duration{0}, stream});
   policy_.on_first_byte(now(), attempt->request, attempt->number);
-  forget_finished();
+  erase_finished();
+}
+
+// An attempt that was given up has not run if it never had a connection, or was not written whole.
+Result ServerPool::correct_unsent(const AttemptPtr& attempt, Result result) {
+  if (result != Result::kTimeout && result != Result::kCancelled) return result;
+  const auto connection = attempt->connection.lock();
+  const bool is_unsent = connection ? connection->abandon(attempt) : !attempt->assigned;
+  return is_unsent ? Result::kNotSent : result;
 }
 
-void ServerPool::on_end(const AttemptPtr& attempt, Result result, std::string value) {
+void ServerPool::on_attempt_ended(const AttemptPtr& attempt, Result result, std::string value) {
   if (std::exchange(attempt->ended, true)) return;
-  due_.take_back({attempt->timer.place, attempt->timer.life});
-  if (result == Result::kTimeout || result == Result::kCancelled) {
-    // What never had a connection, or was not written whole there, has not run.
-    const auto connection = attempt->connection.lock();
-    if (connection ? connection->abandon(attempt) : !attempt->assigned) result = Result::kNotSent;
-  }
-  if (routing_extension_) result = routing_extension_->judge(*attempt, result, value);
+  timers_.cancel_timeout(*attempt);
+  result = correct_unsent(attempt, result);
+  if (routing_extension_) result = routing_extension_->interpret(*attempt, result, value);
   const RequestId id = attempt->request;
-  Call& call = calls_.at(id);
-  --call.out;
-  call.may_have_run = call.may_have_run || !(never_ran(result) || result == Result::kMiss);
-  if (call.out == 0 && !call.may_have_run) call.may_run_since.reset();
-  if (result == Result::kOk && !call.over)
-    finish(id, {Response::Kind::kServed, std::move(value), Duration{0}, nullptr});
-  if (call.over) finished_.push_back(id);
-  policy_.on_outcome(now(), {id, attempt->number, result, call.over});
-  forget_finished();
+  PendingRequest& request = requests_.at(id);
+  --request.attempts_in_flight;
+  request.may_have_run = request.may_have_run || !(never_ran(result) || result == Result::kMiss);
+  if (request.attempts_in_flight == 0 && !request.may_have_run) request.may_run_since.reset();
+  if (result == Result::kOk && !request.finished)
+    answer(id, {Response::Kind::kServed, std::move(value), Duration{0}, nullptr});
+  if (request.finished) finished_.push_back(id);
+  policy_.on_outcome(now(), {id, attempt->number, result, request.finished});
+  erase_finished();
 }
 
-// ---- the host list
+// ---- hosts
 
 void ServerPool::on_list(const HostList& list) {
   upstreams_.apply(list);
-  learn_unix_time(list);
+  host_start_times_.on_list(now(), list);
   std::vector<HostEntry> entries;
   for (const ListedHost& host : list.hosts) {
     if (host.origin) origin_ = host.id;
-    entries.push_back(
-        {host.id, start_of(host), host.origin, host.zone, host.cell, host.state, host.weight});
+    entries.push_back({host.id, host_start_times_.start_of(now(), host), host.origin, host.zone,
+                       host.cell, host.state, host.weight});
   }
   policy_.on_hosts(now(), list.whole ? ListKind::kWhole : ListKind::kChanges, entries);
-  upstreams_.review();
-  forget_finished();
+  upstreams_.withdraw_unsendable();
+  erase_finished();
 }
 
-void ServerPool::learn_unix_time(const HostList& list) {
-  if (list.sent_at) host_ages_.on_unix_time(now(), *list.sent_at);
-  for (const ListedHost& host : list.hosts)
-    if (host.born) host_ages_.on_unix_time(now(), *host.born + host.age.value_or(Duration{0}));
+void ServerPool::on_list_rejected() {
+  policy_.on_hosts(now(), ListKind::kRejected, {});
+  erase_finished();
 }
 
-std::optional<HostStart> ServerPool::start_of(const ListedHost& host) const {
-  if (!host.born) return std::nullopt;
-  const Time at = host.age ? now() - *host.age : host_ages_.started(now(), *host.born);
-  return HostStart{*host.born, at};
+void ServerPool::on_discovery_answer(Duration took) { stall_hold_.on_discovery_answer(took); }
+
+void ServerPool::enable_stall_guard(std::function<void()> poll_discovery,
+                                    std::function<void(const std::string&)> log) {
+  stall_hold_.enable(std::move(poll_discovery), std::move(log));
 }
 
-std::optional<Duration> ServerPool::age_of(std::string_view id) const {
+std::optional<Duration> ServerPool::host_age(std::string_view id) const {
   const auto* host = policy_.host(id);
   if (!host || !host->start) return std::nullopt;
   return now() - host->start->at;
 }
 
-bool ServerPool::maintain(std::string_view host, bool out) {
-  const bool known = policy_.on_maintenance(now(), host, out);
-  upstreams_.review();
-  return known;
+bool ServerPool::maintain(std::string_view host, bool out_of_service) {
+  const bool is_known = policy_.on_maintenance(now(), host, out_of_service);
+  upstreams_.withdraw_unsendable();
+  return is_known;
 }
 
-void ServerPool::restore(std::string_view host, Policy::OperatorOverride word) {
-  policy_.restore(now(), host, word);
-  upstreams_.review();
-}
-
-void ServerPool::on_list_refused() {
-  policy_.on_hosts(now(), ListKind::kRejected, {});
-  forget_finished();
+void ServerPool::restore(std::string_view host, Policy::OperatorOverride host_override) {
+  policy_.restore(now(), host, host_override);
+  upstreams_.withdraw_unsendable();
 }
 
 }  // namespace balancer
--- a/src/dispatch/timing_wheel.h
+++ b/src/dispatch/timing_wheel.h
@@ -12,61 +12,56 @@
 
 namespace balancer {
 
-// Timers by the thousand, most of which are taken back before they are due: a hierarchical timing
-// wheel (Varghese and Lauck 1987, scheme 7) of kLevels wheels with 64 slots each. Setting and
-// taking back cost the same however many are pending. A timer comes due at the first multiple of
-// the tick at or behind its time, never before it; those of one tick in no order. The furthest time
-// is about 64^kLevels ticks away; later ones wait in the last slot and are looked at again there.
+// A hierarchical timing wheel (Varghese and Lauck 1987, scheme 7) of kLevels wheels with kSlots
+// slots each, for many timers most of which are cancelled before they are due. Setting and
+// cancelling cost the same however many are pending. A timer fires at the first multiple of the
+// tick at or after its time, never before it; those of one tick in no order. The furthest time is
+// about kSlots^kLevels ticks away; later timers wait in the last slot and are placed again from
+// there.
 //
-// No clock and no thread: the owner asks next() and calls advance(). Not to be called from inside
-// the function that advance() is given, but for set() and take_back().
+// No clock and no thread: the owner asks next() and calls advance(). The function that advance() is
+// given may call set() and cancel(), and nothing else.
 template <typename T>
 class TimingWheel {
  public:
-  // Names a pending timer. Of one that has come due or was taken back it names nothing, for as long
-  // as the wheel lives.
+  // Names a pending timer. After that timer has fired or was cancelled it names nothing, for as
+  // long as the wheel lives.
   struct Handle {
-    std::uint32_t place = kNone;
-    std::uint32_t life = 0;
+    std::uint32_t index = kNone;
+    std::uint32_t generation = 0;
   };
 
-  TimingWheel(Time now, Duration tick) : tick_(tick), at_(floor(now)) {}
+  TimingWheel(Time now, Duration tick) : tick_(tick), now_tick_(floor(now)) {}
 
   Handle set(Time due, T value) {
-    std::uint32_t n;
-    if (free_ != kNone) {
-      n = free_;
-      free_ = nodes_[n].next;
-    } else {
-      n = static_cast<std::uint32_t>(nodes_.size());
-      nodes_.emplace_back();
-    }
-    Node& node = nodes_[n];
+    const std::uint32_t index = allocate();
+    Node& node = nodes_[index];
     node.value = std::move(value);
-    node.due = std::max(ceil(due), at_ + 1);
-    node.pending = true;
-    link(n);
+    node.due_tick = std::max(ceil(due), now_tick_ + 1);
+    node.is_pending = true;
+    link(index);
     ++size_;
-    return {n, node.life};
+    return {index, node.generation};
   }
 
-  // Returns its value, or nothing if it is not pending any more.
-  std::optional<T> take_back(Handle h) {
-    if (h.place >= nodes_.size()) return std::nullopt;
-    Node& node = nodes_[h.place];
-    if (!node.pending || node.life != h.life) return std::nullopt;
-    unlink(h.place);
-    return release(h.place);
+  // Returns the timer's value, or nothing if it is not pending any more.
+  std::optional<T> cancel(Handle handle) {
+    if (handle.index >= nodes_.size()) return std::nullopt;
+    const Node& node = nodes_[handle.index];
+    if (!node.is_pending || node.generation != handle.generation) return std::nullopt;
+    unlink(handle.index);
+    return release(handle.index);
   }
 
-  // A time at which advance() is to be called at the latest; nothing is due before it. It may be
-  // early, where timers have to be moved to a finer wheel first.
+  // The time at which advance() must be called at the latest; nothing is due before it. It may be
+  // earlier than the first timer, where timers have to move to a finer wheel first. None: no timer
+  // is pending.
   std::optional<Time> next() const {
     std::optional<std::int64_t> first;
     for (std::size_t level = 0; level < kLevels; ++level) {
       if (filled_[level] == 0) continue;
       const auto shift = kBits * level;
-      const auto now = at_ >> shift;
+      const auto now = now_tick_ >> shift;
       // The slots ahead of the present one, in turn.
       const auto turned = std::rotr(filled_[level], static_cast<int>((now + 1) & kMask));
       const auto tick = (now + 1 + std::countr_zero(turned)) << shift;
@@ -80,66 +75,91 @@
   template <typename F>
   void advance(Time now, F&& fire) {
     const auto until = floor(now);
-    while (at_ < until) {
-      const auto to = next();
-      const auto tick = to ? to->count() / tick_.count() : until + 1;
-      if (tick > until) {
-        at_ = until;
+    while (now_tick_ < until) {
+      const auto next_time = next();
+      const auto next_tick = next_time ? next_time->count() / tick_.count() : until + 1;
+      if (next_tick > until) {
+        now_tick_ = until;
         return;
       }
-      at_ = tick;
-      // From the coarsest wheel that turned: what it holds for now goes to finer ones.
-      for (std::size_t level = kLevels; level-- > 1;) {
-        if ((at_ & ((std::int64_t{1} << (kBits * level)) - 1)) != 0) continue;
-        for (auto n = empty(level, (at_ >> (kBits * level)) & kMask); n != kNone;) {
-          const auto following = nodes_[n].next;
-          link(n);
-          n = following;
-        }
-      }
-      due_.clear();
-      for (auto n = empty(0, at_ & kMask); n != kNone; n = nodes_[n].next) due_.push_back(n);
-      for (const auto n : due_) nodes_[n].slot = kDue;
-      for (std::size_t i = 0; i < due_.size(); ++i) {
-        // One that was taken back by an earlier one's turn has another life by now.
-        if (nodes_[due_[i]].slot == kDue) fire(release(due_[i]));
-      }
+      now_tick_ = next_tick;
+      move_to_finer_wheels();
+      fire_current_slot(fire);
     }
   }
 
   std::size_t size() const { return size_; }
 
  private:
-  static constexpr std::size_t kLevels = 5, kBits = 6, kSlots = 64;
+  static constexpr std::size_t kLevels = 5;
+  static constexpr std::size_t kBits = 6;  // of a slot number
+  static constexpr std::size_t kSlots = std::size_t{1} << kBits;
   static constexpr std::int64_t kMask = kSlots - 1;
-  static constexpr std::uint32_t kNone = UINT32_MAX, kDue = UINT32_MAX - 1;
+  static constexpr std::uint32_t kNone = UINT32_MAX;
+  static constexpr std::uint32_t kDue = UINT32_MAX - 1;  // in place of a slot: about to fire
 
   struct Node {
     T value{};
-    std::int64_t due = 0;
-    std::uint32_t next = kNone, previous = kNone, slot = kNone, life = 0;
-    bool pending = false;
+    std::int64_t due_tick = 0;
+    std::uint32_t next = kNone;
+    std::uint32_t previous = kNone;
+    std::uint32_t slot = kNone;
+    std::uint32_t generation = 0;
+    bool is_pending = false;
   };
 
   std::int64_t floor(Time t) const { return t.count() / tick_.count(); }
   std::int64_t ceil(Time t) const { return (t.count() + tick_.count() - 1) / tick_.count(); }
 
+  std::uint32_t allocate() {
+    if (free_ == kNone) {
+      nodes_.emplace_back();
+      return static_cast<std::uint32_t>(nodes_.size() - 1);
+    }
+    return std::exchange(free_, nodes_[free_].next);
+  }
+
+  // From the coarsest wheel that has turned: what its current slot holds goes to finer ones.
+  void move_to_finer_wheels() {
+    for (std::size_t level = kLevels; level-- > 1;) {
+      if ((now_tick_ & ((std::int64_t{1} << (kBits * level)) - 1)) != 0) continue;
+      for (auto n = take_slot(level, (now_tick_ >> (kBits * level)) & kMask); n != kNone;) {
+        const auto following = nodes_[n].next;
+        link(n);
+        n = following;
+      }
+    }
+  }
+
+  template <typename F>
+  void fire_current_slot(F&& fire) {
+    due_.clear();
+    for (auto n = take_slot(0, now_tick_ & kMask); n != kNone; n = nodes_[n].next)
+      due_.push_back(n);
+    for (const auto n : due_) nodes_[n].slot = kDue;
+    for (std::size_t i = 0; i < due_.size(); ++i) {
+      // One that was cancelled by the function of an earlier one is not due any more.
+      if (nodes_[due_[i]].slot == kDue) fire(release(due_[i]));
+    }
+  }
+
   void link(std::uint32_t n) {
     Node& node = nodes_[n];
-    // A level is fine enough where the time lies within one turn of its wheel. What is due at this
-    // very tick goes to the slot that is being emptied.
+    // A level is fine enough if the time lies within one turn of its wheel. What is due at the
+    // current tick goes to the slot that is being emptied.
     std::size_t level = 0;
     while (level + 1 < kLevels &&
-           (node.due >> (kBits * level)) - (at_ >> (kBits * level)) >= std::int64_t{kSlots})
+           (node.due_tick >> (kBits * level)) - (now_tick_ >> (kBits * level)) >=
+               std::int64_t{kSlots})
       ++level;
-    auto slot = node.due >> (kBits * level);
-    slot = std::min(slot, (at_ >> (kBits * level)) + kMask);
-    const auto place = static_cast<std::uint32_t>(level * kSlots + (slot & kMask));
-    node.slot = place;
+    auto slot = node.due_tick >> (kBits * level);
+    slot = std::min(slot, (now_tick_ >> (kBits * level)) + kMask);
+    const auto head = static_cast<std::uint32_t>(level * kSlots + (slot & kMask));
+    node.slot = head;
     node.previous = kNone;
-    node.next = heads_[place];
+    node.next = heads_[head];
     if (node.next != kNone) nodes_[node.next].previous = n;
-    heads_[place] = n;
+    heads_[head] = n;
     filled_[level] |= std::uint64_t{1} << (slot & kMask);
   }
 
@@ -149,30 +169,30 @@
     if (node.next != kNone) nodes_[node.next].previous = node.previous;
     if (node.previous != kNone) {
       nodes_[node.previous].next = node.next;
-    } else {
-      heads_[node.slot] = node.next;
-      if (node.next == kNone)
-        filled_[node.slot / kSlots] &= ~(std::uint64_t{1} << (node.slot % kSlots));
+      return;
     }
+    heads_[node.slot] = node.next;
+    if (node.next == kNone)
+      filled_[node.slot / kSlots] &= ~(std::uint64_t{1} << (node.slot % kSlots));
   }
 
   T release(std::uint32_t n) {
     Node& node = nodes_[n];
     T value = std::exchange(node.value, T{});
-    node.pending = false;
+    node.is_pending = false;
     node.slot = kNone;
-    ++node.life;
+    ++node.generation;
     node.next = free_;
     free_ = n;
     --size_;
     return value;
   }
 
-  // Takes all out of a slot; returns the first of the chain.
-  std::uint32_t empty(std::size_t level, std::int64_t slot) {
-    const auto place = level * kSlots + static_cast<std::size_t>(slot);
+  // Empties a slot; returns the first node of its chain.
+  std::uint32_t take_slot(std::size_t level, std::int64_t slot) {
+    const auto head = level * kSlots + static_cast<std::size_t>(slot);
     filled_[level] &= ~(std::uint64_t{1} << slot);
-    return std::exchange(heads_[place], kNone);
+    return std::exchange(heads_[head], kNone);
   }
 
   static constexpr std::array<std::uint32_t, kLevels * kSlots> no_heads() {
@@ -182,7 +202,7 @@
   }
 
   const Duration tick_;
-  std::int64_t at_;  // ticks up to this one have come due
+  std::int64_t now_tick_;  // timers up to this tick have fired
   std::vector<Node> nodes_;
   std::uint32_t free_ = kNone;
   std::array<std::uint32_t, kLevels* kSlots> heads_ = no_heads();
--- a/src/frontend/memcache/memcache_front.cc
+++ b/src/frontend/memcache/memcache_front.cc
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-void MemcachePayload::released() const {
+void MemcachePayload::on_released() const {
   if (ids) ids->erase(command.id);
 }
 
@@ -102,13 +102,13 @@
   if (ask.write && request_class.idempotency == Idempotency::kIdempotencyKey &&
       command.prop("k").empty())
     return "keyed write without a key";
-  ask.budget = request_class.deadline;
+  ask.time_left = request_class.deadline;
   if (const auto d = command.prop("d"); !d.empty()) {
     const auto ms = memcache::parse_number(d);
     if (!ms) return "bad time";
     // No client waits longer than its class does; a larger figure would keep timers for hours.
     const Duration asked = milliseconds(std::min<std::uint64_t>(*ms, 3'600'000));
-    ask.budget =
+    ask.time_left =
         request_class.deadline > Duration{0} ? std::min(asked, request_class.deadline) : asked;
   }
   if (const auto h = command.prop("h"); !h.empty()) {
--- a/src/frontend/memcache/memcache_front.h
+++ b/src/frontend/memcache/memcache_front.h
@@ -14,11 +14,11 @@
 
 // A request as a memcache client has written it.
 struct MemcachePayload : RequestPayload {
-  MemcachePayload(memcache::Command c, Lease b) : command(std::move(c)), body(std::move(b)) {}
-  void released() const override;
+  MemcachePayload(memcache::Command c, Reservation b) : command(std::move(c)), body(std::move(b)) {}
+  void on_released() const override;
 
   memcache::Command command;
-  Lease body;  // what its body takes of the byte budget
+  Reservation body;  // what its body takes of the byte budget
   std::unordered_set<std::string_view>* ids = nullptr;
 };
 
--- a/src/frontend/memcache/origin_connection.cc
+++ b/src/frontend/memcache/origin_connection.cc
@@ -165,7 +165,7 @@
   const auto status = response.result_int();
   if (status / 100 == 1) return new_parser(), true;  // the answer proper is still to come
   if (!mine()) return false;
-  if (!response.keep_alive()) keep_open_ = false;
+  if (!response.keep_alive()) reusable_ = false;
   if (status == 200) {
     if (command_of(*current()->payload).kind == memcache::Command::Kind::kGet)
       return complete(Result::kOk);
--- a/src/frontend/resp/cluster_pool.cc
+++ b/src/frontend/resp/cluster_pool.cc
@@ -122,7 +122,7 @@
     timer_.cancel();
     error_code ignored;
     socket_.close(ignored);
-    descriptor_ = Lease();
+    descriptor_ = Reservation();
     bytes_.resize(0);
   }
 
@@ -130,7 +130,7 @@
   const std::string node_;
   asio::ip::tcp::socket socket_;
   asio::steady_timer timer_;
-  Lease descriptor_, bytes_;
+  Reservation descriptor_, bytes_;
   resp::ReplyReader reader_{kProbeBounds};
   std::array<char, 16384> chunk_;
   std::string reply_;
@@ -189,7 +189,7 @@
 }
 
 // A redirection counts only as a whole reply. What broke off, wherever, proves nothing.
-Result ClusterPool::judge(const Attempt& attempt, Result result, const std::string& value) {
+Result ClusterPool::interpret(const Attempt& attempt, Result result, const std::string& value) {
   using Verdict = cluster::Router::Verdict;
   if (result == Result::kConnectFailed || result == Result::kReset || result == Result::kTimeout) {
     router_.on_broken(attempt.host);
--- a/src/frontend/resp/cluster_pool.h
+++ b/src/frontend/resp/cluster_pool.h
@@ -35,7 +35,7 @@
   void on_request(RequestId id, const RequestPayload& payload) override;
   void on_forgotten(RequestId id) override { router_.end(id); }
   void prepare(Attempt& attempt) override;
-  Result judge(const Attempt& attempt, Result result, const std::string& value) override;
+  Result interpret(const Attempt& attempt, Result result, const std::string& value) override;
 
   void apply_nodes();
   void schedule();
--- a/src/frontend/resp/data_commands.cc
+++ b/src/frontend/resp/data_commands.cc
@@ -39,12 +39,12 @@
   payload->slot = slot;
   payload->request_class = request_class;
   payload->write = write;
-  payload->bytes = Lease(front_.limits_.bytes, payload->wire.size());
+  payload->bytes = Reservation(front_.limits_.bytes, payload->wire.size());
   // This object's address names its client, and has no more than 47 bits.
-  payload->want.flow = reinterpret_cast<std::uintptr_t>(this);
-  payload->want.order = payload->want.flow ^ (slot + 1ull) << 48;
-  payload->want.ordered = conflicts(slot, write);
-  payload->want.kind = kind;
+  payload->traits.client_id = reinterpret_cast<std::uintptr_t>(this);
+  payload->traits.order_group = payload->traits.client_id ^ (slot + 1ull) << 48;
+  payload->traits.must_follow_group = conflicts(slot, write);
+  payload->traits.command_kind = kind;
   Open& open = open_[slot];
   ++open.requests;
   ++open_requests_;
@@ -55,7 +55,7 @@
   ask.tenant = tenant_;
   ask.write = write;
   if (payload->node.empty()) ask.key = key;
-  ask.budget = budget.value_or(deadline_of(request_class));
+  ask.time_left = budget.value_or(deadline_of(request_class));
   ask.payload = std::move(payload);
   front_.core_.submit(session.shared_from_this(), ticket, std::move(ask));
 }
--- a/src/frontend/resp/resp_connection.cc
+++ b/src/frontend/resp/resp_connection.cc
@@ -68,7 +68,7 @@
   std::string error = std::move(e.error);
   const bool refused = e.refused;
   expected_.pop_front();
-  hold(0);
+  reserve_bytes(0);
   if (refused) {
     if (!answer.starts_with("-EXECABORT")) {
       // MULTI was refused and what stood behind it was not: it may have run piece by piece.
@@ -89,7 +89,7 @@
         return false;
       case resp::ReplyReader::Event::kData:
         reply_ += reader_.data();
-        hold(reply_.size());
+        reserve_bytes(reply_.size());
         break;
       case resp::ReplyReader::Event::kEnd:
         if (!on_reply()) return false;
--- a/src/frontend/resp/resp_connection.h
+++ b/src/frontend/resp/resp_connection.h
@@ -26,7 +26,7 @@
   int request_class = 0;
   bool write = false;
   mutable bool scattered = false;  // a node has told that its keys lie on two nodes
-  Lease bytes;                     // what `wire` takes of the byte budget
+  Reservation bytes;               // what `wire` takes of the byte budget
 };
 
 // A connection to a RESP server. Says what the server must know first (who we are, the version,
--- a/src/net/attempt.h
+++ b/src/net/attempt.h
@@ -14,54 +14,64 @@
 
 class UpstreamConnection;
 
-// One `send` of the module: on the wire at most once, ended by one outcome.
+// One attempt of a request at one host: on the wire at most once, ended by exactly one outcome.
 struct Attempt {
+  // Names the timer of its time-out; its owner gives the numbers a meaning.
+  struct TimerHandle {
+    std::uint32_t index = UINT32_MAX;
+    std::uint32_t generation = 0;
+  };
+
   RequestId request = 0;
-  int number = 0;
+  int number = 0;  // within its request, from 0
   std::string host;
   RequestPayloadPtr payload;
-  Time until{0};
-  bool asking = false;    // the host is to take it though it does not own its slot yet
-  bool replica = false;   // the host is to read it though it is a replica
-  bool unsafe = false;    // its class must never run twice
-  bool ended = false;     // its outcome is known
-  bool held = false;      // held back, so that it has not gone anywhere yet
-  bool assigned = false;  // to a connection
-  // Of the host's process that was decided on; another one under its name is another decision.
-  std::optional<UnixTime> host_born;
-  // Its first byte goes out before this or not at all: behind it repeats are not discarded any
-  // more.
-  Time begin_by = Time::max();
-  struct Timer {  // of its time-out, in its owner's terms
-    std::uint32_t place = UINT32_MAX, life = 0;
-  } timer;
+  Time deadline{0};             // of the answer, on the monotonic clock
+  bool asking = false;          // the host is to take it though it does not own its slot yet
+  bool replica = false;         // the host is to read it though it is a replica
+  bool non_idempotent = false;  // must never run twice
+  bool ended = false;           // its outcome is known
+  bool held = false;            // held back behind a process stall: at no host yet
+  bool assigned = false;        // to a connection
+  // Start of the host's process that it was decided for; a process that started at another time
+  // needs another decision.
+  std::optional<UnixTime> host_started;
+  // Its first byte goes out before this or not at all: later the host does not discard duplicates
+  // any more.
+  Time first_byte_deadline = Time::max();
+  TimerHandle timer;
   std::weak_ptr<UpstreamConnection> connection;
 };
 using AttemptPtr = std::shared_ptr<Attempt>;
 
-// The least time that can be told to a server. With less left to the client an attempt is not
-// begun.
+// The shortest time that can be passed to a server. With less left to the client no attempt begins.
 inline constexpr Duration kMinAttemptTime = std::chrono::milliseconds(1);
 
 // Whether the next byte of an attempt may go out.
 enum class SendPermission {
-  kGo,
-  kOver,       // nobody waits for it any more, or its time is over: not one byte more
-  kElsewhere,  // its host takes nothing new, or is another by now: not a first byte
+  kGranted,
+  kRequestFinished,  // nobody waits for the answer, or its time is over: not one byte more
+  kHostChanged,      // its host takes nothing new, or is another process: not a first byte
 };
 
-// What becomes of attempts. Called from the event loop only, never from inside start().
+// The outcome of an attempt that was denied its first byte.
+inline Result unsent_result(SendPermission denied) {
+  return denied == SendPermission::kRequestFinished ? Result::kNotSent : Result::kWithdrawn;
+}
+
+// Receives the outcomes of attempts. Called from the event loop only, never from inside the call
+// that starts an attempt.
 class AttemptEvents {
  public:
   virtual ~AttemptEvents() = default;
   virtual Time now() const = 0;
-  // Asked at the moment of each write, and when something has changed.
+  // The one rule for what may go out. Asked at each write, and when hosts have changed.
   virtual SendPermission may_send(const Attempt& attempt) const = 0;
-  // A long value has begun to come; its rest comes by the stream, and on_end() tells how that went.
-  // Where nobody wants it any more the stream is abandoned.
-  virtual void on_begin(const AttemptPtr& attempt, const StreamPtr& stream) = 0;
+  // A long value has begun to arrive; the rest comes by the stream, and on_attempt_ended() follows.
+  // A receiver that does not want it abandons the stream.
+  virtual void on_stream_started(const AttemptPtr& attempt, const StreamPtr& stream) = 0;
   // `value`: the value or the receipt, if the result is kOk and the value did not come by a stream.
-  virtual void on_end(const AttemptPtr& attempt, Result result, std::string value) = 0;
+  virtual void on_attempt_ended(const AttemptPtr& attempt, Result result, std::string value) = 0;
 };
 
 }  // namespace balancer
--- a/src/net/client_session.cc
+++ b/src/net/client_session.cc
@@ -178,7 +178,7 @@
 }
 
 std::uint64_t ClientSession::open_slot() {
-  slots_.push_back({next_slot_, {}, 0, false, Lease(limits_.bytes), nullptr, {}});
+  slots_.push_back({next_slot_, {}, 0, false, Reservation(limits_.bytes), nullptr, {}});
   return next_slot_++;
 }
 
@@ -311,7 +311,7 @@
   const std::string_view piece =
       in_head ? std::string_view(slot.out).substr(slot.written) : stream.front();
   if (piece.empty()) {
-    if (stream.whole()) {
+    if (stream.is_complete()) {
       slot.stream->on_data = nullptr;
       slot.stream = nullptr;
       slot.out = std::move(slot.tail);
@@ -320,7 +320,7 @@
       unwritten_ += slot.out.size();
       return Wrote::kOn;
     }
-    if (!stream.broken()) return Wrote::kWait;
+    if (!stream.is_broken()) return Wrote::kWait;
     // The client can tell by the close that the value is not whole.
     leaving_ = true;
     error_code ignored;
@@ -499,7 +499,7 @@
   closed_ = true;
   error_code ignored;
   socket_.close(ignored);
-  descriptor_ = Lease();
+  descriptor_ = Reservation();
   dialect_->forget();
   body_.resize(0);
   buffered_.resize(0);
--- a/src/net/client_session.h
+++ b/src/net/client_session.h
@@ -76,7 +76,7 @@
   void later(std::function<void()> then);
   Time now() const { return clock_.now(); }
   // What the body just read takes of the byte budget.
-  Lease take_body() { return std::exchange(body_, Lease(limits_.bytes)); }
+  Reservation take_body() { return std::exchange(body_, Reservation(limits_.bytes)); }
 
   // Caller
   void on_response(ResponseSlot ticket, const RequestPayload& payload, Response final) override;
@@ -105,7 +105,7 @@
     std::string out;
     std::size_t written = 0;
     bool complete = false;
-    Lease bytes;
+    Reservation bytes;
     StreamPtr stream;  // comes behind `out`
     std::string tail;  // and then this
     bool ready() const { return complete || stream; }
@@ -142,9 +142,9 @@
   const std::unique_ptr<Dialect> dialect_;
   const SessionTimes& times_;
   const ForwardingCheck& may_forward_;
-  Lease descriptor_;
-  Lease body_;      // the one that is being read
-  Lease buffered_;  // what has been read and not taken yet
+  Reservation descriptor_;
+  Reservation body_;      // the one that is being read
+  Reservation buffered_;  // what has been read and not taken yet
   std::deque<Slot> slots_;
   std::uint64_t next_slot_ = 1;
   std::size_t unwritten_ = 0;
--- a/src/net/limits.h
+++ b/src/net/limits.h
@@ -4,15 +4,18 @@
 #include <cstddef>
 #include <utility>
 
-// The budgets of descriptors and bytes. One thread uses them; leases give back what they took.
+// The limits on descriptors and bytes of one process, and what is reserved of them. One thread uses
+// them.
 namespace balancer {
 
-// Room for the longest value. Values are collected whole, so that one that breaks off or makes no
-// sense can still be asked for elsewhere, and nothing of it ever reaches a client.
-inline constexpr std::size_t kWholeValue = 64u << 10;
-// Bodies beyond this are paid for from the byte budget ahead.
+// The longest value that is collected before any of it reaches a client, in bytes: until then it
+// can be retried elsewhere if it breaks off or makes no sense.
+inline constexpr std::size_t kMaxCollectedValue = 64u << 10;
+// Request bodies beyond this reserve their length ahead, in bytes.
 inline constexpr std::size_t kSmallBody = 4u << 10;
 
+// A number of units of which parts are reserved. Reserving never fails: callers ask room_for()
+// first where they can wait.
 class Budget {
  public:
   explicit Budget(std::size_t max) : max_(max) {}
@@ -22,31 +25,33 @@
   bool room_for(std::size_t n) const { return used_ + n <= max_; }
   std::size_t used() const { return used_; }
   std::size_t max() const { return max_; }
-  // What is used beyond it stays so until it is given back.
+  // Reservations beyond a lower maximum stay until they are released.
   void set_max(std::size_t max) { max_ = max; }
 
  private:
-  friend class Lease;
+  friend class Reservation;
   std::size_t max_;
   std::size_t used_ = 0;
 };
 
-class Lease {
+// A part of a budget, released on destruction. The budget outlives it.
+class Reservation {
  public:
-  Lease() = default;
-  explicit Lease(Budget& budget, std::size_t n = 0) : budget_(&budget) { resize(n); }
-  Lease(Lease&& other) noexcept
+  Reservation() = default;
+  explicit Reservation(Budget& budget, std::size_t n = 0) : budget_(&budget) { resize(n); }
+  Reservation(Reservation&& other) noexcept
       : budget_(std::exchange(other.budget_, nullptr)), n_(std::exchange(other.n_, 0)) {}
-  Lease& operator=(Lease&& other) noexcept {
+  Reservation& operator=(Reservation&& other) noexcept {
     std::swap(budget_, other.budget_);
     std::swap(n_, other.n_);
     return *this;
   }
-  ~Lease() {
+  ~Reservation() {
     if (budget_) budget_->used_ -= n_;
   }
 
   std::size_t size() const { return n_; }
+  // Without effect on one that has no budget.
   void resize(std::size_t n) {
     if (!budget_) return;
     budget_->used_ += n;
@@ -59,39 +64,40 @@
   std::size_t n_ = 0;
 };
 
+// The budgets of one process.
 struct Limits {
-  // `set_aside`: descriptors of parts that not every installation has.
-  Limits(std::size_t sockets, std::size_t memory_mb, std::size_t set_aside = 0)
-      : total_descriptors(sockets),
+  // `reserved_descriptors`: for parts that not every installation has.
+  Limits(std::size_t descriptors, std::size_t memory_mb, std::size_t reserved_descriptors = 0)
+      : total_descriptors(descriptors),
         total_bytes((memory_mb << 20) / 2),
-        fixed(set_aside + kReserved),
+        fixed(reserved_descriptors + kBaseDescriptors),
         clients(0),
         upstreams(0),
         bytes(0) {
     share(total_descriptors, total_bytes, true);
   }
 
-  // Of all descriptors and bytes, this process may hold so many: all, but where another one works
-  // beside it. `takes_clients`: whether it needs room for new ones.
-  void share(std::size_t descriptors, std::size_t max_bytes, bool takes_clients) {
+  // Sets what this process may use: all, except during a hot restart, where two processes share.
+  // `accepts_clients`: whether it needs descriptors for new ones.
+  void share(std::size_t descriptors, std::size_t max_bytes, bool accepts_clients) {
     const std::size_t left = descriptors > fixed ? descriptors - fixed : 0;
-    const std::size_t up = takes_clients ? left * 2 / 5 : left - std::min(left, clients.used());
-    upstreams.set_max(up);
-    clients.set_max(left - up);
+    const std::size_t for_upstreams =
+        accepts_clients ? left * 2 / 5 : left - std::min(left, clients.used());
+    upstreams.set_max(for_upstreams);
+    clients.set_max(left - for_upstreams);
     bytes.set_max(max_bytes);
   }
   std::size_t descriptors_used() const { return fixed + clients.used() + upstreams.used(); }
 
   // Standard streams, epoll, timer, signals, the listener and discovery.
-  static constexpr std::size_t kReserved = 24;
+  static constexpr std::size_t kBaseDescriptors = 24;
 
   const std::size_t total_descriptors, total_bytes, fixed;
-  // Each request in work has a client's descriptor and mostly one or two to hosts.
-  Budget clients, upstreams;
-  Budget bytes;  // bodies, values and what waits for clients to read it
-  // Beyond it only clients that have nothing in work may begin a request.
+  Budget clients, upstreams;  // descriptors
+  Budget bytes;               // bodies, values, and answers that clients have not read yet
+  // Beyond this only clients that have no request in flight may begin one.
   bool bytes_short() const { return bytes.used() > bytes.max() / 2; }
-  // Beyond it connections that are not likely to be used again go early.
+  // Beyond this idle client connections are closed early.
   bool clients_short() const { return clients.used() > clients.max() / 3; }
 };
 
--- a/src/net/upstream_pool.cc
+++ b/src/net/upstream_pool.cc
@@ -6,302 +6,249 @@
 #include <utility>
 
 namespace balancer {
-namespace {
 
 namespace asio = boost::asio;
-
-constexpr auto kTick = std::chrono::milliseconds(50);
-}  // namespace
+using connection_pool::AttemptTraits;
+using connection_pool::ConnectionId;
+using connection_pool::ConnectionSelector;
 
 UpstreamPool::UpstreamPool(asio::io_context& io, Limits& limits, AttemptEvents& events,
-                           const UpstreamTimes& times, const Dial& dial, std::size_t& open,
-                           FreeDescriptor free_descriptor)
+                           const UpstreamSettings& settings, const Dial& dial,
+                           std::size_t& open_connections, FreeDescriptor free_descriptor)
     : io_(io),
       limits_(limits),
       events_(events),
-      times_(times),
-      make_(dial),
-      open_(open),
+      settings_(settings),
+      dial_(dial),
+      open_connections_(open_connections),
       free_descriptor_(std::move(free_descriptor)),
-      selector_(times.sharing) {}
+      selector_(settings.selector) {}
 
 void UpstreamPool::set_host(const ListedHost& host) {
-  // What is in the pool leads to the old process or the old address, also what is coming up or has
-  // attempts out. Where an address has passed to another host, that one would get them.
-  const bool moved = (host.dial && dial_ && host.dial != dial_) || host.born != born_;
-  if (host.dial) dial_ = host.dial;
-  born_ = host.born;
-  origin_ = host.origin;
+  // The connections lead to the old process or the old address, those that are connecting or have
+  // attempts in flight too. An address may have passed to another host.
+  const bool moved =
+      (host.dial && endpoint_ && host.dial != endpoint_) || host.born != host_started_;
+  if (host.dial) endpoint_ = host.dial;
+  host_started_ = host.born;
+  is_origin_ = host.origin;
   if (moved) retire();
 }
 
 void UpstreamPool::retire() {
-  const auto all = all_;
-  for (const auto& connection : all)
+  const auto connections = connections_;
+  for (const auto& connection : connections)
     if (connection) connection->retire();
 }
 
-void UpstreamPool::review() {
-  const auto all = all_;
-  for (const auto& connection : all)
-    if (connection) connection->review();
-  pump_soon();
+void UpstreamPool::withdraw_unsendable() {
+  const auto connections = connections_;
+  for (const auto& connection : connections)
+    if (connection) connection->withdraw_unsendable();
+  schedule_start_queued();
 }
 
+// ---- starting attempts
+
 void UpstreamPool::start(AttemptPtr attempt) {
-  if (!must_wait_behind(*attempt) && try_start(attempt) == Tried::kStarted) return;
-  const Time until = events_.now() + times_.connect_timeout;
-  waiting_.push_back({std::move(attempt), until});
+  if (!must_wait_behind(queued_, *attempt) && try_start(attempt) == StartResult::kStarted) return;
+  const Time give_up_at = events_.now() + settings_.connect_timeout;
+  queued_.push_back({std::move(attempt), give_up_at});
+}
+
+// An attempt does not overtake queued ones of its order group that it must follow.
+bool UpstreamPool::must_wait_behind(const std::deque<QueuedAttempt>& queue,
+                                    const Attempt& attempt) {
+  const AttemptTraits& traits = attempt.payload->traits;
+  if (!traits.must_follow_group) return false;
+  return std::any_of(queue.begin(), queue.end(), [&traits](const QueuedAttempt& queued) {
+    return queued.attempt->payload->traits.order_group == traits.order_group;
+  });
+}
+
+bool UpstreamPool::can_open() const {
+  return endpoint_ && open_connections_ < settings_.max_connections &&
+         limits_.upstreams.room_for(1);
+}
+
+AttemptTraits UpstreamPool::traits_of(const Attempt& attempt) const {
+  AttemptTraits traits = attempt.payload->traits;
+  traits.non_idempotent = attempt.non_idempotent;
+  traits.answer_lacks_id = is_origin_;  // over HTTP
+  return traits;
 }
 
-// What comes later does not overtake those that wait and that it must follow.
-bool UpstreamPool::must_wait_behind(const Attempt& attempt) const {
-  const auto& want = attempt.payload->want;
-  return want.ordered && std::any_of(waiting_.begin(), waiting_.end(), [&want](const Waiting& w) {
-           return w.attempt->payload->want.order == want.order;
-         });
+// Where no connection can be opened and none of this host is idle, an idle connection of another
+// host is closed to make room.
+ConnectionSelector::Choice UpstreamPool::choose(const AttemptTraits& traits, Time now,
+                                                bool may_open) {
+  const auto choice = selector_.choose(now, traits, may_open);
+  if (may_open || !endpoint_) return choice;
+  const bool is_idle = choice.kind != ConnectionSelector::Choice::Kind::kWait &&
+                       selector_.depth(choice.connection) == 0;
+  if (is_idle || !free_descriptor_()) return choice;
+  return selector_.choose(now, traits, true);
 }
 
-UpstreamPool::Tried UpstreamPool::try_start(const AttemptPtr& attempt) {
-  using Kind = connection_pool::ConnectionSelector::Choice::Kind;
-  connection_pool::AttemptTraits want = attempt->payload->want;
-  want.unsafe = attempt->unsafe;
-  want.unnamed = origin_;  // over HTTP
+UpstreamPool::StartResult UpstreamPool::try_start(const AttemptPtr& attempt) {
+  using Kind = ConnectionSelector::Choice::Kind;
+  const AttemptTraits traits = traits_of(*attempt);
   const Time now = events_.now();
   while (true) {
-    const bool may_open = dial_ && open_ < times_.most && limits_.upstreams.room_for(1);
-    auto choice = selector_.choose(now, want, may_open);
-    // Another host's idle connection makes room, where this one's would not do.
-    if (!may_open && dial_ &&
-        (choice.kind == Kind::kWait || selector_.depth(choice.connection) > 0) &&
-        free_descriptor_())
-      choice = selector_.choose(now, want, true);
-    if (choice.kind == Kind::kWait) return may_open ? Tried::kNotNow : Tried::kNoRoom;
+    const bool may_open = can_open();
+    const auto choice = choose(traits, now, may_open);
+    if (choice.kind == Kind::kWait)
+      return may_open ? StartResult::kMustWait : StartResult::kNoConnection;
     if (choice.kind == Kind::kOpen) {
-      const auto connection = make_(origin_, events_, *this);
-      ++open_;
-      connection->number = selector_.on_open(now);
-      if (all_.size() <= connection->number) all_.resize(connection->number + 1);
-      all_[connection->number] = connection;
-      assign(connection->number, attempt, now);
-      connection->connect(*dial_, times_.connect_timeout);
-      return Tried::kStarted;
+      start_on_new_connection(attempt, now);
+      return StartResult::kStarted;
     }
-    const auto connection = all_[choice.connection];
+    const auto connection = connections_[choice.connection];
     if (selector_.depth(choice.connection) > 0) {
-      if (!connection->can_pipeline()) return Tried::kNoRoom;
-    } else if (!connection->alive()) {
-      // Closed by the host, or noise has come that would be read as this attempt's answer.
+      if (!connection->can_pipeline()) return StartResult::kNoConnection;
+    } else if (!connection->is_alive()) {
       connection->close();
       continue;
     }
     assign(choice.connection, attempt, now);
-    return Tried::kStarted;
+    return StartResult::kStarted;
   }
 }
 
-void UpstreamPool::assign(connection_pool::ConnectionId id, const AttemptPtr& attempt, Time now) {
-  connection_pool::AttemptTraits want = attempt->payload->want;
-  want.unsafe = attempt->unsafe;
-  const auto connection = all_[id];
-  selector_.on_assigned(id, now, want);
+void UpstreamPool::start_on_new_connection(const AttemptPtr& attempt, Time now) {
+  const auto connection = dial_(is_origin_, events_, *this);
+  ++open_connections_;
+  const ConnectionId id = selector_.on_open(now);
+  connection->connection_id = id;
+  if (connections_.size() <= id) connections_.resize(id + 1);
+  connections_[id] = connection;
+  assign(id, attempt, now);
+  connection->connect(*endpoint_, settings_.connect_timeout);
+}
+
+void UpstreamPool::assign(ConnectionId id, const AttemptPtr& attempt, Time now) {
+  const auto connection = connections_[id];
+  selector_.on_assigned(id, now, traits_of(*attempt));
   connection->enqueue(attempt);
-  if (times_.sharing.shared) {
-    flush_soon(connection);
+  if (settings_.selector.shared) {
+    schedule_flush(connection);
   } else {
     connection->flush();
   }
 }
 
-// What becomes ready in one turn of the event loop leaves together.
-void UpstreamPool::flush_soon(const std::shared_ptr<UpstreamConnection>& connection) {
-  if (std::find(dirty_.begin(), dirty_.end(), connection) != dirty_.end()) return;
-  dirty_.push_back(connection);
-  if (dirty_.size() > 1) return;
+// Attempts that start in one turn of the event loop leave in one write.
+void UpstreamPool::schedule_flush(const std::shared_ptr<UpstreamConnection>& connection) {
+  if (std::find(unflushed_.begin(), unflushed_.end(), connection) != unflushed_.end()) return;
+  unflushed_.push_back(connection);
+  if (unflushed_.size() > 1) return;
   asio::post(io_, [this] {
-    for (const auto& c : std::exchange(dirty_, {})) c->flush();
+    for (const auto& unflushed : std::exchange(unflushed_, {})) unflushed->flush();
   });
 }
 
-void UpstreamPool::close_idle() {
-  for (const auto id : std::vector(selector_.idle())) all_[id]->close();
-}
-
-std::optional<Time> UpstreamPool::oldest_idle() const {
-  if (selector_.idle().empty()) return std::nullopt;
-  return selector_.idle_since(selector_.idle().front());
-}
-
-void UpstreamPool::close_oldest_idle() { all_[selector_.idle().front()]->close(); }
-
-void UpstreamPool::tick() {
-  const Time now = events_.now();
-  while (!selector_.idle().empty() &&
-         now - selector_.idle_since(selector_.idle().front()) > times_.sharing.retire_idle)
-    close_oldest_idle();
-  const auto all = all_;
-  for (const auto& connection : all)
-    if (connection) connection->tick();
-  pump();
-}
-
-void UpstreamPool::on_up(UpstreamConnection& connection) {
-  selector_.on_up(connection.number, events_.now());
-  pump_soon();
-}
-
-void UpstreamPool::on_answered(UpstreamConnection& connection, Time now, bool keeps_open) {
-  selector_.on_answered(connection.number, now, keeps_open);
-  pump_soon();
-}
-
-void UpstreamPool::on_taken_back(UpstreamConnection& connection, std::size_t place) {
-  selector_.on_taken_back(connection.number, place, events_.now());
-  pump_soon();
-}
-
-void UpstreamPool::on_retired(UpstreamConnection& connection) {
-  selector_.on_retired(connection.number);
-}
-
-void UpstreamPool::on_closed(UpstreamConnection& connection) {
-  selector_.on_closed(connection.number);
-  all_[connection.number] = nullptr;
-  --open_;
-  pump_soon();
-}
+// ---- attempts that wait for a connection
 
-void UpstreamPool::pump_soon() {
-  if (waiting_.empty() || pump_posted_) return;
-  pump_posted_ = true;
+void UpstreamPool::schedule_start_queued() {
+  if (queued_.empty() || start_posted_) return;
+  start_posted_ = true;
   asio::post(io_, [this] {
-    pump_posted_ = false;
-    pump();
+    start_posted_ = false;
+    start_queued();
   });
 }
 
-// Starts what waits, in turn. One that its order holds back holds only those that must follow it.
-void UpstreamPool::pump() {
-  std::deque<Waiting> left;
-  bool room = true;
-  for (Waiting& w : std::exchange(waiting_, {})) {
-    if (w.attempt->ended) continue;
-    if (const SendPermission may_send = events_.may_send(*w.attempt);
-        may_send != SendPermission::kGo) {
-      end_soon(w.attempt,
-               may_send == SendPermission::kOver ? Result::kNotSent : Result::kWithdrawn);
+// The outcome of an attempt that must not wait any longer.
+std::optional<Result> UpstreamPool::outcome_of_queued(const QueuedAttempt& queued) const {
+  const SendPermission permission = events_.may_send(*queued.attempt);
+  if (permission != SendPermission::kGranted) return unsent_result(permission);
+  if (events_.now() < queued.give_up_at) return std::nullopt;
+  // With a connection up the host is not at fault: the attempt found no place on one in time.
+  const bool is_connected = std::any_of(
+      connections_.begin(), connections_.end(),
+      [](const auto& connection) { return connection && !connection->is_connecting(); });
+  return settings_.selector.shared && is_connected ? Result::kNotSent : Result::kConnectFailed;
+}
+
+// In order of arrival. An attempt that waits for its order holds up only those that must follow it.
+void UpstreamPool::start_queued() {
+  std::deque<QueuedAttempt> waiting;
+  bool has_connection = true;
+  for (QueuedAttempt& queued : std::exchange(queued_, {})) {
+    if (queued.attempt->ended) continue;
+    if (const auto outcome = outcome_of_queued(queued)) {
+      post_ended(queued.attempt, *outcome);
       continue;
     }
-    if (events_.now() >= w.until) {
-      // With a connection up the host is not away: it was this attempt that found no place in time.
-      const bool up = std::any_of(all_.begin(), all_.end(),
-                                  [](const auto& c) { return c && !c->connecting(); });
-      end_soon(w.attempt, times_.sharing.shared && up ? Result::kNotSent : Result::kConnectFailed);
-      continue;
-    }
-    if (room) {
-      std::swap(waiting_, left);
-      const bool behind = must_wait_behind(*w.attempt);
-      std::swap(waiting_, left);
-      const Tried tried = behind ? Tried::kNotNow : try_start(w.attempt);
-      if (tried == Tried::kStarted) continue;
-      room = tried != Tried::kNoRoom;
+    if (has_connection) {
+      const StartResult started = must_wait_behind(waiting, *queued.attempt)
+                                      ? StartResult::kMustWait
+                                      : try_start(queued.attempt);
+      if (started == StartResult::kStarted) continue;
+      has_connection = started != StartResult::kNoConnection;
     }
-    left.push_back(std::move(w));
+    waiting.push_back(std::move(queued));
   }
-  // What came to wait meanwhile stands behind.
-  for (Waiting& w : waiting_) left.push_back(std::move(w));
-  waiting_ = std::move(left);
+  // Attempts that were queued meanwhile stand behind.
+  for (QueuedAttempt& queued : queued_) waiting.push_back(std::move(queued));
+  queued_ = std::move(waiting);
 }
 
-void UpstreamPool::end_soon(const AttemptPtr& attempt, Result result) {
-  asio::post(io_, [&events = events_, attempt, result] { events.on_end(attempt, result, {}); });
+void UpstreamPool::post_ended(const AttemptPtr& attempt, Result result) {
+  asio::post(
+      io_, [&events = events_, attempt, result] { events.on_attempt_ended(attempt, result, {}); });
 }
 
-// ---- all hosts
+// ---- idle connections
 
-Upstreams::Upstreams(asio::io_context& io, Limits& limits, AttemptEvents& events,
-                     const UpstreamTimes& times, Dial dial)
-    : io_(io), limits_(limits), events_(events), times_(times), dial_(std::move(dial)), tick_(io) {
-  arm_tick();
+void UpstreamPool::close_idle() {
+  for (const auto id : std::vector(selector_.idle())) connections_[id]->close();
 }
 
-void Upstreams::apply(const HostList& list) {
-  if (list.whole)
-    for (auto& [id, member] : members_) member.gone = true;
-  for (const ListedHost& host : list.hosts) {
-    if (host.state == HostState::kGone) {
-      const auto it = members_.find(host.id);
-      if (it != members_.end()) drop(it->second);
-      continue;
-    }
-    Member& member = members_[host.id];
-    if (!member.pool)
-      member.pool = std::make_unique<UpstreamPool>(io_, limits_, events_, times_, dial_, open_,
-                                                   [this] { return free_descriptor(); });
-    member.gone = false;
-    member.pool->set_host(host);
-  }
-  for (auto& [id, member] : members_)
-    if (member.gone) drop(member);
+std::optional<Time> UpstreamPool::oldest_idle() const {
+  if (selector_.idle().empty()) return std::nullopt;
+  return selector_.idle_since(selector_.idle().front());
 }
 
-void Upstreams::drop(Member& member) {
-  member.gone = true;
-  member.pool->retire();
-}
+void UpstreamPool::close_oldest_idle() { connections_[selector_.idle().front()]->close(); }
 
-void Upstreams::review() {
-  for (auto& [id, member] : members_)
-    if (!member.pool->empty()) member.pool->review();
+void UpstreamPool::tick() {
+  const Time now = events_.now();
+  for (auto since = oldest_idle(); since && now - *since > settings_.selector.max_idle;
+       since = oldest_idle())
+    close_oldest_idle();
+  const auto connections = connections_;
+  for (const auto& connection : connections)
+    if (connection) connection->tick();
+  start_queued();
 }
 
-void Upstreams::start(AttemptPtr attempt, std::string_view host) {
-  const auto it = members_.find(host);
-  if (it != members_.end()) return it->second.pool->start(std::move(attempt));
-  asio::post(io_, [this, attempt] { events_.on_end(attempt, Result::kConnectFailed, {}); });
-}
+// ---- events of a connection
 
-void Upstreams::close_idle(std::string_view host) {
-  const auto it = members_.find(host);
-  if (it != members_.end()) it->second.pool->close_idle();
+void UpstreamPool::on_connected(UpstreamConnection& connection) {
+  selector_.on_connected(connection.connection_id, events_.now());
+  schedule_start_queued();
 }
 
-void Upstreams::shed() {
-  while (limits_.upstreams.used() > limits_.upstreams.max()) {
-    const auto before = limits_.upstreams.used();
-    free_descriptor();
-    if (limits_.upstreams.used() == before) return;
-  }
+void UpstreamPool::on_answered(UpstreamConnection& connection, Time now, bool reusable) {
+  selector_.on_answered(connection.connection_id, now, reusable);
+  schedule_start_queued();
 }
 
-std::size_t Upstreams::shared_depth(std::string_view host) const {
-  const auto it = members_.find(host);
-  return it == members_.end() ? 0 : it->second.pool->sharing().shared_depth();
+void UpstreamPool::on_withdrawn(UpstreamConnection& connection, std::size_t place) {
+  selector_.on_withdrawn(connection.connection_id, place, events_.now());
+  schedule_start_queued();
 }
 
-bool Upstreams::free_descriptor() {
-  UpstreamPool* oldest = nullptr;
-  for (auto& [id, member] : members_) {
-    const auto since = member.pool->oldest_idle();
-    if (since && (!oldest || *since < *oldest->oldest_idle())) oldest = member.pool.get();
-  }
-  if (oldest) oldest->close_oldest_idle();
-  return oldest && open_ < times_.most && limits_.upstreams.room_for(1);
+void UpstreamPool::on_retired(UpstreamConnection& connection) {
+  selector_.on_retired(connection.connection_id);
 }
 
-void Upstreams::arm_tick() {
-  tick_.expires_after(kTick);
-  tick_.async_wait([this](const boost::system::error_code& e) {
-    if (e) return;
-    for (auto it = members_.begin(); it != members_.end();) {
-      const Member& member = it->second;
-      // Most hosts of a large fleet have neither connections nor attempts here.
-      if (!member.pool->empty()) member.pool->tick();
-      it = member.gone && member.pool->empty() ? members_.erase(it) : std::next(it);
-    }
-    arm_tick();
-  });
+void UpstreamPool::on_closed(UpstreamConnection& connection) {
+  selector_.on_closed(connection.connection_id);
+  connections_[connection.connection_id] = nullptr;
+  --open_connections_;
+  schedule_start_queued();
 }
 
 }  // namespace balancer
--- a/src/net/upstream_pool.h
+++ b/src/net/upstream_pool.h
@@ -1,128 +1,109 @@
 #pragma once
 
-#include <cstdint>
+#include <cstddef>
 #include <deque>
 #include <functional>
-#include <map>
 #include <memory>
-#include <string>
+#include <optional>
 #include <vector>
 
+#include "connection_pool/connection_selector.h"
 #include "net/upstream_connection.h"
 
 namespace balancer {
 
-struct UpstreamTimes {
-  Duration connect_timeout;
-  Duration retire_idle;         // well before the host would close it
-  std::size_t most = SIZE_MAX;  // connections of the whole pool at once
-  connection_pool::ConnectionSelectorSettings sharing;
+struct UpstreamSettings {
+  // From the start of a connect to its failure; also the longest that an attempt waits for a
+  // connection. No default.
+  Duration connect_timeout{0};
+  // Connections to all hosts together. Default: unbounded.
+  std::size_t max_connections = SIZE_MAX;
+  connection_pool::ConnectionSelectorSettings selector;
 };
 
 // Makes a connection of the pool's dialect, to the origin or to another server.
 using Dial = std::function<std::shared_ptr<UpstreamConnection>(bool origin, AttemptEvents& events,
                                                                UpstreamOwner& owner)>;
 
-// The connections to one host: carries out what connection_pool::Sharing decides, and tells it what
-// came of it.
+// The connections to one host, and the attempts that wait for one: carries out what its
+// ConnectionSelector decides, and reports to it what became of each connection.
 class UpstreamPool : public UpstreamOwner {
  public:
+  // Closes an idle connection to some host; returns whether a connection can be opened now.
   using FreeDescriptor = std::function<bool()>;
 
-  // `open` counts the connections of all hosts.
+  // `open_connections` counts the connections to all hosts. All references outlive the pool.
   UpstreamPool(boost::asio::io_context& io, Limits& limits, AttemptEvents& events,
-               const UpstreamTimes& times, const Dial& dial, std::size_t& open,
+               const UpstreamSettings& settings, const Dial& dial, std::size_t& open_connections,
                FreeDescriptor free_descriptor);
 
   void set_host(const ListedHost& host);
+  // Puts the attempt on a connection, or queues it for one. An attempt that finds none within the
+  // connect timeout ends as kConnectFailed, or as kNotSent where the host is connected.
   void start(AttemptPtr attempt);
   void close_idle();
-  // The host has gone: no connection takes anything more.
+  // The host has left the endpoint list: no connection takes anything more.
   void retire();
-  // Takes back what may not go out any more.
-  void review();
+  // Withdraws the attempts whose first or next byte may not go out any more.
+  void withdraw_unsendable();
+  // Periodic: closes connections that have been idle for too long, and starts what waits.
   void tick();
-  // Nothing refers to it any more, what was posted to the event loop included.
+  // Whether nothing refers to the pool any more, handlers posted to the event loop included.
   bool empty() const {
-    return selector_.open() == 0 && waiting_.empty() && !pump_posted_ && dirty_.empty();
+    return selector_.open() == 0 && queued_.empty() && !start_posted_ && unflushed_.empty();
   }
-  // When its least recently used idle connection became so.
+  // When its least recently used idle connection became idle.
   std::optional<Time> oldest_idle() const;
   void close_oldest_idle();
-  const connection_pool::ConnectionSelector& sharing() const { return selector_; }
+  const connection_pool::ConnectionSelector& selector() const { return selector_; }
 
  private:
-  struct Waiting {
+  struct QueuedAttempt {
     AttemptPtr attempt;
-    Time until;
+    Time give_up_at;
+  };
+  enum class StartResult {
+    kStarted,
+    kNoConnection,  // none is free for any attempt
+    kMustWait,      // this one waits for its order; others may start
   };
-  enum class Tried { kStarted, kNoRoom, kNotNow };
 
-  void on_up(UpstreamConnection& connection) override;
-  void on_answered(UpstreamConnection& connection, Time now, bool keeps_open) override;
-  void on_taken_back(UpstreamConnection& connection, std::size_t place) override;
+  // UpstreamOwner
+  void on_connected(UpstreamConnection& connection) override;
+  void on_answered(UpstreamConnection& connection, Time now, bool reusable) override;
+  void on_withdrawn(UpstreamConnection& connection, std::size_t place) override;
   void on_retired(UpstreamConnection& connection) override;
   void on_closed(UpstreamConnection& connection) override;
 
-  Tried try_start(const AttemptPtr& attempt);
+  bool can_open() const;
+  connection_pool::AttemptTraits traits_of(const Attempt& attempt) const;
+  connection_pool::ConnectionSelector::Choice choose(const connection_pool::AttemptTraits& traits,
+                                                     Time now, bool may_open);
+  StartResult try_start(const AttemptPtr& attempt);
+  void start_on_new_connection(const AttemptPtr& attempt, Time now);
   void assign(connection_pool::ConnectionId id, const AttemptPtr& attempt, Time now);
-  void flush_soon(const std::shared_ptr<UpstreamConnection>& connection);
-  bool must_wait_behind(const Attempt& attempt) const;
-  void pump_soon();
-  void end_soon(const AttemptPtr& attempt, Result result);
-  void pump();
+  void schedule_flush(const std::shared_ptr<UpstreamConnection>& connection);
+  static bool must_wait_behind(const std::deque<QueuedAttempt>& queue, const Attempt& attempt);
+  std::optional<Result> outcome_of_queued(const QueuedAttempt& queued) const;
+  void schedule_start_queued();
+  void start_queued();
+  void post_ended(const AttemptPtr& attempt, Result result);
 
   boost::asio::io_context& io_;
   Limits& limits_;
   AttemptEvents& events_;
-  const UpstreamTimes& times_;
-  const Dial& make_;
-  std::size_t& open_;
+  const UpstreamSettings& settings_;
+  const Dial& dial_;
+  std::size_t& open_connections_;
   FreeDescriptor free_descriptor_;
-  std::optional<Endpoint> dial_;
-  std::optional<UnixTime> born_;
-  bool origin_ = false;
+  std::optional<Endpoint> endpoint_;
+  std::optional<UnixTime> host_started_;
+  bool is_origin_ = false;
   connection_pool::ConnectionSelector selector_;
-  std::vector<std::shared_ptr<UpstreamConnection>> all_;    // by the module's names for them
-  std::vector<std::shared_ptr<UpstreamConnection>> dirty_;  // have something to write
-  std::deque<Waiting> waiting_;                             // for a connection
-  bool pump_posted_ = false;
-};
-
-// The pools of all hosts.
-class Upstreams {
- public:
-  Upstreams(boost::asio::io_context& io, Limits& limits, AttemptEvents& events,
-            const UpstreamTimes& times, Dial dial);
-
-  void apply(const HostList& list);
-  // What is known of hosts has changed: what may not go out any more is taken back.
-  void review();
-  void start(AttemptPtr attempt, std::string_view host);
-  void close_idle(std::string_view host);
-  // Closes idle connections while descriptors beyond the budget are in use.
-  void shed();
-  // How many attempts of clients one connection to the host takes at once; 0 if it is not listed.
-  std::size_t shared_depth(std::string_view host) const;
-
- private:
-  struct Member {
-    std::unique_ptr<UpstreamPool> pool;
-    bool gone = false;
-  };
-
-  bool free_descriptor();
-  void drop(Member& member);
-  void arm_tick();
-
-  boost::asio::io_context& io_;
-  Limits& limits_;
-  AttemptEvents& events_;
-  const UpstreamTimes times_;
-  const Dial dial_;
-  std::size_t open_ = 0;
-  std::map<std::string, Member, std::less<>> members_;
-  boost::asio::steady_timer tick_;
+  std::vector<std::shared_ptr<UpstreamConnection>> connections_;  // by ConnectionId
+  std::vector<std::shared_ptr<UpstreamConnection>> unflushed_;
+  std::deque<QueuedAttempt> queued_;  // for a connection, oldest first
+  bool start_posted_ = false;
 };
 
 }  // namespace balancer
--- /dev/null
+++ b/src/net/upstreams.cc
@@ -0,0 +1,113 @@
+#include "net/upstreams.h"
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/post.hpp>
+#include <iterator>
+#include <utility>
+
+namespace balancer {
+namespace {
+
+constexpr Duration kTickInterval = std::chrono::milliseconds(50);
+
+}  // namespace
+
+Upstreams::Upstreams(boost::asio::io_context& io, Limits& limits, AttemptEvents& events,
+                     const UpstreamSettings& settings, Dial dial)
+    : io_(io),
+      limits_(limits),
+      events_(events),
+      settings_(settings),
+      dial_(std::move(dial)),
+      tick_timer_(io) {
+  arm_tick();
+}
+
+void Upstreams::apply(const HostList& list) {
+  if (list.whole)
+    for (auto& [id, host] : hosts_) host.is_retired = true;
+  for (const ListedHost& listed : list.hosts) {
+    if (listed.state == HostState::kGone) {
+      const auto it = hosts_.find(listed.id);
+      if (it != hosts_.end()) retire(it->second);
+      continue;
+    }
+    HostPool& host = hosts_[listed.id];
+    if (!host.pool)
+      host.pool =
+          std::make_unique<UpstreamPool>(io_, limits_, events_, settings_, dial_, open_connections_,
+                                         [this] { return free_descriptor(); });
+    host.is_retired = false;
+    host.pool->set_host(listed);
+  }
+  for (auto& [id, host] : hosts_)
+    if (host.is_retired) retire(host);
+}
+
+void Upstreams::retire(HostPool& host) {
+  host.is_retired = true;
+  host.pool->retire();
+}
+
+void Upstreams::withdraw_unsendable() {
+  for (auto& [id, host] : hosts_)
+    if (!host.pool->empty()) host.pool->withdraw_unsendable();
+}
+
+void Upstreams::start(AttemptPtr attempt, std::string_view host) {
+  const auto it = hosts_.find(host);
+  if (it != hosts_.end()) return it->second.pool->start(std::move(attempt));
+  boost::asio::post(
+      io_, [this, attempt] { events_.on_attempt_ended(attempt, Result::kConnectFailed, {}); });
+}
+
+void Upstreams::close_idle(std::string_view host) {
+  const auto it = hosts_.find(host);
+  if (it != hosts_.end()) it->second.pool->close_idle();
+}
+
+void Upstreams::close_excess() {
+  while (limits_.upstreams.used() > limits_.upstreams.max()) {
+    const auto before = limits_.upstreams.used();
+    free_descriptor();
+    if (limits_.upstreams.used() == before) return;
+  }
+}
+
+std::size_t Upstreams::shared_depth(std::string_view host) const {
+  const auto it = hosts_.find(host);
+  return it == hosts_.end() ? 0 : it->second.pool->selector().shared_depth();
+}
+
+// Closes the connection that has been idle for longest, whatever its host. Returns whether one was
+// closed and a connection can be opened now.
+bool Upstreams::free_descriptor() {
+  UpstreamPool* oldest = nullptr;
+  for (auto& [id, host] : hosts_) {
+    const auto since = host.pool->oldest_idle();
+    if (since && (!oldest || *since < *oldest->oldest_idle())) oldest = host.pool.get();
+  }
+  if (!oldest) return false;
+  oldest->close_oldest_idle();
+  return open_connections_ < settings_.max_connections && limits_.upstreams.room_for(1);
+}
+
+void Upstreams::arm_tick() {
+  tick_timer_.expires_after(kTickInterval);
+  tick_timer_.async_wait([this](const boost::system::error_code& error) {
+    if (error) return;
+    tick();
+    arm_tick();
+  });
+}
+
+void Upstreams::tick() {
+  for (auto it = hosts_.begin(); it != hosts_.end();) {
+    const HostPool& host = it->second;
+    // Most hosts of a large fleet have neither connections nor attempts here.
+    if (!host.pool->empty()) host.pool->tick();
+    it = host.is_retired && host.pool->empty() ? hosts_.erase(it) : std::next(it);
+  }
+}
+
+}  // namespace balancer
--- /dev/null
+++ b/src/net/upstreams.h
@@ -0,0 +1,53 @@
+#pragma once
+
+#include <boost/asio/steady_timer.hpp>
+#include <cstddef>
+#include <map>
+#include <memory>
+#include <string>
+#include <string_view>
+
+#include "net/upstream_pool.h"
+
+namespace balancer {
+
+// The connections to all hosts of a server pool: one UpstreamPool per listed host.
+class Upstreams {
+ public:
+  Upstreams(boost::asio::io_context& io, Limits& limits, AttemptEvents& events,
+            const UpstreamSettings& settings, Dial dial);
+
+  // Adds, moves and retires hosts as the endpoint list says.
+  void apply(const HostList& list);
+  // What is known of hosts has changed: withdraws attempts that may not go out any more.
+  void withdraw_unsendable();
+  // Sends the attempt to this host; ends it as kConnectFailed if the host is not listed.
+  void start(AttemptPtr attempt, std::string_view host);
+  void close_idle(std::string_view host);
+  // Closes idle connections while more descriptors are in use than the limit allows.
+  void close_excess();
+  // How many attempts of clients one connection to the host carries at once; 0 if it is not listed.
+  std::size_t shared_depth(std::string_view host) const;
+
+ private:
+  struct HostPool {
+    std::unique_ptr<UpstreamPool> pool;
+    bool is_retired = false;  // no longer listed; erased once it is empty
+  };
+
+  bool free_descriptor();
+  static void retire(HostPool& host);
+  void arm_tick();
+  void tick();
+
+  boost::asio::io_context& io_;
+  Limits& limits_;
+  AttemptEvents& events_;
+  const UpstreamSettings settings_;
+  const Dial dial_;
+  std::size_t open_connections_ = 0;
+  std::map<std::string, HostPool, std::less<>> hosts_;
+  boost::asio::steady_timer tick_timer_;
+};
+
+}  // namespace balancer
--- a/src/net/value_stream.h
+++ b/src/net/value_stream.h
@@ -23,7 +23,8 @@
 
   // `length`: of the whole value. Takes the window from the budget whether or not there is room;
   // who makes one has asked.
-  ValueStream(std::size_t length, Budget& budget) : length_(length), lease_(budget, kWindow) {}
+  ValueStream(std::size_t length, Budget& budget)
+      : length_(length), reservation_(budget, kWindow) {}
 
   std::size_t length() const { return length_; }
 
@@ -62,8 +63,8 @@
     }
     if (on_room) on_room();
   }
-  bool whole() const { return pushed_ == length_; }
-  bool broken() const { return finished_ && !whole(); }
+  bool is_complete() const { return pushed_ == length_; }
+  bool is_broken() const { return finished_ && !is_complete(); }
   // Nobody wants the rest.
   void abandon() {
     if (std::exchange(abandoned_, true)) return;
@@ -82,7 +83,7 @@
   std::size_t buffered() const { return buffer_.size() - at_; }
 
   const std::size_t length_;
-  Lease lease_;
+  Reservation reservation_;
   std::string buffer_;
   std::size_t at_ = 0;  // taken up to here
   std::size_t pushed_ = 0;
--- a/src/node/balancer.cc
+++ b/src/node/balancer.cc
@@ -148,8 +148,8 @@
       front(site, pool),
       discovery(io, config.discovery, site, config.known ? config.known->seq : 0, config.seed,
                 max_list_bytes(config.memory_mb),
-                {[this](const HostList& list) { take(list); }, [this] { pool.on_list_refused(); },
-                 [this](Duration took) { pool.on_confirmed(took); }, log}) {
+                {[this](const HostList& list) { take(list); }, [this] { pool.on_list_rejected(); },
+                 [this](Duration took) { pool.on_discovery_answer(took); }, log}) {
   if (config.known) take(*config.known);
 }
 
@@ -386,9 +386,9 @@
           },
           [this] {
             std::size_t open = 0;
-            each_pool([&open](ServerPool& p) { open += p.open(); });
+            each_pool([&open](ServerPool& p) { open += p.open_requests(); });
             return hot_restart::ResourceShare{open * 2 + kNeedsMore,
-                                              open * kWholeValue + kWholeValue};
+                                              open * kMaxCollectedValue + kMaxCollectedValue};
           },
           [this](const hot_restart::OperatorOverride& w) {
             restore(w);
@@ -420,7 +420,7 @@
   s.seq = memcache_->seq;
   for (const auto& [id, h] : memcache_->hosts) {
     s.hosts.push_back(host_of(h));
-    if (h.born) s.hosts.back().age = memcache_->pool.age_of(id);
+    if (h.born) s.hosts.back().age = memcache_->pool.host_age(id);
   }
   const Policy::PolicyCheckpoint checkpoint = memcache_->pool.checkpoint();
   s.work_rate = checkpoint.work_rate;
@@ -448,7 +448,7 @@
       l.pause();
     }
   });
-  each_pool([](ServerPool& p) { p.shed(); });
+  each_pool([](ServerPool& p) { p.close_excess_connections(); });
   if (std::exchange(passing_, succeeded()) == succeeded()) return;
   each_listener([this](ClientListener& l) {
     if (!passing_) return l.pass_on({}, {});
@@ -538,7 +538,7 @@
     });
     // Those whose deadline lies beyond the end.
     if (since >= longest_deadline_ + kDrainAnswer) {
-      each_pool([](ServerPool& p) { p.fail_open(); });
+      each_pool([](ServerPool& p) { p.fail_open_requests(); });
       each_listener([](ClientListener& l) { l.reject_unread(); });
     }
     if (since >= longest_deadline_ + kDrainExit ||
--- a/tests/connection_selector_test.cc
+++ b/tests/connection_selector_test.cc
@@ -15,36 +15,36 @@
 using std::chrono::seconds;
 using Kind = ConnectionSelector::Choice::Kind;
 
-ConnectionSelectorSettings shared(std::size_t spread = 1) {
+ConnectionSelectorSettings shared(std::size_t min_connections = 1) {
   ConnectionSelectorSettings s;
   s.max_depth = 64;
   s.shared = true;
-  s.max_unsafe = 4;
-  s.spread = spread;
+  s.max_non_idempotent = 4;
+  s.min_connections_before_sharing = min_connections;
   return s;
 }
 
 class ConnectionSelectorTest : public ::testing::Test {
  protected:
-  // Starts an attempt wherever the module says; the connection's number, or -1 where it must wait.
-  int start(ConnectionSelector& s, const AttemptTraits& want, bool may_open = true) {
-    const auto choice = s.choose(now, want, may_open);
+  // Assigns an attempt as the selector chooses; returns the connection's id, or -1 for kWait.
+  int start(ConnectionSelector& s, const AttemptTraits& traits, bool may_open = true) {
+    const auto choice = s.choose(now, traits, may_open);
     if (choice.kind == Kind::kWait) return -1;
     ConnectionId id = choice.connection;
     if (choice.kind == Kind::kOpen) {
       id = s.on_open(now);
-      s.on_up(id, now);
+      s.on_connected(id, now);
     }
-    s.on_assigned(id, now, want);
+    s.on_assigned(id, now, traits);
     return static_cast<int>(id);
   }
-  // So many answers, each after `took`, on a connection of their own.
+  // `n` answers, each after `took`, on a connection of their own.
   void learn(ConnectionSelector& s, int n, Duration took = microseconds(100),
              std::uint8_t kind = 0) {
     const auto id = s.on_open(now);
-    s.on_up(id, now);
+    s.on_connected(id, now);
     for (int i = 0; i < n; ++i) {
-      s.on_assigned(id, now, {.kind = kind});
+      s.on_assigned(id, now, {.command_kind = kind});
       now += took;
       s.on_answered(id, now, true);
     }
@@ -54,149 +54,151 @@
   Time now{seconds(100)};
 };
 
-TEST_F(ConnectionSelectorTest, ExclusiveConnectionsTakeOneAttemptEach) {
+TEST_F(ConnectionSelectorTest, OpensAConnectionForEachAttemptWhereNoneIsShared) {
   ConnectionSelectorSettings settings;
   settings.max_depth = 4;
   ConnectionSelector s(settings);
   EXPECT_EQ(start(s, {}), 0);
   EXPECT_EQ(start(s, {}), 1);
   EXPECT_EQ(s.depth(0), 1u);
-  // Only where none can be had one goes behind another, and no deeper than it may.
+  // One goes behind another only where no connection can be opened, up to max_depth.
   for (int i = 0; i < 6; ++i) EXPECT_GE(start(s, {}, false), 0);
   EXPECT_EQ(s.depth(0), 4u);
   EXPECT_EQ(s.depth(1), 4u);
   EXPECT_EQ(start(s, {}, false), -1);
 }
 
-TEST_F(ConnectionSelectorTest, AnUnsafeAttemptTakesNoIdleConnectionThatMayBeClosed) {
+TEST_F(ConnectionSelectorTest, TakesNoIdleConnectionThatMayBeClosedForANonIdempotentAttempt) {
   ConnectionSelectorSettings settings;
   ConnectionSelector s(settings);
   start(s, {});
   s.on_answered(0, now, true);
   now += milliseconds(10);
-  EXPECT_EQ(s.choose(now, {.unsafe = true}, true).kind, Kind::kOpen) << "not rested";
-  EXPECT_EQ(s.choose(now, {.unnamed = true}, true).kind, Kind::kOpen) << "not rested";
-  EXPECT_EQ(s.choose(now, {.unnamed = true}, false).kind, Kind::kWait) << "nor without another";
+  EXPECT_EQ(s.choose(now, {.non_idempotent = true}, true).kind, Kind::kOpen) << "idle too briefly";
+  EXPECT_EQ(s.choose(now, {.answer_lacks_id = true}, true).kind, Kind::kOpen) << "idle too briefly";
+  EXPECT_EQ(s.choose(now, {.answer_lacks_id = true}, false).kind, Kind::kWait)
+      << "nor without another";
   EXPECT_EQ(s.choose(now, {}, true).kind, Kind::kUse);
   now += milliseconds(50);
-  EXPECT_EQ(s.choose(now, {.unnamed = true}, true).kind, Kind::kUse);
-  EXPECT_EQ(s.choose(now, {.unsafe = true}, true).kind, Kind::kUse);
+  EXPECT_EQ(s.choose(now, {.answer_lacks_id = true}, true).kind, Kind::kUse);
+  EXPECT_EQ(s.choose(now, {.non_idempotent = true}, true).kind, Kind::kUse);
   now += milliseconds(600);
-  EXPECT_EQ(s.choose(now, {.unsafe = true}, true).kind, Kind::kOpen) << "rested for too long";
+  EXPECT_EQ(s.choose(now, {.non_idempotent = true}, true).kind, Kind::kOpen) << "idle for too long";
   now += seconds(6);
   EXPECT_EQ(s.choose(now, {}, true).kind, Kind::kOpen) << "about to be retired";
 }
 
-TEST_F(ConnectionSelectorTest, APipelineStaysOnOneConnection) {
+TEST_F(ConnectionSelectorTest, KeepsAClientsPipelineOnOneConnection) {
   ConnectionSelector s(shared(4));
-  EXPECT_EQ(start(s, {.flow = 7}), 0);
-  for (int i = 1; i < 64; ++i) EXPECT_EQ(start(s, {.flow = 7}), 0);
+  EXPECT_EQ(start(s, {.client_id = 7}), 0);
+  for (int i = 1; i < 64; ++i) EXPECT_EQ(start(s, {.client_id = 7}), 0);
   EXPECT_EQ(s.depth(0), 64u);
-  EXPECT_EQ(start(s, {.flow = 7}), 1) << "a full one takes no more";
+  EXPECT_EQ(start(s, {.client_id = 7}), 1) << "a full one takes no more";
 }
 
-TEST_F(ConnectionSelectorTest, ClientsShareOnceAnswersHaveShownThatNothingIsSlow) {
+TEST_F(ConnectionSelectorTest, SharesConnectionsOnceAnswersAreKnownToBeFast) {
   ConnectionSelector s(shared());
-  EXPECT_EQ(s.shared_depth(), 1u) << "unknown, so taken for dear";
+  EXPECT_EQ(s.shared_depth(), 1u) << "no answers known yet";
   learn(s, 4000);
   EXPECT_GT(s.shared_depth(), 16u);
-  EXPECT_EQ(start(s, {.flow = 1}), 0);
-  EXPECT_EQ(start(s, {.flow = 2}), 0);
+  EXPECT_EQ(start(s, {.client_id = 1}), 0);
+  EXPECT_EQ(start(s, {.client_id = 2}), 0);
 }
 
-TEST_F(ConnectionSelectorTest, SpreadsOverAFewConnectionsBeforeItShares) {
+TEST_F(ConnectionSelectorTest, OpensAMinimumOfConnectionsBeforeItShares) {
   ConnectionSelector s(shared(3));
   learn(s, 4000);
-  for (std::uint64_t flow = 1; flow <= 3; ++flow)
-    EXPECT_EQ(start(s, {.flow = flow}), static_cast<int>(flow - 1));
-  EXPECT_LT(start(s, {.flow = 4}), 3);
+  for (std::uint64_t client = 1; client <= 3; ++client)
+    EXPECT_EQ(start(s, {.client_id = client}), static_cast<int>(client - 1));
+  EXPECT_LT(start(s, {.client_id = 4}), 3);
   EXPECT_EQ(s.open(), 3u);
 }
 
-// One in a hundred slow: behind each of them others would wait.
-TEST_F(ConnectionSelectorTest, SlowAnswersOfNoKindKeepClientsApart) {
+// One slow answer in a hundred, whatever the kind: others would wait behind each of them.
+TEST_F(ConnectionSelectorTest, SharesNoConnectionWhereOneAnswerInAHundredIsSlow) {
   ConnectionSelector s(shared());
   for (int i = 0; i < 100; ++i) {
     learn(s, 99);
     learn(s, 1, milliseconds(50));
   }
-  EXPECT_NEAR(s.slow_share(), 0.01, 0.006);
+  EXPECT_NEAR(s.slow_ratio(), 0.01, 0.006);
   EXPECT_EQ(s.shared_depth(), 1u);
   learn(s, 5000);
-  EXPECT_GT(s.shared_depth(), 16u) << "it never forgets";
+  EXPECT_GT(s.shared_depth(), 16u) << "a slow phase is never forgotten";
 }
 
-// Where it is one command that is slow, that one travels alone and the others go on sharing.
-TEST_F(ConnectionSelectorTest, AKindThatIsSlowTravelsAlone) {
+// Where one kind of command is slow, the others go on sharing.
+TEST_F(ConnectionSelectorTest, KeepsASlowKindApartFromOtherClients) {
   ConnectionSelector s(shared());
   learn(s, 4000);
   for (int i = 0; i < 40; ++i) {
     learn(s, 99);
     learn(s, 1, milliseconds(50), 9);
   }
-  ASSERT_TRUE(s.heavy(9));
-  EXPECT_FALSE(s.heavy(0));
+  ASSERT_TRUE(s.is_slow_kind(9));
+  EXPECT_FALSE(s.is_slow_kind(0));
   EXPECT_GT(s.shared_depth(), 8u);
-  const int alone = start(s, {.flow = 1, .kind = 9});
-  EXPECT_NE(start(s, {.flow = 2}), alone);
-  EXPECT_NE(start(s, {.flow = 3, .kind = 9}), alone);
-  EXPECT_EQ(start(s, {.flow = 1}), alone) << "its own client waits for it in any case";
+  const int alone = start(s, {.client_id = 1, .command_kind = 9});
+  EXPECT_NE(start(s, {.client_id = 2}), alone);
+  EXPECT_NE(start(s, {.client_id = 3, .command_kind = 9}), alone);
+  EXPECT_EQ(start(s, {.client_id = 1}), alone) << "its own client waits for it in any case";
 }
 
-TEST_F(ConnectionSelectorTest, AConnectionThatHasGoneQuietGetsNothingMore) {
+TEST_F(ConnectionSelectorTest, AssignsNothingToAnOverdueConnection) {
   ConnectionSelector s(shared());
   learn(s, 4000);
-  ASSERT_EQ(start(s, {.flow = 1}), 0);
+  ASSERT_EQ(start(s, {.client_id = 1}), 0);
   now += milliseconds(3);
-  EXPECT_TRUE(s.overdue(0, now));
-  EXPECT_EQ(start(s, {.flow = 1}), 1);
-  EXPECT_EQ(start(s, {.flow = 2}), 1);
-  EXPECT_EQ(start(s, {.flow = 2}, false), 1);
+  EXPECT_TRUE(s.is_overdue(0, now));
+  EXPECT_EQ(start(s, {.client_id = 1}), 1);
+  EXPECT_EQ(start(s, {.client_id = 2}), 1);
+  EXPECT_EQ(start(s, {.client_id = 2}, false), 1);
   s.on_answered(0, now, true);
-  EXPECT_FALSE(s.overdue(0, now));
+  EXPECT_FALSE(s.is_overdue(0, now));
 }
 
-TEST_F(ConnectionSelectorTest, OneConnectionCarriesFewThatMustNeverRunTwice) {
+TEST_F(ConnectionSelectorTest, BoundsNonIdempotentAttemptsOnAConnection) {
   ConnectionSelector s(shared());
   learn(s, 4000);
-  for (int i = 0; i < 4; ++i) EXPECT_EQ(start(s, {.flow = 1, .unsafe = true}), 0);
-  EXPECT_EQ(start(s, {.flow = 1, .unsafe = true}), 1);
-  EXPECT_EQ(start(s, {.flow = 1}), 0) << "others may still go there";
-  EXPECT_EQ(start(s, {.flow = 2}, false), 1);
+  for (int i = 0; i < 4; ++i) EXPECT_EQ(start(s, {.client_id = 1, .non_idempotent = true}), 0);
+  EXPECT_EQ(start(s, {.client_id = 1, .non_idempotent = true}), 1);
+  EXPECT_EQ(start(s, {.client_id = 1}), 0) << "others may still go there";
+  EXPECT_EQ(start(s, {.client_id = 2}, false), 1);
 }
 
-TEST_F(ConnectionSelectorTest, WhatIsOrderedGoesBehindOrWaits) {
+TEST_F(ConnectionSelectorTest, QueuesBehindTheOrderGroupOrWaits) {
   ConnectionSelector s(shared(4));
   learn(s, 4000);
-  ASSERT_EQ(start(s, {.flow = 1, .order = 5}), 0);
-  EXPECT_EQ(start(s, {.flow = 1, .order = 5, .ordered = true}), 0);
+  ASSERT_EQ(start(s, {.client_id = 1, .order_group = 5}), 0);
+  EXPECT_EQ(start(s, {.client_id = 1, .order_group = 5, .must_follow_group = true}), 0);
   now += milliseconds(3);
-  EXPECT_EQ(start(s, {.flow = 1, .order = 5, .ordered = true}), -1) << "overtook one that is stuck";
-  EXPECT_EQ(start(s, {.flow = 1, .order = 6}), 1);
-  // Reads of one order that came to lie on two connections: a write waits for one of them.
-  ASSERT_EQ(start(s, {.flow = 1, .order = 5}), 1);
+  EXPECT_EQ(start(s, {.client_id = 1, .order_group = 5, .must_follow_group = true}), -1)
+      << "overtook an overdue attempt";
+  EXPECT_EQ(start(s, {.client_id = 1, .order_group = 6}), 1);
+  // Reads of one group that lie on two connections: a write waits for one of them.
+  ASSERT_EQ(start(s, {.client_id = 1, .order_group = 5}), 1);
   s.on_answered(0, now, true);
-  EXPECT_EQ(start(s, {.flow = 1, .order = 5, .ordered = true}), -1);
+  EXPECT_EQ(start(s, {.client_id = 1, .order_group = 5, .must_follow_group = true}), -1);
   s.on_answered(0, now, true);
-  EXPECT_EQ(start(s, {.flow = 1, .order = 5, .ordered = true}), 1);
+  EXPECT_EQ(start(s, {.client_id = 1, .order_group = 5, .must_follow_group = true}), 1);
 }
 
-TEST_F(ConnectionSelectorTest, OneThatIsToCloseIsNotTaken) {
+TEST_F(ConnectionSelectorTest, AssignsNothingToAConnectionThatWillClose) {
   ConnectionSelector s(shared());
   learn(s, 4000);
-  ASSERT_EQ(start(s, {.flow = 1}), 0);
-  ASSERT_EQ(start(s, {.flow = 1}), 0);
+  ASSERT_EQ(start(s, {.client_id = 1}), 0);
+  ASSERT_EQ(start(s, {.client_id = 1}), 0);
   s.on_answered(0, now, false);
-  EXPECT_EQ(start(s, {.flow = 1}), 1);
+  EXPECT_EQ(start(s, {.client_id = 1}), 1);
   s.on_closed(0);
   EXPECT_EQ(s.open(), 1u);
 }
 
-// Any course of events: the module's own account agrees with one that is kept beside it, and what
-// it names keeps every bound.
-class RandomSharingTest : public ::testing::TestWithParam<unsigned> {};
+// Over random events the selector agrees with a model that is kept beside it, and each choice keeps
+// every bound.
+class RandomConnectionSelectorTest : public ::testing::TestWithParam<unsigned> {};
 
-TEST_P(RandomSharingTest, KeepsItsBoundsAndItsAccount) {
+TEST_P(RandomConnectionSelectorTest, KeepsItsBoundsOverRandomEvents) {
   SCOPED_TRACE("seed " + std::to_string(GetParam()));
   std::mt19937_64 random(GetParam());
   const auto below = [&](std::uint64_t n) { return random() % n; };
@@ -205,106 +207,109 @@
   settings.shared = settings.max_depth > 1 && below(4) > 0;
   ConnectionSelector s(settings);
   Time now{seconds(1)};
-  struct Mine {
-    bool up = false, keeps_open = true;
-    std::deque<AttemptTraits> out;
+  struct ExpectedConnection {
+    bool is_connected = false, reusable = true;
+    std::deque<AttemptTraits> in_flight;
     std::deque<std::uint64_t> number;
   };
-  std::map<ConnectionId, Mine> mine;
+  std::map<ConnectionId, ExpectedConnection> expected;
   std::uint64_t next = 1;
-  std::map<std::uint64_t, std::uint64_t> last_answered;  // by order, of the ordered ones
+  std::map<std::uint64_t, std::uint64_t> last_answered;  // by order group
   for (int round = 0; round < 20000; ++round) {
     now += microseconds(below(20) == 0 ? below(20'000) : below(300));
     const auto any = [&]() {
-      return std::next(mine.begin(), static_cast<std::ptrdiff_t>(below(mine.size())));
+      return std::next(expected.begin(), static_cast<std::ptrdiff_t>(below(expected.size())));
     };
     switch (below(8)) {
       case 0:
       case 1:
       case 2: {
-        AttemptTraits w;
-        w.flow = below(5);
-        w.order = 1 + below(12);
-        w.ordered = true;
-        w.unsafe = below(5) == 0;
-        w.kind = static_cast<std::uint8_t>(below(3));
-        const bool may_open = mine.size() < 6 && below(3) > 0;
-        const auto choice = s.choose(now, w, may_open);
+        AttemptTraits traits;
+        traits.client_id = below(5);
+        traits.order_group = 1 + below(12);
+        traits.must_follow_group = true;
+        traits.non_idempotent = below(5) == 0;
+        traits.command_kind = static_cast<std::uint8_t>(below(3));
+        const bool may_open = expected.size() < 6 && below(3) > 0;
+        const auto choice = s.choose(now, traits, may_open);
         if (choice.kind == Kind::kWait) break;
         ConnectionId id = choice.connection;
         if (choice.kind == Kind::kOpen) {
           ASSERT_TRUE(may_open);
           id = s.on_open(now);
-          ASSERT_TRUE(mine.emplace(id, Mine{}).second) << "the name of an open connection";
+          ASSERT_TRUE(expected.emplace(id, ExpectedConnection{}).second)
+              << "the id of an open connection";
         }
-        ASSERT_TRUE(mine.count(id)) << "a connection that is not open";
-        Mine& m = mine[id];
-        ASSERT_TRUE(m.keeps_open);
-        ASSERT_LT(m.out.size(), settings.max_depth);
-        if (w.unsafe && !m.out.empty()) {
-          ASSERT_LT(std::count_if(m.out.begin(), m.out.end(), [](auto& o) { return o.unsafe; }),
-                    static_cast<std::ptrdiff_t>(settings.max_unsafe));
+        ASSERT_TRUE(expected.count(id)) << "a connection that is not open";
+        ExpectedConnection& m = expected[id];
+        ASSERT_TRUE(m.reusable);
+        ASSERT_LT(m.in_flight.size(), settings.max_depth);
+        if (traits.non_idempotent && !m.in_flight.empty()) {
+          ASSERT_LT(std::count_if(m.in_flight.begin(), m.in_flight.end(),
+                                  [](auto& o) { return o.non_idempotent; }),
+                    static_cast<std::ptrdiff_t>(settings.max_non_idempotent));
         }
-        if (!m.out.empty()) {
-          ASSERT_FALSE(s.overdue(id, now));
+        if (!m.in_flight.empty()) {
+          ASSERT_FALSE(s.is_overdue(id, now));
         }
-        for (const auto& [other, o] : mine) {
+        for (const auto& [other, o] : expected) {
           if (other == id) continue;
-          ASSERT_TRUE(std::none_of(o.out.begin(), o.out.end(), [&](auto& x) {
-            return x.order == w.order;
-          })) << "two that are ordered lie on two connections";
+          ASSERT_TRUE(std::none_of(o.in_flight.begin(), o.in_flight.end(), [&](auto& x) {
+            return x.order_group == traits.order_group;
+          })) << "one order group on two connections";
         }
-        s.on_assigned(id, now, w);
-        m.out.push_back(w);
+        s.on_assigned(id, now, traits);
+        m.in_flight.push_back(traits);
         m.number.push_back(next++);
         break;
       }
       case 3:
-        if (!mine.empty()) {
+        if (!expected.empty()) {
           const auto it = any();
-          if (!it->second.up) {
-            s.on_up(it->first, now);
-            it->second.up = true;
+          if (!it->second.is_connected) {
+            s.on_connected(it->first, now);
+            it->second.is_connected = true;
           }
         }
         break;
       case 4:
       case 5:
-        if (!mine.empty()) {
+        if (!expected.empty()) {
           const auto it = any();
-          Mine& m = it->second;
-          if (!m.up || m.out.empty() || !m.keeps_open) break;
-          m.keeps_open = below(30) > 0;
-          s.on_answered(it->first, now, m.keeps_open);
-          auto& last = last_answered[m.out.front().order];
+          ExpectedConnection& m = it->second;
+          if (!m.is_connected || m.in_flight.empty() || !m.reusable) break;
+          m.reusable = below(30) > 0;
+          s.on_answered(it->first, now, m.reusable);
+          auto& last = last_answered[m.in_flight.front().order_group];
           ASSERT_LT(last, m.number.front()) << "answered out of order";
           last = m.number.front();
-          m.out.pop_front();
+          m.in_flight.pop_front();
           m.number.pop_front();
         }
         break;
       case 6:
-        if (!mine.empty()) {
+        if (!expected.empty()) {
           const auto it = any();
-          if (it->second.out.empty()) break;
-          const auto place = below(it->second.out.size());
-          s.on_taken_back(it->first, place, now);
-          it->second.out.erase(it->second.out.begin() + static_cast<std::ptrdiff_t>(place));
+          if (it->second.in_flight.empty()) break;
+          const auto place = below(it->second.in_flight.size());
+          s.on_withdrawn(it->first, place, now);
+          it->second.in_flight.erase(it->second.in_flight.begin() +
+                                     static_cast<std::ptrdiff_t>(place));
           it->second.number.erase(it->second.number.begin() + static_cast<std::ptrdiff_t>(place));
         }
         break;
       default:
-        if (!mine.empty() && below(10) == 0) {
+        if (!expected.empty() && below(10) == 0) {
           const auto it = any();
           s.on_closed(it->first);
-          mine.erase(it);
+          expected.erase(it);
         }
     }
-    ASSERT_EQ(s.open(), mine.size());
+    ASSERT_EQ(s.open(), expected.size());
     std::size_t idle = 0;
-    for (const auto& [id, m] : mine) {
-      ASSERT_EQ(s.depth(id), m.out.size());
-      idle += m.up && m.out.empty() && m.keeps_open;
+    for (const auto& [id, m] : expected) {
+      ASSERT_EQ(s.depth(id), m.in_flight.size());
+      idle += m.is_connected && m.in_flight.empty() && m.reusable;
     }
     ASSERT_EQ(s.idle().size(), idle);
     ASSERT_TRUE(std::is_sorted(s.idle().begin(), s.idle().end(),
@@ -314,7 +319,7 @@
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, RandomSharingTest, ::testing::Range(1u, 17u));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomConnectionSelectorTest, ::testing::Range(1u, 17u));
 
 }  // namespace
 }  // namespace balancer::connection_pool
--- a/tests/crossings_test.cc
+++ b/tests/crossings_test.cc
@@ -3,7 +3,7 @@
 #include <set>
 #include <thread>
 
-#include "core_harness.h"
+#include "dispatch_harness.h"
 
 namespace balancer::node {
 namespace {
@@ -12,7 +12,7 @@
 
 // ---- a client leaves while its request waits
 
-class LeavingClientTest : public CoreTest, public ::testing::WithParamInterface<bool> {
+class LeavingClientTest : public DispatchTest, public ::testing::WithParamInterface<bool> {
  protected:
   ScriptedCache cache{io};
   ScriptedOrigin origin{io};
@@ -28,7 +28,7 @@
   ASSERT_TRUE(wait([&] { return limits->upstreams.used() == 1; }));
   const std::size_t bytes = limits->bytes.used();
   ASSERT_TRUE(gone(c, GetParam()));
-  ASSERT_TRUE(wait([&] { return pool->open() == 0; }));
+  ASSERT_TRUE(wait([&] { return pool->open_requests() == 0; }));
   EXPECT_LE(limits->bytes.used(), bytes);
   other->send(get("k", "2"));
   cache.server.let();
@@ -47,7 +47,7 @@
   while (limits->upstreams.used() == 0) io.run_one();
   if (GetParam()) c->socket.set_option(asio::socket_base::linger(true, 0));
   c->close();
-  ASSERT_TRUE(wait([&] { return limits->clients.used() == 1 && pool->open() == 0; }));
+  ASSERT_TRUE(wait([&] { return limits->clients.used() == 1 && pool->open_requests() == 0; }));
   other->send(get("k", "2"));
   ASSERT_TRUE(wait([&] { return cache.saw("2"); }));
   // It went out with the connection or not at all, and never behind the leaving.
@@ -63,9 +63,9 @@
   first->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return cache.saw("1"); }));
   c->send(get("k", "2"));
-  ASSERT_TRUE(wait([&] { return pool->open() == 2; }));
+  ASSERT_TRUE(wait([&] { return pool->open_requests() == 2; }));
   last->send(get("k", "3"));
-  ASSERT_TRUE(wait([&] { return pool->open() == 3; }));
+  ASSERT_TRUE(wait([&] { return pool->open_requests() == 3; }));
   ASSERT_TRUE(gone(c, GetParam()));
   cache.answer("1", "v");
   ASSERT_TRUE(wait([&] { return cache.saw("3"); }));
@@ -102,7 +102,7 @@
   ASSERT_TRUE(wait([&] { return origin.saw("1"); }));
   c->send(get("k", "2"));
   ASSERT_TRUE(wait([&] { return cache.saw("2"); }));
-  ASSERT_TRUE(wait([&] { return pool->open() == 2; }));
+  ASSERT_TRUE(wait([&] { return pool->open_requests() == 2; }));
   ASSERT_TRUE(gone(c, GetParam()));
   origin.answer("1", "v");
   ASSERT_TRUE(wait([&] { return leader->in == FakeCache::value("1", "v"); }));
@@ -122,7 +122,7 @@
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return limits->upstreams.used() == 2; }));
   follower->send(get("k", "2"));
-  ASSERT_TRUE(wait([&] { return cache.saw("2") && pool->open() == 2; }));
+  ASSERT_TRUE(wait([&] { return cache.saw("2") && pool->open_requests() == 2; }));
   ASSERT_TRUE(gone(c, GetParam()));
   origin.server.let();
   ASSERT_TRUE(wait([&] { return origin.saw("2"); }));
@@ -141,7 +141,7 @@
   };
   if (GetParam()) c->socket.set_option(asio::socket_base::linger(true, 0));
   c->send(put("k", "1"));
-  ASSERT_TRUE(wait([&] { return limits->clients.used() == 0 && pool->open() == 0; }));
+  ASSERT_TRUE(wait([&] { return limits->clients.used() == 0 && pool->open_requests() == 0; }));
   // Another one's third try comes later than the first one's second could.
   auto other = client();
   other->send(put("k", "2"));
@@ -161,7 +161,7 @@
   const std::string text = put("k", "1", kLong);
   asio::async_write(c->socket, asio::buffer(text), [&](auto e, auto) { written = !e; });
   ASSERT_TRUE(wait([&] { return written && slow.server.peers.size() == 1; }));
-  ASSERT_TRUE(wait([&] { return pool->open() == 1; }));
+  ASSERT_TRUE(wait([&] { return pool->open_requests() == 1; }));
   ASSERT_TRUE(gone(c, GetParam()));
   Peer& p = *slow.server.peers.at(0);
   p.read();
@@ -181,9 +181,9 @@
   ASSERT_TRUE(wait([&] { return limits->clients.used() == 2; }));
   c->send(get("k", "1"));
   std::this_thread::sleep_for(milliseconds(1100));  // this process stands still
-  ASSERT_TRUE(wait([&] { return asked && pool->open() == 1; }));
+  ASSERT_TRUE(wait([&] { return asked && pool->open_requests() == 1; }));
   ASSERT_TRUE(gone(c, GetParam()));
-  pool->on_confirmed(Duration{0});
+  pool->on_discovery_answer(Duration{0});
   other->send(get("k", "2"));
   ASSERT_TRUE(wait([&] { return cache.saw("2"); }));
   EXPECT_EQ(cache.ids, std::vector<std::string>{"2"});
@@ -191,7 +191,7 @@
 
 // Where nothing is read from a client, its leaving is heard all the same.
 enum class Unread { kFullPipeline, kBehindAFault, kShortOfMemory };
-class UnreadClientTest : public CoreTest,
+class UnreadClientTest : public DispatchTest,
                          public ::testing::WithParamInterface<std::tuple<Unread, bool>> {
  protected:
   ScriptedCache cache{io};
@@ -217,7 +217,7 @@
   if (unread == Unread::kBehindAFault) text += "frob\r\n" + get("k", "behind");
   c->send(text);
   const std::size_t taken = unread == Unread::kFullPipeline ? 257 : 3;
-  ASSERT_TRUE(wait([&] { return pool->open() == taken; }));
+  ASSERT_TRUE(wait([&] { return pool->open_requests() == taken; }));
   if (unread == Unread::kShortOfMemory) {
     limits->bytes.set_max(1);
     c->send(get("k", "unread"));
@@ -225,7 +225,7 @@
   }
   ASSERT_TRUE(gone(c, by_reset));
   limits->bytes.set_max(16u << 20);
-  ASSERT_TRUE(wait([&] { return pool->open() == 1; }));
+  ASSERT_TRUE(wait([&] { return pool->open_requests() == 1; }));
   cache.answer("first", "v");
   ASSERT_TRUE(wait([&] { return first->in == FakeCache::value("first", "v"); }));
   first->send(get("k", "last"));
@@ -251,7 +251,7 @@
   other->send(get("k", "2"));
   ASSERT_TRUE(wait([&] { return cache.saw("2"); }));
   EXPECT_EQ(cache.ids, (std::vector<std::string>{"0", "2"}));
-  EXPECT_EQ(pool->open(), 1u);
+  EXPECT_EQ(pool->open_requests(), 1u);
 }
 
 // The same where it was never accepted while it was there: another held the last place.
@@ -278,7 +278,7 @@
 // ---- the list changes while an attempt waits
 
 enum class Change { kDrains, kGoes, kRestarts, kMoves, kTakenOut };
-class ListAndAttemptTest : public CoreTest, public ::testing::WithParamInterface<Change> {
+class ListAndAttemptTest : public DispatchTest, public ::testing::WithParamInterface<Change> {
  protected:
   // The list after the change; `to`: the host that is left, or the new process of the old one.
   void change() {
@@ -336,7 +336,7 @@
   first->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return old.saw("1"); }));
   c->send(get("k", "2"));
-  ASSERT_TRUE(wait([&] { return pool->open() == 2; }));
+  ASSERT_TRUE(wait([&] { return pool->open_requests() == 2; }));
   change();
   old.answer("1", "v");  // what is out keeps its answer, and its connection takes nothing more
   ASSERT_TRUE(wait([&] { return first->in == FakeCache::value("1", "v"); }));
@@ -362,7 +362,7 @@
 // A write waits for an origin that is another by now: it goes there, at once and once.
 // A request is to be written at the end of the turn, the list drops its host, and the tick that
 // sweeps up comes before that end: it is due already, as the loop was late.
-TEST_F(CoreTest, AHostIsSweptUpInTheTurnInWhichSomethingIsToBeWritten) {
+TEST_F(DispatchTest, AHostIsSweptUpInTheTurnInWhichSomethingIsToBeWritten) {
   ScriptedCache cache(io), left(io);
   site.shared_connections = true;
   site.streams_per_connection = 4;
@@ -380,7 +380,7 @@
   EXPECT_TRUE(cache.ids.empty());
 }
 
-TEST_F(CoreTest, AWriteFollowsTheOrigin) {
+TEST_F(DispatchTest, AWriteFollowsTheOrigin) {
   ScriptedOrigin old(io), now(io);
   begin();
   list({listed("o", old.server.local(), true)});
@@ -398,7 +398,7 @@
 }
 
 // So does a fetch, and with it who waits for it.
-TEST_F(CoreTest, AFetchFollowsTheOrigin) {
+TEST_F(DispatchTest, AFetchFollowsTheOrigin) {
   ScriptedCache cache(io);
   ScriptedOrigin old(io), now(io);
   cache.on_command = [&](Peer&, const std::string& id) { cache.miss(id); };
@@ -416,7 +416,7 @@
 }
 
 // Half of a write is at its host when that begins to drain: it has begun there, and goes on.
-TEST_F(CoreTest, WhatHasBegunAtAHostGoesOnThere) {
+TEST_F(DispatchTest, WhatHasBegunAtAHostGoesOnThere) {
   ScriptedOrigin origin(io, 4096);
   origin.server.reads = false;
   begin();
@@ -424,7 +424,7 @@
   auto c = client();
   const std::string text = put("k", "1", 4u << 20);
   asio::async_write(c->socket, asio::buffer(text), [](auto, auto) {});
-  ASSERT_TRUE(wait([&] { return pool->open() == 1 && origin.server.peers.size() == 1; }));
+  ASSERT_TRUE(wait([&] { return pool->open_requests() == 1 && origin.server.peers.size() == 1; }));
   ASSERT_TRUE(wait([&] { return origin.server.peers[0]->socket.available() > 0; }));
   list({listed("o", origin.server.local(), true, HostState::kDraining)});
   origin.server.peers[0]->read();
@@ -436,7 +436,7 @@
 // The origin answers a second time, some milliseconds late, when the next fetch is out: HTTP does
 // not tell whose answer it is. On a busy machine the connection may have rested meanwhile, and
 // another try is made.
-TEST_F(CoreTest, ALateSecondAnswerOfTheOriginIsNobodysValue) {
+TEST_F(DispatchTest, ALateSecondAnswerOfTheOriginIsNobodysValue) {
   ScriptedCache cache(io);
   ScriptedOrigin origin(io);
   cache.on_command = [&](Peer&, const std::string& id) { cache.miss(id); };
@@ -467,7 +467,7 @@
 
 // An answer comes while its request is being written. It cannot be that request's: nobody is served
 // with it, and what may have run by then is not sent again.
-TEST_F(CoreTest, AnAnswerAheadOfItsRequestIsNone) {
+TEST_F(DispatchTest, AnAnswerAheadOfItsRequestIsNone) {
   ScriptedOrigin origin(io, 4096);
   origin.server.reads = false;
   begin();
@@ -475,7 +475,7 @@
   auto c = client();
   const std::string text = put("k", "1", 4u << 20);
   asio::async_write(c->socket, asio::buffer(text), [](auto, auto) {});
-  ASSERT_TRUE(wait([&] { return pool->open() == 1 && origin.server.peers.size() == 1; }));
+  ASSERT_TRUE(wait([&] { return pool->open_requests() == 1 && origin.server.peers.size() == 1; }));
   ASSERT_TRUE(wait([&] { return origin.server.peers[0]->socket.available() > 0; }));
   origin.server.peers[0]->send("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nr");
   ASSERT_TRUE(wait([&] { return !c->in.empty(); }));
@@ -486,7 +486,7 @@
 // ---- a keyed write is decided on within the time in which repeats are discarded, and its turn to
 // be written comes behind it
 
-TEST_F(CoreTest, AKeyedRepeatIsNotWrittenBehindItsWindow) {
+TEST_F(DispatchTest, AKeyedRepeatIsNotWrittenBehindItsWindow) {
   ScriptedOrigin origin(io);
   begin();
   list({listed("o", origin.server.local(), true)});
@@ -508,7 +508,7 @@
 
 // ---- an idle connection's end, and the next request
 
-TEST_F(CoreTest, AnUnsafeWriteCrossesNoCloseThatHasCome) {
+TEST_F(DispatchTest, AnUnsafeWriteCrossesNoCloseThatHasCome) {
   ScriptedOrigin origin(io);
   begin();
   list({listed("o", origin.server.local(), true)});
@@ -529,7 +529,7 @@
 }
 
 // The other order: the request is written, and the close comes behind it. It may have run.
-TEST_F(CoreTest, AnUnsafeWriteThatMetACloseIsNotRepeated) {
+TEST_F(DispatchTest, AnUnsafeWriteThatMetACloseIsNotRepeated) {
   ScriptedOrigin origin(io);
   begin();
   list({listed("o", origin.server.local(), true)});
@@ -551,7 +551,7 @@
 
 // The rest of a command comes in the turn in which its time is over, or in which its place is
 // needed. The loop is late, so that the ticks are due; the test's own timer is the first of them.
-TEST_F(CoreTest, ACommandThatBecomesWholeInTheTurnOfItsEndIsAnswered) {
+TEST_F(DispatchTest, ACommandThatBecomesWholeInTheTurnOfItsEndIsAnswered) {
   times.first_command = milliseconds(100);
   begin();
   std::shared_ptr<Peer> c;
@@ -571,7 +571,7 @@
   EXPECT_EQ(c->in, "MN\r\n");
 }
 
-TEST_F(CoreTest, ACommandThatBecomesWholeIsNotClosedForItsPlace) {
+TEST_F(DispatchTest, ACommandThatBecomesWholeIsNotClosedForItsPlace) {
   begin();
   auto c = client();
   c->send("m");
@@ -591,7 +591,7 @@
 // ---- a drain
 
 // What waits to be accepted has been taken as far as its clients can tell.
-TEST_F(CoreTest, WhoWaitsToBeAcceptedIsHeardBeforeTheEnd) {
+TEST_F(DispatchTest, WhoWaitsToBeAcceptedIsHeardBeforeTheEnd) {
   begin();
   std::vector<std::shared_ptr<Peer>> crowd;
   for (int i = 0; i < 90; ++i) {
@@ -606,7 +606,7 @@
 }
 
 // Without room the listener stays until there is some.
-TEST_F(CoreTest, WhoFindsNoRoomIsHeardOnceThereIsSome) {
+TEST_F(DispatchTest, WhoFindsNoRoomIsHeardOnceThereIsSome) {
   ScriptedCache cache(io);
   begin();
   list({listed("h", cache.server.local())});
@@ -625,7 +625,7 @@
 }
 
 // A connection is to be given back; a request comes between the decision and the close.
-TEST_F(CoreTest, ARequestThatComesBeforeTheCloseIsAnswered) {
+TEST_F(DispatchTest, ARequestThatComesBeforeTheCloseIsAnswered) {
   begin();
   auto c = client();
   c->send("mn\r\n");
@@ -637,7 +637,7 @@
 }
 
 // The other order: given back first, the client finds an end in order and nothing lost.
-TEST_F(CoreTest, AConnectionIsGivenBackInOrder) {
+TEST_F(DispatchTest, AConnectionIsGivenBackInOrder) {
   begin();
   auto c = client();
   c->send("mn\r\n");
@@ -688,14 +688,14 @@
 
 // The memory is full, and a client has written its whole request. It is told within its time that
 // nothing has run, and not closed unheard.
-class ShortOfMemoryTest : public CoreTest {
+class ShortOfMemoryTest : public DispatchTest {
  protected:
   void SetUp() override {
     for (RequestClass& request_class : site.policy.classes)
       request_class.deadline = milliseconds(1000);
     begin();
     list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
-    hold = Lease(limits->bytes, limits->bytes.max());
+    hold = Reservation(limits->bytes, limits->bytes.max());
   }
   void expect_refused(const std::string& request) {
     auto c = client();
@@ -706,7 +706,7 @@
     EXPECT_LT(clock.now() - from, milliseconds(1500)) << "its client had left by then";
     EXPECT_TRUE(origin.heads.empty() && cache.lines.empty());
   }
-  Lease hold;
+  Reservation hold;
   ScriptedCache cache{io};
   ScriptedOrigin origin{io};
 };
--- a/tests/customer_test.cc
+++ b/tests/customer_test.cc
@@ -5,7 +5,7 @@
 #include <random>
 #include <set>
 
-#include "core_harness.h"
+#include "dispatch_harness.h"
 
 namespace balancer::node {
 namespace {
@@ -112,7 +112,7 @@
   return c;
 }
 
-class AnotherCustomer : public CoreTest, public ::testing::WithParamInterface<std::uint64_t> {};
+class AnotherCustomer : public DispatchTest, public ::testing::WithParamInterface<std::uint64_t> {};
 INSTANTIATE_TEST_SUITE_P(Seeds, AnotherCustomer, ::testing::Range<std::uint64_t>(1, 61));
 
 TEST_P(AnotherCustomer, IsServedByTheRules) {
--- a/tests/deadline_test.cc
+++ b/tests/deadline_test.cc
@@ -2,14 +2,14 @@
 // it went before, at cache hosts and at the origin.
 #include <algorithm>
 
-#include "core_harness.h"
+#include "dispatch_harness.h"
 
 namespace balancer::node {
 namespace {
 
 using std::chrono::milliseconds;
 
-constexpr std::int64_t kClientMs = 5000;  // what CoreTest's clients send as `d`
+constexpr std::int64_t kClientMs = 5000;  // what DispatchTest's clients send as `d`
 constexpr milliseconds kDelay{200};       // well above what an unloaded attempt takes
 
 // The value of `d` in a list of names and values; -1 where there is none.
@@ -35,7 +35,7 @@
 
 std::int64_t in_ms(Duration d) { return std::chrono::duration_cast<milliseconds>(d).count(); }
 
-class DeadlineTest : public CoreTest {
+class DeadlineTest : public DispatchTest {
  protected:
   // Lets the loop run for a while, and tells how long that was at least.
   std::int64_t pass_time() {
--- a/tests/core_harness.h
+++ b/tests/dispatch_harness.h
@@ -214,7 +214,7 @@
 }
 
 // Client, host and origin are the test's, and so is the list.
-class CoreTest : public ::testing::Test {
+class DispatchTest : public ::testing::Test {
  protected:
   using MakeEvents = std::function<AttemptEvents&(AttemptEvents&)>;
 
--- a/tests/leaving_client_test.cc
+++ b/tests/leaving_client_test.cc
@@ -31,7 +31,7 @@
 #include <algorithm>
 #include <thread>
 
-#include "core_harness.h"
+#include "dispatch_harness.h"
 #include "resp_harness.h"
 #include "scripted_node.h"
 
@@ -49,7 +49,7 @@
 
 // ---- the leaving has been heard
 
-class GoneClientTest : public CoreTest, public ::testing::WithParamInterface<bool> {
+class GoneClientTest : public DispatchTest, public ::testing::WithParamInterface<bool> {
  protected:
   // A host and an origin; the client of the first request leaves once the host has it.
   void begin_and_leave() {
@@ -75,11 +75,11 @@
   std::string text;
   for (int i = 0; i < 100; ++i) text += get("k", "c" + std::to_string(i));
   c->send(text);
-  while (pool->open() == 0) io.run_one();
-  const std::size_t taken = pool->open();
+  while (pool->open_requests() == 0) io.run_one();
+  const std::size_t taken = pool->open_requests();
   ASSERT_LT(taken, 100u) << "all taken in one turn";
   leave(*c, GetParam());
-  ASSERT_TRUE(wait([&] { return limits->clients.used() == 0 && pool->open() == 0; }));
+  ASSERT_TRUE(wait([&] { return limits->clients.used() == 0 && pool->open_requests() == 0; }));
   // The first of them may have gone out before, and holds the only place until it is answered.
   for (const std::string& id : cache.ids) cache.answer(id, "v");
   cache.on_command = [&](Peer&, const std::string& id) { cache.answer(id, "v"); };
@@ -229,7 +229,7 @@
   first->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return cache.saw("1"); }));
   c->send(get("k", "2"));
-  ASSERT_TRUE(wait([&] { return pool->open() == 2; }));
+  ASSERT_TRUE(wait([&] { return pool->open_requests() == 2; }));
   run_for(io, kLate);  // it was there when it was last looked for, long ago
   cache.answer("1", "v");
   leave_unheard(*c);
--- a/tests/leaving_load_test.cc
+++ b/tests/leaving_load_test.cc
@@ -8,7 +8,7 @@
 #include <map>
 #include <random>
 
-#include "core_harness.h"
+#include "dispatch_harness.h"
 #include "program_harness.h"
 
 namespace balancer::node {
--- a/tests/pipeline_test.cc
+++ b/tests/pipeline_test.cc
@@ -221,9 +221,9 @@
     Clock clock;
     std::vector<std::pair<Result, std::string>> ends;
     Time now() const override { return clock.now(); }
-    SendPermission may_send(const Attempt&) const override { return SendPermission::kGo; }
-    void on_begin(const AttemptPtr&, const StreamPtr&) override {}
-    void on_end(const AttemptPtr& attempt, Result result, std::string value) override {
+    SendPermission may_send(const Attempt&) const override { return SendPermission::kGranted; }
+    void on_stream_started(const AttemptPtr&, const StreamPtr&) override {}
+    void on_attempt_ended(const AttemptPtr& attempt, Result result, std::string value) override {
       if (!std::exchange(attempt->ended, true)) ends.emplace_back(result, std::move(value));
     }
   } events;
@@ -236,10 +236,11 @@
     p.send(bulk(w[1]));
   };
   const RespLogin login;
-  UpstreamTimes times{.connect_timeout = std::chrono::seconds(5), .retire_idle = {}, .sharing = {}};
-  times.sharing.shared = true;
-  times.sharing.max_depth = 8;
-  Upstreams upstreams(io, limits, events, times, [&](bool, AttemptEvents& e, UpstreamOwner& o) {
+  UpstreamSettings settings;
+  settings.connect_timeout = std::chrono::seconds(5);
+  settings.selector.shared = true;
+  settings.selector.max_depth = 8;
+  Upstreams upstreams(io, limits, events, settings, [&](bool, AttemptEvents& e, UpstreamOwner& o) {
     return std::make_shared<RespConnection>(io, limits, e, o, login, resp::Bounds{});
   });
   HostList list;
@@ -252,7 +253,7 @@
     auto attempt = std::make_shared<Attempt>();
     attempt->host = "n";
     attempt->payload = payload;
-    attempt->until = events.now() + std::chrono::seconds(20);
+    attempt->deadline = events.now() + std::chrono::seconds(20);
     upstreams.start(attempt, "n");
   };
   ask("first");
--- a/tests/program_test.cc
+++ b/tests/program_test.cc
@@ -168,7 +168,7 @@
   }
   EXPECT_EQ(old.ids.size(), before);
   EXPECT_EQ(fresh.ids.size(), clients.size());
-  ASSERT_TRUE(wait([&] { return logged("the list is confirmed after "); }));
+  ASSERT_TRUE(wait([&] { return logged("endpoint list confirmed after "); }));
 }
 
 // A client's time is over before the program goes on: refused, though it could be served. On a busy
@@ -215,7 +215,8 @@
   ::kill(pid_, SIGCONT);
   ASSERT_TRUE(wait([&] { return c->in.ends_with("VA 2 O2\r\nv1\r\n"); }));
   EXPECT_EQ(c->in, "VA 2 O1\r\nv1\r\nVA 2 O2\r\nv1\r\n");
-  ASSERT_TRUE(wait([&] { return logged("no list came; what was known goes on"); }));
+  ASSERT_TRUE(
+      wait([&] { return logged("no endpoint list in time, continuing with the last known one"); }));
   EXPECT_EQ(cache.ids.size(), 2u);
 }
 
--- a/tests/storm_test.cc
+++ b/tests/storm_test.cc
@@ -9,7 +9,7 @@
 #include <set>
 #include <thread>
 
-#include "core_harness.h"
+#include "dispatch_harness.h"
 
 namespace balancer::node {
 namespace {
@@ -54,15 +54,17 @@
   Time now() const override { return core_.now(); }
   SendPermission may_send(const Attempt& a) const override {
     const SendPermission p = core_.may_send(a);
-    return defect_ == Defect::kGoesOnToDrained && p == SendPermission::kElsewhere
-               ? SendPermission::kGo
+    return defect_ == Defect::kGoesOnToDrained && p == SendPermission::kHostChanged
+               ? SendPermission::kGranted
                : p;
   }
-  void on_begin(const AttemptPtr& a, const StreamPtr& s) override { core_.on_begin(a, s); }
-  void on_end(const AttemptPtr& a, Result result, std::string value) override {
+  void on_stream_started(const AttemptPtr& a, const StreamPtr& s) override {
+    core_.on_stream_started(a, s);
+  }
+  void on_attempt_ended(const AttemptPtr& a, Result result, std::string value) override {
     if (defect_ == Defect::kCallsAResetUnsent && result == Result::kReset)
       result = Result::kNotSent;
-    core_.on_end(a, result, std::move(value));
+    core_.on_attempt_ended(a, result, std::move(value));
   }
 
  private:
@@ -70,7 +72,7 @@
   const Defect defect_;
 };
 
-class Storm : public CoreTest {
+class Storm : public DispatchTest {
  public:
   void TestBody() override {}
 
--- a/tests/timing_wheel_test.cc
+++ b/tests/timing_wheel_test.cc
@@ -35,14 +35,14 @@
 TEST(TimingWheelTest, AHandleOutlivesItsTimer) {
   TimingWheel<int> wheel(Time(0), kTick);
   const auto first = wheel.set(milliseconds(5), 1);
-  EXPECT_EQ(wheel.take_back(first), 1);
+  EXPECT_EQ(wheel.cancel(first), 1);
   const auto second = wheel.set(milliseconds(5), 2);  // in the place of the first
-  EXPECT_FALSE(wheel.take_back(first));
+  EXPECT_FALSE(wheel.cancel(first));
   int due = 0;
   wheel.advance(milliseconds(5), [&](int v) { due = v; });
   EXPECT_EQ(due, 2);
-  EXPECT_FALSE(wheel.take_back(second));
-  EXPECT_FALSE(wheel.take_back({}));
+  EXPECT_FALSE(wheel.cancel(second));
+  EXPECT_FALSE(wheel.cancel({}));
 }
 
 TEST(TimingWheelTest, OneThatComesDueMayTakeBackAnotherOfItsTickAndSetNew) {
@@ -52,7 +52,7 @@
   int fired = 0, later = 0;
   wheel.advance(milliseconds(3), [&](int) {
     ++fired;
-    for (const auto h : handles) wheel.take_back(h);
+    for (const auto h : handles) wheel.cancel(h);
     wheel.set(milliseconds(3), 99);  // due already: at the next tick, not in this turn for ever
   });
   EXPECT_EQ(fired, 1);
@@ -85,7 +85,7 @@
     }
     if (!pending.empty() && below(2) == 0) {
       const auto it = std::next(pending.begin(), static_cast<int>(below(pending.size())));
-      ASSERT_EQ(wheel.take_back(it->second.handle), it->first);
+      ASSERT_EQ(wheel.cancel(it->second.handle), it->first);
       pending.erase(it);
     }
     now += nanoseconds(static_cast<std::int64_t>(below(std::uint64_t{1} << below(42))));
