--- a/src/fleet_simulation/group_sim.h
+++ b/src/fleet_simulation/group_sim.h
@@ -42,14 +42,14 @@
     for (int i = 0; i < addresses; ++i)
       lease_manager.addresses.push_back({"svc" + std::to_string(i), {}});
     lease_manager_ = lease_manager;
-    for (int v = 0; v < voters; ++v) founding_.names.push_back(name_of(v));
-    std::sort(founding_.names.begin(), founding_.names.end());
+    for (int v = 0; v < voters; ++v) initial_voters_.names.push_back(name_of(v));
+    std::sort(initial_voters_.names.begin(), initial_voters_.names.end());
     for (int i = 0; i < instances; ++i) {
       Node& n = nodes_[name_of(i)];
       n.name = name_of(i);
       n.rate = std::uniform_real_distribution<>(0.99, 1.01)(random_);
       n.offset = Duration(static_cast<Duration::rep>(random_() % 1'000'000'000'000));
-      n.disk = lease::VoterRecord{founding_, {}};
+      n.disk = lease::VoterRecord{initial_voters_, {}};
     }
     for (auto& [name, n] : nodes_) start(n);
   }
@@ -127,11 +127,11 @@
     // Sessions come back and tell all that is announced.
     for (auto& [name, n] : nodes_)
       if (n.instance && !n.paused)
-        for (const auto& [address, term] : n.instance->lease_manager().holds())
+        for (const auto& [address, term] : n.instance->lease_manager().held_terms())
           router.routes[address][name] = term;
   }
   void set_disk_full(const std::string& name, bool full) { nodes_.at(name).disk_full = full; }
-  void set_able(const std::string& name, bool eligible) {
+  void set_eligible(const std::string& name, bool eligible) {
     Node& n = nodes_.at(name);
     n.eligible = eligible;
     if (n.instance) n.instance->on_eligible(local(n), eligible, "told so");
@@ -174,7 +174,7 @@
     for (const auto& [name, n] : nodes_) {
       const auto* t = n.instance ? n.instance->lease_manager().lease_holder(address) : nullptr;
       if (!t || n.paused || !t->may_serve(local(n), Duration{0})) continue;
-      const auto since = t->giving_up_since();
+      const auto since = t->graceful_release_since();
       if (!since || local(n) - *since >= lease_manager_.times.overlap) all.push_back(name);
     }
     return all;
@@ -195,18 +195,18 @@
   std::mt19937_64& random() { return random_; }
 
  private:
-  struct Node : Memory {
+  struct Node : VoterRecordStore {
     std::string name;
     double rate = 1;
     Duration offset{0};
     std::unique_ptr<GroupNode> instance;
     std::optional<lease::VoterRecord> disk;
-    std::uint64_t life = 0, epoch = 0;
+    std::uint64_t incarnation = 0, epoch = 0;
     Time armed = Time::max();
     bool paused = false, eligible = true, disk_full = false;
     std::vector<std::pair<std::string, Datagram>> inbox;
     GroupSim* sim = nullptr;
-    bool keep(const lease::VoterRecord& record) override {
+    bool save(const lease::VoterRecord& record) override {
       if (disk_full) return false;
       ++sim->writes;
       disk = record;
@@ -239,10 +239,10 @@
     GroupNodeSettings s;
     s.name = n.name;
     s.endpoint = n.name + ":1";
-    s.life = ++n.life;
-    for (int i = 0; i < 3; ++i) s.group.seeds.push_back(name_of(i) + ":1");
+    s.incarnation = ++n.incarnation;
+    for (int i = 0; i < 3; ++i) s.membership.seeds.push_back(name_of(i) + ":1");
     s.lease_manager = lease_manager_;
-    s.founding = founding_;
+    s.initial_voters = initial_voters_;
     n.instance = std::make_unique<GroupNode>(s, n.disk, n, random_(), local(n));
     n.instance->on_eligible(local(n), n.eligible, "starts");
     n.armed = Time::max();
@@ -251,9 +251,9 @@
 
   // Carries out what the instance wants, and calls it again when it is due.
   void work(Node& n) {
-    for (auto& s : n.instance->take_sends()) send(n, std::move(s));
+    for (auto& s : n.instance->take_datagrams()) send(n, std::move(s));
     for (const auto& c : n.instance->take_route_actions()) carry(n, c);
-    for (auto& line : n.instance->take_lines())
+    for (auto& line : n.instance->take_log_lines())
       lines_.push_back(std::to_string(now_.count() / 1'000'000) + " ms " + n.name + " " + line);
     arm(n, true_time(n, n.instance->next()));
   }
@@ -268,11 +268,11 @@
       work(n);
     });
   }
-  void send(Node& from, GroupNode::Send s) {
+  void send(Node& from, GroupNode::OutgoingDatagram s) {
     const std::string to = s.endpoint.substr(0, s.endpoint.find(':'));
     const auto it = nodes_.find(to);
     ++datagrams;
-    Datagram d{from.name, from.life, ++sequence_, s.to, std::move(s.body)};
+    Datagram d{from.name, from.incarnation, ++sequence_, s.to, std::move(s.body)};
     const auto size = encode(d).size();
     bytes += size;
     max_datagram = std::max<std::uint64_t>(max_datagram, size);
@@ -295,17 +295,17 @@
     n.instance->on_datagram(local(n), endpoint, d);
     work(n);
   }
-  void carry(Node& n, const lease::LeaseManager::RouteAction& c) {
-    using Kind = lease::LeaseHolder::RouteAction::Kind;
+  void carry(Node& n, const lease::RouteAction& c) {
+    using Kind = lease::RouteAction::Kind;
     const Duration takes = std::chrono::microseconds(500 + random_() % 5000);
     const auto epoch = n.epoch;
-    if (c.what.kind == Kind::kFade) return;
+    if (c.kind == Kind::kDeprefer) return;
     after(takes, [this, &n, c, epoch] {
       if (epoch != n.epoch || !n.instance || n.paused) return;
       const bool reaches = cut.count({n.name, "router"}) == 0;
-      if (c.what.kind == Kind::kAnnounce) {
-        if (reaches && n.instance->lease_manager().lease_holder(c.address)->listens())
-          router.routes[c.address][n.name] = c.what.term;
+      if (c.kind == Kind::kAnnounce) {
+        if (reaches && n.instance->lease_manager().lease_holder(c.address)->should_listen())
+          router.routes[c.address][n.name] = c.term;
         n.instance->on_announced(local(n), c.address);
       } else {
         if (reaches) router.routes[c.address].erase(n.name);
@@ -326,7 +326,7 @@
 
   std::mt19937_64 random_;
   lease::LeaseManagerSettings lease_manager_;
-  lease::Voters founding_;
+  lease::VoterSet initial_voters_;
   std::map<std::string, Node> nodes_;
   std::priority_queue<Event> events_;
   Time now_{std::chrono::seconds(1000)};
--- a/src/group/group_node.cc
+++ b/src/group/group_node.cc
@@ -6,266 +6,295 @@
 namespace {
 
 using lease::LeaseHolder;
+using lease::ReconfigurationReply;
+using lease::ReconfigurationRequest;
+using lease::TransferMessage;
 using lease::VoteReply;
 using lease::VoteRequest;
-using membership::State;
-using std::chrono::milliseconds;
-
-constexpr std::size_t kMaxTold = 64;
-constexpr Duration kMendAgain = std::chrono::seconds(1);
-
-membership::Update self_of(const GroupNodeSettings& s) {
-  membership::Update me;
-  me.name = s.name;
-  me.endpoint = s.endpoint;
-  me.life = s.life;
-  me.meta = encode(Meta{false, s.founding.has(s.name), s.founding.version, {}});
-  return me;
+using membership::GossipMessage;
+using membership::MemberState;
+
+// Voters whose sets are remembered.
+constexpr std::size_t kMaxReportedSets = 64;
+// How often a voter that uses an old set is sent the newest one.
+constexpr Duration kLaggingUpdateInterval = std::chrono::seconds(1);
+// Rounds of messages of this instance to itself in one pass; an answer may bring another question.
+constexpr int kMaxLoopbackRounds = 8;
+
+membership::MemberUpdate own_update(const GroupNodeSettings& settings) {
+  MemberMeta meta;
+  meta.is_voter = settings.initial_voters.has(settings.name);
+  meta.voter_set_version = settings.initial_voters.version;
+  membership::MemberUpdate update;
+  update.name = settings.name;
+  update.endpoint = settings.endpoint;
+  update.incarnation = settings.incarnation;
+  update.meta = encode(meta);
+  return update;
 }
 
 }  // namespace
 
 GroupNode::GroupNode(const GroupNodeSettings& settings,
-                     const std::optional<lease::VoterRecord>& remembered, Memory& memory,
-                     std::uint64_t seed, Time now)
+                     const std::optional<lease::VoterRecord>& record,
+                     VoterRecordStore& record_store, std::uint64_t seed, Time now)
     : settings_(settings),
-      memory_(memory),
-      group_(settings.group, self_of(settings), seed, now),
-      lease_manager_(settings.lease_manager, {settings.name, settings.life},
-                     remembered ? remembered->voters : settings.founding, seed + 1, now),
-      voters_(remembered ? remembered->voters : settings.founding) {
-  // One that is to become a voter has a memory too, and no vote until it is one.
-  voter_.emplace(settings.name, settings.lease_manager.times, remembered, settings.founding, now);
+      record_store_(record_store),
+      membership_(settings.membership, own_update(settings), seed, now),
+      lease_manager_(settings.lease_manager, {settings.name, settings.incarnation},
+                     record ? record->voters : settings.initial_voters, seed + 1, now),
+      voters_(record ? record->voters : settings.initial_voters) {
+  voter_.emplace(settings.name, settings.lease_manager.times, record, settings.initial_voters, now);
 }
 
 // ---- datagrams
 
-void GroupNode::send_to(const std::string& name, decltype(Send::body) body) {
+void GroupNode::send_to(const std::string& name, decltype(Datagram::body) body) {
   if (name == settings_.name) {
-    own_.push_back({name, settings_.life, 1, name, std::move(body)});
+    loopback_.push_back({name, settings_.incarnation, 1, name, std::move(body)});
     return;
   }
-  // Whether it is thought to be well does not matter: that is for guesses, not for votes.
-  if (const auto* m = group_.find(name)) sends_.push_back({m->endpoint, name, std::move(body)});
+  // Also to members that membership thinks dead: it is a hint, and votes do not depend on it.
+  if (const auto* member = membership_.find(name))
+    datagrams_.push_back({member->endpoint, name, std::move(body)});
 }
 
 void GroupNode::on_datagram(Time now, const std::string& endpoint, const Datagram& datagram) {
-  if (const auto* m = std::get_if<membership::Message>(&datagram.body)) {
-    group_.on_message(now, datagram.sender, endpoint, *m);
+  if (const auto* message = std::get_if<GossipMessage>(&datagram.body)) {
+    membership_.on_message(now, datagram.sender, endpoint, *message);
   } else {
-    take(now, datagram);
+    on_body(now, datagram);
   }
-  settle(now);
+  process_pending(now);
 }
 
-// Whoever has sent it, this instance included.
-void GroupNode::take(Time now, const Datagram& d) {
-  if (const auto* ask = std::get_if<VoteRequest>(&d.body)) {
-    answer(now, d.sender, *ask);
-  } else if (const auto* reply = std::get_if<VoteReply>(&d.body)) {
-    hear_of(d.sender, reply->voters);
-    mend_voters(now);
-    lease_manager_.on_reply(now, d.sender, *reply);
-  } else if (const auto* tell = std::get_if<lease::TransferMessage>(&d.body)) {
-    lease_manager_.on_tell(now, d.sender, *tell);
-  } else if (const auto* change = std::get_if<lease::Change>(&d.body)) {
-    auto decision = voter_->on_change(now, *change);
-    unkept_ = unkept_ || decision.changed;
-    if (!keep_record()) return;
-    hear_of(d.sender, decision.reply.voters);
-    send_to(d.sender, std::move(decision.reply));
-  } else if (const auto* changed = std::get_if<lease::Changed>(&d.body)) {
-    hear_of(d.sender, changed->voters);
-    if (change_) change_->on_changed(now, d.sender, *changed);
+// All kinds but gossip; the sender may be this instance.
+void GroupNode::on_body(Time now, const Datagram& datagram) {
+  const std::string& from = datagram.sender;
+  if (const auto* request = std::get_if<VoteRequest>(&datagram.body)) {
+    on_vote_request(now, from, *request);
+  } else if (const auto* reply = std::get_if<VoteReply>(&datagram.body)) {
+    on_vote_reply(now, from, *reply);
+  } else if (const auto* transfer = std::get_if<TransferMessage>(&datagram.body)) {
+    lease_manager_.on_transfer_message(now, from, *transfer);
+  } else if (const auto* change = std::get_if<ReconfigurationRequest>(&datagram.body)) {
+    on_reconfiguration_request(now, from, *change);
+  } else if (const auto* answer = std::get_if<ReconfigurationReply>(&datagram.body)) {
+    on_reconfiguration_reply(now, from, *answer);
   }
 }
 
-void GroupNode::hear_of(const std::string& voter, const lease::Voters& voters) {
-  if (voters.names.empty()) return;
-  if (voters.version > voters_.version) voters_ = voters;
-  told_[voter] = voters;
-  if (told_.size() > kMaxTold) told_.erase(told_.begin());
-}
-
-void GroupNode::answer(Time now, const std::string& from, const VoteRequest& ask) {
-  // Nobody asks for another.
-  if (ask.kind != VoteRequest::Kind::kQuery && ask.holder.name != from) return;
-  // One that is no voter, or no more, says who is.
-  if (ask.kind == VoteRequest::Kind::kLease && !voter_->record().voters.has(settings_.name)) {
+void GroupNode::on_vote_request(Time now, const std::string& from, const VoteRequest& request) {
+  // No member may request a lease, or release it, for another.
+  if (request.kind != VoteRequest::Kind::kQuery && request.holder.name != from) return;
+  if (request.kind == VoteRequest::Kind::kLease && !is_voter()) {
     VoteReply reply;
-    reply.verdict = VoteReply::Verdict::kVoters;
-    reply.address = ask.address;
-    reply.number = ask.number;
+    reply.verdict = VoteReply::Verdict::kVoterSetMismatch;
+    reply.address = request.address;
+    reply.number = request.number;
     reply.voters = voter_->record().voters;
     return send_to(from, std::move(reply));
   }
-  const auto decision = voter_->on_ask(now, ask);
-  unkept_ = unkept_ || decision.changed;
-  // What could not be kept is said to nobody, however often it is asked for.
-  if (!keep_record()) return;
-  send_to(from, decision.reply);
+  const auto decision = voter_->on_vote_request(now, request);
+  is_record_unsaved_ = is_record_unsaved_ || decision.record_changed;
+  if (save_record()) send_to(from, decision.reply);
+}
+
+void GroupNode::on_vote_reply(Time now, const std::string& from, const VoteReply& reply) {
+  note_voter_set(from, reply.voters);
+  update_lagging_voters(now);
+  lease_manager_.on_reply(now, from, reply);
+}
+
+void GroupNode::on_reconfiguration_request(Time now, const std::string& from,
+                                           const ReconfigurationRequest& request) {
+  auto decision = voter_->on_reconfiguration(now, request);
+  is_record_unsaved_ = is_record_unsaved_ || decision.record_changed;
+  if (!save_record()) return;
+  note_voter_set(from, decision.reply.voters);
+  send_to(from, std::move(decision.reply));
+}
+
+void GroupNode::on_reconfiguration_reply(Time now, const std::string& from,
+                                         const ReconfigurationReply& reply) {
+  note_voter_set(from, reply.voters);
+  if (reconfiguration_) reconfiguration_->on_reply(now, from, reply);
+}
+
+std::vector<GroupNode::OutgoingDatagram> GroupNode::take_datagrams() {
+  auto all = std::exchange(datagrams_, {});
+  for (auto& out : membership_.take_messages())
+    all.push_back({out.endpoint, {}, std::move(out.message)});
+  return all;
 }
 
-// Whether all that this voter has decided is on disk.
-bool GroupNode::keep_record() {
-  if (!unkept_) return true;
-  unkept_ = !memory_.keep(voter_->record());
-  if (std::exchange(mute_, unkept_) != unkept_)
-    lines_.push_back(unkept_ ? "voter: gives no vote, as its record cannot be kept"
-                             : "voter: promises can be kept again");
-  return !unkept_;
+// ---- the voter's record
+
+bool GroupNode::save_record() {
+  if (!is_record_unsaved_) return true;
+  is_record_unsaved_ = !record_store_.save(voter_->record());
+  if (std::exchange(has_save_failed_, is_record_unsaved_) != is_record_unsaved_)
+    log_lines_.push_back(is_record_unsaved_ ? "voter: gives no vote: its record cannot be written"
+                                            : "voter: votes again: its record can be written");
+  return !is_record_unsaved_;
 }
 
-void GroupNode::restore_voter(Time now, const std::optional<lease::VoterRecord>& remembered) {
-  voter_.emplace(settings_.name, settings_.lease_manager.times, remembered, settings_.founding,
+void GroupNode::restore_voter(Time now, const std::optional<lease::VoterRecord>& record) {
+  voter_.emplace(settings_.name, settings_.lease_manager.times, record, settings_.initial_voters,
                  now);
-  unkept_ = false;
-  if (std::exchange(mute_, false)) lines_.push_back("voter: promises can be kept again");
-  if (remembered && remembered->voters.version > voters_.version) voters_ = remembered->voters;
-  settle(now);
+  is_record_unsaved_ = false;
+  if (std::exchange(has_save_failed_, false))
+    log_lines_.push_back("voter: votes again: its record can be written");
+  if (record && record->voters.version > voters_.version) voters_ = record->voters;
+  process_pending(now);
 }
 
-// ---- what others are
+// ---- peers and states
 
 std::vector<lease::Peer> GroupNode::peers(Time now) {
   std::vector<lease::Peer> all;
-  for (const auto& [name, member] : group_.members()) {
-    if (name == settings_.name || member.state != State::kAlive) continue;
+  for (const auto& [name, member] : membership_.members()) {
+    if (name == settings_.name || member.state != MemberState::kAlive) continue;
     const auto meta = decode_meta(member.meta);
     if (!meta) continue;
-    voter_->on_heard_of(meta->voters);
-    Eligibility& a = eligibilities_[name];
-    if (a.life != member.life || a.eligible != meta->eligible)
-      a = {member.life, meta->eligible, now};
-    all.push_back({name, meta->eligible, a.since, meta->holds});
+    voter_->on_voter_set_seen(meta->voter_set_version);
+    PeerEligibility& known = peer_eligibility_[name];
+    if (known.incarnation != member.incarnation || known.eligible != meta->eligible)
+      known = {member.incarnation, meta->eligible, now};
+    all.push_back({name, meta->eligible, known.since, meta->held_terms});
   }
-  std::erase_if(eligibilities_, [this](const auto& a) { return group_.find(a.first) == nullptr; });
+  std::erase_if(peer_eligibility_,
+                [this](const auto& entry) { return membership_.find(entry.first) == nullptr; });
   return all;
 }
 
-void GroupNode::note_states() {
+void GroupNode::log_state_changes() {
+  using State = LeaseHolder::State;
   for (const auto& [address, lease_holder] : lease_manager_.lease_holders()) {
-    const auto [it, fresh] = states_.try_emplace(address, LeaseHolder::State::kIdle);
-    const LeaseHolder::State now = lease_holder.state();
-    if (it->second == now) continue;
-    const auto before = std::exchange(it->second, now);
-    // Elections come and go; what matters is who holds.
-    if (now == LeaseHolder::State::kCandidate || before == LeaseHolder::State::kCandidate)
-      if (now != LeaseHolder::State::kHolder && now != LeaseHolder::State::kCutOff) continue;
-    lines_.push_back("address " + address + ": " + lease::name_of(now) + ", term " +
-                     std::to_string(lease_holder.term()) + ": " + lease_holder.why());
+    const auto [it, is_new] = logged_states_.try_emplace(address, State::kIdle);
+    const State state = lease_holder.state();
+    if (it->second == state) continue;
+    const State before = std::exchange(it->second, state);
+    // Elections that end where they began are frequent, and of no interest.
+    const bool is_election = state == State::kCandidate || before == State::kCandidate;
+    if (is_election && state != State::kHolder && state != State::kPartitioned) continue;
+    log_lines_.push_back("lease " + address + ": " + lease::name_of(state) + ", term " +
+                         std::to_string(lease_holder.term()) + ": " + lease_holder.reason());
   }
 }
 
-// Whatever has happened: what follows from it for the parts that do not know each other.
-void GroupNode::settle(Time now) {
-  // What it says to itself; an answer may bring on another question.
-  for (int i = 0; i < 8 && !own_.empty(); ++i)
-    for (const Datagram& d : std::exchange(own_, {})) take(now, d);
-  if (group_.revision() != seen_revision_) {
-    seen_revision_ = group_.revision();
+// After any event: carries messages and changes from each part to the others.
+void GroupNode::process_pending(Time now) {
+  for (int i = 0; i < kMaxLoopbackRounds && !loopback_.empty(); ++i)
+    for (const Datagram& datagram : std::exchange(loopback_, {})) on_body(now, datagram);
+  if (membership_.revision() != seen_revision_) {
+    seen_revision_ = membership_.revision();
     lease_manager_.on_peers(now, peers(now));
   }
-  if (change_) drive_change(now);
-  voter_->on_heard_of(voters_.version);
-  group_.set_meta(
-      now, encode(Meta{lease_manager_.eligible(), voter_->record().voters.has(settings_.name),
-                       voters_.version, lease_manager_.holds()}));
-  for (auto& s : lease_manager_.take_sends()) send_to(s.voter, std::move(s.ask));
-  for (auto& t : lease_manager_.take_tells()) send_to(t.to, std::move(t.tell));
-  if (!own_.empty()) return settle(now);
-  note_states();
-}
-
-std::vector<GroupNode::Send> GroupNode::take_sends() {
-  auto all = std::exchange(sends_, {});
-  for (auto& s : group_.take_sends()) all.push_back({s.endpoint, {}, std::move(s.message)});
-  return all;
+  if (reconfiguration_) drive_reconfiguration(now);
+  voter_->on_voter_set_seen(voters_.version);
+  membership_.set_meta(now, encode(MemberMeta{lease_manager_.eligible(), is_voter(),
+                                              voters_.version, lease_manager_.held_terms()}));
+  for (auto& out : lease_manager_.take_requests()) send_to(out.voter, std::move(out.request));
+  for (auto& out : lease_manager_.take_transfers()) send_to(out.to, std::move(out.message));
+  if (!loopback_.empty()) return process_pending(now);
+  log_state_changes();
 }
 
 // ---- events
 
-void GroupNode::on_eligible(Time now, bool eligible, std::string_view why) {
-  lease_manager_.on_eligible(now, eligible && settings_.serves && !superseded(), why);
-  settle(now);
+void GroupNode::on_eligible(Time now, bool eligible, std::string_view reason) {
+  lease_manager_.on_eligible(now, eligible && settings_.may_hold_leases && !superseded(), reason);
+  process_pending(now);
 }
+
 void GroupNode::on_announced(Time now, const std::string& address) {
   lease_manager_.on_announced(now, address);
-  settle(now);
+  process_pending(now);
 }
+
 void GroupNode::on_withdrawn(Time now, const std::string& address) {
   lease_manager_.on_withdrawn(now, address);
-  settle(now);
+  process_pending(now);
 }
+
 void GroupNode::on_claim_failed(Time now, const std::string& address) {
   lease_manager_.on_claim_failed(now, address);
-  settle(now);
+  process_pending(now);
 }
+
 void GroupNode::on_timer(Time now) {
-  group_.on_timer(now);
+  membership_.on_timer(now);
   if (superseded()) lease_manager_.leave(now);
   lease_manager_.on_timer(now);
-  settle(now);
+  process_pending(now);
 }
 
 Time GroupNode::next() const {
-  Time first = std::min(group_.next(), lease_manager_.next());
-  if (change_) first = std::min(first, change_->next());
-  return first;
+  const Time first = std::min(membership_.next(), lease_manager_.next());
+  return reconfiguration_ ? std::min(first, reconfiguration_->next()) : first;
 }
 
+// ---- commands
+
 std::string GroupNode::move(Time now, const std::string& address, const std::string& to) {
-  std::string why = lease_manager_.move(now, address, to);
-  settle(now);
-  return why;
+  std::string error = lease_manager_.move(now, address, to);
+  process_pending(now);
+  return error;
 }
 
 void GroupNode::leave(Time now) {
   lease_manager_.leave(now);
-  settle(now);
+  process_pending(now);
 }
 
-void GroupNode::end(Time now) { group_.leave(now); }
+void GroupNode::announce_departure(Time now) { membership_.leave(now); }
 
-// ---- voters
+// ---- the set of voters
 
 void GroupNode::change_voters(Time now, const std::string& name, bool add,
-                              std::function<void(bool, const std::string&)> done) {
-  if (change_) return done(false, "another change is under way here");
-  if (add && !group_.find(name)) return done(false, "no member has the name " + name);
+                              ReconfigurationDone done) {
+  if (reconfiguration_) return done(false, "another change is under way here");
+  if (add && !membership_.find(name)) return done(false, "no member has the name " + name);
   if (voters_.has(name) == add)
     return done(false, name + (add ? " votes already" : " is no voter"));
   const auto number = static_cast<std::uint64_t>(now.count());
-  change_.emplace(settings_.name, number, voters_, name, add, number, now);
-  changed_ = std::move(done);
-  settle(now);
+  reconfiguration_.emplace(settings_.name, number, voters_, name, add, number, now);
+  reconfiguration_done_ = std::move(done);
+  process_pending(now);
 }
 
-void GroupNode::drive_change(Time now) {
-  if (change_->next() <= now) change_->on_timer(now);
-  for (auto& s : change_->take_sends()) send_to(s.to, std::move(s.change));
-  if (!change_->outcome()) return;
-  const auto outcome = *change_->outcome();
-  if (change_->voters().version > voters_.version) voters_ = change_->voters();
-  change_.reset();
-  std::exchange(changed_, nullptr)(outcome.done, outcome.line);
+void GroupNode::drive_reconfiguration(Time now) {
+  if (reconfiguration_->next() <= now) reconfiguration_->on_timer(now);
+  for (auto& out : reconfiguration_->take_requests()) send_to(out.to, std::move(out.request));
+  if (!reconfiguration_->outcome()) return;
+  const auto outcome = *reconfiguration_->outcome();
+  if (reconfiguration_->voters().version > voters_.version) voters_ = reconfiguration_->voters();
+  reconfiguration_.reset();
+  std::exchange(reconfiguration_done_, nullptr)(outcome.succeeded, outcome.message);
+}
+
+void GroupNode::note_voter_set(const std::string& voter, const lease::VoterSet& voters) {
+  if (voters.names.empty()) return;
+  if (voters.version > voters_.version) voters_ = voters;
+  reported_sets_[voter] = voters;
+  if (reported_sets_.size() > kMaxReportedSets) reported_sets_.erase(reported_sets_.begin());
 }
 
-// A voter that was away while the voters changed goes by old ones, and its answers are of no use.
-// Whoever has heard one of the newest set say so tells it: that anybody goes by a set proves that
-// it was chosen.
-void GroupNode::mend_voters(Time now) {
-  if (now < mend_at_) return;
-  bool exists = false;
-  for (const auto& [name, voters] : told_) exists = exists || voters == voters_;
-  if (!exists) return;
+// A voter that was away during a reconfiguration uses an old set, and its votes do not count. Any
+// voter's use of the newest set proves that it was chosen, so that others may be told to adopt it.
+void GroupNode::update_lagging_voters(Time now) {
+  if (now < next_lagging_update_at_) return;
+  const bool is_in_use = std::any_of(reported_sets_.begin(), reported_sets_.end(),
+                                     [this](const auto& entry) { return entry.second == voters_; });
+  if (!is_in_use) return;
   for (const auto& name : voters_.names) {
-    const auto it = told_.find(name);
-    if (it == told_.end() || it->second.version >= voters_.version) continue;
-    mend_at_ = now + kMendAgain;
-    lease::Change adopt;
-    adopt.kind = lease::Change::Kind::kAdopt;
-    adopt.present = it->second;
+    const auto reported = reported_sets_.find(name);
+    if (reported == reported_sets_.end() || reported->second.version >= voters_.version) continue;
+    next_lagging_update_at_ = now + kLaggingUpdateInterval;
+    ReconfigurationRequest adopt;
+    adopt.kind = ReconfigurationRequest::Kind::kAdopt;
+    adopt.current = reported->second;
     adopt.next = voters_;
     send_to(name, std::move(adopt));
   }
--- a/src/group_runtime/group_runtime.cc
+++ b/src/group_runtime/group_runtime.cc
@@ -41,7 +41,7 @@
       file_(file),
       serves_(serves),
       owner_(std::move(owner)),
-      storage_(file.folder, file.lease_manager.times.lease, owner_.log),
+      storage_(file.folder, file.lease_manager.times.duration, owner_.log),
       keys_(group::read_keys(file.key_file), file.key_change),
       eligibility_(file.eligibility),
       timer_(io),
@@ -60,7 +60,7 @@
     bgp_ = std::make_unique<BgpLinks>(
         io, *file.bgp, life_ + 1, [this] { work(); }, owner_.log);
     // Until a session is up this instance can announce nothing.
-    eligibility_.on_part(lease_now(), lease::Eligibility::Part::kRouters, false);
+    eligibility_.on_condition(lease_now(), lease::Eligibility::Condition::kRoutersConnected, false);
   }
   look_at_ = lease_now();
   look();
@@ -73,12 +73,12 @@
   group::GroupNodeSettings s;
   s.name = file_.name;
   s.endpoint = file_.announce;
-  s.life = life_;
-  s.group = file_.membership;
+  s.incarnation = life_;
+  s.membership = file_.membership;
   s.lease_manager = file_.lease_manager;
   if (!serves_) s.lease_manager.addresses.clear();
-  s.founding = file_.founding;
-  s.serves = serves_;
+  s.initial_voters = file_.founding;
+  s.may_hold_leases = serves_;
   const std::uint64_t seed = life_ ^ std::hash<std::string>()(file_.name);
   group_node_.emplace(s, storage_.remembered(), storage_, seed, lease_now());
 }
@@ -90,7 +90,7 @@
   if (!storage_.open(now)) return;
   // Where the wall clock was set back since, the others hear nothing of this incarnation: it holds
   // nothing, and begins again as a later one.
-  if (storage_.incarnation() != life_ && group_node_->idle() && !left_) {
+  if (storage_.incarnation() != life_ && group_node_->is_idle() && !left_) {
     make_instance();
   } else {
     group_node_->restore_voter(now, storage_.remembered());
@@ -113,7 +113,7 @@
     ++unreadable_;
     return;
   }
-  if (!replays_.accept(datagram->sender, datagram->life, datagram->sequence)) {
+  if (!replays_.accept(datagram->sender, datagram->incarnation, datagram->sequence)) {
     ++replayed_;
     return;
   }
@@ -123,7 +123,7 @@
   work();
 }
 
-void GroupRuntime::send(const group::GroupNode::Send& out) {
+void GroupRuntime::send(const group::GroupNode::OutgoingDatagram& out) {
   const auto to = parse_endpoint(out.endpoint);
   if (!to) return;
   send({to->address(), to->port()}, {file_.name, life_, 0, out.to, out.body});
@@ -135,13 +135,13 @@
   const std::string plain = encode(d);
   if (plain.size() + group::kSealedOverhead <= group::kMaxDatagram)
     return socket_->send(to, keys_.seal(lease_now(), plain));
-  auto* const gossip = std::get_if<membership::Message>(&d.body);
+  auto* const gossip = std::get_if<membership::GossipMessage>(&d.body);
   if (!gossip || gossip->updates.size() < 2) return;
   const auto half =
       gossip->updates.begin() + static_cast<std::ptrdiff_t>(gossip->updates.size() / 2);
   group::Datagram rest = d;
-  rest.body = membership::Message{
-      membership::Message::Kind::kTold,
+  rest.body = membership::GossipMessage{
+      membership::GossipMessage::Kind::kGossip,
       0,
       {},
       {std::make_move_iterator(half), std::make_move_iterator(gossip->updates.end())}};
@@ -168,7 +168,7 @@
 }
 
 void GroupRuntime::work_once(Time now) {
-  for (const auto& s : group_node_->take_sends()) send(s);
+  for (const auto& s : group_node_->take_datagrams()) send(s);
   for (const auto& c : group_node_->take_route_actions()) carry(now, c);
   for (auto& [address, carrier] : carriers_) {
     if (!carrier.spec->prefix) carry_commands(now, address, carrier);
@@ -178,18 +178,18 @@
     bgp_->carry_out();
     take_bgp_events(now);
   }
-  for (const auto& line : group_node_->take_lines()) owner_.log(line);
-  if (left_ && (group_node_->idle() || now >= leave_by_)) {
+  for (const auto& line : group_node_->take_log_lines()) owner_.log(line);
+  if (left_ && (group_node_->is_idle() || now >= leave_by_)) {
     asio::post(io_, std::exchange(left_, nullptr));
   }
 }
 
-void GroupRuntime::carry(Time now, const lease::LeaseManager::RouteAction& what) {
-  using Kind = lease::LeaseHolder::RouteAction::Kind;
+void GroupRuntime::carry(Time now, const lease::RouteAction& what) {
+  using Kind = lease::RouteAction::Kind;
   const auto it = carriers_.find(what.address);
   if (it == carriers_.end()) return;
   Carrier& c = it->second;
-  if (what.what.kind == Kind::kAnnounce) {
+  if (what.kind == Kind::kAnnounce) {
     // Nobody is led here before somebody listens.
     set_listening(now, what.address, c);
     if (!c.listening) {
@@ -198,11 +198,11 @@
       return;
     }
     if (c.spec->prefix) {
-      bgp_->speaker().announce(now, what.address, *c.spec->prefix, what.what.term);
+      bgp_->speaker().announce(now, what.address, *c.spec->prefix, what.term);
     } else {
-      c.commands.claim(now, what.what.term);
+      c.commands.claim(now, what.term);
     }
-  } else if (what.what.kind == Kind::kFade) {
+  } else if (what.kind == Kind::kDeprefer) {
     if (c.spec->prefix) bgp_->speaker().fade(now, what.address);
   } else if (c.spec->prefix) {
     bgp_->speaker().withdraw(now, what.address);
@@ -284,8 +284,8 @@
 void GroupRuntime::set_listening(Time now, const std::string& address, Carrier& carrier) {
   const auto* lease_holder = group_node_->lease_manager().lease_holder(address);
   const bool wanted =
-      lease_holder &&
-      (lease_holder->listens() || lease_holder->state() == lease::LeaseHolder::State::kReleasing);
+      lease_holder && (lease_holder->should_listen() ||
+                       lease_holder->state() == lease::LeaseHolder::State::kReleasing);
   if (wanted == carrier.listening) return;
   if (wanted) {
     carrier.listening = owner_.listen(address);
@@ -325,14 +325,15 @@
 void GroupRuntime::look() {
   open_storage();
   const Time now = lease_now();
-  using Part = lease::Eligibility::Part;
+  using Condition = lease::Eligibility::Condition;
   eligibility_.on_lateness(now, now - look_at_);
-  eligibility_.on_part(now, Part::kHosts, !owner_.hosts_listed || owner_.hosts_listed());
+  eligibility_.on_condition(now, Condition::kHostsListed,
+                            !owner_.hosts_listed || owner_.hosts_listed());
   if (bgp_)
-    eligibility_.on_part(now, Part::kRouters,
-                         bgp_->speaker().up(now) >= file_.bgp->speaker.routers_needed);
+    eligibility_.on_condition(now, Condition::kRoutersConnected,
+                              bgp_->speaker().up(now) >= file_.bgp->speaker.routers_needed);
   const bool eligible = eligibility_.eligible(now);
-  group_node_->on_eligible(now, eligible, eligibility_.why());
+  group_node_->on_eligible(now, eligible, eligibility_.reason());
   work();
   look_at_ = now + kLook;
   arm_look();
@@ -351,17 +352,17 @@
 
 void GroupRuntime::leave(std::function<void()> done) {
   const auto& times = file_.lease_manager.times;
-  leave_by_ = lease_now() + times.lease + times.overlap;
+  leave_by_ = lease_now() + times.duration + times.overlap;
   left_ = std::move(done);
-  eligibility_.on_part(lease_now(), lease::Eligibility::Part::kStays, false);
+  eligibility_.on_condition(lease_now(), lease::Eligibility::Condition::kNotDraining, false);
   group_node_->leave(lease_now());
   work();
 }
 
 void GroupRuntime::end() {
   if (ended_) return;
-  group_node_->end(lease_now());
-  for (const auto& s : group_node_->take_sends()) send(s);
+  group_node_->announce_departure(lease_now());
+  for (const auto& s : group_node_->take_datagrams()) send(s);
   ended_ = true;
   if (bgp_) bgp_->stop("it ends");
   timer_.cancel();
@@ -403,7 +404,7 @@
   f.name = file_.name;
   f.life = life_;
   f.serves = serves_;
-  f.eligible = eligibility_.why();
+  f.eligible = eligibility_.reason();
   f.up_for = lease_now() - began_;
   f.datagrams = socket_->counters();
   f.unsealed = unsealed_;
--- a/src/group_runtime/group_runtime.h
+++ b/src/group_runtime/group_runtime.h
@@ -69,11 +69,11 @@
   void make_instance();
   void open_storage();
   void on_datagram(const DatagramSocket::Endpoint& from, std::string_view bytes);
-  void send(const group::GroupNode::Send& out);
+  void send(const group::GroupNode::OutgoingDatagram& out);
   void send(const DatagramSocket::Endpoint& to, group::Datagram datagram);
   void work();
   void work_once(Time now);
-  void carry(Time now, const lease::LeaseManager::RouteAction& what);
+  void carry(Time now, const lease::RouteAction& what);
   void carry_commands(Time now, const std::string& address, Carrier& carrier);
   void take_bgp_events(Time now);
   void set_listening(Time now, const std::string& address, Carrier& carrier);
--- a/src/group_runtime/status.cc
+++ b/src/group_runtime/status.cc
@@ -32,13 +32,13 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(d).count();
 }
 
-const char* name_of(membership::State s) {
+const char* name_of(membership::MemberState s) {
   switch (s) {
-    case membership::State::kAlive:
+    case membership::MemberState::kAlive:
       return "alive";
-    case membership::State::kSuspect:
+    case membership::MemberState::kSuspect:
       return "suspect";
-    case membership::State::kDead:
+    case membership::MemberState::kDead:
       return "dead";
     default:
       return "left";
@@ -66,7 +66,7 @@
   const auto& record = instance.voter()->record();
   voter["votes"] = record.voters.has(f.name);
   voter["remembers"] = f.remembers;
-  voter["waits_ms"] = ms(instance.voter()->waits(now));
+  voter["waits_ms"] = ms(instance.voter()->remaining_recovery(now));
   voter["writes"] = f.writes;
   voter["longest_write_ms"] = 1e3 * seconds(f.longest_write);
   out["voters"] = {{"version", instance.voters().version}, {"names", instance.voters().names}};
@@ -75,31 +75,33 @@
     const bool holds = t.holds(now);
     json a;
     a["address"] = name;
-    a["state"] = lease::name_of(t.state());
+    a["state"] = lease::status_name(t.state());
     a["since_ms"] = ms(now - t.since());
     a["term"] = t.term();
     a["newest_term"] = t.newest_term();
     a["lease_left_ms"] = holds ? ms(t.valid_until() - now) : 0;
     a["voters_reached"] = t.voters_reached();
     a["voters"] = t.voters().names.size();
-    a["why"] = t.why();
+    a["why"] = t.reason();
     std::string holder = holds ? f.name : "";
     lease::Term newest = holds ? t.term() : 0;
-    for (const auto& [other, m] : instance.group().members()) {
-      if (m.state == membership::State::kDead || m.state == membership::State::kLeft) continue;
+    for (const auto& [other, m] : instance.membership().members()) {
+      if (m.state == membership::MemberState::kDead || m.state == membership::MemberState::kLeft)
+        continue;
       const auto meta = group::decode_meta(m.meta);
-      const auto held = meta ? meta->holds.find(name) : decltype(meta->holds.find(name)){};
-      if (meta && held != meta->holds.end() && held->second > newest) {
+      const auto held =
+          meta ? meta->held_terms.find(name) : decltype(meta->held_terms.find(name)){};
+      if (meta && held != meta->held_terms.end() && held->second > newest) {
         holder = other;
         newest = held->second;
       }
     }
     a["holder"] = holder;
-    a["tenures"] = t.lease_holders();
+    a["tenures"] = t.elections_won();
     out["addresses"].push_back(std::move(a));
   }
   out["members"] = json::array();
-  for (const auto& [name, m] : instance.group().members()) {
+  for (const auto& [name, m] : instance.membership().members()) {
     const auto meta = group::decode_meta(m.meta);
     out["members"].push_back({{"name", name},
                               {"endpoint", m.endpoint},
--- a/src/group_runtime/voter_storage.cc
+++ b/src/group_runtime/voter_storage.cc
@@ -69,7 +69,7 @@
     log_("voter: " + store_->file() + ": its record makes no sense and is not used");
 }
 
-bool VoterStorage::keep(const lease::VoterRecord& record) {
+bool VoterStorage::save(const lease::VoterRecord& record) {
   if (!store_) return false;
   const Time before = lease_now();
   try {
--- a/src/group_runtime/voter_storage.h
+++ b/src/group_runtime/voter_storage.h
@@ -15,7 +15,7 @@
 // What one member keeps on disk: its incarnation and, as a voter, its record. A folder that cannot
 // be used is tried again, ever more rarely, for as long as the process lives; until then nothing is
 // kept, and so nothing is promised.
-class VoterStorage : public group::Memory {
+class VoterStorage : public group::VoterRecordStore {
  public:
   using Log = std::function<void(const std::string& line)>;
 
@@ -33,7 +33,7 @@
   // Nothing where there was no record, or it could not be read.
   const std::optional<lease::VoterRecord>& remembered() const { return remembered_; }
 
-  bool keep(const lease::VoterRecord& record) override;
+  bool save(const lease::VoterRecord& record) override;
   std::uint64_t writes() const { return writes_; }
   Duration longest_write() const { return longest_write_; }
 
--- a/src/lease/address_assignment.cc
+++ b/src/lease/address_assignment.cc
@@ -5,123 +5,186 @@
 #include <cstdint>
 #include <string_view>
 #include <tuple>
+#include <utility>
 
 #include "policy/hash_ring.h"
 
 namespace balancer::lease {
 namespace {
 
-constexpr std::size_t kNobody = SIZE_MAX;
+// Instances are known by their index in the caller's list.
+constexpr std::size_t kNoInstance = SIZE_MAX;
 
-// Lower is better.
-std::size_t preference(const Wanted& w, const std::string& name) {
-  return static_cast<std::size_t>(std::find(w.prefer.begin(), w.prefer.end(), name) -
-                                  w.prefer.begin());
-}
-
-// One address among the instances, which are known by their places in the list.
-struct Place {
-  const Wanted* wanted;
+struct AssignedAddress {
+  const AddressPreference* spec;
   std::uint64_t hash;
-  std::size_t home = kNobody;
-  std::vector<std::size_t> preferences{};  // by instance; empty: nobody is preferred
+  std::size_t holder = kNoInstance;
+  // By instance, lower is better; empty if no instance is preferred.
+  std::vector<std::size_t> preference_ranks{};
 
-  std::size_t preference_of(std::size_t i) const {
-    return preferences.empty() ? 0 : preferences[i];
+  std::size_t preference_rank(std::size_t instance) const {
+    return preference_ranks.empty() ? 0 : preference_ranks[instance];
   }
 };
 
-}  // namespace
+class AddressAssigner {
+ public:
+  AddressAssigner(const std::vector<AddressPreference>& addresses,
+                  const std::vector<EligibleInstance>& instances);
 
-std::map<std::string, std::vector<std::string>> assign_addresses(
-    const std::vector<Wanted>& addresses, const std::vector<EligibleInstance>& eligible,
-    const std::map<std::string, std::string>& holders, std::size_t most) {
-  const std::size_t n = eligible.size();
-  std::vector<std::uint64_t> hashes;
-  std::map<std::string_view, std::size_t> by_name;
-  for (std::size_t i = 0; i < n; ++i) {
-    hashes.push_back(stable_hash(eligible[i].name));
-    by_name.emplace(eligible[i].name, i);
+  void keep_holders(const std::map<std::string, std::string>& holders);
+  void assign_unheld();
+  void move_to_preferred();
+  void balance();
+  Assignment rank(std::size_t max_ranked) const;
+
+ private:
+  struct Move {
+    AssignedAddress* address = nullptr;
+    std::size_t to = kNoInstance;
+    // How much more evenly the addresses are spread, then the hash.
+    std::tuple<std::size_t, std::uint64_t> gain{1, 0};
+  };
+
+  // Lower is better.
+  auto cost(const AssignedAddress& address, std::size_t instance) const {
+    return std::tuple(address.preference_rank(instance), held_[instance],
+                      ~mix(address.hash, hashes_[instance]),
+                      std::string_view(instances_[instance].name));
   }
-  std::vector<std::size_t> count(n, 0);
-  std::vector<Place> places;
-  for (const Wanted& w : addresses) {
-    Place p{&w, stable_hash(w.address)};
-    if (!w.prefer.empty())
-      for (const EligibleInstance& a : eligible) p.preferences.push_back(preference(w, a.name));
-    places.push_back(std::move(p));
+  template <typename Predicate>
+  std::size_t best(const AssignedAddress& address, Predicate&& is_allowed) const;
+  void assign(AssignedAddress& address, std::size_t instance);
+  Move best_move();
+
+  const std::vector<EligibleInstance>& instances_;
+  std::vector<std::uint64_t> hashes_;       // by instance
+  std::vector<std::size_t> held_;           // by instance: addresses
+  std::vector<AssignedAddress> addresses_;  // by name
+};
+
+std::size_t preference_rank(const AddressPreference& spec, const std::string& name) {
+  const auto& names = spec.preferred_instances;
+  return static_cast<std::size_t>(std::find(names.begin(), names.end(), name) - names.begin());
+}
+
+AddressAssigner::AddressAssigner(const std::vector<AddressPreference>& addresses,
+                                 const std::vector<EligibleInstance>& instances)
+    : instances_(instances), held_(instances.size(), 0) {
+  for (const EligibleInstance& instance : instances_) hashes_.push_back(stable_hash(instance.name));
+  for (const AddressPreference& spec : addresses) {
+    AssignedAddress address{&spec, stable_hash(spec.address)};
+    if (!spec.preferred_instances.empty())
+      for (const EligibleInstance& instance : instances_)
+        address.preference_ranks.push_back(preference_rank(spec, instance.name));
+    addresses_.push_back(std::move(address));
   }
-  std::sort(places.begin(), places.end(),
-            [](const Place& a, const Place& b) { return a.wanted->address < b.wanted->address; });
-  for (Place& p : places) {
-    const auto it = holders.find(p.wanted->address);
-    const auto at = it == holders.end() ? by_name.end() : by_name.find(it->second);
-    if (at == by_name.end()) continue;
-    p.home = at->second;
-    ++count[p.home];
+  std::sort(addresses_.begin(), addresses_.end(),
+            [](const AssignedAddress& a, const AssignedAddress& b) {
+              return a.spec->address < b.spec->address;
+            });
+}
+
+void AddressAssigner::assign(AssignedAddress& address, std::size_t instance) {
+  if (address.holder != kNoInstance) --held_[address.holder];
+  address.holder = instance;
+  if (instance != kNoInstance) ++held_[instance];
+}
+
+template <typename Predicate>
+std::size_t AddressAssigner::best(const AssignedAddress& address, Predicate&& is_allowed) const {
+  std::size_t choice = kNoInstance;
+  for (std::size_t i = 0; i < instances_.size(); ++i)
+    if (is_allowed(i) && (choice == kNoInstance || cost(address, i) < cost(address, choice)))
+      choice = i;
+  return choice;
+}
+
+// A holder that is not eligible does not count.
+void AddressAssigner::keep_holders(const std::map<std::string, std::string>& holders) {
+  std::map<std::string_view, std::size_t> by_name;
+  for (std::size_t i = 0; i < instances_.size(); ++i) by_name.emplace(instances_[i].name, i);
+  for (AssignedAddress& address : addresses_) {
+    const auto holder = holders.find(address.spec->address);
+    if (holder == holders.end()) continue;
+    const auto instance = by_name.find(holder->second);
+    if (instance != by_name.end()) assign(address, instance->second);
   }
-  // Better ones are smaller.
-  const auto rank = [&](const Place& p, std::size_t i) {
-    return std::tuple(p.preference_of(i), count[i], ~mix(p.hash, hashes[i]),
-                      std::string_view(eligible[i].name));
-  };
-  const auto best = [&](const Place& p, auto&& allowed) {
-    std::size_t choice = kNobody;
-    for (std::size_t i = 0; i < n; ++i)
-      if (allowed(i) && (choice == kNobody || rank(p, i) < rank(p, choice))) choice = i;
-    return choice;
-  };
-  // What nobody holds.
-  for (Place& p : places) {
-    if (p.home != kNobody) continue;
-    p.home = best(p, [](std::size_t) { return true; });
-    if (p.home != kNobody) ++count[p.home];
+}
+
+void AddressAssigner::assign_unheld() {
+  for (AssignedAddress& address : addresses_)
+    if (address.holder == kNoInstance)
+      assign(address, best(address, [](std::size_t) { return true; }));
+}
+
+void AddressAssigner::move_to_preferred() {
+  for (AssignedAddress& address : addresses_) {
+    if (address.holder == kNoInstance || address.preference_ranks.empty()) continue;
+    const auto choice = best(address, [this](std::size_t i) { return instances_[i].settled; });
+    if (choice != kNoInstance &&
+        address.preference_rank(choice) < address.preference_rank(address.holder))
+      assign(address, choice);
   }
-  // Where one is preferred.
-  for (Place& p : places) {
-    if (p.home == kNobody || p.preferences.empty()) continue;
-    const auto choice = best(p, [&eligible](std::size_t i) { return eligible[i].settled; });
-    if (choice == kNobody || p.preference_of(choice) >= p.preference_of(p.home)) continue;
-    --count[p.home];
-    ++count[choice];
-    p.home = choice;
+}
+
+// Moves addresses between equally preferred instances until no move makes the spread more even.
+void AddressAssigner::balance() {
+  for (std::size_t moves = 0; moves < addresses_.size(); ++moves) {
+    const Move move = best_move();
+    if (!move.address) return;
+    assign(*move.address, move.to);
   }
-  // Even parts, one address at a time until no move helps; among those that are preferred alike.
-  for (std::size_t moves = 0; moves < places.size(); ++moves) {
-    Place* which = nullptr;
-    std::size_t to = kNobody;
-    std::tuple<std::size_t, std::uint64_t> best_gain{1, 0};
-    for (Place& p : places) {
-      if (p.home == kNobody || count[p.home] < 2) continue;
-      for (std::size_t i = 0; i < n; ++i) {
-        if (!eligible[i].settled || count[p.home] < count[i] + 2 ||
-            p.preference_of(i) != p.preference_of(p.home))
-          continue;
-        const std::tuple gain(count[p.home] - count[i],
-                              mix(p.hash, hashes[i]) ^ mix(p.hash, hashes[p.home]));
-        if (which && gain <= best_gain) continue;
-        which = &p;
-        to = i;
-        best_gain = gain;
-      }
+}
+
+AddressAssigner::Move AddressAssigner::best_move() {
+  Move move;
+  for (AssignedAddress& address : addresses_) {
+    const std::size_t from = address.holder;
+    if (from == kNoInstance || held_[from] < 2) continue;
+    for (std::size_t to = 0; to < instances_.size(); ++to) {
+      if (!instances_[to].settled || held_[from] < held_[to] + 2 ||
+          address.preference_rank(to) != address.preference_rank(from))
+        continue;
+      const std::tuple gain(held_[from] - held_[to],
+                            mix(address.hash, hashes_[to]) ^ mix(address.hash, hashes_[from]));
+      if (!move.address || gain > move.gain) move = {&address, to, gain};
     }
-    if (!which) break;
-    --count[which->home];
-    ++count[to];
-    which->home = to;
   }
-  std::map<std::string, std::vector<std::string>> order;
-  std::vector<std::size_t> all(n);
-  for (const Place& p : places) {
-    for (std::size_t i = 0; i < n; ++i) all[i] = i;
-    const auto some = all.begin() + static_cast<std::ptrdiff_t>(std::min(most, n));
-    std::partial_sort(all.begin(), some, all.end(), [&](std::size_t a, std::size_t b) {
-      return std::pair(a != p.home, rank(p, a)) < std::pair(b != p.home, rank(p, b));
-    });
-    auto& names = order[p.wanted->address];
-    for (auto it = all.begin(); it != some; ++it) names.push_back(eligible[*it].name);
+  return move;
+}
+
+Assignment AddressAssigner::rank(std::size_t max_ranked) const {
+  Assignment assignment;
+  std::vector<std::size_t> order(instances_.size());
+  for (const AssignedAddress& address : addresses_) {
+    for (std::size_t i = 0; i < order.size(); ++i) order[i] = i;
+    const auto end =
+        order.begin() + static_cast<std::ptrdiff_t>(std::min(max_ranked, order.size()));
+    // The assigned holder comes first.
+    const auto key = [&](std::size_t i) {
+      return std::pair(i != address.holder, cost(address, i));
+    };
+    std::partial_sort(order.begin(), end, order.end(),
+                      [&](std::size_t a, std::size_t b) { return key(a) < key(b); });
+    auto& names = assignment[address.spec->address];
+    for (auto it = order.begin(); it != end; ++it) names.push_back(instances_[*it].name);
   }
-  return order;
+  return assignment;
+}
+
+}  // namespace
+
+Assignment assign_addresses(const std::vector<AddressPreference>& addresses,
+                            const std::vector<EligibleInstance>& instances,
+                            const std::map<std::string, std::string>& holders,
+                            std::size_t max_ranked) {
+  AddressAssigner assigner(addresses, instances);
+  assigner.keep_holders(holders);
+  assigner.assign_unheld();
+  assigner.move_to_preferred();
+  assigner.balance();
+  return assigner.rank(max_ranked);
 }
 
 }  // namespace balancer::lease
--- a/src/lease/address_assignment.h
+++ b/src/lease/address_assignment.h
@@ -5,34 +5,43 @@
 #include <string>
 #include <vector>
 
-// Which instance is to hold which service address, from what one instance knows of the others.
-// Views may differ for a while: that costs a move or a moment, never two holders, which the leases
-// see to.
+// Which instance should hold which service address, from one instance's view of the group. Views
+// may differ for a while; that costs a superfluous move or a short delay, and never leads to two
+// holders, which the leases prevent.
 namespace balancer::lease {
 
-struct Wanted {
+// A service address, and who should hold it.
+struct AddressPreference {
   std::string address;
-  std::vector<std::string> prefer;  // instances, the most wanted first; others are alike
+  // Instance names, the most preferred first; all others are equal, behind these.
+  std::vector<std::string> preferred_instances;
 };
 
+// An instance that can serve now.
 struct EligibleInstance {
   std::string name;
-  // For long enough that something may be moved to it; else it takes only what nobody holds.
+  // It has been eligible for long enough that a held address may be moved to it.
   bool settled = false;
   bool operator==(const EligibleInstance&) const = default;
 };
 
-// For each address, who is to hold it and who is next, the best first, `most` of them. No instance
-// that is not able is in it.
+// By address: instances in the order in which they should hold it.
+using Assignment = std::map<std::string, std::vector<std::string>>;
+
+inline constexpr std::size_t kMaxRanked = 8;
+
+// Ranks up to `max_ranked` of the eligible instances for each address. `holders`: by address, the
+// present holder's name.
 //
-// Whoever holds an address keeps it, unless one that is preferred to it is settled, or it holds
-// more than its even part and another that is settled holds less: then the address that fits it
-// least goes. Addresses that nobody holds go one after the other, in the order of their names, to
-// the most preferred, of these to whoever holds least, and of those by the address's own order
-// (rendezvous hashing, Thaler and Ravishankar 1998), so that a dead one's part is dealt out evenly,
-// and by all alike.
-std::map<std::string, std::vector<std::string>> assign_addresses(
-    const std::vector<Wanted>& addresses, const std::vector<EligibleInstance>& eligible,
-    const std::map<std::string, std::string>& holders, std::size_t most = 8);
+// A holder keeps its address, unless a settled instance is preferred to it, or it holds at least
+// two more addresses than a settled instance that is equally preferred: then the address whose
+// rendezvous hash gains most moves. Addresses without a holder are assigned one after the other, in
+// the order of their names: to the most preferred instance, of these to the one that holds fewest,
+// and of those by rendezvous hashing (Thaler and Ravishankar 1998), so that the addresses of a
+// failed instance are spread evenly, and all instances compute the same.
+Assignment assign_addresses(const std::vector<AddressPreference>& addresses,
+                            const std::vector<EligibleInstance>& instances,
+                            const std::map<std::string, std::string>& holders,
+                            std::size_t max_ranked = kMaxRanked);
 
 }  // namespace balancer::lease
--- a/src/lease/eligibility.cc
+++ b/src/lease/eligibility.cc
@@ -6,23 +6,24 @@
 namespace balancer::lease {
 namespace {
 
-constexpr Duration kRelapses = std::chrono::seconds(60);
+constexpr Duration kRelapseWindow = std::chrono::seconds(60);
 constexpr std::size_t kMaxDoublings = 4;
 
-constexpr std::array<std::string_view, Eligibility::kParts> kMissing = {
+// By condition, for the operator.
+constexpr std::array<std::string_view, Eligibility::kConditions> kUnmetReasons = {
     "no hosts are listed", "its listener is not open", "too few routers take announcements",
     "it drains"};
 
-bool waits(Eligibility::Part part) {
-  return part == Eligibility::Part::kHosts || part == Eligibility::Part::kRouters;
+bool has_grace(Eligibility::Condition condition) {
+  return condition == Eligibility::Condition::kHostsListed ||
+         condition == Eligibility::Condition::kRoutersConnected;
 }
 
 }  // namespace
 
-void Eligibility::on_part(Time now, Part part, bool there) {
-  State& s = parts_[static_cast<std::size_t>(part)];
-  if (s.there == there) return;
-  s = {there, now};
+void Eligibility::on_condition(Time now, Condition condition, bool is_met) {
+  ConditionState& state = conditions_[static_cast<std::size_t>(condition)];
+  if (state.is_met != is_met) state = {is_met, now};
 }
 
 void Eligibility::on_lateness(Time now, Duration late) {
@@ -32,11 +33,12 @@
   if (late_at_.size() > settings_.late_times) late_at_.pop_front();
 }
 
-std::string_view Eligibility::missing(Time now) const {
-  for (std::size_t i = 0; i < kParts; ++i) {
-    const State& s = parts_[i];
-    const bool graced = waits(static_cast<Part>(i)) && eligible_ && now - s.since < settings_.grace;
-    if (!s.there && !graced) return kMissing[i];
+std::string_view Eligibility::unmet_condition(Time now) const {
+  for (std::size_t i = 0; i < kConditions; ++i) {
+    const ConditionState& state = conditions_[i];
+    const bool in_grace =
+        has_grace(static_cast<Condition>(i)) && is_eligible_ && now - state.since < settings_.grace;
+    if (!state.is_met && !in_grace) return kUnmetReasons[i];
   }
   const auto late = std::count_if(late_at_.begin(), late_at_.end(),
                                   [&](Time t) { return now - t <= settings_.late_window; });
@@ -44,42 +46,40 @@
   return {};
 }
 
+// None before the first time that the instance was eligible: a start need not wait.
+Duration Eligibility::steady_time() const {
+  if (!was_ever_eligible_ || relapses_.empty()) return Duration{0};
+  return settings_.steady * (1 << std::min(relapses_.size() - 1, kMaxDoublings));
+}
+
 bool Eligibility::eligible(Time now) {
-  while (!relapses_.empty() && now - relapses_.front() > kRelapses) relapses_.pop_front();
-  const std::string_view not_there = missing(now);
-  if (!not_there.empty()) {
-    why_ = not_there;
-    well_at_ = Time::max();
-    if (std::exchange(eligible_, false)) {
+  while (!relapses_.empty() && now - relapses_.front() > kRelapseWindow) relapses_.pop_front();
+  if (const std::string_view unmet = unmet_condition(now); !unmet.empty()) {
+    reason_ = unmet;
+    eligible_at_ = Time::max();
+    if (std::exchange(is_eligible_, false)) {
       relapses_.push_back(now);
       if (relapses_.size() > kMaxDoublings + 1) relapses_.pop_front();
     }
     return false;
   }
-  if (eligible_) return true;
-  if (well_at_ == Time::max()) {
-    // The first time nothing speaks against it.
-    const Duration steady =
-        ever_ && !relapses_.empty()
-            ? settings_.steady * (1 << std::min(relapses_.size() - 1, kMaxDoublings))
-            : Duration{0};
-    well_at_ = now + steady;
-  }
-  if (now < well_at_) {
-    why_ = "well again, and not for long enough";
+  if (is_eligible_) return true;
+  if (eligible_at_ == Time::max()) eligible_at_ = now + steady_time();
+  if (now < eligible_at_) {
+    reason_ = "well again, and not for long enough";
     return false;
   }
-  eligible_ = ever_ = true;
-  why_ = "ready";
+  is_eligible_ = was_ever_eligible_ = true;
+  reason_ = "ready";
   return true;
 }
 
 Time Eligibility::next() const {
   Time first = Time::max();
-  for (std::size_t i = 0; i < kParts; ++i)
-    if (!parts_[i].there && eligible_ && waits(static_cast<Part>(i)))
-      first = std::min(first, parts_[i].since + settings_.grace);
-  if (!eligible_) first = std::min(first, well_at_);
+  for (std::size_t i = 0; i < kConditions; ++i)
+    if (!conditions_[i].is_met && is_eligible_ && has_grace(static_cast<Condition>(i)))
+      first = std::min(first, conditions_[i].since + settings_.grace);
+  if (!is_eligible_) first = std::min(first, eligible_at_);
   if (late_at_.size() >= settings_.late_times)
     first = std::min(first, late_at_.front() + settings_.late_window + Duration{1});
   return first;
--- a/src/lease/eligibility.h
+++ b/src/lease/eligibility.h
@@ -11,51 +11,59 @@
 namespace balancer::lease {
 
 struct EligibilitySettings {
-  // What is missing for less than this is not missed: lists are exchanged, sessions come back.
+  // How long hosts or routers may be missing before an eligible instance ceases to be so: endpoint
+  // lists are replaced, sessions reconnect. Default: 300 ms.
   Duration grace{std::chrono::milliseconds(300)};
-  // After it could not, an instance must have been well for so long before it says that it can. At
-  // each relapse within the last minute it doubles, up to 16 times.
+  // How long all conditions must be met before an instance that was not eligible is so again. It
+  // doubles with each relapse within the last minute, up to 16 times. Default: 500 ms.
   Duration steady{std::chrono::milliseconds(500)};
-  // An event loop that came later than this, so often within the window, cannot do the work.
+  // An event loop that was late by `late` or more at `late_times` checks within `late_window` is
+  // overloaded or stalled. Defaults: 250 ms, 3 times, 3 s.
   Duration late{std::chrono::milliseconds(250)};
   std::size_t late_times = 3;
   Duration late_window{std::chrono::seconds(3)};
 };
 
-// Whether an instance can do the work behind a service address, from what is seen of its parts: so
-// that one that cannot gives its addresses up in order, and one that comes and goes gets none. No
-// I/O and no clock; `now` comes with every call and never goes back.
+// Whether this instance can serve a service address, so that one that cannot hands its addresses
+// over gracefully, and one that flaps is given none. No I/O and no clock; `now` comes with every
+// call and never goes back.
 class Eligibility {
  public:
-  // What must be there; a part that is told nothing of is.
-  enum class Part { kHosts, kListener, kRouters, kStays };
-  static constexpr std::size_t kParts = 4;
+  // What must hold; each condition counts as met until it is reported otherwise.
+  enum class Condition { kHostsListed, kListenerOpen, kRoutersConnected, kNotDraining };
+  static constexpr std::size_t kConditions = 4;
 
   explicit Eligibility(const EligibilitySettings& settings) : settings_(settings) {}
 
-  // kListener and kStays count at once, the others after the grace.
-  void on_part(Time now, Part part, bool there);
-  // How late the event loop was with something that it had to do at a time; told regularly.
+  // kHostsListed and kRoutersConnected have a grace, the others count at once.
+  void on_condition(Time now, Condition condition, bool is_met);
+  // By how much a periodic timer of the event loop was late; to be reported at each expiry.
   void on_lateness(Time now, Duration late);
 
   bool eligible(Time now);
-  const std::string& why() const { return why_; }  // not, or "ready"
-  Time next() const;                               // when able() may differ without further news
+  // Why it was not eligible at the last call of eligible(), or "ready". In the status JSON.
+  const std::string& reason() const { return reason_; }
+  // When eligible() may change without a further report; Time::max(): not at all.
+  Time next() const;
 
  private:
-  std::string_view missing(Time now) const;
-
-  const EligibilitySettings settings_;
-  struct State {
-    bool there = true;
+  struct ConditionState {
+    bool is_met = true;
     Time since{0};
   };
-  std::array<State, kParts> parts_;
+
+  // The first reason against it, or empty.
+  std::string_view unmet_condition(Time now) const;
+  Duration steady_time() const;
+
+  const EligibilitySettings settings_;
+  std::array<ConditionState, kConditions> conditions_;
   std::deque<Time> late_at_;
-  bool eligible_ = false, ever_ = false;
-  Time well_at_{Time::max()};  // when nothing will have been missing for long enough
+  bool is_eligible_ = false;
+  bool was_ever_eligible_ = false;
+  Time eligible_at_{Time::max()};  // if all conditions stay met until then
   std::deque<Time> relapses_;
-  std::string why_ = "starts";
+  std::string reason_ = "starts";
 };
 
 }  // namespace balancer::lease
--- a/src/lease/lease_holder.cc
+++ b/src/lease/lease_holder.cc
@@ -8,19 +8,24 @@
 
 using std::chrono::milliseconds;
 
-// A lease is renewed this often within its length.
-constexpr int kRenewals = 4;
-// Renewals whose answers are still waited for.
-constexpr std::size_t kMaxRounds = 4;
-// Those behind the first wait so much longer for each before them, and all by chance as much.
+// Renewals, and polls of a partitioned instance at first, in the length of a lease.
+constexpr int kRenewalsPerLease = 4;
+// Renewals whose answers still count.
+constexpr std::size_t kMaxOpenRounds = 4;
+// Election delays: one step for each preferred candidate, and a random part.
 constexpr Duration kRankStep = milliseconds(60);
-constexpr Duration kChance = milliseconds(30);
-// Two that took votes from each other come again after up to this.
-constexpr Duration kCollision = milliseconds(80);
+constexpr Duration kElectionJitter = milliseconds(30);
+// Longest random delay after a failed election, so that candidates that split the votes do not
+// collide again.
+constexpr Duration kCollisionBackoff = milliseconds(80);
 
 }  // namespace
 
 const char* name_of(LeaseHolder::State state) {
+  return state == LeaseHolder::State::kPartitioned ? "partitioned" : status_name(state);
+}
+
+const char* status_name(LeaseHolder::State state) {
   switch (state) {
     case LeaseHolder::State::kIdle:
       return "idle";
@@ -32,314 +37,345 @@
       return "handing over";
     case LeaseHolder::State::kReleasing:
       return "releasing";
-    default:
-      return "cut off";
+    case LeaseHolder::State::kPartitioned:
+      break;
   }
+  return "cut off";
 }
 
-LeaseHolder::LeaseHolder(std::string address, Holder self, const LeaseTimes& times, Voters voters,
-                         std::uint64_t seed, Time now)
+LeaseHolder::LeaseHolder(std::string address, InstanceId self, const LeaseTimes& times,
+                         VoterSet voters, std::uint64_t seed, Time now)
     : address_(std::move(address)),
       self_(std::move(self)),
       times_(times),
       voters_(std::move(voters)),
       random_(static_cast<std::minstd_rand::result_type>(seed ^ seed >> 32)),
       since_(now),
-      try_at_(now) {}
+      next_election_at_(now) {}
+
+bool LeaseHolder::may_serve(Time now, Duration drain) const {
+  if (holds(now)) return true;
+  const bool is_ending = state_ == State::kHandingOver || state_ == State::kReleasing;
+  if (is_ending && now < may_serve_until_) return true;
+  return graceful_since_ && is_release_confirmed_ && now < *graceful_since_ + drain;
+}
+
+std::optional<Time> LeaseHolder::graceful_release_since() const {
+  const bool is_ending = state_ == State::kHandingOver || state_ == State::kReleasing;
+  return is_ending ? graceful_since_ : std::nullopt;
+}
 
-Duration LeaseHolder::jitter(Duration most) {
-  return Duration(static_cast<Duration::rep>(static_cast<double>(most.count()) * times_.chance *
-                                             std::uniform_real_distribution<>()(random_)));
+Duration LeaseHolder::jitter(Duration max) {
+  return Duration(
+      static_cast<Duration::rep>(static_cast<double>(max.count()) * times_.jitter_factor *
+                                 std::uniform_real_distribution<>()(random_)));
 }
 
-void LeaseHolder::enter(Time now, State state, std::string_view why) {
+Duration LeaseHolder::rank_delay() const { return rank_ * kRankStep; }
+
+void LeaseHolder::enter(Time now, State state, std::string_view reason) {
   state_ = state;
   since_ = now;
-  why_ = why;
+  reason_ = reason;
 }
 
-// ---- what it is told to do
+// ---- commands of the lease manager
 
-void LeaseHolder::want(Time now, bool wanted, int rank) {
-  if (wanted && !wanted_ && state_ == State::kIdle)
-    try_at_ = std::max(try_at_, now + rank * kRankStep + jitter(kChance));
-  wanted_ = wanted;
+void LeaseHolder::set_candidacy(Time now, bool wanted, int rank) {
+  const bool becomes_wanted = wanted && !is_wanted_;
+  is_wanted_ = wanted;
   rank_ = rank;
-  if (!wanted && state_ == State::kCandidate) give_up_election(now, "not wanted any more");
+  if (becomes_wanted && state_ == State::kIdle)
+    next_election_at_ = std::max(next_election_at_, now + rank_delay() + jitter(kElectionJitter));
+  if (!wanted && state_ == State::kCandidate) abandon_election(now, "not wanted any more");
 }
 
-void LeaseHolder::invite(Time now, Term term) {
-  newest_ = std::max(newest_, term);
+void LeaseHolder::on_invitation(Time now, Term term) {
+  newest_term_ = std::max(newest_term_, term);
   if (state_ != State::kIdle) return;
-  wanted_ = invited_ = true;
+  is_wanted_ = is_invited_ = true;
   rank_ = 0;
-  try_at_ = now;
+  next_election_at_ = now;
 }
 
 void LeaseHolder::hand_over(Time now, const std::string& successor) {
   if (state_ != State::kHolder || successor == self_.name) return;
-  if (!holds(now)) return lose(now, "the lease had ended");
-  in_order_at_ = now;
-  serves_until_ = std::min(valid_until_, now + times_.overlap);
+  if (!holds(now)) return lose_lease(now, "the lease had ended");
+  graceful_since_ = now;
+  may_serve_until_ = std::min(valid_until_, now + times_.overlap);
   valid_until_ = now;
-  rounds_.clear();
-  wanted_ = false;
-  // Only the successor is given the address while this one is still announced.
-  tell_voters_released(successor);
-  overlap_ends_ = now + times_.overlap;
+  open_rounds_.clear();
+  is_wanted_ = false;
+  // The voters reserve the address for the successor while this instance still announces it.
+  send_release(successor);
+  overlap_ends_at_ = now + times_.overlap;
   enter(now, State::kHandingOver, "handed over to " + successor);
-  route_actions_.push_back({RouteAction::Kind::kFade, term_});
+  route_actions_.push_back({RouteAction::Kind::kDeprefer, address_, term_});
 }
 
 void LeaseHolder::on_successor_announces(Time now) {
   if (state_ != State::kHandingOver) return;
-  end_known_ = true;
-  stop_announcing(now);
+  is_release_confirmed_ = true;
+  withdraw_routes(now, reason_);
 }
 
-void LeaseHolder::stop_announcing(Time now) {
-  enter(now, State::kReleasing, why_);
-  route_actions_.push_back({RouteAction::Kind::kWithdraw, term_});
+void LeaseHolder::release(Time now, std::string_view reason) {
+  is_wanted_ = false;
+  if (state_ == State::kCandidate) return abandon_election(now, reason);
+  if (state_ != State::kHolder) return;
+  graceful_since_ = now;
+  may_serve_until_ = valid_until_;
+  open_rounds_.clear();
+  withdraw_routes(now, reason);
 }
 
-void LeaseHolder::release(Time now, std::string_view why) {
-  wanted_ = false;
-  if (state_ == State::kCandidate) return give_up_election(now, why);
-  if (state_ != State::kHolder) return;
-  in_order_at_ = now;
-  serves_until_ = valid_until_;
-  rounds_.clear();
-  enter(now, State::kReleasing, why);
-  route_actions_.push_back({RouteAction::Kind::kWithdraw, term_});
+// ---- requests to the voters
+
+VoteRequest LeaseHolder::make_request(VoteRequest::Kind kind) {
+  VoteRequest request;
+  request.kind = kind;
+  request.address = address_;
+  request.term = term_;
+  request.holder = self_;
+  request.number = next_number_++;
+  request.voter_set_version = voters_.version;
+  return request;
 }
 
-// ---- elections and renewals
+void LeaseHolder::start_round(Time now, VoteRequest::Kind kind) {
+  if (open_rounds_.size() >= kMaxOpenRounds) open_rounds_.pop_front();
+  const VoteRequest request = make_request(kind);
+  open_rounds_.push_back({request.number, now, {}, {}});
+  for (const auto& voter : voters_.names) requests_.push_back({voter, request});
+}
 
-void LeaseHolder::begin_round(Time now, VoteRequest::Kind kind) {
-  if (rounds_.size() >= kMaxRounds) rounds_.pop_front();
-  rounds_.push_back({next_number_++, now, {}, {}});
-  VoteRequest ask;
-  ask.kind = kind;
-  ask.address = address_;
-  ask.term = term_;
-  ask.holder = self_;
-  ask.number = rounds_.back().number;
-  ask.voters = voters_.version;
-  for (const auto& voter : voters_.names) sends_.push_back({voter, ask});
+void LeaseHolder::send_release(const std::string& successor) {
+  VoteRequest request = make_request(VoteRequest::Kind::kRelease);
+  request.successor = successor;
+  release_number_ = request.number;
+  release_acknowledged_by_.clear();
+  for (const auto& voter : voters_.names) requests_.push_back({voter, request});
 }
 
-void LeaseHolder::begin_election(Time now, bool known_free) {
+// ---- elections and renewals
+
+void LeaseHolder::start_election(Time now) {
   enter(now, State::kCandidate, "the address is free, as far as is known");
-  if (known_free) return ask_for_votes(now);
-  looking_ = true;
-  rounds_.clear();
-  begin_round(now, VoteRequest::Kind::kQuery);
-  election_ends_ = now + times_.patience;
-}
-
-void LeaseHolder::ask_for_votes(Time now) {
-  looking_ = false;
-  rounds_.clear();
-  term_ = ++newest_;
-  begin_round(now, VoteRequest::Kind::kLease);
-  election_ends_ = now + times_.patience;
-}
-
-// What was granted is given back, so that others need not wait for its end.
-void LeaseHolder::give_up_election(Time now, std::string_view why) {
-  const std::size_t answered = rounds_.empty() ? 0 : rounds_.back().answered.size();
-  const bool any = !rounds_.empty() && !rounds_.back().granted.empty();
-  reached_ = answered;
-  rounds_.clear();
-  // Voters whose answer is still out may have granted it too.
-  if (!std::exchange(looking_, false) && (any || answered < voters_.names.size()))
-    tell_voters_released({});
-  // An election that others' denials have ended early has not waited for the rest.
-  if (answered < majority() && now >= election_ends_) {
-    poll_at_ = now + times_.lease / kRenewals + jitter(kCollision);
-    return enter(now, State::kCutOff, "too few voters answer");
+  if (std::exchange(is_invited_, false)) return request_votes(now);
+  in_pre_vote_ = true;
+  open_rounds_.clear();
+  start_round(now, VoteRequest::Kind::kQuery);
+  election_deadline_ = now + times_.round_timeout;
+}
+
+void LeaseHolder::request_votes(Time now) {
+  in_pre_vote_ = false;
+  open_rounds_.clear();
+  term_ = ++newest_term_;
+  start_round(now, VoteRequest::Kind::kLease);
+  election_deadline_ = now + times_.round_timeout;
+}
+
+void LeaseHolder::abandon_election(Time now, std::string_view reason) {
+  const std::size_t answered = open_rounds_.empty() ? 0 : open_rounds_.back().answered.size();
+  const bool has_grants = !open_rounds_.empty() && !open_rounds_.back().granted.empty();
+  voters_reached_ = answered;
+  open_rounds_.clear();
+  // Grants are returned, so that others need not wait for their end. Voters whose answers are
+  // outstanding may have granted too.
+  if (!std::exchange(in_pre_vote_, false) && (has_grants || answered < voters_.names.size()))
+    send_release({});
+  // An election that denials have ended before its deadline has not waited for all answers.
+  if (answered < majority() && now >= election_deadline_) {
+    next_poll_at_ = now + times_.duration / kRenewalsPerLease + jitter(kCollisionBackoff);
+    return enter(now, State::kPartitioned, "too few voters answer");
   }
-  enter(now, State::kIdle, why);
-  const Time later = now + rank_ * kRankStep + jitter(kCollision);
-  try_at_ =
-      std::max(later, free_at_ > now ? free_at_ + rank_ * kRankStep + jitter(kChance) : later);
+  enter(now, State::kIdle, reason);
+  next_election_at_ = now + rank_delay() + jitter(kCollisionBackoff);
+  if (known_lease_ends_at_ > now)
+    next_election_at_ =
+        std::max(next_election_at_, known_lease_ends_at_ + rank_delay() + jitter(kElectionJitter));
+}
+
+void LeaseHolder::become_holder(Time now, const Round& round) {
+  valid_until_ = round.sent_at + times_.holder_duration();
+  voters_reached_ = round.answered.size();
+  next_renewal_at_ = std::max(now, round.sent_at + times_.duration / kRenewalsPerLease);
+  if (now >= valid_until_ - times_.withdraw_lead)
+    return abandon_election(now, "the lease came too late");
+  believed_holder_ = self_;
+  ++elections_won_;
+  graceful_since_.reset();
+  is_release_confirmed_ = false;
+  raise_term_at_ = Time::max();
+  enter(now, State::kHolder, "elected");
+  route_actions_.push_back({RouteAction::Kind::kAnnounce, address_, term_});
 }
 
 void LeaseHolder::renew(Time now) {
-  if (now >= raise_at_) {
-    raise_at_ = Time::max();
-    term_ = ++newest_;
-    route_actions_.push_back({RouteAction::Kind::kAnnounce, term_});
+  if (now >= raise_term_at_) {
+    raise_term_at_ = Time::max();
+    term_ = ++newest_term_;
+    route_actions_.push_back({RouteAction::Kind::kAnnounce, address_, term_});
   }
-  begin_round(now, VoteRequest::Kind::kLease);
-  renew_at_ = now + times_.lease / kRenewals;
+  start_round(now, VoteRequest::Kind::kLease);
+  next_renewal_at_ = now + times_.duration / kRenewalsPerLease;
 }
 
-// What was asked of the set before says nothing of a majority of this one: half the votes of four
-// could pass for most of three. A lease that is held goes on: majorities of the two sets share a
-// voter.
-void LeaseHolder::take_voters(Time now, const Voters& voters) {
+void LeaseHolder::poll_voters(Time now) {
+  open_rounds_.clear();
+  start_round(now, VoteRequest::Kind::kQuery);
+  voters_reached_ = 0;
+  next_poll_at_ = now + times_.duration / 2 + jitter(kCollisionBackoff);
+}
+
+// Answers to requests under the set before do not count: half the votes of four could pass for most
+// of three. A lease that is held goes on, as majorities of the two sets share a voter.
+void LeaseHolder::adopt_voter_set(Time now, const VoterSet& voters) {
   if (voters.version <= voters_.version || voters.names.empty()) return;
-  if (state_ == State::kCandidate) give_up_election(now, "the voters have changed");
+  if (state_ == State::kCandidate) abandon_election(now, "the voters have changed");
   voters_ = voters;
-  rounds_.clear();
-  if (state_ == State::kHolder) renew_at_ = now;
-  if (state_ == State::kCutOff) poll_at_ = now;
+  open_rounds_.clear();
+  if (state_ == State::kHolder) next_renewal_at_ = now;
+  if (state_ == State::kPartitioned) next_poll_at_ = now;
 }
 
-void LeaseHolder::on_reply(Time now, const std::string& voter, const VoteReply& r) {
-  using Verdict = VoteReply::Verdict;
-  if (r.address != address_ || !voters_.has(voter)) return;
-  newest_ = std::max(newest_, r.term);
-  if (r.verdict != Verdict::kGranted && r.term >= newest_) believed_ = r.holder;
-  take_voters(now, r.voters);
-  if (r.left > Duration{0} && r.verdict != Verdict::kGranted)
-    free_at_ = std::max(free_at_, now + r.left);
-  if (r.number == release_ && release_heard_.insert(voter).second &&
-      release_heard_.size() >= majority())
-    end_known_ = true;
-  const auto round = std::find_if(rounds_.begin(), rounds_.end(),
-                                  [&r](const Round& x) { return x.number == r.number; });
-  if (round == rounds_.end() || !round->answered.insert(voter).second) return;
-  if (state_ == State::kCutOff) {
-    reached_ = round->answered.size();
-    if (reached_ < majority()) return;
-    rounds_.clear();
-    enter(now, State::kIdle, "a majority of the voters answers again");
-    try_at_ = now + rank_ * kRankStep + jitter(kChance);
-    return;
-  }
-  if (looking_) return on_look(now, *round, voter, r);
-  if (r.verdict == Verdict::kGranted && r.term == term_ && r.holder == self_)
+// ---- replies of the voters
+
+void LeaseHolder::on_reply(Time now, const std::string& voter, const VoteReply& reply) {
+  if (reply.address != address_ || !voters_.has(voter)) return;
+  note_reply(now, voter, reply);
+  const auto round =
+      std::find_if(open_rounds_.begin(), open_rounds_.end(),
+                   [&reply](const Round& open) { return open.number == reply.number; });
+  if (round == open_rounds_.end() || !round->answered.insert(voter).second) return;
+  if (state_ == State::kPartitioned) return on_partitioned_reply(now, *round);
+  if (in_pre_vote_) return on_pre_vote_reply(now, *round, voter, reply);
+  if (reply.verdict == VoteReply::Verdict::kGranted && reply.term == term_ && reply.holder == self_)
     round->granted.insert(voter);
-  const std::size_t granted = round->granted.size();
-  const std::size_t denied = round->answered.size() - granted;
-  if (state_ == State::kCandidate) {
-    if (granted >= majority()) {
-      valid_until_ = round->asked_at + times_.usable();
-      reached_ = round->answered.size();
-      renew_at_ = std::max(now, round->asked_at + times_.lease / kRenewals);
-      if (now >= valid_until_ - times_.withdraw_lead) {
-        // The answers took too long to be of use.
-        return give_up_election(now, "the lease came too late");
-      }
-      believed_ = self_;
-      ++lease_holders_;
-      in_order_at_.reset();
-      end_known_ = false;
-      raise_at_ = Time::max();
-      enter(now, State::kHolder, "elected");
-      route_actions_.push_back({RouteAction::Kind::kAnnounce, term_});
-    } else if (denied + majority() > voters_.names.size()) {
-      give_up_election(now, r.holder.none() || r.holder == self_
-                                ? std::string("another candidate has votes")
-                                : "held by " + r.holder.name);
-    }
+  if (state_ == State::kCandidate) return on_election_reply(now, *round, reply);
+  if (state_ == State::kHolder) return on_renewal_reply(now, *round, reply);
+}
+
+// What any reply tells, whatever it answers.
+void LeaseHolder::note_reply(Time now, const std::string& voter, const VoteReply& reply) {
+  const bool is_granted = reply.verdict == VoteReply::Verdict::kGranted;
+  newest_term_ = std::max(newest_term_, reply.term);
+  if (!is_granted && reply.term >= newest_term_) believed_holder_ = reply.holder;
+  adopt_voter_set(now, reply.voters);
+  if (!is_granted && reply.remaining > Duration{0})
+    known_lease_ends_at_ = std::max(known_lease_ends_at_, now + reply.remaining);
+  if (reply.number == release_number_ && release_acknowledged_by_.insert(voter).second &&
+      release_acknowledged_by_.size() >= majority())
+    is_release_confirmed_ = true;
+}
+
+void LeaseHolder::on_partitioned_reply(Time now, const Round& round) {
+  voters_reached_ = round.answered.size();
+  if (voters_reached_ < majority()) return;
+  open_rounds_.clear();
+  enter(now, State::kIdle, "a majority of the voters answers again");
+  next_election_at_ = now + rank_delay() + jitter(kElectionJitter);
+}
+
+void LeaseHolder::on_pre_vote_reply(Time now, Round& round, const std::string& voter,
+                                    const VoteReply& reply) {
+  if (reply.verdict == VoteReply::Verdict::kQueryAnswer && reply.holder.empty())
+    round.granted.insert(voter);
+  if (round.granted.size() >= majority()) return request_votes(now);
+  if (is_denied(round))
+    abandon_election(
+        now, reply.holder.empty() ? std::string("others hold it") : "held by " + reply.holder.name);
+}
+
+void LeaseHolder::on_election_reply(Time now, const Round& round, const VoteReply& reply) {
+  if (round.granted.size() >= majority()) return become_holder(now, round);
+  if (is_denied(round))
+    abandon_election(now, reply.holder.empty() || reply.holder == self_
+                              ? std::string("another candidate has votes")
+                              : "held by " + reply.holder.name);
+}
+
+void LeaseHolder::on_renewal_reply(Time now, const Round& round, const VoteReply& reply) {
+  using Verdict = VoteReply::Verdict;
+  voters_reached_ = std::max(voters_reached_, round.answered.size());
+  if (reply.verdict == Verdict::kOldTerm && raise_term_at_ == Time::max())
+    raise_term_at_ = now + times_.duration;
+  if (round.granted.size() >= majority()) {
+    valid_until_ = std::max(valid_until_, round.sent_at + times_.holder_duration());
+    voters_reached_ = round.answered.size();
     return;
   }
-  if (state_ != State::kHolder) return;
-  reached_ = std::max(reached_, round->answered.size());
-  if (r.verdict == Verdict::kOldTerm && raise_at_ == Time::max()) raise_at_ = now + times_.lease;
-  if (granted >= majority()) {
-    valid_until_ = std::max(valid_until_, round->asked_at + times_.usable());
-    reached_ = round->answered.size();
-  } else if (denied + majority() > voters_.names.size() && r.verdict != Verdict::kVoters) {
-    // They would not say so of a lease that is valid, but for one that has forgotten: then it goes
-    // on until its end.
-    if (r.verdict == Verdict::kOldTerm || r.verdict == Verdict::kHeld)
-      lose(now, "the voters have promised it to another");
-  }
+  // Only these two verdicts say that another holder may have a majority. Other denials, such as
+  // those of voters that have lost their records, leave the lease to its end.
+  const bool is_superseded = reply.verdict == Verdict::kOldTerm || reply.verdict == Verdict::kHeld;
+  if (is_denied(round) && is_superseded) lose_lease(now, "the voters have promised it to another");
 }
 
-// An answer to "who holds it?".
-void LeaseHolder::on_look(Time now, Round& round, const std::string& voter, const VoteReply& r) {
-  if (r.verdict == VoteReply::Verdict::kTold && r.holder.none()) round.granted.insert(voter);
-  if (round.granted.size() >= majority()) return ask_for_votes(now);
-  const std::size_t taken = round.answered.size() - round.granted.size();
-  if (taken + majority() > voters_.names.size())
-    give_up_election(now,
-                     r.holder.none() ? std::string("others hold it") : "held by " + r.holder.name);
-}
+// ---- the end of a lease
 
-// ---- ends
+void LeaseHolder::withdraw_routes(Time now, std::string_view reason) {
+  enter(now, State::kReleasing, reason);
+  route_actions_.push_back({RouteAction::Kind::kWithdraw, address_, term_});
+}
 
-void LeaseHolder::tell_voters_released(const std::string& successor) {
-  VoteRequest ask;
-  ask.kind = VoteRequest::Kind::kRelease;
-  ask.address = address_;
-  ask.term = term_;
-  ask.holder = self_;
-  ask.number = release_ = next_number_++;
-  release_heard_.clear();
-  ask.voters = voters_.version;
-  ask.successor = successor;
-  for (const auto& voter : voters_.names) sends_.push_back({voter, ask});
+void LeaseHolder::end_without_release(Time now, std::string_view reason) {
+  graceful_since_.reset();
+  is_release_confirmed_ = false;
+  may_serve_until_ = valid_until_;
+  open_rounds_.clear();
+  withdraw_routes(now, reason);
 }
 
-void LeaseHolder::lose(Time now, std::string_view why) {
-  in_order_at_.reset();
-  end_known_ = false;
-  serves_until_ = valid_until_;
-  rounds_.clear();
-  cut_off_next_ = true;
-  enter(now, State::kReleasing, why);
-  route_actions_.push_back({RouteAction::Kind::kWithdraw, term_});
+void LeaseHolder::lose_lease(Time now, std::string_view reason) {
+  partitioned_after_withdrawal_ = true;
+  end_without_release(now, reason);
 }
 
 void LeaseHolder::check_lease(Time now) {
-  if (now >= valid_until_ - times_.withdraw_lead) lose(now, "the lease was not renewed in time");
+  if (now >= valid_until_ - times_.withdraw_lead)
+    lose_lease(now, "the lease was not renewed in time");
+}
+
+void LeaseHolder::on_claim_failed(Time now) {
+  if (state_ == State::kHolder) end_without_release(now, "the claim could not be carried out");
 }
 
 void LeaseHolder::on_withdrawn(Time now) {
   if (state_ != State::kReleasing) return;
   valid_until_ = std::min(valid_until_, now);
-  serves_until_ = std::min(serves_until_, now);
-  if (std::exchange(cut_off_next_, false)) {
-    poll_at_ = now;
-    return enter(now, State::kCutOff, why_);
+  may_serve_until_ = std::min(may_serve_until_, now);
+  if (std::exchange(partitioned_after_withdrawal_, false)) {
+    next_poll_at_ = now;
+    return enter(now, State::kPartitioned, reason_);
   }
-  tell_voters_released({});
-  enter(now, State::kIdle, why_);
-  try_at_ = now + times_.lease;
-}
-
-void LeaseHolder::on_claim_failed(Time now) {
-  if (state_ != State::kHolder) return;
-  rounds_.clear();
-  in_order_at_.reset();
-  end_known_ = false;
-  serves_until_ = valid_until_;
-  enter(now, State::kReleasing, "the claim could not be carried out");
-  route_actions_.push_back({RouteAction::Kind::kWithdraw, term_});
+  send_release({});
+  enter(now, State::kIdle, reason_);
+  next_election_at_ = now + times_.duration;
 }
 
-void LeaseHolder::poll_cut_off(Time now) {
-  rounds_.clear();
-  begin_round(now, VoteRequest::Kind::kQuery);
-  reached_ = 0;
-  poll_at_ = now + times_.lease / 2 + jitter(kCollision);
-}
+// ---- time
 
 void LeaseHolder::on_timer(Time now) {
   switch (state_) {
     case State::kIdle:
-      if (wanted_ && now >= try_at_) begin_election(now, std::exchange(invited_, false));
+      if (is_wanted_ && now >= next_election_at_) start_election(now);
       break;
     case State::kCandidate:
-      if (now >= election_ends_) give_up_election(now, "no majority in time");
+      if (now >= election_deadline_) abandon_election(now, "no majority in time");
       break;
     case State::kHolder:
       check_lease(now);
-      if (state_ == State::kHolder && now >= renew_at_) renew(now);
+      if (state_ == State::kHolder && now >= next_renewal_at_) renew(now);
       break;
     case State::kHandingOver:
-      if (now >= overlap_ends_) stop_announcing(now);
+      if (now >= overlap_ends_at_) withdraw_routes(now, reason_);
       break;
-    case State::kCutOff:
-      if (now >= poll_at_) poll_cut_off(now);
+    case State::kPartitioned:
+      if (now >= next_poll_at_) poll_voters(now);
       break;
     case State::kReleasing:
-      // A carrier that does not come to an end holds nothing up beyond the lease.
+      // Routes that are never reported as withdrawn delay nothing beyond the lease.
       if (now >= releasing_ends()) on_withdrawn(now);
       break;
   }
@@ -348,18 +384,19 @@
 Time LeaseHolder::next() const {
   switch (state_) {
     case State::kIdle:
-      return wanted_ ? try_at_ : Time::max();
+      return is_wanted_ ? next_election_at_ : Time::max();
     case State::kCandidate:
-      return election_ends_;
+      return election_deadline_;
     case State::kHolder:
-      return std::min(renew_at_, valid_until_ - times_.withdraw_lead);
+      return std::min(next_renewal_at_, valid_until_ - times_.withdraw_lead);
     case State::kHandingOver:
-      return overlap_ends_;
-    case State::kCutOff:
-      return poll_at_;
-    default:
-      return releasing_ends();
+      return overlap_ends_at_;
+    case State::kPartitioned:
+      return next_poll_at_;
+    case State::kReleasing:
+      break;
   }
+  return releasing_ends();
 }
 
 std::string LeaseHolder::fingerprint() const {
@@ -367,24 +404,26 @@
   const auto number = [&out](auto n) { out += std::to_string(n) + ","; };
   const auto time = [&](Time t) { number(t.count()); };
   number(static_cast<int>(state_));
-  number(wanted_);
+  number(is_wanted_);
   number(rank_);
   number(term_);
-  number(newest_);
+  number(newest_term_);
   number(next_number_);
-  number(cut_off_next_);
-  number(invited_);
-  number(end_known_);
-  number(release_);
-  number(release_heard_.size());
-  number(looking_);
+  number(partitioned_after_withdrawal_);
+  number(is_invited_);
+  number(is_release_confirmed_);
+  number(release_number_);
+  number(release_acknowledged_by_.size());
+  number(in_pre_vote_);
   number(voters_.version);
-  for (const Time t : {try_at_, free_at_, election_ends_, renew_at_, valid_until_, overlap_ends_,
-                       poll_at_, raise_at_, serves_until_, in_order_at_.value_or(Time{-1}), since_})
+  for (const Time t :
+       {next_election_at_, known_lease_ends_at_, election_deadline_, next_renewal_at_, valid_until_,
+        overlap_ends_at_, next_poll_at_, raise_term_at_, may_serve_until_,
+        graceful_since_.value_or(Time{-1}), since_})
     time(t);
-  for (const Round& r : rounds_) {
+  for (const Round& r : open_rounds_) {
     number(r.number);
-    time(r.asked_at);
+    time(r.sent_at);
     for (const auto* set : {&r.granted, &r.answered}) {
       for (const auto& name : *set) out += name + " ";
       out += ";";
--- a/src/lease/messages.h
+++ b/src/lease/messages.h
@@ -1,139 +1,154 @@
 #pragma once
 
+#include <algorithm>
 #include <compare>
 #include <cstdint>
-#include <map>
-#include <optional>
 #include <string>
 #include <vector>
 
 #include "structures/time.h"
 
-// What instances and voters say to each other about who holds a service address. Plain data; the
-// rules are in voter.h and tenure.h.
+// Messages between instances and voters about the lease of a service address, and between a driver
+// and voters about the set of voters. Plain data; the rules are in voter.h, lease_holder.h and
+// voter_reconfiguration.h. The numeric values of the enums are on the wire.
 namespace balancer::lease {
 
-// Counts the tenures of one address. Each has a term of its own, larger than those before: it goes
-// into every message and every announcement, so that whoever hears two knows the newer.
+// Numbers the successive holders of one address. Each election won and each raise by a holder uses
+// a larger term; of two messages or announcements the one with the larger term is newer.
 using Term = std::uint64_t;
 
-// An instance in one of its lives: a process that starts again is another.
-struct Holder {
+// One process of an instance. A restart under the same name has a larger incarnation, and is
+// another holder.
+struct InstanceId {
   std::string name;
-  std::uint64_t life = 0;
-  bool operator==(const Holder&) const = default;
-  auto operator<=>(const Holder&) const = default;
-  bool none() const { return name.empty(); }
+  std::uint64_t incarnation = 0;
+  bool operator==(const InstanceId&) const = default;
+  auto operator<=>(const InstanceId&) const = default;
+  bool empty() const { return name.empty(); }
 };
 
-// Who votes. Changed one at a time, and numbered.
-struct Voters {
+// The voters of a group. Each set has the version of its predecessor plus one, and differs from it
+// by one name.
+struct VoterSet {
   std::uint32_t version = 1;
-  std::vector<std::string> names;  // sorted
+  std::vector<std::string> names;  // sorted, unique, 1 to kMaxVoters
 
   std::size_t majority() const { return names.size() / 2 + 1; }
-  bool has(const std::string& name) const;
-  bool operator==(const Voters&) const = default;
+  bool has(const std::string& name) const {
+    return std::find(names.begin(), names.end(), name) != names.end();
+  }
+  bool operator==(const VoterSet&) const = default;
 };
 inline constexpr std::size_t kMaxVoters = 7;
 
-// Numbers attempts to change the voters; of two the larger wins.
+// Paxos ballot of a voter reconfiguration; larger ballots win.
 struct Ballot {
   std::uint64_t number = 0;
-  std::string by;
+  std::string proposer;  // breaks ties
   bool operator==(const Ballot&) const = default;
   auto operator<=>(const Ballot&) const = default;
-  bool none() const { return number == 0; }
+  bool empty() const { return number == 0; }
 };
 
+// Times of the lease protocol. Every member of a group must use the same values.
 struct LeaseTimes {
-  // For so long a voter keeps its promise, on its own clock, from after it gave it.
-  Duration lease{std::chrono::milliseconds(1000)};
-  // In any stretch of time the clocks of two machines differ by at most this part of it.
-  double drift = 0.01;
-  // Before its lease ends a holder withdraws by so much: what routers take to act on it.
+  // How long a voter keeps a grant, on its own clock, from the moment it grants. Default: 1000 ms.
+  Duration duration{std::chrono::milliseconds(1000)};
+  // Largest relative difference between the speeds of two machines' clocks. Default: 0.01.
+  double max_clock_drift = 0.01;
+  // How long before the end of its lease a holder withdraws its routes, so that routers have acted
+  // by the end. Default: 150 ms.
   Duration withdraw_lead{std::chrono::milliseconds(150)};
-  // A holder that hands over in order goes on being announced beside its successor for at most this
-  // long, and voters keep the address for that successor as long.
+  // Longest time for which an address that is handed over gracefully stays announced by the old
+  // holder, and reserved by the voters for the successor. Default: 300 ms.
   Duration overlap{std::chrono::milliseconds(300)};
-  // Without enough answers by then an attempt at an election or a renewal has failed.
-  Duration patience{std::chrono::milliseconds(150)};
-  // Scales the waits by chance that keep candidates out of step; 0 only in tests that walk all
-  // states.
-  double chance = 1;
-
-  // What a holder may count on, on its own clock, from before it asked: in true time no more than
-  // the slowest voter's promise lasts.
-  Duration usable() const { return from_seconds(seconds(lease) * (1 - drift) / (1 + drift)); }
+  // An election fails without a majority of answers within this time. Default: 150 ms.
+  Duration round_timeout{std::chrono::milliseconds(150)};
+  // Scales the random delays between candidates; 0 makes them deterministic, for tests that walk
+  // all states. Default: 1.
+  double jitter_factor = 1;
+
+  // How long a holder may use a lease, on its own clock, from before it sent the request: in true
+  // time not longer than any voter keeps its grant.
+  Duration holder_duration() const {
+    return from_seconds(seconds(duration) * (1 - max_clock_drift) / (1 + max_clock_drift));
+  }
 };
 
-// To a voter.
+// Instance to voter.
 struct VoteRequest {
   enum class Kind : std::uint8_t {
-    kQuery,    // who holds it? promises nothing
-    kLease,    // a first lease or its renewal
-    kRelease,  // the holder gives it up; for `successor` alone for a while, if there is one
+    kQuery,    // who holds the address? Grants nothing
+    kLease,    // a first lease, or its renewal
+    kRelease,  // the holder gives the address up; reserved for `successor` if one is named
   };
   Kind kind = Kind::kQuery;
   std::string address;
   Term term = 0;
-  Holder holder;
-  std::uint64_t number = 0;  // of the ask, among those of its sender
-  std::uint32_t voters = 0;  // the version that the sender goes by
-  std::string successor;
+  InstanceId holder;                    // the sender
+  std::uint64_t number = 0;             // of this request; unique for one sender and address
+  std::uint32_t voter_set_version = 0;  // that the sender counts majorities by
+  std::string successor;                // of kRelease: an instance's name, or empty
 };
 
-// A voter's answer.
+// Voter to instance.
 struct VoteReply {
   enum class Verdict : std::uint8_t {
-    kGranted,  // the promise is on disk
-    kHeld,     // promised to another, or kept for a successor; `left` is how long still
-    kOldTerm,  // `term` has been promised before
-    kWaiting,  // the voter has forgotten what it promised, and waits for `left`
-    kVoters,   // it goes by another set of voters
-    kTold,     // the answer to a query
+    kGranted,           // the grant is on disk
+    kHeld,              // granted to, or reserved for, another for `remaining`
+    kOldTerm,           // the request's term is not larger than `term`, which was granted before
+    kUnavailable,       // the voter grants nothing for `remaining`: it has lost its record, or has
+                        // no room for another address
+    kVoterSetMismatch,  // the voter uses another set of voters: `voters`
+    kQueryAnswer,       // the answer to a query, and to a release
   };
-  Verdict verdict = Verdict::kTold;
+  Verdict verdict = Verdict::kQueryAnswer;
   std::string address;
-  std::uint64_t number = 0;
-  Term term = 0;  // the newest that the voter has promised
-  Holder holder;  // to whom
-  Duration left{0};
-  Voters voters;
+  std::uint64_t number = 0;  // of the request
+  Term term = 0;             // the newest that the voter has granted
+  InstanceId holder;         // whom it was granted to
+  Duration remaining{0};
+  VoterSet voters;  // that the voter uses
 };
 
-// From whoever drives a change of the voters: which set is to follow `present`. A single decree of
-// Paxos (Lamport 1998) for each set, so that of two drivers' wishes one at most comes about.
-struct Change {
+// Between an instance that hands an address over and its successor.
+struct TransferMessage {
   enum class Kind : std::uint8_t {
-    kPrepare,  // promise to accept nothing of an older ballot, and say what was accepted
-    kAccept,   // accept `next` as the successor of `present`
-    kAdopt,    // `next` is chosen: go by it
+    kInvite,     // the address is reserved for the receiver, which should request it now
+    kAnnounces,  // the invited successor holds the address and announces it
+  };
+  Kind kind = Kind::kInvite;
+  std::string address;
+  Term term = 0;  // of the sender
+};
+
+// Driver of a reconfiguration to voter: which set is to follow `current`. One instance of
+// single-decree Paxos (Lamport 1998) for each version, so that of two drivers' proposals at most
+// one is chosen.
+struct ReconfigurationRequest {
+  enum class Kind : std::uint8_t {
+    kPrepare,  // promise to accept nothing under an older ballot, and report what was accepted
+    kAccept,   // accept `next` as the successor of `current`
+    kAdopt,    // `next` is chosen: use it
   };
   Kind kind = Kind::kPrepare;
   std::uint64_t number = 0;  // of the driver's attempt
   Ballot ballot;
-  Voters present, next;
-  bool by_all = false;  // of kAdopt: every voter of `present` accepted it
+  VoterSet current, next;
+  bool accepted_by_all = false;  // of kAdopt: every voter of `current` accepted `next`
 };
 
-// A voter's answer to it.
-struct Changed {
-  Change::Kind kind = Change::Kind::kPrepare;
-  std::uint64_t number = 0;
-  bool good = false;
-  bool forgot = false;  // it has lost its memory once, and what it accepted before
-  Voters voters;        // that it goes by now
-  Ballot promised;
-  Ballot accepted_at;  // none: nothing
-  Voters accepted;
-  std::string why_not;
+// Voter to driver.
+struct ReconfigurationReply {
+  ReconfigurationRequest::Kind kind = ReconfigurationRequest::Kind::kPrepare;
+  std::uint64_t number = 0;  // of the driver's attempt
+  bool ok = false;
+  bool record_lost = false;  // the voter may have accepted a set that it no longer knows of
+  VoterSet voters;           // that the voter uses
+  Ballot promised_ballot;
+  Ballot accepted_ballot;        // empty: nothing was accepted
+  VoterSet accepted_voters;      // under accepted_ballot
+  std::string rejection_reason;  // empty if ok
 };
 
-inline bool Voters::has(const std::string& name) const {
-  for (const auto& n : names)
-    if (n == name) return true;
-  return false;
-}
-
 }  // namespace balancer::lease
--- a/src/lease/voter.cc
+++ b/src/lease/voter.cc
@@ -3,182 +3,223 @@
 #include <algorithm>
 #include <iterator>
 #include <utility>
+#include <vector>
 
 namespace balancer::lease {
 namespace {
 
-// Addresses that one voter keeps promises for: far more than a group has.
+// Bounds the record against requests for made-up addresses; a group has far fewer.
 constexpr std::size_t kMaxAddresses = 256;
 
+bool is_granted_to(const VoterRecord::Grant& grant, const VoteRequest& request) {
+  return grant.holder == request.holder && grant.term == request.term && request.term > 0;
+}
+
 }  // namespace
 
-bool valid(const Voters& v) {
-  return !v.names.empty() && v.names.size() <= kMaxVoters &&
-         std::is_sorted(v.names.begin(), v.names.end()) &&
-         std::adjacent_find(v.names.begin(), v.names.end()) == v.names.end();
+bool is_valid(const VoterSet& voters) {
+  return !voters.names.empty() && voters.names.size() <= kMaxVoters &&
+         std::is_sorted(voters.names.begin(), voters.names.end()) &&
+         std::adjacent_find(voters.names.begin(), voters.names.end()) == voters.names.end();
 }
 
-bool one_step(const Voters& from, const Voters& to) {
+bool is_single_step(const VoterSet& from, const VoterSet& to) {
   if (to.version != from.version + 1) return false;
-  std::vector<std::string> differ;
+  std::vector<std::string> difference;
   std::set_symmetric_difference(from.names.begin(), from.names.end(), to.names.begin(),
-                                to.names.end(), std::back_inserter(differ));
-  return differ.size() == 1;
+                                to.names.end(), std::back_inserter(difference));
+  return difference.size() == 1;
 }
 
-Voter::Voter(std::string name, const LeaseTimes& times,
-             const std::optional<VoterRecord>& remembered, const Voters& founding, Time now)
-    : name_(std::move(name)), times_(times), waits_until_(now), changed_at_(now) {
-  if (remembered) {
-    record_ = *remembered;
-    for (const auto& [address, promise] : record_.promises)
-      live_[address].until = now + times_.lease;
+Voter::Voter(std::string name, const LeaseTimes& times, const std::optional<VoterRecord>& record,
+             const VoterSet& initial_voters, Time now)
+    : name_(std::move(name)), times_(times), recovering_until_(now), set_adopted_at_(now) {
+  if (record) {
+    record_ = *record;
+    for (const auto& [address, grant] : record_.grants)
+      grant_states_[address].expires_at = now + times_.duration;
   } else {
-    record_.voters = founding;
-    record_.forgot = true;
-    waits_until_ = now + times_.lease;
+    record_.voters = initial_voters;
+    record_.record_lost = true;
+    recovering_until_ = now + times_.duration;
   }
 }
 
-Voter::Decision Voter::on_ask(Time now, const VoteRequest& ask) {
-  using Verdict = VoteReply::Verdict;
-  Decision d;
-  VoteReply& r = d.reply;
-  r.address = ask.address;
-  r.number = ask.number;
-  r.voters = record_.voters;
-  const auto known = record_.promises.find(ask.address);
-  const VoterRecord::Promise none;
-  const VoterRecord::Promise& promise = known == record_.promises.end() ? none : known->second;
-  const auto at = live_.find(ask.address);
-  Live live = at == live_.end() ? Live{} : at->second;
-  r.term = promise.term;
-  r.holder = promise.holder;
-  const bool theirs = promise.holder == ask.holder && promise.term == ask.term && ask.term > 0;
-  const bool held = !live.released && live.until > now && !promise.holder.none();
-  if (held) r.left = live.until - now;
-  switch (ask.kind) {
+// ---- leases
+
+VoterRecord::Grant Voter::newest_grant(const std::string& address) const {
+  const auto it = record_.grants.find(address);
+  return it == record_.grants.end() ? VoterRecord::Grant{} : it->second;
+}
+
+Voter::GrantState Voter::grant_state(const std::string& address) const {
+  const auto it = grant_states_.find(address);
+  return it == grant_states_.end() ? GrantState{} : it->second;
+}
+
+Voter::VoteDecision Voter::on_vote_request(Time now, const VoteRequest& request) {
+  VoteDecision decision;
+  VoteReply& reply = decision.reply;
+  const VoterRecord::Grant grant = newest_grant(request.address);
+  const GrantState state = grant_state(request.address);
+  const bool held = is_held(grant, state, now);
+  reply.address = request.address;
+  reply.number = request.number;
+  reply.voters = record_.voters;
+  reply.term = grant.term;
+  reply.holder = grant.holder;
+  if (held) reply.remaining = state.expires_at - now;
+  switch (request.kind) {
     case VoteRequest::Kind::kQuery:
-      if (!held) r.holder = {};
-      return d;
+      if (!held) reply.holder = {};
+      break;
     case VoteRequest::Kind::kRelease:
-      if (!theirs || live.released) return d;
-      live.released = true;
-      live.reserved_for = ask.successor;
-      live.reserved_until = now + (ask.successor.empty() ? Duration{0} : times_.overlap);
-      live_[ask.address] = live;
-      return d;
-    default:
+      release(now, request);
+      break;
+    case VoteRequest::Kind::kLease:
+      decision.record_changed = decide_lease(now, request, reply);
       break;
   }
-  if (const Duration wait = waits(now); wait > Duration{0}) {
-    r.verdict = Verdict::kWaiting;
-    r.left = wait;
-    return d;
+  return decision;
+}
+
+// A release by anybody but the present holder, or a late one from an earlier term, has no effect.
+void Voter::release(Time now, const VoteRequest& request) {
+  if (!is_granted_to(newest_grant(request.address), request)) return;
+  GrantState& state = grant_states_[request.address];
+  if (state.is_released) return;
+  state.is_released = true;
+  state.reserved_for = request.successor;
+  state.reserved_until = now + (request.successor.empty() ? Duration{0} : times_.overlap);
+}
+
+bool Voter::decide_lease(Time now, const VoteRequest& request, VoteReply& reply) {
+  using Verdict = VoteReply::Verdict;
+  const VoterRecord::Grant grant = newest_grant(request.address);
+  const GrantState state = grant_state(request.address);
+  if (const Duration wait = remaining_recovery(now); wait > Duration{0}) {
+    reply.verdict = Verdict::kUnavailable;
+    reply.remaining = wait;
+    return false;
   }
-  if (ask.voters != record_.voters.version || newest_heard_ > record_.voters.version + 1) {
-    r.verdict = Verdict::kVoters;
-    return d;
+  if (request.voter_set_version != record_.voters.version ||
+      newest_version_seen_ > record_.voters.version + 1) {
+    reply.verdict = Verdict::kVoterSetMismatch;
+    return false;
   }
-  if (theirs && !live.released) {
-    // Its own tenure goes on, also where it has run out here meanwhile and nobody came: no other
-    // was promised anything in between.
-    live_[ask.address].until = now + times_.lease;
-    r.verdict = Verdict::kGranted;
-    r.left = times_.lease;
-    return d;
+  if (is_granted_to(grant, request) && !state.is_released) {
+    // A renewal, also of a lease that has expired here: no other was granted one in between.
+    grant_states_[request.address].expires_at = now + times_.duration;
+    reply.verdict = Verdict::kGranted;
+    reply.remaining = times_.duration;
+    return false;
   }
-  // A holder may go on under a newer term: it is promised to the same one.
-  const bool raises = held && promise.holder == ask.holder && ask.term > promise.term;
-  if (held && !raises) {
-    r.verdict = Verdict::kHeld;
-    return d;
+  // The holder may take a newer term: the grant stays with the same holder.
+  const bool raises_term = grant.holder == request.holder && request.term > grant.term;
+  if (is_held(grant, state, now) && !raises_term) {
+    reply.verdict = Verdict::kHeld;
+    return false;
   }
-  if (live.reserved_until > now && live.reserved_for != ask.holder.name) {
-    r.verdict = Verdict::kHeld;
-    r.left = live.reserved_until - now;
-    r.holder = {live.reserved_for, 0};
-    return d;
+  if (state.reserved_until > now && state.reserved_for != request.holder.name) {
+    reply.verdict = Verdict::kHeld;
+    reply.remaining = state.reserved_until - now;
+    reply.holder = {state.reserved_for, 0};
+    return false;
   }
-  if (ask.term <= promise.term) {
-    r.verdict = Verdict::kOldTerm;
-    return d;
+  if (request.term <= grant.term) {
+    reply.verdict = Verdict::kOldTerm;
+    return false;
   }
-  if (known == record_.promises.end() && record_.promises.size() >= kMaxAddresses) {
-    r.verdict = Verdict::kWaiting;
-    r.left = times_.lease;
-    return d;
+  if (record_.grants.count(request.address) == 0 && record_.grants.size() >= kMaxAddresses) {
+    reply.verdict = Verdict::kUnavailable;
+    reply.remaining = times_.duration;
+    return false;
   }
-  record_.promises[ask.address] = {ask.term, ask.holder};
-  live_[ask.address] = {now + times_.lease, {}, Time{0}, false};
-  r.verdict = Verdict::kGranted;
-  r.term = ask.term;
-  r.holder = ask.holder;
-  r.left = times_.lease;
-  d.changed = true;
-  return d;
+  record_.grants[request.address] = {request.term, request.holder};
+  grant_states_[request.address] = {now + times_.duration, {}, Time{0}, false};
+  reply.verdict = Verdict::kGranted;
+  reply.term = request.term;
+  reply.holder = request.holder;
+  reply.remaining = times_.duration;
+  return true;
 }
 
-std::string Voter::fingerprint() const {
-  std::string out = std::to_string(record_.voters.version) + "," +
-                    std::to_string(waits_until_.count()) + "," +
-                    std::to_string(changed_at_.count()) + "," + std::to_string(newest_heard_) +
-                    "," + std::to_string(record_.promised.number) + record_.promised.by + "," +
-                    std::to_string(record_.accepted_at.number) + record_.accepted_at.by +
-                    std::to_string(record_.accepted.names.size()) + std::to_string(record_.forgot);
-  for (const auto& [address, p] : record_.promises)
-    out += ";" + address + "," + std::to_string(p.term) + "," + p.holder.name + "," +
-           std::to_string(p.holder.life);
-  for (const auto& [address, l] : live_)
-    out += ";" + address + "," + std::to_string(l.until.count()) + "," + l.reserved_for + "," +
-           std::to_string(l.reserved_until.count()) + "," + std::to_string(l.released);
-  return out;
-}
+// ---- reconfiguration of the voters
 
-Voter::ChangeDecision Voter::on_change(Time now, const Change& c) {
-  using Kind = Change::Kind;
+Voter::ReconfigurationDecision Voter::on_reconfiguration(Time now,
+                                                         const ReconfigurationRequest& request) {
+  using Kind = ReconfigurationRequest::Kind;
   const VoterRecord before = record_;
-  std::string why_not;
-  if (c.kind == Kind::kAdopt) {
-    if (c.next.version > record_.voters.version && valid(c.next)) {
-      // Of what it accepts from here on it has forgotten nothing.
-      const bool remembers = c.by_all && record_.accepted == c.next;
-      record_.voters = c.next;
-      record_.promised = record_.accepted_at = {};
-      record_.accepted = {};
-      record_.forgot = record_.forgot && !remembers;
-      changed_at_ = now;
-    }
-    if (!(record_.voters == c.next)) why_not = "goes by another set";
-  } else if (!(c.present == record_.voters)) {
-    why_not = "goes by version " + std::to_string(record_.voters.version);
-  } else if (!record_.voters.has(name_)) {
-    why_not = "is no voter";
-  } else if (c.ballot.none() || c.ballot < record_.promised) {
-    why_not = "has promised another ballot";
-  } else if (c.kind == Kind::kPrepare) {
-    record_.promised = c.ballot;
-  } else if (!valid(c.next) || !one_step(c.present, c.next)) {
-    why_not = "version " + std::to_string(c.next.version) + " does not follow version " +
-              std::to_string(c.present.version) + " by one voter more or less";
-  } else if (now < changed_at_ + times_.lease) {
-    why_not = "has not gone by the present set for a lease yet";
+  std::string reason;
+  if (request.kind == Kind::kAdopt) {
+    adopt(now, request);
+    if (!(record_.voters == request.next)) reason = "goes by another set";
   } else {
-    record_.promised = record_.accepted_at = c.ballot;
-    record_.accepted = c.next;
+    reason = rejection_reason(now, request);
+    if (reason.empty()) {
+      record_.promised_ballot = request.ballot;
+      if (request.kind == Kind::kAccept) {
+        record_.accepted_ballot = request.ballot;
+        record_.accepted_voters = request.next;
+      }
+    }
   }
-  ChangeDecision d;
-  d.reply = {c.kind,
-             c.number,
-             why_not.empty(),
-             record_.forgot,
-             record_.voters,
-             record_.promised,
-             record_.accepted_at,
-             record_.accepted,
-             std::move(why_not)};
-  d.changed = !(record_ == before);
-  return d;
+  ReconfigurationDecision decision;
+  decision.reply.kind = request.kind;
+  decision.reply.number = request.number;
+  decision.reply.ok = reason.empty();
+  decision.reply.record_lost = record_.record_lost;
+  decision.reply.voters = record_.voters;
+  decision.reply.promised_ballot = record_.promised_ballot;
+  decision.reply.accepted_ballot = record_.accepted_ballot;
+  decision.reply.accepted_voters = record_.accepted_voters;
+  decision.reply.rejection_reason = std::move(reason);
+  decision.record_changed = !(record_ == before);
+  return decision;
+}
+
+void Voter::adopt(Time now, const ReconfigurationRequest& request) {
+  if (request.next.version <= record_.voters.version || !is_valid(request.next)) return;
+  // Once all voters, this one included, have accepted the set, nothing that this voter may have
+  // forgotten can still be chosen.
+  if (request.accepted_by_all && record_.accepted_voters == request.next)
+    record_.record_lost = false;
+  record_.voters = request.next;
+  record_.promised_ballot = record_.accepted_ballot = {};
+  record_.accepted_voters = {};
+  set_adopted_at_ = now;
+}
+
+std::string Voter::rejection_reason(Time now, const ReconfigurationRequest& request) const {
+  if (!(request.current == record_.voters))
+    return "goes by version " + std::to_string(record_.voters.version);
+  if (!record_.voters.has(name_)) return "is no voter";
+  if (request.ballot.empty() || request.ballot < record_.promised_ballot)
+    return "has promised another ballot";
+  if (request.kind == ReconfigurationRequest::Kind::kPrepare) return {};
+  if (!is_valid(request.next) || !is_single_step(request.current, request.next))
+    return "version " + std::to_string(request.next.version) + " does not follow version " +
+           std::to_string(request.current.version) + " by one voter more or less";
+  if (now < set_adopted_at_ + times_.duration)
+    return "has not gone by the present set for a lease yet";
+  return {};
+}
+
+std::string Voter::fingerprint() const {
+  std::string out =
+      std::to_string(record_.voters.version) + "," + std::to_string(recovering_until_.count()) +
+      "," + std::to_string(set_adopted_at_.count()) + "," + std::to_string(newest_version_seen_) +
+      "," + std::to_string(record_.promised_ballot.number) + record_.promised_ballot.proposer +
+      "," + std::to_string(record_.accepted_ballot.number) + record_.accepted_ballot.proposer +
+      std::to_string(record_.accepted_voters.names.size()) + std::to_string(record_.record_lost);
+  for (const auto& [address, grant] : record_.grants)
+    out += ";" + address + "," + std::to_string(grant.term) + "," + grant.holder.name + "," +
+           std::to_string(grant.holder.incarnation);
+  for (const auto& [address, state] : grant_states_)
+    out += ";" + address + "," + std::to_string(state.expires_at.count()) + "," +
+           state.reserved_for + "," + std::to_string(state.reserved_until.count()) + "," +
+           std::to_string(state.is_released);
+  return out;
 }
 
 }  // namespace balancer::lease
--- a/src/lease/voter.h
+++ b/src/lease/voter.h
@@ -5,98 +5,98 @@
 #include <map>
 #include <optional>
 #include <string>
-#include <vector>
 
 #include "lease/messages.h"
+#include "lease/voter_record.h"
 
 namespace balancer::lease {
 
-// What a voter must not forget.
-struct VoterRecord {
-  struct Promise {
-    Term term = 0;
-    Holder holder;
-    bool operator==(const Promise&) const = default;
-  };
-  Voters voters;
-  std::map<std::string, Promise> promises;  // by address
-  // Towards the successor of `voters`.
-  Ballot promised{}, accepted_at{};
-  Voters accepted{};
-  bool forgot = false;  // a record before this one was lost
-  bool operator==(const VoterRecord&) const = default;
-};
-
-// One voter's side: gives an address to one holder at a time, for a lease, on its own steady clock.
-// No I/O and no clock; `now` comes with every call and never goes back.
+// Grants the lease of each address to one holder at a time, on this voter's monotonic clock. No I/O
+// and no clock; `now` comes with every call and never goes back.
+//
+// Guarantee: from a grant until LeaseTimes::duration has passed on this voter's clock no other
+// holder is granted the address, over a crash too. The caller must therefore have record() on disk
+// before it sends a reply whose decision says `record_changed`; where the record cannot be written,
+// it must send nothing.
 //
-// The promise: from the moment of a grant until the lease has passed on this voter's clock no other
-// holder is granted the address, over a crash too. So nothing of a decision may be answered before
-// record() is on disk where `changed` says so; where it cannot be written, nothing is answered.
-// When a lease ends is not written: a voter that starts again takes each that it remembers for
-// given just now, so a renewal costs no write. One that remembers nothing (a new folder, a file
-// that cannot be read) keeps still for a whole lease, by when each promise it may have made has run
-// out. So nothing is written before the first change says so: an empty record would pass for a
-// memory that nothing was promised, after a second crash within that wait.
+// Expiry times are not stored. A voter that restarts takes each grant in its record as given just
+// now. One without a record (a new folder, an unreadable file) grants nothing for a whole lease, by
+// when any grant that it has forgotten has expired. An empty record would claim that nothing was
+// granted, so none may be written before the first decision asks for it.
 class Voter {
  public:
-  // `remembered`: nothing if there is no record. `founding`: the voters of a group that is new.
-  Voter(std::string name, const LeaseTimes& times, const std::optional<VoterRecord>& remembered,
-        const Voters& founding, Time now);
+  // `record`: as it was on disk; none if there was no record. `initial_voters`: the voters of a new
+  // group, used where there is no record.
+  Voter(std::string name, const LeaseTimes& times, const std::optional<VoterRecord>& record,
+        const VoterSet& initial_voters, Time now);
 
-  struct Decision {
+  struct VoteDecision {
     VoteReply reply;
-    bool changed = false;  // record() must be on disk before the reply goes out
+    bool record_changed = false;  // record() must be on disk before the reply is sent
   };
-  Decision on_ask(Time now, const VoteRequest& ask);
+  VoteDecision on_vote_request(Time now, const VoteRequest& request);
 
-  // A change of the voters. As with on_ask(), record() must be on disk before the reply goes out if
-  // `changed`.
-  //
-  // Majorities of two sets that differ by one name share a voter, which keeps its promises from the
-  // one to the other; those of sets two steps apart may not. So a voter accepts a successor only
-  // once it has gone by the present set for a lease: when the successor is chosen, by a majority of
-  // the present set, each lease under the set before it has run out, and none can be had any more.
-  // That anybody goes by a set proves that it was chosen, so one that is behind may be told so by
-  // whoever has heard it.
-  //
-  // One that has lost its memory may have accepted something. Its word counts only where all voters
-  // of the present set give theirs (succession.h).
-  struct ChangeDecision {
-    Changed reply;
-    bool changed = false;
+  struct ReconfigurationDecision {
+    ReconfigurationReply reply;
+    bool record_changed = false;  // record() must be on disk before the reply is sent
   };
-  ChangeDecision on_change(Time now, const Change& change);
-  // A set of this number exists. Where that is two steps ahead a majority has gone beyond this
-  // voter's own set, which it may have come back to by forgetting: it votes under it no more, until
-  // it has caught up.
-  void on_heard_of(std::uint32_t version) { newest_heard_ = std::max(newest_heard_, version); }
+  // Majorities of two sets that differ by one name share a voter, which carries its grants from one
+  // set to the other; those of sets two versions apart may not. So a voter accepts a successor only
+  // once it has used the current set for a lease: by the time that the successor is chosen, by a
+  // majority of the current set, every lease under the set before has expired and none can be
+  // granted any more. That any voter uses a set proves that the set was chosen, so whoever has seen
+  // that may send kAdopt to a voter that is behind.
+  ReconfigurationDecision on_reconfiguration(Time now, const ReconfigurationRequest& request);
+
+  // A set of this version exists. If it is two versions ahead, a majority has left this voter's
+  // set (to which it may have returned by losing its record): it then grants nothing until it has
+  // adopted a newer one.
+  void on_voter_set_seen(std::uint32_t version) {
+    newest_version_seen_ = std::max(newest_version_seen_, version);
+  }
 
   const VoterRecord& record() const { return record_; }
-  // For what it still keeps still, having forgotten; 0 if it does not.
-  std::string fingerprint() const;  // all that its further conduct follows from; for tests
-  Duration waits(Time now) const { return waits_until_ > now ? waits_until_ - now : Duration{0}; }
+  // How long this voter still grants nothing because it has lost its record; 0 if it has not.
+  Duration remaining_recovery(Time now) const {
+    return recovering_until_ > now ? recovering_until_ - now : Duration{0};
+  }
+  // All state that future decisions depend on; for tests that compare states.
+  std::string fingerprint() const;
 
  private:
-  struct Live {
-    Time until{0};             // the promise holds until then
-    std::string reserved_for;  // after a release
+  // What is known of a grant beyond the record.
+  struct GrantState {
+    Time expires_at{0};
+    std::string reserved_for;  // after a release: the successor's name
     Time reserved_until{0};
-    bool released = false;
+    bool is_released = false;
   };
 
+  void release(Time now, const VoteRequest& request);
+  // Decides on a first lease or a renewal; true if the record has changed.
+  bool decide_lease(Time now, const VoteRequest& request, VoteReply& reply);
+  static bool is_held(const VoterRecord::Grant& grant, const GrantState& state, Time now) {
+    return !state.is_released && state.expires_at > now && !grant.holder.empty();
+  }
+  VoterRecord::Grant newest_grant(const std::string& address) const;
+  GrantState grant_state(const std::string& address) const;
+
+  void adopt(Time now, const ReconfigurationRequest& request);
+  // Why a kPrepare or kAccept is rejected; empty if it is not.
+  std::string rejection_reason(Time now, const ReconfigurationRequest& request) const;
+
   const std::string name_;
   const LeaseTimes times_;
   VoterRecord record_;
-  std::map<std::string, Live> live_;
-  Time waits_until_;
-  std::uint32_t newest_heard_ = 0;  // of sets of voters
-  Time changed_at_;
+  std::map<std::string, GrantState> grant_states_;  // by address; one for each grant on record
+  Time recovering_until_;
+  std::uint32_t newest_version_seen_ = 0;
+  Time set_adopted_at_;
 };
 
-// Sorted, no name twice, and not too many.
-bool valid(const Voters& voters);
-// Whether the one may follow the other: numbered next, and one name more or less.
-bool one_step(const Voters& from, const Voters& to);
+// Names are sorted and unique, and there are 1 to kMaxVoters of them.
+bool is_valid(const VoterSet& voters);
+// Whether `to` may follow `from`: the next version, with one name more or less.
+bool is_single_step(const VoterSet& from, const VoterSet& to);
 
 }  // namespace balancer::lease
--- a/src/lease/voter_reconfiguration.cc
+++ b/src/lease/voter_reconfiguration.cc
@@ -5,176 +5,207 @@
 #include "lease/voter.h"
 
 namespace balancer::lease {
+namespace {
+
+// Random delay of the driver with the older ballot, so that two drivers do not go on outbidding
+// each other.
+constexpr Duration kMinBackoff = std::chrono::milliseconds(20);
+constexpr unsigned kBackoffRangeMs = 100;
+
+}  // namespace
 
 VoterReconfiguration::VoterReconfiguration(std::string self, std::uint64_t number,
-                                           const Voters& present, std::string name, bool add,
+                                           const VoterSet& current, std::string voter, bool add,
                                            std::uint64_t seed, Time now)
     : self_(std::move(self)),
       number_(number),
-      name_(std::move(name)),
+      voter_(std::move(voter)),
       add_(add),
       random_(static_cast<std::minstd_rand::result_type>(seed ^ seed >> 32)),
-      until_(now + kTakes),
-      present_(present),
-      again_at_(now) {
-  begin(now);
+      deadline_(now + kTimeout),
+      current_(current),
+      retry_at_(now) {
+  start_prepare(now);
 }
 
-Voters VoterReconfiguration::wish() const {
-  Voters w = present_;
-  ++w.version;
+VoterSet VoterReconfiguration::desired_set() const {
+  VoterSet desired = current_;
+  ++desired.version;
   if (add_) {
-    w.names.push_back(name_);
-    std::sort(w.names.begin(), w.names.end());
+    desired.names.push_back(voter_);
+    std::sort(desired.names.begin(), desired.names.end());
   } else {
-    std::erase(w.names, name_);
+    std::erase(desired.names, voter_);
   }
-  return w;
+  return desired;
 }
 
-// Under a ballot of its own, from the present set on.
-void VoterReconfiguration::begin(Time now) {
-  if (present_.has(name_) == add_)
-    return finish(true, "version " + std::to_string(present_.version) + ": " + name_ +
+// From the current set on, under a new ballot.
+void VoterReconfiguration::start_prepare(Time now) {
+  if (current_.has(voter_) == add_)
+    return finish(true, "version " + std::to_string(current_.version) + ": " + voter_ +
                             (add_ ? " votes" : " does not vote"));
-  if (!valid(wish()))
+  if (!is_valid(desired_set()))
     return finish(
         false, "there must be one voter at least, and " + std::to_string(kMaxVoters) + " at most");
-  stage_ = Stage::kAsks;
-  ballot_ = {++highest_, self_};
+  stage_ = Stage::kPrepare;
+  ballot_ = {++highest_ballot_seen_, self_};
   promised_.clear();
   accepted_.clear();
-  ready_.clear();
-  told_.clear();
-  left_.reset();
-  left_at_ = {};
-  send_round(now);
+  reachable_.clear();
+  adopted_.clear();
+  unfinished_set_.reset();
+  unfinished_ballot_ = {};
+  send_requests(now);
 }
 
-void VoterReconfiguration::finish(bool done, std::string line) {
-  if (!outcome_) outcome_ = Outcome{done, std::move(line)};
+void VoterReconfiguration::finish(bool succeeded, std::string message) {
+  if (!outcome_) outcome_ = Outcome{succeeded, std::move(message)};
 }
 
-bool VoterReconfiguration::quorum(const std::map<std::string, bool>& forgot) const {
-  const auto remember =
-      std::count_if(forgot.begin(), forgot.end(), [](const auto& f) { return !f.second; });
-  return static_cast<std::size_t>(remember) >= present_.majority() ||
-         forgot.size() == present_.names.size();
+bool VoterReconfiguration::is_quorum(const Agreements& agreements) const {
+  const auto with_record = std::count_if(agreements.begin(), agreements.end(),
+                                         [](const auto& agreement) { return !agreement.second; });
+  return static_cast<std::size_t>(with_record) >= current_.majority() ||
+         agreements.size() == current_.names.size();
 }
 
-void VoterReconfiguration::send_round(Time now) {
-  again_at_ = now + kAgain;
-  Change c;
-  c.number = number_;
-  c.ballot = ballot_;
-  c.present = present_;
+// Sends the stage's request to every voter that has not agreed yet.
+void VoterReconfiguration::send_requests(Time now) {
+  retry_at_ = now + kRetryInterval;
+  ReconfigurationRequest request;
+  request.number = number_;
+  request.ballot = ballot_;
+  request.current = current_;
   switch (stage_) {
-    case Stage::kAsks:
-      for (const auto& name : present_.names)
-        if (promised_.count(name) == 0) sends_.push_back({name, c});
-      // Whether it is there.
-      if (add_ && ready_.count(name_) == 0) sends_.push_back({name_, c});
+    case Stage::kPrepare:
+      for (const auto& name : current_.names)
+        if (promised_.count(name) == 0) requests_.push_back({name, request});
+      // Whether the new voter is reachable; it rejects the request, as it has no vote yet.
+      if (add_ && reachable_.count(voter_) == 0) requests_.push_back({voter_, request});
       return;
-    case Stage::kProposes:
-      c.kind = Change::Kind::kAccept;
-      c.next = next_;
-      for (const auto& name : present_.names)
-        if (accepted_.count(name) == 0) sends_.push_back({name, c});
+    case Stage::kAccept:
+      request.kind = ReconfigurationRequest::Kind::kAccept;
+      request.next = next_;
+      for (const auto& name : current_.names)
+        if (accepted_.count(name) == 0) requests_.push_back({name, request});
       return;
-    case Stage::kTells:
-      c.kind = Change::Kind::kAdopt;
-      c.next = next_;
-      c.by_all = accepted_.size() == present_.names.size();
+    case Stage::kAdopt:
+      request.kind = ReconfigurationRequest::Kind::kAdopt;
+      request.next = next_;
+      request.accepted_by_all = accepted_.size() == current_.names.size();
       for (const auto& name : next_.names)
-        if (told_.count(name) == 0) sends_.push_back({name, c});
+        if (adopted_.count(name) == 0) requests_.push_back({name, request});
       return;
   }
 }
 
-void VoterReconfiguration::propose_if_ready(Time now) {
-  if (!quorum(promised_)) return;
-  if (left_) {
-    next_ = *left_;
+void VoterReconfiguration::accept_if_ready(Time now) {
+  if (!is_quorum(promised_)) return;
+  if (unfinished_set_) {
+    next_ = *unfinished_set_;
   } else {
-    next_ = wish();
-    const auto there = std::count_if(next_.names.begin(), next_.names.end(),
-                                     [this](const auto& n) { return ready_.count(n) > 0; });
-    if (static_cast<std::size_t>(there) < next_.majority()) return;
+    next_ = desired_set();
+    const auto reachable =
+        std::count_if(next_.names.begin(), next_.names.end(),
+                      [this](const auto& name) { return reachable_.count(name) > 0; });
+    if (static_cast<std::size_t>(reachable) < next_.majority()) return;
   }
-  stage_ = Stage::kProposes;
-  send_round(now);
+  stage_ = Stage::kAccept;
+  send_requests(now);
 }
 
-void VoterReconfiguration::on_changed(Time now, const std::string& from, const Changed& c) {
-  if (outcome_ || c.number != number_) return;
-  highest_ = std::max(highest_, c.promised.number);
-  if (c.voters.version > present_.version && stage_ != Stage::kTells) {
-    // Others have changed them meanwhile.
-    present_ = c.voters;
-    return begin(now);
+void VoterReconfiguration::on_reply(Time now, const std::string& from,
+                                    const ReconfigurationReply& reply) {
+  using Kind = ReconfigurationRequest::Kind;
+  if (outcome_ || reply.number != number_) return;
+  highest_ballot_seen_ = std::max(highest_ballot_seen_, reply.promised_ballot.number);
+  if (reply.voters.version > current_.version && stage_ != Stage::kAdopt) {
+    // Another driver has changed the voters meanwhile.
+    current_ = reply.voters;
+    return start_prepare(now);
   }
-  if (!c.good) last_no_ = from + " " + c.why_not;
-  const bool ours = c.promised == ballot_;
-  if (c.kind == Change::Kind::kPrepare && stage_ == Stage::kAsks) {
-    if (from == name_ && !present_.has(name_)) ready_.insert(from);
-    if (!c.good && c.promised > ballot_) {
-      // Two drivers: whoever is behind comes again a little later.
-      stage_ = Stage::kAsks;
-      promised_.clear();
-      ballot_ = {++highest_, self_};
-      again_at_ = now + std::chrono::milliseconds(20 + random_() % 100);
-      return;
-    }
-    if (!c.good || !ours || !present_.has(from)) return propose_if_ready(now);
-    promised_[from] = c.forgot;
-    ready_.insert(from);
-    if (!c.accepted_at.none() && (!left_ || left_at_ < c.accepted_at)) {
-      left_ = c.accepted;
-      left_at_ = c.accepted_at;
-    }
-    propose_if_ready(now);
-  } else if (c.kind == Change::Kind::kAccept && stage_ == Stage::kProposes) {
-    if (!c.good) {
-      if (c.promised > ballot_) begin(now);
-      return;
+  if (!reply.ok) last_rejection_ = from + " " + reply.rejection_reason;
+  if (reply.kind == Kind::kPrepare && stage_ == Stage::kPrepare) {
+    on_prepare_reply(now, from, reply);
+  } else if (reply.kind == Kind::kAccept && stage_ == Stage::kAccept) {
+    on_accept_reply(now, from, reply);
+  } else if (reply.kind == Kind::kAdopt && stage_ == Stage::kAdopt) {
+    on_adopt_reply(now, from, reply);
+  }
+}
+
+void VoterReconfiguration::on_prepare_reply(Time now, const std::string& from,
+                                            const ReconfigurationReply& reply) {
+  if (from == voter_ && !current_.has(voter_)) reachable_.insert(from);
+  if (!reply.ok && reply.promised_ballot > ballot_) {
+    // Another driver is ahead: outbid it after a random delay.
+    promised_.clear();
+    ballot_ = {++highest_ballot_seen_, self_};
+    retry_at_ = now + kMinBackoff + std::chrono::milliseconds(random_() % kBackoffRangeMs);
+    return;
+  }
+  const bool is_promise = reply.ok && reply.promised_ballot == ballot_ && current_.has(from);
+  if (is_promise) {
+    promised_[from] = reply.record_lost;
+    reachable_.insert(from);
+    if (!reply.accepted_ballot.empty() &&
+        (!unfinished_set_ || unfinished_ballot_ < reply.accepted_ballot)) {
+      unfinished_set_ = reply.accepted_voters;
+      unfinished_ballot_ = reply.accepted_ballot;
     }
-    if (!(c.accepted_at == ballot_) || !present_.has(from)) return;
-    accepted_[from] = c.forgot;
-    if (!quorum(accepted_)) return;
-    stage_ = Stage::kTells;
-    send_round(now);
-  } else if (c.kind == Change::Kind::kAdopt && stage_ == Stage::kTells) {
-    if (!(c.voters == next_) || !next_.has(from)) return;
-    told_.insert(from);
-    if (told_.size() < next_.majority()) return;
-    // One that is to vote no more hears of it last.
-    Change adopt;
-    adopt.kind = Change::Kind::kAdopt;
-    adopt.number = number_;
-    adopt.present = present_;
-    adopt.next = next_;
-    for (const auto& name : present_.names)
-      if (!next_.has(name)) sends_.push_back({name, adopt});
-    present_ = next_;
-    begin(now);
   }
+  accept_if_ready(now);
+}
+
+void VoterReconfiguration::on_accept_reply(Time now, const std::string& from,
+                                           const ReconfigurationReply& reply) {
+  if (!reply.ok) {
+    if (reply.promised_ballot > ballot_) start_prepare(now);
+    return;
+  }
+  if (!(reply.accepted_ballot == ballot_) || !current_.has(from)) return;
+  accepted_[from] = reply.record_lost;
+  if (!is_quorum(accepted_)) return;
+  stage_ = Stage::kAdopt;
+  send_requests(now);
+}
+
+void VoterReconfiguration::on_adopt_reply(Time now, const std::string& from,
+                                          const ReconfigurationReply& reply) {
+  if (!(reply.voters == next_) || !next_.has(from)) return;
+  adopted_.insert(from);
+  if (adopted_.size() < next_.majority()) return;
+  notify_removed_voters();
+  current_ = next_;
+  start_prepare(now);
+}
+
+void VoterReconfiguration::notify_removed_voters() {
+  ReconfigurationRequest adopt;
+  adopt.kind = ReconfigurationRequest::Kind::kAdopt;
+  adopt.number = number_;
+  adopt.current = current_;
+  adopt.next = next_;
+  for (const auto& name : current_.names)
+    if (!next_.has(name)) requests_.push_back({name, adopt});
 }
 
 void VoterReconfiguration::on_timer(Time now) {
   if (outcome_) return;
-  if (now >= until_) {
-    if (stage_ == Stage::kTells)
+  if (now >= deadline_) {
+    if (stage_ == Stage::kAdopt)
       return finish(false, "chosen, and too few have heard of it: it goes on by itself");
     return finish(false,
                   "not changed for certain: no majority of the voters that there are, or "
                   "that there would be, answers and is up to date" +
-                      (last_no_.empty() ? "" : "; " + last_no_));
+                      (last_rejection_.empty() ? "" : "; " + last_rejection_));
   }
-  if (now >= again_at_) send_round(now);
+  if (now >= retry_at_) send_requests(now);
 }
 
 Time VoterReconfiguration::next() const {
-  return outcome_ ? Time::max() : std::min(until_, again_at_);
+  return outcome_ ? Time::max() : std::min(deadline_, retry_at_);
 }
 
 }  // namespace balancer::lease
--- a/src/membership/membership_protocol.cc
+++ b/src/membership/membership_protocol.cc
@@ -8,19 +8,33 @@
 namespace {
 
 using std::chrono::milliseconds;
+using Kind = GossipMessage::Kind;
+
+constexpr int kMaxLocalHealth = 8;
+// An update is sent this many times the logarithm of the number of members.
+constexpr double kTransmitMultiplier = 3;
+// Members that are told at once of what one says of itself at its end.
+constexpr std::size_t kLeaveReceivers = 8;
+constexpr std::size_t kMaxRelayedPings = 256;
+constexpr std::size_t kMaxLateProbes = 64;
+// How often seeds that are not known to be alive are asked.
+constexpr Duration kJoinInterval = milliseconds(500);
+constexpr std::size_t kMaxNameLength = 64;
+constexpr std::size_t kMaxEndpointLength = 64;
+
+// Weights of a new sample in the smoothed round trip time and in its variation (RFC 6298), and how
+// many variations the timeout adds.
+constexpr double kMeanGain = 0.125;
+constexpr double kDeviationGain = 0.25;
+constexpr double kDeviations = 4;
+
+bool is_newer(const MemberUpdate& a, const MemberUpdate& b) {
+  return std::tuple(a.incarnation, a.sequence, a.state) >
+         std::tuple(b.incarnation, b.sequence, b.state);
+}
 
-constexpr int kMaxLateness = 8;
-// An update is told so many times the logarithm of the group's size.
-constexpr double kTellings = 3;
-constexpr std::size_t kMaxNews = 1024;
-constexpr std::size_t kMaxRelays = 256, kMaxLate = 64;
-// Until somebody has answered, the seeds are asked this often.
-constexpr Duration kJoinEvery = milliseconds(500);
-constexpr std::size_t kMaxName = 64, kMaxEndpoint = 64;
-
-// Of two things said of one member, whether the first is newer.
-bool newer(const Update& a, const Update& b) {
-  return std::tuple(a.life, a.version, a.state) > std::tuple(b.life, b.version, b.state);
+bool is_gone(MemberState state) {
+  return state == MemberState::kDead || state == MemberState::kLeft;
 }
 
 double log2_of(std::size_t n) {
@@ -29,22 +43,23 @@
 
 }  // namespace
 
-MembershipProtocol::MembershipProtocol(const GroupSettings& settings, const Update& self,
+MembershipProtocol::MembershipProtocol(const MembershipSettings& settings, const MemberUpdate& self,
                                        std::uint64_t seed, Time now)
     : settings_(settings),
       name_(self.name),
       random_(seed),
-      // Those that start together probe at different times.
-      probe_at_(now + Duration(static_cast<Duration::rep>(
-                          random_() % static_cast<std::uint64_t>(settings.period.count())))),
-      join_at_(now),
-      exchange_at_(now + settings.full_exchange) {
-  Member me;
-  static_cast<Update&>(me) = self;
-  me.state = State::kAlive;
-  me.since = me.alive_since = now;
-  members_.emplace(name_, me);
-  spread(me);
+      // Spreads the probes of members that start together.
+      next_probe_at_(now +
+                     Duration(static_cast<Duration::rep>(
+                         random_() % static_cast<std::uint64_t>(settings.probe_period.count())))),
+      next_join_at_(now),
+      next_full_sync_at_(now + settings.full_sync_interval) {
+  Member member;
+  static_cast<MemberUpdate&>(member) = self;
+  member.state = MemberState::kAlive;
+  member.since = now;
+  members_.emplace(name_, member);
+  queue_.push(member);
 }
 
 const Member* MembershipProtocol::find(const std::string& name) const {
@@ -52,342 +67,359 @@
   return it == members_.end() ? nullptr : &it->second;
 }
 
-std::size_t MembershipProtocol::alive() const {
-  const auto gone = std::count_if(unwell_.begin(), unwell_.end(), [this](const auto& name) {
-    return members_.at(name).state != State::kSuspect;
+// Suspected ones included.
+std::size_t MembershipProtocol::live_members() const {
+  const auto gone = std::count_if(not_alive_.begin(), not_alive_.end(), [this](const auto& name) {
+    return is_gone(members_.at(name).state);
   });
   return members_.size() - static_cast<std::size_t>(gone);
 }
 
-void MembershipProtocol::note_state(const Member& member) {
-  if (member.state == State::kAlive) {
-    unwell_.erase(member.name);
-  } else {
-    unwell_.insert(member.name);
-  }
-}
-
-Duration MembershipProtocol::suspicion() const {
-  return from_seconds(seconds(settings_.period) * settings_.suspicion *
-                      std::max(1.0, log2_of(alive()) / 2) * (1 + lateness_));
+Duration MembershipProtocol::suspicion_timeout() const {
+  return from_seconds(seconds(settings_.probe_period) * settings_.suspicion_multiplier *
+                      std::max(1.0, log2_of(live_members()) / 2) * (1 + local_health_));
 }
 
 // ---- round trips
 
-void MembershipProtocol::learn(const std::string& name, Duration took) {
-  RoundTrip& t = trips_[name];
-  const double s = seconds(took);
-  if (!t.known) {
-    t = {s, s / 2, true};
+void MembershipProtocol::note_round_trip(const std::string& name, Duration took) {
+  RoundTrip& trip = round_trips_[name];
+  const double sample = seconds(took);
+  if (!trip.is_known) {
+    trip = {sample, sample / 2, true};
     return;
   }
-  t.deviation += 0.25 * (std::abs(s - t.mean) - t.deviation);
-  t.mean += 0.125 * (s - t.mean);
+  trip.deviation += kDeviationGain * (std::abs(sample - trip.mean) - trip.deviation);
+  trip.mean += kMeanGain * (sample - trip.mean);
 }
 
-Duration MembershipProtocol::wait_for(const std::string& name) const {
-  const auto it = trips_.find(name);
-  const Duration usual = it == trips_.end() || !it->second.known
-                             ? settings_.max_wait
-                             : from_seconds(it->second.mean + 4 * it->second.deviation);
-  return std::clamp(usual, settings_.min_wait, settings_.max_wait) * (1 + lateness_);
+Duration MembershipProtocol::probe_timeout(const std::string& name) const {
+  const auto it = round_trips_.find(name);
+  const Duration expected =
+      it == round_trips_.end() || !it->second.is_known
+          ? settings_.max_probe_timeout
+          : from_seconds(it->second.mean + kDeviations * it->second.deviation);
+  return std::clamp(expected, settings_.min_probe_timeout, settings_.max_probe_timeout) *
+         (1 + local_health_);
 }
 
-// ---- what is said of members
+// ---- updates of members
 
-void MembershipProtocol::set_state(Time now, Member& member, State state) {
+void MembershipProtocol::note_state(const Member& member) {
+  if (member.state == MemberState::kAlive) {
+    not_alive_.erase(member.name);
+  } else {
+    not_alive_.insert(member.name);
+  }
+}
+
+void MembershipProtocol::set_state(Time now, Member& member, MemberState state) {
   if (member.state != state) {
     member.state = state;
     member.since = now;
     note_state(member);
     ++revision_;
   }
-  spread(member);
-}
-
-void MembershipProtocol::spread(const Update& update) {
-  std::erase_if(news_, [&](const News& n) { return n.update.name == update.name; });
-  if (news_.size() >= kMaxNews) news_.pop_back();
-  news_.push_front({update, 0});
+  queue_.push(member);
 }
 
-// Somebody says of this instance what is not so.
-void MembershipProtocol::refute(Time now, const Update& said) {
-  Member& me = self();
-  if (said.life > me.life && said.state != State::kDead && said.state != State::kLeft) {
-    superseded_ = true;
+// Answers an update of this instance that does not come from it: with a newer one of its own, or
+// with the present one where the update is older.
+void MembershipProtocol::refute(Time now, const MemberUpdate& update) {
+  Member& member = self();
+  if (update.incarnation > member.incarnation && !is_gone(update.state)) {
+    is_superseded_ = true;
     return;
   }
-  if (left_) return;
-  const bool same_life = said.life == me.life;
-  if ((same_life && said.version >= me.version && said.state != State::kAlive) ||
-      (same_life && said.version > me.version)) {
-    me.version = said.version + 1;
-    me.since = now;
+  if (has_left_) return;
+  const bool is_this_process = update.incarnation == member.incarnation;
+  const bool is_accusation =
+      update.sequence >= member.sequence && update.state != MemberState::kAlive;
+  if (is_this_process && (is_accusation || update.sequence > member.sequence)) {
+    member.sequence = update.sequence + 1;
+    member.since = now;
   }
-  // Also of one that has only old news of it.
-  spread(me);
+  queue_.push(member);
 }
 
-void MembershipProtocol::apply(Time now, const Update& u) {
-  if (u.name.empty() || u.name.size() > kMaxName || u.endpoint.size() > kMaxEndpoint ||
-      u.meta.size() > settings_.max_meta)
+void MembershipProtocol::apply(Time now, const MemberUpdate& update) {
+  if (update.name.empty() || update.name.size() > kMaxNameLength ||
+      update.endpoint.size() > kMaxEndpointLength || update.meta.size() > settings_.max_meta_bytes)
     return;
-  if (u.name == name_) {
-    if (u.life != self().life || u.version != self().version || u.state != State::kAlive)
-      refute(now, u);
+  if (update.name == name_) {
+    if (update.incarnation != self().incarnation || update.sequence != self().sequence ||
+        update.state != MemberState::kAlive)
+      refute(now, update);
     return;
   }
-  const auto it = members_.find(u.name);
-  if (it == members_.end()) {
-    // News of one that has gone, and was not known, says nothing.
-    if (u.state == State::kDead || u.state == State::kLeft) return;
-    if (members_.size() >= settings_.max_members) return;
-    Member m;
-    static_cast<Update&>(m) = u;
-    m.since = m.alive_since = now;
-    members_.emplace(u.name, m);
-    note_state(m);
-    order_.insert(order_.begin() + static_cast<std::ptrdiff_t>(random_() % (order_.size() + 1)),
-                  u.name);
-    ++revision_;
-    spread(u);
-    return;
-  }
-  Member& m = it->second;
-  if (!newer(u, m)) return;
-  const bool reborn = u.life > m.life;
-  const bool back =
-      (m.state == State::kDead || m.state == State::kLeft) && u.state == State::kAlive;
-  const bool other = u.meta != m.meta || u.endpoint != m.endpoint;
-  const State before = m.state;
-  const Time since = m.since, alive_since = m.alive_since;
-  static_cast<Update&>(m) = u;
-  m.since = before == u.state && !reborn ? since : now;
-  m.alive_since = reborn || back ? now : alive_since;
-  note_state(m);
-  if (reborn) trips_.erase(u.name);
-  if (reborn || other || before != u.state) ++revision_;
-  spread(u);
-}
-
-// What has been told least goes first; of the rest each member hears about as often.
-std::vector<Update> MembershipProtocol::pick_news(const std::string& to) {
-  const int most = static_cast<int>(std::ceil(kTellings * log2_of(members_.size() + 1)));
-  std::stable_sort(news_.begin(), news_.end(),
-                   [](const News& a, const News& b) { return a.told < b.told; });
-  std::vector<Update> picked;
-  // One that is thought badly of hears it, so that it can speak for itself.
-  if (const auto it = members_.find(to);
-      it != members_.end() && it->second.state != State::kAlive && to != name_)
-    picked.push_back(it->second);
-  for (News& n : news_) {
-    if (picked.size() >= settings_.max_updates) break;
-    if (n.update.name == to && !picked.empty() && picked.front().name == to) continue;
-    picked.push_back(n.update);
-    ++n.told;
+  const auto it = members_.find(update.name);
+  if (it == members_.end()) return add_member(now, update);
+  Member& member = it->second;
+  if (!is_newer(update, member)) return;
+  const bool is_new_process = update.incarnation > member.incarnation;
+  const bool has_new_state = update.state != member.state;
+  const bool has_new_data = update.meta != member.meta || update.endpoint != member.endpoint;
+  static_cast<MemberUpdate&>(member) = update;
+  if (has_new_state || is_new_process) member.since = now;
+  note_state(member);
+  if (is_new_process) round_trips_.erase(update.name);
+  if (is_new_process || has_new_data || has_new_state) ++revision_;
+  queue_.push(update);
+}
+
+void MembershipProtocol::add_member(Time now, const MemberUpdate& update) {
+  if (is_gone(update.state) || members_.size() >= settings_.max_members) return;
+  Member member;
+  static_cast<MemberUpdate&>(member) = update;
+  member.since = now;
+  members_.emplace(update.name, member);
+  note_state(member);
+  // At a random place, so that members do not all probe a new one at once.
+  const auto place = random_() % (probe_order_.size() + 1);
+  probe_order_.insert(probe_order_.begin() + static_cast<std::ptrdiff_t>(place), update.name);
+  ++revision_;
+  queue_.push(update);
+}
+
+void MembershipProtocol::expire_members(Time now) {
+  const Duration timeout = suspicion_timeout();
+  for (const auto& name : std::vector(not_alive_.begin(), not_alive_.end())) {
+    Member& member = members_.at(name);
+    if (member.state == MemberState::kSuspect && now - member.since >= timeout)
+      set_state(now, member, MemberState::kDead);
+    if (!is_gone(member.state) || now - member.since < settings_.dead_retention) continue;
+    round_trips_.erase(name);
+    members_.erase(name);
+    not_alive_.erase(name);
   }
-  std::erase_if(news_, [most](const News& n) { return n.told >= most; });
-  return picked;
 }
 
-void MembershipProtocol::send(const std::string& endpoint, Message message, const std::string& to) {
-  if (message.updates.empty()) message.updates = pick_news(to);
-  sends_.push_back({endpoint, std::move(message)});
+// ---- sending
+
+// A receiver that is not thought alive gets that update first, so that it can refute it.
+std::vector<MemberUpdate> MembershipProtocol::updates_for(const std::string& to) {
+  const int max_transmits =
+      static_cast<int>(std::ceil(kTransmitMultiplier * log2_of(members_.size() + 1)));
+  const Member* receiver = to == name_ ? nullptr : find(to);
+  if (receiver && receiver->state == MemberState::kAlive) receiver = nullptr;
+  return queue_.take(settings_.max_updates, max_transmits, receiver);
 }
 
-void MembershipProtocol::send_all(Time, const std::string& endpoint) {
-  Message page;
-  for (const auto& [name, m] : members_) {
-    page.updates.push_back(m);
+void MembershipProtocol::send(const std::string& endpoint, GossipMessage message,
+                              const std::string& to) {
+  if (message.updates.empty()) message.updates = updates_for(to);
+  messages_.push_back({endpoint, std::move(message)});
+}
+
+void MembershipProtocol::send_full_state(const std::string& endpoint) {
+  GossipMessage page;
+  for (const auto& [name, member] : members_) {
+    page.updates.push_back(member);
     if (page.updates.size() < settings_.max_updates) continue;
-    sends_.push_back({endpoint, std::exchange(page, {})});
+    messages_.push_back({endpoint, std::exchange(page, {})});
   }
-  if (!page.updates.empty()) sends_.push_back({endpoint, std::move(page)});
+  if (!page.updates.empty()) messages_.push_back({endpoint, std::move(page)});
+}
+
+void MembershipProtocol::send_gossip(std::size_t receivers) {
+  for (const auto& name : random_alive_members(receivers, {}))
+    send(members_.at(name).endpoint, {Kind::kGossip, 0, {}, {}}, name);
 }
 
-std::vector<std::string> MembershipProtocol::some_others(std::size_t n, const std::string& but) {
-  std::vector<std::string> all;
-  for (const auto& [name, m] : members_)
-    if (name != name_ && name != but && m.state == State::kAlive) all.push_back(name);
-  std::shuffle(all.begin(), all.end(), random_);
-  if (all.size() > n) all.resize(n);
-  return all;
+std::vector<std::string> MembershipProtocol::random_alive_members(std::size_t max,
+                                                                  const std::string& except) {
+  std::vector<std::string> names;
+  for (const auto& [name, member] : members_)
+    if (name != name_ && name != except && member.state == MemberState::kAlive)
+      names.push_back(name);
+  std::shuffle(names.begin(), names.end(), random_);
+  if (names.size() > max) names.resize(max);
+  return names;
 }
 
 // ---- messages
 
 void MembershipProtocol::on_message(Time now, const std::string& from, const std::string& endpoint,
-                                    const Message& m) {
-  if (superseded_) return;
-  for (const Update& u : m.updates) apply(now, u);
-  switch (m.kind) {
-    case Message::Kind::kPing:
-      if (left_) return;
-      return send(endpoint, {Message::Kind::kAck, m.number, {}, {}}, from);
-    case Message::Kind::kAck: {
-      if (const auto relay = relays_.extract(m.number)) {
-        sends_.push_back({relay.mapped().for_endpoint,
-                          {Message::Kind::kAck, relay.mapped().their_number, from, {}}});
-        return;
-      }
-      if (probe_ && probe_->number == m.number) {
-        if (!probe_->indirect) learn(probe_->name, now - probe_->sent);
-        return end_probe(now, true);
-      }
-      // Slow, and not dead: it is given more time from now on.
-      if (const auto late = late_.extract(m.number)) {
-        const std::string& name = late.mapped().first;
-        learn(name, now - late.mapped().second);
-        const auto it = members_.find(name);
-        if (it != members_.end() && it->second.state == State::kSuspect) {
-          // Only its own word clears it for all; here it counts as heard of.
-          it->second.since = now;
-          send(it->second.endpoint, {Message::Kind::kTold, 0, {}, {}}, name);
-        }
-      }
+                                    const GossipMessage& message) {
+  if (is_superseded_) return;
+  for (const MemberUpdate& update : message.updates) apply(now, update);
+  switch (message.kind) {
+    case Kind::kPing:
+      if (!has_left_) send(endpoint, {Kind::kAck, message.number, {}, {}}, from);
       return;
-    }
-    case Message::Kind::kPingFor: {
-      const auto it = members_.find(m.target);
-      if (it == members_.end() || left_ || relays_.size() >= kMaxRelays) return;
-      const auto number = next_number_++;
-      relays_[number] = {endpoint, m.number, now + settings_.period * 2};
-      return send(it->second.endpoint, {Message::Kind::kPing, number, {}, {}}, m.target);
-    }
-    case Message::Kind::kJoin:
-      return send_all(now, endpoint);
-    default:
+    case Kind::kAck:
+      return on_ack(now, from, message);
+    case Kind::kPingRequest:
+      return on_ping_request(now, endpoint, message);
+    case Kind::kJoin:
+      return send_full_state(endpoint);
+    case Kind::kGossip:
       return;
   }
 }
 
+void MembershipProtocol::on_ack(Time now, const std::string& from, const GossipMessage& message) {
+  if (const auto relayed = relayed_pings_.extract(message.number)) {
+    const RelayedPing& ping = relayed.mapped();
+    messages_.push_back({ping.requester_endpoint, {Kind::kAck, ping.requester_number, from, {}}});
+    return;
+  }
+  if (probe_ && probe_->number == message.number) {
+    if (!probe_->is_indirect) note_round_trip(probe_->name, now - probe_->sent_at);
+    return end_probe(now, true);
+  }
+  on_late_ack(now, message.number);
+}
+
+// The member is slow, and not dead: its timeout grows, and its suspicion begins anew. Only its own
+// refutation ends the suspicion for all.
+void MembershipProtocol::on_late_ack(Time now, std::uint64_t number) {
+  const auto late = late_probes_.extract(number);
+  if (!late) return;
+  const std::string& name = late.mapped().name;
+  note_round_trip(name, now - late.mapped().sent_at);
+  const auto it = members_.find(name);
+  if (it == members_.end() || it->second.state != MemberState::kSuspect) return;
+  it->second.since = now;
+  send(it->second.endpoint, {Kind::kGossip, 0, {}, {}}, name);
+}
+
+void MembershipProtocol::on_ping_request(Time now, const std::string& endpoint,
+                                         const GossipMessage& message) {
+  const Member* target = find(message.target);
+  if (!target || has_left_ || relayed_pings_.size() >= kMaxRelayedPings) return;
+  const auto number = next_number_++;
+  relayed_pings_[number] = {endpoint, message.number, now + settings_.probe_period * 2};
+  send(target->endpoint, {Kind::kPing, number, {}, {}}, message.target);
+}
+
 // ---- probes
 
-void MembershipProtocol::begin_probe(Time now) {
-  while (true) {
-    if (order_.empty()) {
-      for (const auto& [name, m] : members_)
-        if (name != name_ && (m.state == State::kAlive || m.state == State::kSuspect))
-          order_.push_back(name);
-      if (order_.empty()) return;
-      std::shuffle(order_.begin(), order_.end(), random_);
-    }
-    const std::string name = order_.back();
-    order_.pop_back();
-    const auto it = members_.find(name);
-    if (it == members_.end() ||
-        (it->second.state != State::kAlive && it->second.state != State::kSuspect)) {
-      if (order_.empty()) return;
-      continue;
-    }
-    Probe p;
-    p.name = name;
-    p.number = next_number_++;
-    p.sent = now;
-    p.direct_until = now + std::min(wait_for(name), settings_.period * (1 + lateness_));
-    p.until = p.direct_until + settings_.period * (1 + lateness_);
-    probe_ = p;
-    return send(it->second.endpoint, {Message::Kind::kPing, p.number, {}, {}}, name);
+// The next of a random order in which each member comes once; none if there are no others, or if
+// the round ends with members that have gone.
+std::optional<std::string> MembershipProtocol::next_to_probe() {
+  if (probe_order_.empty()) {
+    for (const auto& [name, member] : members_)
+      if (name != name_ && !is_gone(member.state)) probe_order_.push_back(name);
+    std::shuffle(probe_order_.begin(), probe_order_.end(), random_);
   }
+  while (!probe_order_.empty()) {
+    const std::string name = probe_order_.back();
+    probe_order_.pop_back();
+    const Member* member = find(name);
+    if (member && !is_gone(member->state)) return name;
+  }
+  return std::nullopt;
+}
+
+void MembershipProtocol::start_probe(Time now) {
+  const auto name = next_to_probe();
+  if (!name) return;
+  const Duration period = settings_.probe_period * (1 + local_health_);
+  Probe probe;
+  probe.name = *name;
+  probe.number = next_number_++;
+  probe.sent_at = now;
+  probe.direct_until = now + std::min(probe_timeout(*name), period);
+  probe.until = probe.direct_until + period;
+  probe_ = probe;
+  send(members_.at(*name).endpoint, {Kind::kPing, probe.number, {}, {}}, *name);
+}
+
+void MembershipProtocol::probe_indirectly() {
+  probe_->is_indirect = true;
+  late_probes_[probe_->number] = {probe_->name, probe_->sent_at};
+  if (late_probes_.size() > kMaxLateProbes) late_probes_.erase(late_probes_.begin());
+  const auto helpers =
+      random_alive_members(static_cast<std::size_t>(settings_.indirect_probes), probe_->name);
+  for (const auto& name : helpers)
+    send(members_.at(name).endpoint, {Kind::kPingRequest, probe_->number, probe_->name, {}}, name);
 }
 
 void MembershipProtocol::end_probe(Time now, bool answered) {
-  const Probe p = *std::exchange(probe_, std::nullopt);
+  const Probe probe = *std::exchange(probe_, std::nullopt);
   if (answered) {
-    lateness_ = std::max(0, lateness_ - 1);
+    local_health_ = std::max(0, local_health_ - 1);
     return;
   }
-  lateness_ = std::min(kMaxLateness, lateness_ + 1);
-  const auto it = members_.find(p.name);
-  if (it == members_.end() || it->second.state != State::kAlive) return;
-  set_state(now, it->second, State::kSuspect);
-  // It hears of it at once, and may speak for itself.
-  send(it->second.endpoint, {Message::Kind::kTold, 0, {}, {}}, p.name);
+  local_health_ = std::min(kMaxLocalHealth, local_health_ + 1);
+  const auto it = members_.find(probe.name);
+  if (it == members_.end() || it->second.state != MemberState::kAlive) return;
+  set_state(now, it->second, MemberState::kSuspect);
+  // It hears of the suspicion at once, and may refute it.
+  send(it->second.endpoint, {Kind::kGossip, 0, {}, {}}, probe.name);
 }
 
+// ---- time
+
+// An instance that knows nobody asks all seeds; any other asks, at random, seeds that have gone:
+// they may be back and know nobody.
 void MembershipProtocol::join(Time now) {
-  join_at_ = now + kJoinEvery;
-  std::set<std::string> heard_of;
-  for (const auto& [name, m] : members_)
-    if (m.state == State::kAlive || m.state == State::kSuspect) heard_of.insert(m.endpoint);
-  // Alone it asks all; else, now and then, those that have gone: they may be back and know nobody.
+  next_join_at_ = now + kJoinInterval;
+  std::set<std::string> live_endpoints;
+  for (const auto& [name, member] : members_)
+    if (!is_gone(member.state)) live_endpoints.insert(member.endpoint);
+  const bool is_alone = live_endpoints.size() == 1;
   for (const auto& seed : settings_.seeds)
-    if (heard_of.count(seed) == 0 && (heard_of.size() == 1 || random_() % 2 == 0))
-      sends_.push_back({seed, {Message::Kind::kJoin, 0, {}, {self()}}});
+    if (live_endpoints.count(seed) == 0 && (is_alone || random_() % 2 == 0))
+      messages_.push_back({seed, {Kind::kJoin, 0, {}, {self()}}});
+}
+
+void MembershipProtocol::request_full_sync(Time now) {
+  next_full_sync_at_ = now + settings_.full_sync_interval;
+  for (const auto& name : random_alive_members(1, {}))
+    messages_.push_back({members_.at(name).endpoint, {Kind::kJoin, 0, {}, {self()}}});
 }
 
 void MembershipProtocol::on_timer(Time now) {
-  if (left_ || superseded_) return;
-  if (now >= join_at_) join(now);
-  if (now >= exchange_at_) {
-    exchange_at_ = now + settings_.full_exchange;
-    for (const auto& name : some_others(1, {}))
-      sends_.push_back({members_.at(name).endpoint, {Message::Kind::kJoin, 0, {}, {self()}}});
-  }
-  if (probe_ && !probe_->indirect && now >= probe_->direct_until) {
-    probe_->indirect = true;
-    late_[probe_->number] = {probe_->name, probe_->sent};
-    if (late_.size() > kMaxLate) late_.erase(late_.begin());
-    for (const auto& name : some_others(static_cast<std::size_t>(settings_.indirect), probe_->name))
-      send(members_.at(name).endpoint, {Message::Kind::kPingFor, probe_->number, probe_->name, {}},
-           name);
-  }
+  if (has_left_ || is_superseded_) return;
+  if (now >= next_join_at_) join(now);
+  if (now >= next_full_sync_at_) request_full_sync(now);
+  if (probe_ && !probe_->is_indirect && now >= probe_->direct_until) probe_indirectly();
   if (probe_ && now >= probe_->until) end_probe(now, false);
-  if (!probe_ && now >= probe_at_) {
-    probe_at_ = now + settings_.period;
-    begin_probe(now);
-  }
-  std::erase_if(relays_, [now](const auto& r) { return r.second.until <= now; });
-  const Duration patience = suspicion();
-  for (const auto& name : std::vector(unwell_.begin(), unwell_.end())) {
-    Member& m = members_.at(name);
-    if (m.state == State::kSuspect && now - m.since >= patience) set_state(now, m, State::kDead);
-    const bool gone = m.state == State::kDead || m.state == State::kLeft;
-    if (!gone || now - m.since < settings_.forget) continue;
-    trips_.erase(name);
-    members_.erase(name);
-    unwell_.erase(name);
+  if (!probe_ && now >= next_probe_at_) {
+    next_probe_at_ = now + settings_.probe_period;
+    start_probe(now);
   }
+  std::erase_if(relayed_pings_, [now](const auto& ping) { return ping.second.until <= now; });
+  expire_members(now);
 }
 
 Time MembershipProtocol::next() const {
-  if (left_ || superseded_) return Time::max();
-  Time first = std::min({join_at_, exchange_at_, probe_ ? Time::max() : probe_at_});
-  if (probe_) first = std::min(first, probe_->indirect ? probe_->until : probe_->direct_until);
-  if (unwell_.empty()) return first;
-  const Duration patience = suspicion();
-  for (const auto& name : unwell_) {
-    const Member& m = members_.at(name);
-    if (m.state == State::kSuspect) first = std::min(first, m.since + patience);
+  if (has_left_ || is_superseded_) return Time::max();
+  Time first = std::min({next_join_at_, next_full_sync_at_, probe_ ? Time::max() : next_probe_at_});
+  if (probe_) first = std::min(first, probe_->is_indirect ? probe_->until : probe_->direct_until);
+  if (not_alive_.empty()) return first;
+  const Duration timeout = suspicion_timeout();
+  for (const auto& name : not_alive_) {
+    const Member& member = members_.at(name);
+    if (member.state == MemberState::kSuspect) first = std::min(first, member.since + timeout);
   }
   return first;
 }
 
-// ---- its own word
+// ---- this instance
 
 void MembershipProtocol::set_meta(Time now, const std::string& meta) {
-  Member& me = self();
-  if (me.meta == meta || left_) return;
-  me.meta = meta;
-  ++me.version;
-  me.since = now;
+  Member& member = self();
+  if (member.meta == meta || has_left_) return;
+  member.meta = meta;
+  ++member.sequence;
+  member.since = now;
   ++revision_;
-  spread(me);
-  // Those that decide by it hear at once.
-  for (const auto& name : some_others(static_cast<std::size_t>(settings_.indirect), {}))
-    send(members_.at(name).endpoint, {Message::Kind::kTold, 0, {}, {}}, name);
+  queue_.push(member);
+  // Others decide by it, so some hear of it at once.
+  send_gossip(static_cast<std::size_t>(settings_.indirect_probes));
 }
 
 void MembershipProtocol::leave(Time now) {
-  if (std::exchange(left_, true)) return;
-  Member& me = self();
-  ++me.version;
-  me.state = State::kLeft;
-  me.since = now;
-  spread(me);
-  for (const auto& name : some_others(8, {}))
-    send(members_.at(name).endpoint, {Message::Kind::kTold, 0, {}, {}}, name);
+  if (std::exchange(has_left_, true)) return;
+  Member& member = self();
+  ++member.sequence;
+  member.state = MemberState::kLeft;
+  member.since = now;
+  queue_.push(member);
+  send_gossip(kLeaveReceivers);
 }
 
 }  // namespace balancer::membership
--- a/src/membership/membership_protocol.h
+++ b/src/membership/membership_protocol.h
@@ -1,167 +1,176 @@
 #pragma once
 
 #include <cstdint>
-#include <deque>
 #include <map>
 #include <optional>
 #include <random>
 #include <set>
 #include <string>
-#include <string_view>
 #include <utility>
 #include <vector>
 
+#include "membership/gossip_queue.h"
+#include "membership/messages.h"
 #include "structures/time.h"
 
-// Who belongs to a group of balancers, who is suspected and who is gone. No I/O, no clock, no
-// threads. A hint for liveness only: nothing that must not happen twice rests on it.
 namespace balancer::membership {
 
-enum class State : std::uint8_t { kAlive, kSuspect, kDead, kLeft };
-
-// What is said of a member. The newest counts: by life, then by version, then the worse state.
-struct Update {
-  std::string name;
-  std::string endpoint;       // "127.0.0.1:7946"
-  std::uint64_t life = 0;     // of its process; a later start has a larger one
-  std::uint32_t version = 0;  // within its life; raised by itself only
-  State state = State::kAlive;
-  std::string meta;  // its own word on what it does, opaque here
-};
-
-struct Member : Update {
-  Time since{0};        // in this state, as known here
-  Time alive_since{0};  // of its present life
-};
-
-struct Message {
-  enum class Kind : std::uint8_t {
-    kPing,     // answer with kAck
-    kAck,      // to a ping, own or relayed
-    kPingFor,  // ping `target` for me
-    kJoin,     // tell me of everybody
-    kTold,     // nothing but updates
-  };
-  Kind kind = Kind::kTold;
-  std::uint64_t number = 0;
-  std::string target;  // of kPingFor: a name
-  std::vector<Update> updates;
+// A member as this instance knows it.
+struct Member : MemberUpdate {
+  Time since{0};  // in this state; of this instance: since it last said something new of itself
 };
 
-// The largest bound that an operator may set: with room to spare for a group of all the balancers
-// that the project is designed for.
+// Upper bound of MembershipSettings::max_members: more than all balancers that the project is
+// designed for.
 inline constexpr int kMaxMembers = 16'384;
 
-struct GroupSettings {
-  std::vector<std::string> seeds;  // endpoints
-  // A member is probed each period, another each time.
-  Duration period{std::chrono::milliseconds(200)};
-  // Bounds on how long an answer may take; between them it follows measured round trips.
-  Duration min_wait{std::chrono::milliseconds(40)}, max_wait{std::chrono::milliseconds(150)};
-  int indirect = 3;      // others that are asked to probe one that does not answer
-  double suspicion = 3;  // periods, times the logarithm of the group's size, until it is dead
-  std::size_t max_members = 2048;  // at most kMaxMembers
-  std::size_t max_updates = 8;     // in one message
-  std::size_t max_meta = 256;
-  // Everything is compared with another member this often.
-  Duration full_exchange{std::chrono::seconds(10)};
-  // Dead ones are remembered for so long, so that old news does not revive them.
-  Duration forget{std::chrono::seconds(60)};
+struct MembershipSettings {
+  // Endpoints of members to join. Default: none.
+  std::vector<std::string> seeds;
+  // One member is probed in each period, each in turn. Default: 200 ms.
+  Duration probe_period{std::chrono::milliseconds(200)};
+  // Bounds of the timeout of a direct probe, which follows measured round trips between them.
+  // Defaults: 40 ms, 150 ms.
+  Duration min_probe_timeout{std::chrono::milliseconds(40)};
+  Duration max_probe_timeout{std::chrono::milliseconds(150)};
+  // How many other members are asked to ping one that has not answered. Default: 3.
+  int indirect_probes = 3;
+  // Time from suspect to dead: this many probe periods, times the logarithm of the number of
+  // members. Default: 3.
+  double suspicion_multiplier = 3;
+  // Members beyond this number are ignored. Default: 2048; at most kMaxMembers.
+  std::size_t max_members = 2048;
+  // In one message. Default: 8.
+  std::size_t max_updates = 8;
+  // Updates with more bytes of meta are ignored. Default: 256.
+  std::size_t max_meta_bytes = 256;
+  // How often all that is known is requested from a random member. Default: 10 s.
+  Duration full_sync_interval{std::chrono::seconds(10)};
+  // How long dead members are remembered, so that old updates do not revive them. Default: 60 s.
+  Duration dead_retention{std::chrono::seconds(60)};
 };
 
-// SWIM (Das, Gupta, Motivala 2002) with the suspicion of that paper and the awareness of one's own
-// slowness of Lifeguard (Dadgar, Phillips, Currey 2018): a member that does not answer in the time
-// that its round trips lead to expect is probed through others; one that none of them reaches is
-// suspected, and dead only if it has not spoken for itself by the end of a time that grows with the
-// group, and with this instance's own lateness.
+// Failure detection and group membership by SWIM (Das, Gupta, Motivala 2002) with its suspicion
+// mechanism, and the local health awareness of Lifeguard (Dadgar, Phillips, Currey 2018).
+//
+// A member that does not answer a direct probe in time is probed through others. One that none of
+// them reaches is suspected, and is dead if it does not refute that within a time that grows with
+// the group and with this instance's own slowness. No I/O, no clock, no threads; `now` comes with
+// every call and never goes back. A hint for liveness only: views of members may differ, so no
+// safety property may depend on it.
 class MembershipProtocol {
  public:
-  MembershipProtocol(const GroupSettings& settings, const Update& self, std::uint64_t seed,
-                     Time now);
+  // `self`: this instance, as others are to know it.
+  MembershipProtocol(const MembershipSettings& settings, const MemberUpdate& self,
+                     std::uint64_t seed, Time now);
 
-  // `from`: the name of whoever sent it, as the message's seal has it.
+  // `from`: the authenticated name of the sender. `endpoint`: where answers go.
   void on_message(Time now, const std::string& from, const std::string& endpoint,
-                  const Message& message);
+                  const GossipMessage& message);
   void on_timer(Time now);
-  Time next() const;
-  // Its own word; told to others if it differs.
+  Time next() const;  // when on_timer() is due; Time::max(): not at all
+
+  // Replaces what this instance says of itself, and tells others if that differs.
   void set_meta(Time now, const std::string& meta);
-  // Tells others that it goes in order.
+  // Tells others that this instance shuts down gracefully; it answers nothing from then on.
   void leave(Time now);
 
-  struct Send {
+  struct OutgoingMessage {
     std::string endpoint;
-    Message message;
+    GossipMessage message;
   };
-  std::vector<Send> take_sends() { return std::exchange(sends_, {}); }
+  std::vector<OutgoingMessage> take_messages() { return std::exchange(messages_, {}); }
 
-  // All that are known, this one included, by name.
+  // All known members, dead ones and this one included, by name.
   const std::map<std::string, Member>& members() const { return members_; }
+  // Null if there is none of this name.
   const Member* find(const std::string& name) const;
-  // Goes up whenever a member came, went, or said something else of itself.
+  // Raised whenever a member came, went, or changed its meta or endpoint.
   std::uint64_t revision() const { return revision_; }
-  // Another process with this one's name has a later life: this one must do nothing more.
-  bool superseded() const { return superseded_; }
-  // How late this instance is itself, as a factor on its patience with others.
-  int lateness() const { return lateness_; }
-  Duration wait_for(const std::string& name) const;  // an answer
+  // Another process with this instance's name has a later incarnation: this one must stop serving.
+  bool superseded() const { return is_superseded_; }
 
  private:
   struct Probe {
     std::string name;
     std::uint64_t number = 0;
-    Time sent{0}, direct_until{0}, until{0};
-    bool indirect = false;
+    Time sent_at{0};
+    Time direct_until{0};  // then through others
+    Time until{0};
+    bool is_indirect = false;
   };
-  struct Relay {  // a probe for another
-    std::string for_endpoint;
-    std::uint64_t their_number;
+  // A ping on behalf of another member.
+  struct RelayedPing {
+    std::string requester_endpoint;
+    std::uint64_t requester_number;
     Time until;
   };
-  struct RoundTrip {
-    double mean = 0, deviation = 0;  // seconds; as TCP has them (RFC 6298)
-    bool known = false;
+  // A probe whose direct answer may still come.
+  struct LateProbe {
+    std::string name;
+    Time sent_at;
   };
-  struct News {
-    Update update;
-    int told = 0;
+  // Smoothed round trip time and its variation in seconds (RFC 6298).
+  struct RoundTrip {
+    double mean = 0;
+    double deviation = 0;
+    bool is_known = false;
   };
 
   Member& self() { return members_.at(name_); }
-  void apply(Time now, const Update& update);
-  void refute(Time now, const Update& update);
-  void spread(const Update& update);
-  std::vector<Update> pick_news(const std::string& to);
-  void send(const std::string& endpoint, Message message, const std::string& to = {});
-  void send_all(Time now, const std::string& endpoint);
-  void begin_probe(Time now);
-  void end_probe(Time now, bool answered);
-  void join(Time now);
-  void set_state(Time now, Member& member, State state);
+
+  void apply(Time now, const MemberUpdate& update);
+  void add_member(Time now, const MemberUpdate& update);
+  void refute(Time now, const MemberUpdate& update);
+  void set_state(Time now, Member& member, MemberState state);
   void note_state(const Member& member);
-  void learn(const std::string& name, Duration took);
-  std::size_t alive() const;
-  Duration suspicion() const;
-  std::vector<std::string> some_others(std::size_t n, const std::string& but);
+  void expire_members(Time now);
+
+  void on_ack(Time now, const std::string& from, const GossipMessage& message);
+  void on_late_ack(Time now, std::uint64_t number);
+  void on_ping_request(Time now, const std::string& endpoint, const GossipMessage& message);
+
+  void send(const std::string& endpoint, GossipMessage message, const std::string& to);
+  void send_full_state(const std::string& endpoint);
+  // Sends queued updates to random members at once.
+  void send_gossip(std::size_t receivers);
+  std::vector<MemberUpdate> updates_for(const std::string& to);
+  void join(Time now);
+  void request_full_sync(Time now);
 
-  const GroupSettings settings_;
+  void start_probe(Time now);
+  std::optional<std::string> next_to_probe();
+  void probe_indirectly();
+  void end_probe(Time now, bool answered);
+  void note_round_trip(const std::string& name, Duration took);
+  Duration probe_timeout(const std::string& name) const;
+  Duration suspicion_timeout() const;
+  std::size_t live_members() const;
+  std::vector<std::string> random_alive_members(std::size_t max, const std::string& except);
+
+  const MembershipSettings settings_;
   const std::string name_;
   std::mt19937_64 random_;
   std::map<std::string, Member> members_;
-  std::set<std::string> unwell_;  // those not alive: few, and looked at with each event
-  std::map<std::string, RoundTrip> trips_;
-  std::deque<News> news_;
-  std::vector<std::string> order_;  // of probes, a round
+  std::set<std::string> not_alive_;  // names; few, so that timers need not walk all members
+  std::uint64_t revision_ = 1;
+  GossipQueue queue_;
+
+  std::vector<std::string> probe_order_;  // what remains of this round, the next last
   std::optional<Probe> probe_;
-  std::map<std::uint64_t, Relay> relays_;  // by our number
-  std::map<std::uint64_t, std::pair<std::string, Time>>
-      late_;  // probes whose answer may still come
+  std::map<std::uint64_t, RelayedPing> relayed_pings_;  // by own number
+  std::map<std::uint64_t, LateProbe> late_probes_;      // by number
+  std::map<std::string, RoundTrip> round_trips_;        // by name
   std::uint64_t next_number_ = 1;
-  Time probe_at_, join_at_, exchange_at_;
-  int lateness_ = 0;
-  bool left_ = false, superseded_ = false;
-  std::uint64_t revision_ = 1;
-  std::vector<Send> sends_;
+  Time next_probe_at_;
+  Time next_join_at_;
+  Time next_full_sync_at_;
+  // Lifeguard's local health multiplier: 0 if probes are answered; each failed one adds one, and
+  // lengthens this instance's timeouts.
+  int local_health_ = 0;
+  bool has_left_ = false;
+  bool is_superseded_ = false;
+  std::vector<OutgoingMessage> messages_;
 };
 
 }  // namespace balancer::membership
