--- a/src/proto/group_wire.cc
+++ b/src/proto/group_wire.cc
@@ -6,316 +6,345 @@
 #include <utility>
 
 #include "group.pb.h"
+#include "lease/voter.h"
 
 namespace balancer::group {
 namespace {
 
 using lease::Ballot;
-using lease::Change;
-using lease::Changed;
-using lease::Holder;
+using lease::InstanceId;
+using lease::ReconfigurationReply;
+using lease::ReconfigurationRequest;
 using lease::TransferMessage;
 using lease::VoteReply;
 using lease::VoteRequest;
-using lease::Voters;
-using membership::Message;
-using membership::Update;
+using lease::VoterSet;
+using membership::GossipMessage;
+using membership::MemberUpdate;
 
-constexpr int kMaxUpdates = 64, kMaxHolds = 64, kMaxPromises = 256;
-constexpr std::size_t kMaxMeta = 1024, kMaxReason = 256;
+constexpr int kMaxUpdates = 64;
+constexpr int kMaxHeldTerms = 64;
+constexpr int kMaxGrants = 256;
+constexpr std::size_t kMaxMetaBytes = 1024;
+constexpr std::size_t kMaxReasonBytes = 256;
+// Bounds what a faulty voter can make an instance wait for: one hour.
+constexpr std::uint64_t kMaxRemainingUs = 3'600'000'000;
 
-bool is_name(const std::string& text, bool may_be_empty = false) {
-  return (may_be_empty || !text.empty()) && text.size() <= kMaxName &&
+// Printable ASCII without spaces, quotes and backslashes, so that names need no escapes anywhere.
+bool is_name(const std::string& text) {
+  return !text.empty() && text.size() <= kMaxName &&
          std::all_of(text.begin(), text.end(),
                      [](unsigned char c) { return c > ' ' && c < 0x7f && c != '"' && c != '\\'; });
 }
 
+bool is_name_or_empty(const std::string& text) { return text.empty() || is_name(text); }
+
+template <typename Enum>
+std::uint32_t enum_to_wire(Enum value) {
+  return static_cast<std::uint32_t>(value);
+}
+
 template <typename Enum>
-bool read_kind(std::uint32_t value, Enum last, Enum& out) {
+bool enum_from_wire(std::uint32_t value, Enum last, Enum& out) {
   if (value > static_cast<std::uint32_t>(last)) return false;
   out = static_cast<Enum>(value);
   return true;
 }
 
-// ---- parts
+// ---- parts of messages; from_wire() returns false if a part is malformed
 
-void write(const Holder& h, wire::Holder& out) {
-  out.set_name(h.name);
-  out.set_life(h.life);
+void to_wire(const InstanceId& id, wire::InstanceId& out) {
+  out.set_name(id.name);
+  out.set_incarnation(id.incarnation);
 }
-bool read(const wire::Holder& in, Holder& h) {
-  h = {in.name(), in.life()};
-  return is_name(h.name, true);
+bool from_wire(const wire::InstanceId& in, InstanceId& id) {
+  id = {in.name(), in.incarnation()};
+  return is_name_or_empty(id.name);
 }
 
-void write(const Voters& v, wire::Voters& out) {
-  out.set_version(v.version);
-  for (const auto& name : v.names) out.add_names(name);
+void to_wire(const VoterSet& voters, wire::VoterSet& out) {
+  out.set_version(voters.version);
+  for (const auto& name : voters.names) out.add_names(name);
 }
-// An empty set says nothing.
-bool read(const wire::Voters& in, Voters& v) {
-  v.version = in.version();
-  v.names.assign(in.names().begin(), in.names().end());
-  return v.names.empty() ||
-         (lease::valid(v) &&
-          std::all_of(v.names.begin(), v.names.end(), [](const auto& n) { return is_name(n); }));
+// A set without names stands for none.
+bool from_wire(const wire::VoterSet& in, VoterSet& voters) {
+  voters.version = in.version();
+  voters.names.assign(in.names().begin(), in.names().end());
+  return voters.names.empty() || (lease::is_valid(voters) &&
+                                  std::all_of(voters.names.begin(), voters.names.end(), is_name));
 }
 
-void write(const Message& m, wire::Gossip& out) {
-  out.set_kind(static_cast<std::uint32_t>(m.kind));
-  out.set_number(m.number);
-  out.set_target(m.target);
-  for (const Update& u : m.updates) {
-    auto& o = *out.add_updates();
-    o.set_name(u.name);
-    o.set_endpoint(u.endpoint);
-    o.set_life(u.life);
-    o.set_version(u.version);
-    o.set_state(static_cast<std::uint32_t>(u.state));
-    o.set_meta(u.meta);
-  }
+void to_wire(const Ballot& ballot, wire::Ballot& out) {
+  out.set_number(ballot.number);
+  out.set_proposer(ballot.proposer);
+}
+bool from_wire(const wire::Ballot& in, Ballot& ballot) {
+  ballot = {in.number(), in.proposer()};
+  return is_name_or_empty(ballot.proposer);
 }
-bool read(const wire::Gossip& in, Message& m) {
-  if (!read_kind(in.kind(), Message::Kind::kTold, m.kind) || !is_name(in.target(), true) ||
-      in.updates_size() > kMaxUpdates)
+
+void to_wire(const MemberUpdate& update, wire::MemberUpdate& out) {
+  out.set_name(update.name);
+  out.set_endpoint(update.endpoint);
+  out.set_incarnation(update.incarnation);
+  out.set_sequence(update.sequence);
+  out.set_state(enum_to_wire(update.state));
+  out.set_meta(update.meta);
+}
+bool from_wire(const wire::MemberUpdate& in, MemberUpdate& update) {
+  update.name = in.name();
+  update.endpoint = in.endpoint();
+  update.incarnation = in.incarnation();
+  update.sequence = in.sequence();
+  update.meta = in.meta();
+  return is_name(update.name) && is_name(update.endpoint) && update.meta.size() <= kMaxMetaBytes &&
+         enum_from_wire(in.state(), membership::MemberState::kLeft, update.state);
+}
+
+// ---- bodies of datagrams
+
+void to_wire(const GossipMessage& message, wire::GossipMessage& out) {
+  out.set_kind(enum_to_wire(message.kind));
+  out.set_number(message.number);
+  out.set_target(message.target);
+  for (const MemberUpdate& update : message.updates) to_wire(update, *out.add_updates());
+}
+bool from_wire(const wire::GossipMessage& in, GossipMessage& message) {
+  message.number = in.number();
+  message.target = in.target();
+  if (!enum_from_wire(in.kind(), GossipMessage::Kind::kGossip, message.kind) ||
+      !is_name_or_empty(message.target) || in.updates_size() > kMaxUpdates)
     return false;
-  m.number = in.number();
-  m.target = in.target();
-  for (const auto& u : in.updates()) {
-    Update out;
-    if (!is_name(u.name()) || !is_name(u.endpoint()) || u.meta().size() > kMaxMeta ||
-        !read_kind(u.state(), membership::State::kLeft, out.state))
-      return false;
-    out.name = u.name();
-    out.endpoint = u.endpoint();
-    out.life = u.life();
-    out.version = u.version();
-    out.meta = u.meta();
-    m.updates.push_back(std::move(out));
-  }
+  for (const auto& update : in.updates())
+    if (!from_wire(update, message.updates.emplace_back())) return false;
   return true;
 }
 
-void write(const VoteRequest& a, wire::VoteRequest& out) {
-  out.set_kind(static_cast<std::uint32_t>(a.kind));
-  out.set_address(a.address);
-  out.set_term(a.term);
-  write(a.holder, *out.mutable_holder());
-  out.set_number(a.number);
-  out.set_voters(a.voters);
-  out.set_successor(a.successor);
-}
-bool read(const wire::VoteRequest& in, VoteRequest& a) {
-  a.address = in.address();
-  a.term = in.term();
-  a.number = in.number();
-  a.voters = in.voters();
-  a.successor = in.successor();
-  return read_kind(in.kind(), VoteRequest::Kind::kRelease, a.kind) && is_name(a.address) &&
-         is_name(a.successor, true) && read(in.holder(), a.holder);
-}
-
-void write(const VoteReply& r, wire::VoteReply& out) {
-  out.set_verdict(static_cast<std::uint32_t>(r.verdict));
-  out.set_address(r.address);
-  out.set_number(r.number);
-  out.set_term(r.term);
-  write(r.holder, *out.mutable_holder());
-  out.set_left_us(static_cast<std::uint64_t>(
-      std::chrono::ceil<std::chrono::microseconds>(std::max(r.left, Duration{0})).count()));
-  write(r.voters, *out.mutable_voters());
-}
-bool read(const wire::VoteReply& in, VoteReply& r) {
-  // No voter promises anything for longer than an hour.
-  constexpr std::uint64_t kMaxLeft = 3'600'000'000;
-  r.address = in.address();
-  r.number = in.number();
-  r.term = in.term();
-  r.left = std::chrono::microseconds(std::min(in.left_us(), kMaxLeft));
-  return read_kind(in.verdict(), VoteReply::Verdict::kTold, r.verdict) && is_name(r.address) &&
-         read(in.holder(), r.holder) && read(in.voters(), r.voters);
-}
-
-void write(const TransferMessage& t, wire::TransferMessage& out) {
-  out.set_kind(static_cast<std::uint32_t>(t.kind));
-  out.set_address(t.address);
-  out.set_term(t.term);
-}
-bool read(const wire::TransferMessage& in, TransferMessage& t) {
-  t.address = in.address();
-  t.term = in.term();
-  return read_kind(in.kind(), TransferMessage::Kind::kAnnounces, t.kind) && is_name(t.address);
-}
-
-void write(const Ballot& b, wire::Ballot& out) {
-  out.set_number(b.number);
-  out.set_by(b.by);
-}
-bool read(const wire::Ballot& in, Ballot& b) {
-  b = {in.number(), in.by()};
-  return is_name(b.by, true);
-}
-
-void write(const Change& c, wire::Change& out) {
-  out.set_kind(static_cast<std::uint32_t>(c.kind));
-  out.set_number(c.number);
-  write(c.ballot, *out.mutable_ballot());
-  write(c.present, *out.mutable_present());
-  write(c.next, *out.mutable_next());
-  out.set_by_all(c.by_all);
-}
-bool read(const wire::Change& in, Change& c) {
-  c.number = in.number();
-  c.by_all = in.by_all();
-  return read_kind(in.kind(), Change::Kind::kAdopt, c.kind) && read(in.ballot(), c.ballot) &&
-         read(in.present(), c.present) && read(in.next(), c.next);
-}
-
-void write(const Changed& c, wire::Changed& out) {
-  out.set_kind(static_cast<std::uint32_t>(c.kind));
-  out.set_number(c.number);
-  out.set_good(c.good);
-  out.set_forgot(c.forgot);
-  write(c.voters, *out.mutable_voters());
-  write(c.promised, *out.mutable_promised());
-  write(c.accepted_at, *out.mutable_accepted_at());
-  write(c.accepted, *out.mutable_accepted());
-  out.set_why_not(c.why_not);
-}
-bool read(const wire::Changed& in, Changed& c) {
-  c.number = in.number();
-  c.good = in.good();
-  c.forgot = in.forgot();
-  c.why_not = in.why_not().substr(0, kMaxReason);
-  return read_kind(in.kind(), Change::Kind::kAdopt, c.kind) && read(in.voters(), c.voters) &&
-         read(in.promised(), c.promised) && read(in.accepted_at(), c.accepted_at) &&
-         read(in.accepted(), c.accepted);
-}
-
-wire::Gossip& part(wire::Datagram& d, const Message&) { return *d.mutable_gossip(); }
-wire::VoteRequest& part(wire::Datagram& d, const VoteRequest&) { return *d.mutable_ask(); }
-wire::VoteReply& part(wire::Datagram& d, const VoteReply&) { return *d.mutable_reply(); }
-wire::TransferMessage& part(wire::Datagram& d, const TransferMessage&) { return *d.mutable_tell(); }
-wire::Change& part(wire::Datagram& d, const Change&) { return *d.mutable_change(); }
-wire::Changed& part(wire::Datagram& d, const Changed&) { return *d.mutable_changed(); }
-
-template <typename Body, typename Wire>
-bool read_body(const Wire& in, Datagram& d) {
-  Body body;
-  if (!read(in, body)) return false;
-  d.body = std::move(body);
-  return true;
+void to_wire(const VoteRequest& request, wire::VoteRequest& out) {
+  out.set_kind(enum_to_wire(request.kind));
+  out.set_address(request.address);
+  out.set_term(request.term);
+  to_wire(request.holder, *out.mutable_holder());
+  out.set_number(request.number);
+  out.set_voter_set_version(request.voter_set_version);
+  out.set_successor(request.successor);
+}
+bool from_wire(const wire::VoteRequest& in, VoteRequest& request) {
+  request.address = in.address();
+  request.term = in.term();
+  request.number = in.number();
+  request.voter_set_version = in.voter_set_version();
+  request.successor = in.successor();
+  return enum_from_wire(in.kind(), VoteRequest::Kind::kRelease, request.kind) &&
+         is_name(request.address) && is_name_or_empty(request.successor) &&
+         from_wire(in.holder(), request.holder);
+}
+
+void to_wire(const VoteReply& reply, wire::VoteReply& out) {
+  const Duration remaining = std::max(reply.remaining, Duration{0});
+  out.set_verdict(enum_to_wire(reply.verdict));
+  out.set_address(reply.address);
+  out.set_number(reply.number);
+  out.set_term(reply.term);
+  to_wire(reply.holder, *out.mutable_holder());
+  out.set_remaining_us(
+      static_cast<std::uint64_t>(std::chrono::ceil<std::chrono::microseconds>(remaining).count()));
+  to_wire(reply.voters, *out.mutable_voters());
+}
+bool from_wire(const wire::VoteReply& in, VoteReply& reply) {
+  reply.address = in.address();
+  reply.number = in.number();
+  reply.term = in.term();
+  reply.remaining = std::chrono::microseconds(std::min(in.remaining_us(), kMaxRemainingUs));
+  return enum_from_wire(in.verdict(), VoteReply::Verdict::kQueryAnswer, reply.verdict) &&
+         is_name(reply.address) && from_wire(in.holder(), reply.holder) &&
+         from_wire(in.voters(), reply.voters);
+}
+
+void to_wire(const TransferMessage& message, wire::TransferMessage& out) {
+  out.set_kind(enum_to_wire(message.kind));
+  out.set_address(message.address);
+  out.set_term(message.term);
+}
+bool from_wire(const wire::TransferMessage& in, TransferMessage& message) {
+  message.address = in.address();
+  message.term = in.term();
+  return enum_from_wire(in.kind(), TransferMessage::Kind::kAnnounces, message.kind) &&
+         is_name(message.address);
+}
+
+void to_wire(const ReconfigurationRequest& request, wire::ReconfigurationRequest& out) {
+  out.set_kind(enum_to_wire(request.kind));
+  out.set_number(request.number);
+  to_wire(request.ballot, *out.mutable_ballot());
+  to_wire(request.current, *out.mutable_current());
+  to_wire(request.next, *out.mutable_next());
+  out.set_accepted_by_all(request.accepted_by_all);
+}
+bool from_wire(const wire::ReconfigurationRequest& in, ReconfigurationRequest& request) {
+  request.number = in.number();
+  request.accepted_by_all = in.accepted_by_all();
+  return enum_from_wire(in.kind(), ReconfigurationRequest::Kind::kAdopt, request.kind) &&
+         from_wire(in.ballot(), request.ballot) && from_wire(in.current(), request.current) &&
+         from_wire(in.next(), request.next);
+}
+
+void to_wire(const ReconfigurationReply& reply, wire::ReconfigurationReply& out) {
+  out.set_kind(enum_to_wire(reply.kind));
+  out.set_number(reply.number);
+  out.set_ok(reply.ok);
+  out.set_record_lost(reply.record_lost);
+  to_wire(reply.voters, *out.mutable_voters());
+  to_wire(reply.promised_ballot, *out.mutable_promised_ballot());
+  to_wire(reply.accepted_ballot, *out.mutable_accepted_ballot());
+  to_wire(reply.accepted_voters, *out.mutable_accepted_voters());
+  out.set_rejection_reason(reply.rejection_reason);
+}
+bool from_wire(const wire::ReconfigurationReply& in, ReconfigurationReply& reply) {
+  reply.number = in.number();
+  reply.ok = in.ok();
+  reply.record_lost = in.record_lost();
+  reply.rejection_reason = in.rejection_reason().substr(0, kMaxReasonBytes);
+  return enum_from_wire(in.kind(), ReconfigurationRequest::Kind::kAdopt, reply.kind) &&
+         from_wire(in.voters(), reply.voters) &&
+         from_wire(in.promised_ballot(), reply.promised_ballot) &&
+         from_wire(in.accepted_ballot(), reply.accepted_ballot) &&
+         from_wire(in.accepted_voters(), reply.accepted_voters);
+}
+
+// ---- datagrams
+
+// Where a datagram has a body of the type.
+auto& body_of(wire::Datagram& d, const GossipMessage&) { return *d.mutable_gossip(); }
+auto& body_of(wire::Datagram& d, const VoteRequest&) { return *d.mutable_vote_request(); }
+auto& body_of(wire::Datagram& d, const VoteReply&) { return *d.mutable_vote_reply(); }
+auto& body_of(wire::Datagram& d, const TransferMessage&) { return *d.mutable_transfer(); }
+auto& body_of(wire::Datagram& d, const ReconfigurationRequest&) {
+  return *d.mutable_reconfiguration_request();
+}
+auto& body_of(wire::Datagram& d, const ReconfigurationReply&) {
+  return *d.mutable_reconfiguration_reply();
+}
+
+template <typename Body, typename WireBody>
+bool read_body(const WireBody& in, Datagram& datagram) {
+  return from_wire(in, datagram.body.emplace<Body>());
+}
+
+bool read_any_body(const wire::Datagram& in, Datagram& datagram) {
+  switch (in.body_case()) {
+    case wire::Datagram::kGossip:
+      return read_body<GossipMessage>(in.gossip(), datagram);
+    case wire::Datagram::kVoteRequest:
+      return read_body<VoteRequest>(in.vote_request(), datagram);
+    case wire::Datagram::kVoteReply:
+      return read_body<VoteReply>(in.vote_reply(), datagram);
+    case wire::Datagram::kTransfer:
+      return read_body<TransferMessage>(in.transfer(), datagram);
+    case wire::Datagram::kReconfigurationRequest:
+      return read_body<ReconfigurationRequest>(in.reconfiguration_request(), datagram);
+    case wire::Datagram::kReconfigurationReply:
+      return read_body<ReconfigurationReply>(in.reconfiguration_reply(), datagram);
+    case wire::Datagram::BODY_NOT_SET:
+      break;
+  }
+  return false;
 }
 
-template <typename Wire>
-bool parse(std::string_view bytes, Wire& out) {
-  // The library writes a line about each text that is none, as often as a peer likes.
-  static auto* const before = google::protobuf::SetLogHandler(nullptr);
-  static_cast<void>(before);
+template <typename WireMessage>
+bool parse(std::string_view bytes, WireMessage& out) {
+  // Once: the library would otherwise log a line for each malformed message, at a peer's will.
+  static auto* const previous_handler = google::protobuf::SetLogHandler(nullptr);
+  static_cast<void>(previous_handler);
   return out.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
 }
 
 }  // namespace
 
-std::string encode(const Datagram& d) {
+std::string encode(const Datagram& datagram) {
   wire::Datagram out;
-  out.set_sender(d.sender);
-  out.set_life(d.life);
-  out.set_sequence(d.sequence);
-  out.set_to(d.to);
-  std::visit([&out](const auto& body) { write(body, part(out, body)); }, d.body);
+  out.set_sender(datagram.sender);
+  out.set_incarnation(datagram.incarnation);
+  out.set_sequence(datagram.sequence);
+  out.set_to(datagram.to);
+  std::visit([&out](const auto& body) { to_wire(body, body_of(out, body)); }, datagram.body);
   return out.SerializeAsString();
 }
 
 std::optional<Datagram> decode(std::string_view bytes) {
   wire::Datagram in;
   if (bytes.size() > kMaxDatagram || !parse(bytes, in)) return std::nullopt;
-  Datagram d;
-  d.sender = in.sender();
-  d.life = in.life();
-  d.sequence = in.sequence();
-  d.to = in.to();
-  if (!is_name(d.sender) || !is_name(d.to, true) || d.sequence == 0) return std::nullopt;
-  bool good = false;
-  switch (in.body_case()) {
-    case wire::Datagram::kGossip:
-      good = read_body<Message>(in.gossip(), d);
-      break;
-    case wire::Datagram::kAsk:
-      good = read_body<VoteRequest>(in.ask(), d);
-      break;
-    case wire::Datagram::kReply:
-      good = read_body<VoteReply>(in.reply(), d);
-      break;
-    case wire::Datagram::kTell:
-      good = read_body<TransferMessage>(in.tell(), d);
-      break;
-    case wire::Datagram::kChange:
-      good = read_body<Change>(in.change(), d);
-      break;
-    case wire::Datagram::kChanged:
-      good = read_body<Changed>(in.changed(), d);
-      break;
-    default:
-      break;
-  }
-  if (!good) return std::nullopt;
-  return d;
+  Datagram datagram;
+  datagram.sender = in.sender();
+  datagram.incarnation = in.incarnation();
+  datagram.sequence = in.sequence();
+  datagram.to = in.to();
+  if (!is_name(datagram.sender) || !is_name_or_empty(datagram.to) || datagram.sequence == 0 ||
+      !read_any_body(in, datagram))
+    return std::nullopt;
+  return datagram;
 }
 
-std::string encode(const Meta& meta) {
-  wire::Meta out;
+// ---- what a member says of itself
+
+std::string encode(const MemberMeta& meta) {
+  wire::MemberMeta out;
   out.set_eligible(meta.eligible);
-  out.set_voter(meta.voter);
-  out.set_voters(meta.voters);
-  for (const auto& [address, term] : meta.holds) {
-    auto& held = *out.add_holds();
+  out.set_is_voter(meta.is_voter);
+  out.set_voter_set_version(meta.voter_set_version);
+  for (const auto& [address, term] : meta.held_terms) {
+    auto& held = *out.add_held_terms();
     held.set_address(address);
     held.set_term(term);
   }
   return out.SerializeAsString();
 }
 
-std::optional<Meta> decode_meta(std::string_view bytes) {
-  wire::Meta in;
-  if (bytes.size() > kMaxMeta || !parse(bytes, in) || in.holds_size() > kMaxHolds)
+std::optional<MemberMeta> decode_meta(std::string_view bytes) {
+  wire::MemberMeta in;
+  if (bytes.size() > kMaxMetaBytes || !parse(bytes, in) || in.held_terms_size() > kMaxHeldTerms)
     return std::nullopt;
-  Meta meta{in.eligible(), in.voter(), in.voters(), {}};
-  for (const auto& held : in.holds()) {
+  MemberMeta meta{in.eligible(), in.is_voter(), in.voter_set_version(), {}};
+  for (const auto& held : in.held_terms()) {
     if (!is_name(held.address())) return std::nullopt;
-    meta.holds[held.address()] = held.term();
+    meta.held_terms[held.address()] = held.term();
   }
   return meta;
 }
 
+// ---- the record of a voter
+
 std::string encode(const lease::VoterRecord& record) {
   wire::VoterRecord out;
-  write(record.voters, *out.mutable_voters());
-  for (const auto& [address, promise] : record.promises) {
-    auto& p = *out.add_promises();
-    p.set_address(address);
-    p.set_term(promise.term);
-    write(promise.holder, *p.mutable_holder());
+  to_wire(record.voters, *out.mutable_voters());
+  for (const auto& [address, grant] : record.grants) {
+    auto& wire_grant = *out.add_grants();
+    wire_grant.set_address(address);
+    wire_grant.set_term(grant.term);
+    to_wire(grant.holder, *wire_grant.mutable_holder());
   }
-  write(record.promised, *out.mutable_promised());
-  write(record.accepted_at, *out.mutable_accepted_at());
-  write(record.accepted, *out.mutable_accepted());
-  out.set_forgot(record.forgot);
+  to_wire(record.promised_ballot, *out.mutable_promised_ballot());
+  to_wire(record.accepted_ballot, *out.mutable_accepted_ballot());
+  to_wire(record.accepted_voters, *out.mutable_accepted_voters());
+  out.set_record_lost(record.record_lost);
   return out.SerializeAsString();
 }
 
 std::optional<lease::VoterRecord> decode_record(std::string_view bytes) {
   wire::VoterRecord in;
   lease::VoterRecord record;
-  if (!parse(bytes, in) || in.promises_size() > kMaxPromises || !read(in.voters(), record.voters) ||
-      record.voters.names.empty() || !read(in.promised(), record.promised) ||
-      !read(in.accepted_at(), record.accepted_at) || !read(in.accepted(), record.accepted))
+  if (!parse(bytes, in) || in.grants_size() > kMaxGrants ||
+      !from_wire(in.voters(), record.voters) || record.voters.names.empty() ||
+      !from_wire(in.promised_ballot(), record.promised_ballot) ||
+      !from_wire(in.accepted_ballot(), record.accepted_ballot) ||
+      !from_wire(in.accepted_voters(), record.accepted_voters))
     return std::nullopt;
-  record.forgot = in.forgot();
-  for (const auto& p : in.promises()) {
-    auto& promise = record.promises[p.address()];
-    promise.term = p.term();
-    if (!is_name(p.address()) || !read(p.holder(), promise.holder)) return std::nullopt;
+  record.record_lost = in.record_lost();
+  for (const auto& wire_grant : in.grants()) {
+    if (!is_name(wire_grant.address())) return std::nullopt;
+    auto& grant = record.grants[wire_grant.address()];
+    grant.term = wire_grant.term();
+    if (!from_wire(wire_grant.holder(), grant.holder)) return std::nullopt;
   }
   return record;
 }
--- a/src/proto/seal.cc
+++ b/src/proto/seal.cc
@@ -121,14 +121,15 @@
   return std::nullopt;
 }
 
-bool ReplayGuard::accept(const std::string& sender, std::uint64_t life, std::uint64_t sequence) {
+bool ReplayGuard::accept(const std::string& sender, std::uint64_t incarnation,
+                         std::uint64_t sequence) {
   const auto known = by_name_.find(sender);
   if (known == by_name_.end()) {
-    remember(sender, {life, sequence, {1, 0}});
+    remember(sender, {incarnation, sequence, {1, 0}});
     return true;
   }
   const Senders::iterator entry = known->second;
-  if (!is_new(entry->second, life, sequence)) return false;
+  if (!is_new(entry->second, incarnation, sequence)) return false;
   senders_.splice(senders_.begin(), senders_, entry);
   return true;
 }
@@ -142,10 +143,10 @@
   by_name_.emplace(senders_.front().first, senders_.begin());
 }
 
-bool ReplayGuard::is_new(Seen& s, std::uint64_t life, std::uint64_t sequence) {
-  if (life < s.life) return false;
-  if (life > s.life) {
-    s = {life, sequence, {1, 0}};
+bool ReplayGuard::is_new(Seen& s, std::uint64_t incarnation, std::uint64_t sequence) {
+  if (incarnation < s.incarnation) return false;
+  if (incarnation > s.incarnation) {
+    s = {incarnation, sequence, {1, 0}};
     return true;
   }
   if (sequence > s.newest) {
--- a/src/proto/seal.h
+++ b/src/proto/seal.h
@@ -59,8 +59,8 @@
 };
 
 // Whether a datagram is new: each sender numbers its own, in each of its lives. A window of 128
-// behind the newest number lets through what was overtaken on its way, once. A life that is older
-// than one heard of is refused. Of a sender that nothing is known of the first is taken as it
+// behind the newest number lets through what was overtaken on its way, once. A incarnation that is
+// older than one heard of is refused. Of a sender that nothing is known of the first is taken as it
 // comes: who may be harmed by old news after a start of its own must ask with numbers of its own,
 // as holders and voters do. Where more senders have been heard of than are kept, the one that has
 // been silent for longest is forgotten: members that were replaced must not keep new ones out.
@@ -70,17 +70,17 @@
   static constexpr std::size_t kMaxSenders = std::size_t{2} * membership::kMaxMembers;
 
   explicit ReplayGuard(std::size_t max_senders = kMaxSenders) : max_senders_(max_senders) {}
-  bool accept(const std::string& sender, std::uint64_t life, std::uint64_t sequence);
+  bool accept(const std::string& sender, std::uint64_t incarnation, std::uint64_t sequence);
 
  private:
   struct Seen {
-    std::uint64_t life = 0, newest = 0;
+    std::uint64_t incarnation = 0, newest = 0;
     std::uint64_t window[2] = {0, 0};  // bit i: newest - i
   };
   using Senders = std::list<std::pair<std::string, Seen>>;
 
   void remember(const std::string& sender, const Seen& seen);
-  static bool is_new(Seen& seen, std::uint64_t life, std::uint64_t sequence);
+  static bool is_new(Seen& seen, std::uint64_t incarnation, std::uint64_t sequence);
 
   const std::size_t max_senders_;
   Senders senders_;  // by when something new last came from them, the latest first
--- a/src/settings/group_file.cc
+++ b/src/settings/group_file.cc
@@ -65,18 +65,18 @@
 
 void read_times(Keys& keys, GroupFile& g) {
   auto& t = g.lease_manager.times;
-  t.lease = keys.time("lease_ms", 1e-3, 1000, 100, 60'000);
-  t.drift = keys.real("drift", 0.01, 0, 0.2);
+  t.duration = keys.time("lease_ms", 1e-3, 1000, 100, 60'000);
+  t.max_clock_drift = keys.real("drift", 0.01, 0, 0.2);
   t.withdraw_lead = keys.time("withdraw_lead_ms", 1e-3, 150, 1, 30'000);
   t.overlap = keys.time("overlap_ms", 1e-3, 300, 0, 30'000);
-  t.patience = keys.time("patience_ms", 1e-3, 150, 5, 30'000);
+  t.round_timeout = keys.time("patience_ms", 1e-3, 150, 5, 30'000);
   // A renewal is begun each quarter of the lease; two must fit in before the withdrawal.
-  if (t.withdraw_lead > t.usable() / 2)
+  if (t.withdraw_lead > t.holder_duration() / 2)
     keys.bad("withdraw_lead_ms", "is more than half of what a lease is good for");
-  if (t.patience > t.lease / 2) keys.bad("patience_ms", "is more than half of lease_ms");
-  if (t.overlap > t.lease) keys.bad("overlap_ms", "is longer than lease_ms");
-  g.lease_manager.settle = keys.time("settle_ms", 1e-3, 5000, 0, 3'600'000);
-  g.lease_manager.between_moves = keys.time("between_moves_ms", 1e-3, 10'000, 0, 3'600'000);
+  if (t.round_timeout > t.duration / 2) keys.bad("patience_ms", "is more than half of lease_ms");
+  if (t.overlap > t.duration) keys.bad("overlap_ms", "is longer than lease_ms");
+  g.lease_manager.settle_time = keys.time("settle_ms", 1e-3, 5000, 0, 3'600'000);
+  g.lease_manager.min_move_interval = keys.time("between_moves_ms", 1e-3, 10'000, 0, 3'600'000);
   g.drain = keys.time("drain_ms", 1e-3, 3000, 0, 600'000);
 }
 
@@ -105,11 +105,12 @@
   g.founding.names = names(keys, "voters");
   std::sort(g.founding.names.begin(), g.founding.names.end());
   if (g.founding.names.empty()) keys.bad("voters", "is missing");
-  if (!lease::valid(g.founding))
+  if (!lease::is_valid(g.founding))
     keys.bad("voters", "must be up to " + std::to_string(lease::kMaxVoters) + " different names");
-  g.membership.period = keys.time("probe_ms", 1e-3, 200, 20, 60'000);
-  g.membership.max_wait = std::max<Duration>(g.membership.min_wait, g.membership.period * 3 / 4);
-  g.membership.suspicion = keys.real("suspicion", 3, 1, 100);
+  g.membership.probe_period = keys.time("probe_ms", 1e-3, 200, 20, 60'000);
+  g.membership.max_probe_timeout =
+      std::max<Duration>(g.membership.min_probe_timeout, g.membership.probe_period * 3 / 4);
+  g.membership.suspicion_multiplier = keys.real("suspicion", 3, 1, 100);
   g.membership.max_members = static_cast<std::size_t>(keys.whole(
       "most_members", static_cast<int>(g.membership.max_members), 2, membership::kMaxMembers));
   read_times(keys, g);
@@ -150,7 +151,7 @@
   for (const auto* command : {&a.claim, &a.release})
     if (!command->empty() && !command->front().starts_with('/'))
       keys.bad(command == &a.claim ? "claim" : "release", "must name its program by a whole path");
-  lease::Wanted wanted{a.name, names(keys, "prefer")};
+  lease::AddressPreference wanted{a.name, names(keys, "prefer")};
   g.lease_manager.addresses.push_back(std::move(wanted));
   g.addresses.push_back(std::move(a));
 }
--- a/src/settings/group_file.h
+++ b/src/settings/group_file.h
@@ -44,8 +44,8 @@
   std::string key_file;
   Duration key_change{std::chrono::seconds(60)};
   std::string folder;  // of the voter's record and of the socket for `balancer address`
-  lease::Voters founding;
-  membership::GroupSettings membership;       // with the seeds
+  lease::VoterSet founding;
+  membership::MembershipSettings membership;  // with the seeds
   lease::LeaseManagerSettings lease_manager;  // with the addresses
   lease::EligibilitySettings eligibility;
   Duration drain{std::chrono::seconds(3)};  // for connections that an orderly move has left behind
--- a/src/testbed/scale/sweep_group.cc
+++ b/src/testbed/scale/sweep_group.cc
@@ -35,8 +35,8 @@
 // Members that `observer` holds for alive, itself included.
 int alive_for(GroupSim& sim, const std::string& observer) {
   int alive = 0;
-  for (const auto& [name, member] : sim.instance(observer)->group().members())
-    alive += member.state == membership::State::kAlive ? 1 : 0;
+  for (const auto& [name, member] : sim.instance(observer)->membership().members())
+    alive += member.state == membership::MemberState::kAlive ? 1 : 0;
   return alive;
 }
 
--- a/tests/address_assignment_test.cc
+++ b/tests/address_assignment_test.cc
@@ -7,8 +7,8 @@
 namespace balancer::lease {
 namespace {
 
-std::vector<Wanted> addresses(int n) {
-  std::vector<Wanted> all;
+std::vector<AddressPreference> addresses(int n) {
+  std::vector<AddressPreference> all;
   for (int i = 0; i < n; ++i) all.push_back({"svc" + std::to_string(i), {}});
   return all;
 }
@@ -66,7 +66,7 @@
 }
 
 TEST(DealTest, ThePreferredGetsItOnceItIsSettled) {
-  const std::vector<Wanted> one = {{"svc", {"n2", "n0"}}};
+  const std::vector<AddressPreference> one = {{"svc", {"n2", "n0"}}};
   auto three = instances(3);
   three[2].settled = false;
   EXPECT_EQ(first_of(assign_addresses(one, three, {{"svc", "n1"}})).at("svc"), "n0");
@@ -88,7 +88,7 @@
     for (auto& a : eligible) a.settled = random() % 3 > 0;
     for (auto& w : all)
       for (const auto& a : eligible)
-        if (random() % 5 == 0) w.prefer.push_back(a.name);
+        if (random() % 5 == 0) w.preferred_instances.push_back(a.name);
     std::map<std::string, std::string> holders;
     for (const auto& w : all)
       if (random() % 2) holders[w.address] = "n" + std::to_string(random() % 9);
--- a/tests/carrier_test.cc
+++ b/tests/carrier_test.cc
@@ -154,23 +154,23 @@
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using Part = Eligibility::Part;
+using Condition = Eligibility::Condition;
 
 TEST(Eligibility, IsThereAtOnceAndShortGapsAreNotMissed) {
   Eligibility a{EligibilitySettings{}};
   Time now = seconds(10);
   EXPECT_TRUE(a.eligible(now));
-  a.on_part(now, Part::kRouters, false);
+  a.on_condition(now, Condition::kRoutersConnected, false);
   EXPECT_TRUE(a.eligible(now + milliseconds(299)));
   EXPECT_EQ(a.next(), now + milliseconds(300));
   EXPECT_FALSE(a.eligible(now + milliseconds(300)));
-  EXPECT_NE(a.why().find("routers"), std::string::npos);
+  EXPECT_NE(a.reason().find("routers"), std::string::npos);
 }
 
 TEST(Eligibility, ALostListenerCountsAtOnce) {
   Eligibility a{EligibilitySettings{}};
   EXPECT_TRUE(a.eligible(seconds(1)));
-  a.on_part(seconds(1), Part::kListener, false);
+  a.on_condition(seconds(1), Condition::kListenerOpen, false);
   EXPECT_FALSE(a.eligible(seconds(1)));
 }
 
@@ -180,9 +180,9 @@
   EXPECT_TRUE(a.eligible(now));
   Duration last{0};
   for (int i = 0; i < 7; ++i) {
-    a.on_part(now, Part::kListener, false);
+    a.on_condition(now, Condition::kListenerOpen, false);
     EXPECT_FALSE(a.eligible(now));
-    a.on_part(now, Part::kListener, true);
+    a.on_condition(now, Condition::kListenerOpen, true);
     const Time from = now;
     while (!a.eligible(now)) {
       ASSERT_GT(a.next(), now);
@@ -198,9 +198,9 @@
   // After a quiet minute it is like new.
   now += seconds(90);
   EXPECT_TRUE(a.eligible(now));
-  a.on_part(now, Part::kListener, false);
+  a.on_condition(now, Condition::kListenerOpen, false);
   EXPECT_FALSE(a.eligible(now));
-  a.on_part(now, Part::kListener, true);
+  a.on_condition(now, Condition::kListenerOpen, true);
   EXPECT_FALSE(a.eligible(now));
   EXPECT_TRUE(a.eligible(now + milliseconds(500)));
 }
@@ -212,7 +212,7 @@
   EXPECT_TRUE(a.eligible(now)) << "twice is chance";
   a.on_lateness(now += milliseconds(500), milliseconds(300));
   EXPECT_FALSE(a.eligible(now));
-  EXPECT_NE(a.why().find("late"), std::string::npos);
+  EXPECT_NE(a.reason().find("late"), std::string::npos);
   const Time then = now;
   while (!a.eligible(now) && now < then + seconds(20))
     now = std::max(now + milliseconds(1), a.next());
@@ -229,8 +229,8 @@
     const EligibilitySettings s;
     Eligibility a{s};
     Time now = seconds(1);
-    bool there[Eligibility::kParts] = {true, true, true, true};
-    Time since[Eligibility::kParts] = {};
+    bool there[Eligibility::kConditions] = {true, true, true, true};
+    Time since[Eligibility::kConditions] = {};
     Time quiet_since = now;
     for (int i = 0; i < 200; ++i) {
       const Time until = now + milliseconds(random() % 1500);
@@ -245,29 +245,29 @@
         now = step;
         if (now >= until) break;
       }
-      const auto part = random() % Eligibility::kParts;
+      const auto part = random() % Eligibility::kConditions;
       if (random() % 6 == 0) {
         a.on_lateness(now, milliseconds(random() % 400));
       } else {
         const bool good = random() % 3 > 0;
         if (there[part] != good) since[part] = now;
         there[part] = good;
-        a.on_part(now, static_cast<Part>(part), good);
+        a.on_condition(now, static_cast<Condition>(part), good);
       }
       const bool eligible = a.eligible(now);
       bool missing = false;
-      for (std::size_t p = 0; p < Eligibility::kParts; ++p) {
+      for (std::size_t p = 0; p < Eligibility::kConditions; ++p) {
         const bool waits = p == 0 || p == 2;
         missing = missing || (!there[p] && (!waits || now - since[p] >= s.grace));
       }
       if (missing) {
         EXPECT_FALSE(eligible);
-        EXPECT_FALSE(a.why().empty());
+        EXPECT_FALSE(a.reason().empty());
         quiet_since = now;
       }
     }
-    for (std::size_t p = 0; p < Eligibility::kParts; ++p)
-      a.on_part(now, static_cast<Part>(p), true);
+    for (std::size_t p = 0; p < Eligibility::kConditions; ++p)
+      a.on_condition(now, static_cast<Condition>(p), true);
     EXPECT_TRUE(a.eligible(now) || [&] {
       const Time end = now + s.late_window + s.steady * 16 + milliseconds(10);
       while (now < end && !a.eligible(now)) now = std::max(now + milliseconds(1), a.next());
--- a/tests/fuzz/group_fuzz.cc
+++ b/tests/fuzz/group_fuzz.cc
@@ -18,32 +18,32 @@
   if (!holds) std::abort();
 }
 
-struct Nowhere : Memory {
-  bool keep(const lease::VoterRecord&) override { return true; }
+struct Nowhere : VoterRecordStore {
+  bool save(const lease::VoterRecord&) override { return true; }
 };
 
 void give(const Datagram& d) {
   GroupNodeSettings s;
   s.name = "n0";
   s.endpoint = "127.0.0.1:1";
-  s.life = 1;
-  s.group.seeds = {"127.0.0.1:2"};
+  s.incarnation = 1;
+  s.membership.seeds = {"127.0.0.1:2"};
   s.lease_manager.addresses = {{"svc", {}}};
-  s.founding.names = {"n0", "n1", "n2"};
+  s.initial_voters.names = {"n0", "n1", "n2"};
   Nowhere memory;
   Time now = std::chrono::seconds(100);
-  GroupNode instance(s, lease::VoterRecord{s.founding, {}}, memory, 1, now);
+  GroupNode instance(s, lease::VoterRecord{s.initial_voters, {}}, memory, 1, now);
   instance.on_eligible(now, true, "ready");
   for (int i = 0; i < 20; ++i) {
     instance.on_datagram(now, "127.0.0.1:2", d);
     now += std::chrono::milliseconds(137);
     instance.on_timer(now);
-    for (const auto& out : instance.take_sends()) must(out.endpoint.size() <= 64);
+    for (const auto& out : instance.take_datagrams()) must(out.endpoint.size() <= 64);
     instance.take_route_actions();
-    instance.take_lines();
+    instance.take_log_lines();
   }
-  must(instance.group().members().size() <= s.group.max_members);
-  must(lease::valid(instance.voters()));
+  must(instance.membership().members().size() <= s.membership.max_members);
+  must(lease::is_valid(instance.voters()));
 }
 
 }  // namespace
--- a/tests/group_runtime_test.cc
+++ b/tests/group_runtime_test.cc
@@ -130,7 +130,7 @@
   EXPECT_EQ(ran("before"), 1);
   // Its clients are sent away, and it takes the address again.
   EXPECT_TRUE(wait([&] { return c->closed(); }));
-  ASSERT_TRUE(wait([this] { return lease_holder().lease_holders() >= 2 && listens(); }));
+  ASSERT_TRUE(wait([this] { return lease_holder().elections_won() >= 2 && listens(); }));
   auto again = served();
   EXPECT_EQ(again->ask({"RPUSH", "k", "after"}), ":2\r\n");
 }
@@ -173,7 +173,7 @@
   ASSERT_EQ(c->ask({"SET", "k", "v"}), "+OK\r\n");
   balancer->drain();
   EXPECT_EQ(c->ask({"GET", "k"}), "$1\r\nv\r\n") << "what it had accepted goes on";
-  EXPECT_TRUE(wait([this] { return !lease_holder().listens(); }));
+  EXPECT_TRUE(wait([this] { return !lease_holder().should_listen(); }));
   EXPECT_TRUE(wait([&] { return c->closed(); }));
   EXPECT_TRUE(wait([this] { return io.stopped(); }));
   std::filesystem::remove("released");
@@ -236,7 +236,7 @@
   begin_member();
   EXPECT_TRUE(logged("gives no vote")) << "it says so at once";
   run_for(io, milliseconds(4000));
-  EXPECT_EQ(lease_holder().lease_holders(), 0u);
+  EXPECT_EQ(lease_holder().elections_won(), 0u);
   EXPECT_FALSE(listens());
   EXPECT_EQ(ask("status")["voter"]["remembers"], false);
 }
--- a/tests/group_sim_test.cc
+++ b/tests/group_sim_test.cc
@@ -31,7 +31,7 @@
     for (const auto& name : sim->names()) {
       const auto* i = sim->instance(name);
       if (!i) continue;
-      const auto text = [](const lease::Voters& v) {
+      const auto text = [](const lease::VoterSet& v) {
         std::string t = "version " + std::to_string(v.version) + ":";
         for (const auto& n : v.names) t += " " + n;
         return t;
@@ -60,13 +60,13 @@
 
 // With the default settings: no member of a group of the size that is designed for goes unheard.
 TEST(GroupSettings, AThousandMembersAreKnown) {
-  membership::Update self;
+  membership::MemberUpdate self;
   self.name = "self";
   membership::MembershipProtocol group({}, self, 1, Time{0});
   constexpr std::size_t kOthers = 1024;
   for (std::size_t i = 0; i < kOthers; ++i) {
-    membership::Message message;
-    membership::Update update;
+    membership::GossipMessage message;
+    membership::MemberUpdate update;
     update.name = "n" + std::to_string(i);
     update.endpoint = "127.0.0.1:" + std::to_string(i + 1);
     message.updates.push_back(update);
@@ -81,7 +81,7 @@
   const auto first = sim->holder(kSvc);
   sim->run(seconds(60));
   EXPECT_EQ(sim->holder(kSvc), first);
-  EXPECT_EQ(sim->instance(first)->lease_manager().lease_holder(kSvc)->lease_holders(), 1u)
+  EXPECT_EQ(sim->instance(first)->lease_manager().lease_holder(kSvc)->elections_won(), 1u)
       << story();
 }
 
@@ -110,7 +110,7 @@
     sim->run(seconds(4));
     EXPECT_EQ(sim->router.routes[kSvc].count(old), 0u) << "it is still announced\n" << story();
     EXPECT_EQ(sim->instance(old)->lease_manager().lease_holder(kSvc)->state(),
-              lease::LeaseHolder::State::kCutOff);
+              lease::LeaseHolder::State::kPartitioned);
     sim->heal();
     sim->run(seconds(20));
     const auto state = sim->instance(old)->lease_manager().lease_holder(kSvc)->state();
@@ -129,7 +129,7 @@
     ASSERT_TRUE(owned());
     sim->run(seconds(3));
     const auto old = sim->holder(kSvc);
-    sim->set_able(old, false);
+    sim->set_eligible(old, false);
     EXPECT_LT(until_new(old), milliseconds(300)) << story();
     sim->run(seconds(3));
     EXPECT_EQ(sim->router.routes[kSvc].size(), 1u);
@@ -152,7 +152,7 @@
           EXPECT_FALSE(sim->router.owner(kSvc).empty()) << "a gap\n" << story();
           if (sim->router.routes[kSvc].size() > 1) both += sim->now() - last;
           last = sim->now();
-          return sim->instance(old)->idle();
+          return sim->instance(old)->is_idle();
         },
         seconds(5)))
         << story();
@@ -175,7 +175,7 @@
     sim->run(seconds(10));
     sim->resume(old);  // the check after each event holds here too
     sim->run(milliseconds(1));
-    EXPECT_FALSE(sim->instance(old)->lease_manager().lease_holder(kSvc)->listens());
+    EXPECT_FALSE(sim->instance(old)->lease_manager().lease_holder(kSvc)->should_listen());
     sim->run(seconds(2));
     EXPECT_EQ(sim->router.routes[kSvc].size(), 1u) << story();
   }
@@ -218,7 +218,7 @@
   ASSERT_TRUE(owned());
   sim->run(seconds(2));
   // Voters that hold nothing: the address goes to one that does not vote.
-  for (const char* voter : {"n000", "n001", "n002"}) sim->set_able(voter, false);
+  for (const char* voter : {"n000", "n001", "n002"}) sim->set_eligible(voter, false);
   sim->run(seconds(3));
   const auto old = sim->holder(kSvc);
   ASSERT_GE(old, "n003");
@@ -368,12 +368,13 @@
 TEST_F(GroupSimTest, OneThatStartsASecondTimeUnderItsNameSupersedesTheFirst) {
   begin(9);
   ASSERT_TRUE(owned());
-  const auto before = sim->instance("n004")->group().find("n004")->life;
+  const auto before = sim->instance("n004")->membership().find("n004")->incarnation;
   sim->kill("n004");
   sim->restart("n004");
   sim->run(seconds(2));
-  EXPECT_EQ(sim->instance("n000")->group().find("n004")->life, before + 1);
-  EXPECT_EQ(sim->instance("n000")->group().find("n004")->state, membership::State::kAlive);
+  EXPECT_EQ(sim->instance("n000")->membership().find("n004")->incarnation, before + 1);
+  EXPECT_EQ(sim->instance("n000")->membership().find("n004")->state,
+            membership::MemberState::kAlive);
 }
 
 // All of it at once, under a bad network. The invariant is checked after each event; at the end,
@@ -409,7 +410,7 @@
           sim->heal();
           break;
         case 6:
-          if (up && !sim->paused(name)) sim->set_able(name, random() % 2);
+          if (up && !sim->paused(name)) sim->set_eligible(name, random() % 2);
           break;
         case 7:
           sim->set_disk_full(name, random() % 3 == 0);
@@ -430,7 +431,7 @@
       sim->set_disk_full(name, false);
       if (!sim->instance(name)) sim->restart(name);
       if (sim->paused(name)) sim->resume(name);
-      sim->set_able(name, true);
+      sim->set_eligible(name, true);
     }
     EXPECT_TRUE(owned(seconds(8))) << story();
     // What was behind with the voters has caught up.
@@ -458,7 +459,7 @@
   sim = std::make_unique<GroupSim>(1, size, 3, 7);
   sim->run(seconds(20));
   for (const int i : {0, size / 2, size - 1})
-    EXPECT_EQ(sim->instance(GroupSim::name_of(i))->group().members().size(),
+    EXPECT_EQ(sim->instance(GroupSim::name_of(i))->membership().members().size(),
               static_cast<std::size_t>(size));
   for (int a = 0; a < 3; ++a) EXPECT_EQ(sim->holders("svc" + std::to_string(a)).size(), 1u);
   const auto datagrams = sim->datagrams, bytes = sim->bytes, writes = sim->writes;
@@ -480,8 +481,8 @@
         int know = 0;
         for (const auto& name : sim->names())
           if (auto* i = sim->instance(name))
-            if (const auto* m = i->group().find(victim))
-              know += m->state == membership::State::kDead;
+            if (const auto* m = i->membership().find(victim))
+              know += m->state == membership::MemberState::kDead;
         return know == size - 1;
       },
       seconds(60)));
@@ -489,7 +490,8 @@
   for (const auto& name : sim->names()) {
     if (auto* i = sim->instance(name)) {
       int dead = 0;
-      for (const auto& [n, m] : i->group().members()) dead += m.state == membership::State::kDead;
+      for (const auto& [n, m] : i->membership().members())
+        dead += m.state == membership::MemberState::kDead;
       EXPECT_EQ(dead, 1) << name << " takes others for dead too";
     }
   }
--- a/tests/lease_model_test.cc
+++ b/tests/lease_model_test.cc
@@ -24,13 +24,13 @@
 constexpr Duration kTick = milliseconds(250);
 constexpr std::size_t kVoters = 4, kCandidates = 2,
                       kMaxOnTheWay = 12;  // the fourth at first only in name
-const Voters kAll{1, {"a", "b", "c"}};
+const VoterSet kAll{1, {"a", "b", "c"}};
 const std::string kNames[kVoters] = {"a", "b", "c", "d"};
 const std::string kAddress = "svc";
 
 LeaseTimes times() {
   LeaseTimes t;
-  t.chance = 0;
+  t.jitter_factor = 0;
   return t;
 }
 
@@ -42,12 +42,12 @@
   struct Packet {
     bool to_voter;
     int voter, candidate;
-    std::uint64_t life;  // of the candidate
+    std::uint64_t incarnation;  // of the candidate
     VoteRequest ask;
     VoteReply reply;
     int driver = -1;  // else of a candidate
-    Change change{};
-    Changed changed{};
+    ReconfigurationRequest change{};
+    ReconfigurationReply changed{};
   };
 
   World() {
@@ -59,11 +59,11 @@
   }
 
   void start(std::size_t c) {
-    ++lives[c];
+    ++incarnations[c];
     paused[c] = false;
-    candidates[c].emplace(kAddress, Holder{"n" + std::to_string(c), lives[c]}, times(), kAll, 1,
-                          local(c));
-    candidates[c]->want(local(c), true, static_cast<int>(c));
+    candidates[c].emplace(kAddress, InstanceId{"n" + std::to_string(c), incarnations[c]}, times(),
+                          kAll, 1, local(c));
+    candidates[c]->set_candidacy(local(c), true, static_cast<int>(c));
   }
   Time local(std::size_t c) const {
     return Time(static_cast<Duration::rep>(static_cast<double>(now.count()) * kRates[c]));
@@ -83,24 +83,24 @@
     for (std::size_t c = 0; c < kCandidates; ++c) {
       const LeaseHolder& t = *candidates[c];
       if (!t.may_serve(local(c), Duration{0})) continue;
-      const auto since = t.giving_up_since();
+      const auto since = t.graceful_release_since();
       serve += !since || local(c) - *since >= times().overlap;
     }
     return serve > 1;
   }
 
   void collect(std::size_t c) {
-    for (const auto& s : candidates[c]->take_sends()) {
+    for (const auto& s : candidates[c]->take_requests()) {
       Packet p{};
       p.to_voter = true;
       p.voter = s.voter[0] - 'a';
       p.candidate = static_cast<int>(c);
-      p.life = lives[c];
-      p.ask = s.ask;
+      p.incarnation = incarnations[c];
+      p.ask = s.request;
       net.push_back(std::move(p));
     }
     for (const auto& carry : candidates[c]->take_route_actions())
-      if (carry.kind == LeaseHolder::RouteAction::Kind::kWithdraw) withdrawing[c] = true;
+      if (carry.kind == RouteAction::Kind::kWithdraw) withdrawing[c] = true;
     // The oldest are lost.
     while (net.size() > kMaxOnTheWay) net.erase(net.begin());
   }
@@ -113,7 +113,7 @@
       for (int i = 0; i < 8 && candidates[c]->next() <= local(c); ++i)
         candidates[c]->on_timer(local(c));
       if (candidates[c]->state() == LeaseHolder::State::kIdle)
-        candidates[c]->want(local(c), true, static_cast<int>(c));
+        candidates[c]->set_candidacy(local(c), true, static_cast<int>(c));
       collect(c);
     }
     for (std::size_t d = 0; d < kCandidates; ++d) {
@@ -130,16 +130,16 @@
     if (p.to_voter) {
       // What changes is on disk before it is answered: a crash finds it there, and nothing else.
       const auto v = static_cast<std::size_t>(p.voter);
-      auto d = voters[v]->on_ask(voter_now(), p.ask);
-      if (d.changed) disk[v] = voters[v]->record();
+      auto d = voters[v]->on_vote_request(voter_now(), p.ask);
+      if (d.record_changed) disk[v] = voters[v]->record();
       Packet back = p;
       back.to_voter = false;
       back.reply = d.reply;
       // One that is no voter grants nothing, and says who is.
       if (p.ask.kind == VoteRequest::Kind::kLease && !voters[v]->record().voters.has(kNames[v]))
-        back.reply.verdict = VoteReply::Verdict::kVoters;
+        back.reply.verdict = VoteReply::Verdict::kVoterSetMismatch;
       net.push_back(std::move(back));
-    } else if (p.life == lives[c]) {
+    } else if (p.incarnation == incarnations[c]) {
       candidates[c]->on_reply(local(c), kNames[p.voter], p.reply);
       collect(c);
     }
@@ -148,15 +148,15 @@
     const auto d = static_cast<std::size_t>(p.driver);
     if (p.to_voter) {
       const auto v = static_cast<std::size_t>(p.voter);
-      auto decision = voters[v]->on_change(voter_now(), p.change);
-      if (decision.changed) disk[v] = voters[v]->record();
+      auto decision = voters[v]->on_reconfiguration(voter_now(), p.change);
+      if (decision.record_changed) disk[v] = voters[v]->record();
       Packet back = p;
       back.to_voter = false;
       back.changed = std::move(decision.reply);
       net.push_back(std::move(back));
       note_sets();
     } else if (drivers[d]) {
-      drivers[d]->on_changed(voter_now(), kNames[p.voter], p.changed);
+      drivers[d]->on_reply(voter_now(), kNames[p.voter], p.changed);
       collect_driver(d);
     }
   }
@@ -170,7 +170,7 @@
   }
   // A driver that wants a voter more, or one less; one that was at it is gone, wherever it was.
   void change_voters(std::size_t d, const std::string& name) {
-    Voters present = kAll;
+    VoterSet present = kAll;
     for (const auto& v : voters)
       if (v->record().voters.version > present.version) present = v->record().voters;
     ++attempts;
@@ -179,36 +179,36 @@
     collect_driver(d);
   }
   void collect_driver(std::size_t d) {
-    for (const auto& s : drivers[d]->take_sends()) {
+    for (const auto& s : drivers[d]->take_requests()) {
       Packet p{};
       p.to_voter = true;
       p.voter = s.to[0] - 'a';
       p.driver = static_cast<int>(d);
-      p.change = s.change;
+      p.change = s.request;
       net.push_back(std::move(p));
     }
     while (net.size() > kMaxOnTheWay) net.erase(net.begin());
   }
   // Whoever has heard a voter say by whom it goes may tell another.
   void catch_up(std::size_t from, std::size_t to) {
-    Change adopt;
-    adopt.kind = Change::Kind::kAdopt;
+    ReconfigurationRequest adopt;
+    adopt.kind = ReconfigurationRequest::Kind::kAdopt;
     adopt.next = voters[from]->record().voters;
-    voters[to]->on_change(voter_now(), adopt);
+    voters[to]->on_reconfiguration(voter_now(), adopt);
     disk[to] = voters[to]->record();
     note_sets();
   }
   // Each number is that of one set.
   void note_sets() {
     for (const auto& v : voters) {
-      const Voters& s = v->record().voters;
+      const VoterSet& s = v->record().voters;
       const auto [it, fresh] = sets.try_emplace(s.version, s);
       two_sets = two_sets || !(it->second == s);
     }
   }
   void hand_over(std::size_t c) {
     candidates[c]->hand_over(local(c), "n" + std::to_string(1 - c));
-    if (!paused[1 - c]) candidates[1 - c]->invite(local(1 - c), candidates[c]->term());
+    if (!paused[1 - c]) candidates[1 - c]->on_invitation(local(1 - c), candidates[c]->term());
     collect(c);
   }
 
@@ -218,17 +218,17 @@
       out += voters[v]->fingerprint() + (disk[v] ? "+" : "-") + "|";
     for (std::size_t c = 0; c < kCandidates; ++c)
       out += candidates[c]->fingerprint() + std::to_string(paused[c]) +
-             std::to_string(withdrawing[c]) + std::to_string(lives[c]) + "|";
+             std::to_string(withdrawing[c]) + std::to_string(incarnations[c]) + "|";
     std::vector<std::string> packets;
     for (const Packet& p : net) {
       std::string text =
           std::to_string(p.to_voter) + std::to_string(p.voter) + std::to_string(p.candidate) + "," +
-          std::to_string(p.life) + "," + std::to_string(static_cast<int>(p.ask.kind)) + "," +
+          std::to_string(p.incarnation) + "," + std::to_string(static_cast<int>(p.ask.kind)) + "," +
           std::to_string(p.ask.number) + "," + std::to_string(p.ask.term) + p.ask.successor;
       if (!p.to_voter)
         text += "," + std::to_string(static_cast<int>(p.reply.verdict)) + "," +
                 std::to_string(p.reply.term) + p.reply.holder.name +
-                std::to_string(p.reply.left.count());
+                std::to_string(p.reply.remaining.count());
       packets.push_back(std::move(text));
     }
     std::sort(packets.begin(), packets.end());  // who comes first is a choice yet to be made
@@ -241,14 +241,14 @@
   std::optional<Voter> voters[kVoters];
   std::optional<VoterRecord> disk[kVoters];
   std::optional<LeaseHolder> candidates[kCandidates];
-  std::uint64_t lives[kCandidates] = {0, 0};
+  std::uint64_t incarnations[kCandidates] = {0, 0};
   bool paused[kCandidates] = {false, false};
   bool withdrawing[kCandidates] = {false, false};
   std::vector<Packet> net;
   std::optional<VoterReconfiguration> drivers[kCandidates];
   std::uint64_t attempts = 0;
-  std::map<std::uint32_t, Voters> sets;  // that anybody has gone by, by number
-  bool two_sets = false;                 // had one number
+  std::map<std::uint32_t, VoterSet> sets;  // that anybody has gone by, by number
+  bool two_sets = false;                   // had one number
 };
 
 // Calls `visit` with each world that is one step away and the step's name.
@@ -393,7 +393,7 @@
       ASSERT_LE(w.holders(), 1) << "step " << i << "\n" << w.fingerprint();
       ASSERT_FALSE(w.two_serve()) << "step " << i << "\n" << w.fingerprint();
     }
-    for (const auto& t : w.candidates) lease_holders += t->lease_holders();
+    for (const auto& t : w.candidates) lease_holders += t->elections_won();
   }
   EXPECT_GT(lease_holders, static_cast<std::size_t>(runs)) << "hardly anybody was ever elected";
 }
@@ -432,7 +432,7 @@
       ASSERT_LE(w.holders(), 1) << "step " << i << "\n" << w.fingerprint();
       ASSERT_FALSE(w.two_serve()) << "step " << i << "\n" << w.fingerprint();
     }
-    for (const auto& t : w.candidates) lease_holders += t->lease_holders();
+    for (const auto& t : w.candidates) lease_holders += t->elections_won();
     for (const auto& v : w.voters) changes += v->record().voters.version - 1;
   }
   EXPECT_GT(lease_holders, static_cast<std::size_t>(runs)) << "hardly anybody was ever elected";
@@ -456,8 +456,8 @@
       } else if (roll < 97) {
         const auto v = random() % kVoters;
         VoterRecord forgetful = w.voters[v]->record();
-        forgetful.promised = forgetful.accepted_at = {};
-        forgetful.accepted = {};
+        forgetful.promised_ballot = forgetful.accepted_ballot = {};
+        forgetful.accepted_voters = {};
         w.voters[v].emplace(kNames[v], times(), forgetful, kAll, w.voter_now());
       } else {
         w.change_voters(random() % kCandidates, kNames[random() % kVoters]);
--- a/tests/operator_test.cc
+++ b/tests/operator_test.cc
@@ -107,7 +107,8 @@
   EXPECT_EQ(all.group->announce, "127.0.0.1:7946");
   EXPECT_EQ(all.group->founding.names, (std::vector<std::string>{"a", "b"}));
   ASSERT_EQ(all.group->lease_manager.addresses.size(), 1u);
-  EXPECT_EQ(all.group->lease_manager.addresses[0].prefer, std::vector<std::string>{"a"});
+  EXPECT_EQ(all.group->lease_manager.addresses[0].preferred_instances,
+            std::vector<std::string>{"a"});
   EXPECT_EQ(all.group->addresses[0].prefix, (bgp::Prefix{0x0a090001, 32}));
   ASSERT_TRUE(all.group->bgp);
   EXPECT_EQ(all.group->bgp->routers[0].as, 64513u);
--- a/tests/seal_test.cc
+++ b/tests/seal_test.cc
@@ -105,7 +105,7 @@
   EXPECT_TRUE(guard.accept("a", 1, 874));
   EXPECT_FALSE(guard.accept("a", 1, 873)) << "behind the window";
   EXPECT_TRUE(guard.accept("b", 1, 1000)) << "another sender";
-  EXPECT_FALSE(guard.accept("a", 0, 5000)) << "an earlier life";
+  EXPECT_FALSE(guard.accept("a", 0, 5000)) << "an earlier incarnation";
   EXPECT_TRUE(guard.accept("a", 2, 1));
   EXPECT_FALSE(guard.accept("a", 1, 1002));
 }
@@ -138,7 +138,7 @@
   EXPECT_TRUE(guard.accept("b", 1, 1));
   EXPECT_TRUE(guard.accept("c", 1, 1));
   EXPECT_TRUE(guard.accept("a", 1, 2)) << "b has been silent for longest now";
-  EXPECT_FALSE(guard.accept("b", 1, 1)) << "a replay is no sign of life";
+  EXPECT_FALSE(guard.accept("b", 1, 1)) << "a replay is no sign of incarnation";
   EXPECT_TRUE(guard.accept("d", 1, 1));
   EXPECT_FALSE(guard.accept("a", 1, 2));
   EXPECT_FALSE(guard.accept("c", 1, 1));
@@ -162,18 +162,18 @@
   const auto add = [&all](auto body) {
     all.push_back({"n1", 77, all.size() + 1, "n2", std::move(body)});
   };
-  add(membership::Message{
-      membership::Message::Kind::kPingFor,
+  add(membership::GossipMessage{
+      membership::GossipMessage::Kind::kPingRequest,
       9,
       "n3",
-      {{"n1", "127.0.0.1:1", 5, 2, membership::State::kSuspect, std::string("\0\x01", 2)}}});
+      {{"n1", "127.0.0.1:1", 5, 2, membership::MemberState::kSuspect, std::string("\0\x01", 2)}}});
   lease::VoteRequest ask;
   ask.kind = lease::VoteRequest::Kind::kRelease;
   ask.address = "svc";
   ask.term = 7;
   ask.holder = {"n1", 3};
   ask.number = 12;
-  ask.voters = 1;
+  ask.voter_set_version = 1;
   ask.successor = "n2";
   add(ask);
   lease::VoteReply reply;
@@ -182,21 +182,25 @@
   reply.number = 12;
   reply.term = 7;
   reply.holder = {"n3", 4};
-  reply.left = std::chrono::milliseconds(250);
+  reply.remaining = std::chrono::milliseconds(250);
   reply.voters = {2, {"n1", "n2", "n3"}};
   add(reply);
   add(lease::TransferMessage{lease::TransferMessage::Kind::kAnnounces, "svc", 8});
-  add(lease::Change{
-      lease::Change::Kind::kAccept, 3, {7, "n1"}, {1, {"a", "b", "c"}}, {2, {"a", "b"}}, true});
-  add(lease::Changed{lease::Change::Kind::kAccept,
-                     3,
-                     true,
-                     true,
-                     {1, {"a", "b", "c"}},
-                     {8, "n2"},
-                     {7, "n1"},
-                     {2, {"a", "b"}},
-                     "because"});
+  add(lease::ReconfigurationRequest{lease::ReconfigurationRequest::Kind::kAccept,
+                                    3,
+                                    {7, "n1"},
+                                    {1, {"a", "b", "c"}},
+                                    {2, {"a", "b"}},
+                                    true});
+  add(lease::ReconfigurationReply{lease::ReconfigurationRequest::Kind::kAccept,
+                                  3,
+                                  true,
+                                  true,
+                                  {1, {"a", "b", "c"}},
+                                  {8, "n2"},
+                                  {7, "n1"},
+                                  {2, {"a", "b"}},
+                                  "because"});
   return all;
 }
 
@@ -210,20 +214,20 @@
   }
   const auto reply = decode(encode(samples()[2]));
   const auto& r = std::get<lease::VoteReply>(reply->body);
-  EXPECT_EQ(r.left, std::chrono::milliseconds(250));
+  EXPECT_EQ(r.remaining, std::chrono::milliseconds(250));
   EXPECT_EQ(r.voters.names.size(), 3u);
-  EXPECT_EQ(r.holder, (lease::Holder{"n3", 4}));
-  const Meta meta{true, false, 3, {{"svc", 7}}};
+  EXPECT_EQ(r.holder, (lease::InstanceId{"n3", 4}));
+  const MemberMeta meta{true, false, 3, {{"svc", 7}}};
   const auto m = decode_meta(encode(meta));
   ASSERT_TRUE(m);
-  EXPECT_EQ(m->holds, meta.holds);
+  EXPECT_EQ(m->held_terms, meta.held_terms);
   EXPECT_TRUE(m->eligible);
   lease::VoterRecord record{{2, {"a", "b"}}, {{"svc", {5, {"n1", 9}}}}};
   EXPECT_EQ(decode_record(encode(record)), record);
-  record.promised = {9, "n2"};
-  record.accepted_at = {7, "n1"};
-  record.accepted = {3, {"a"}};
-  record.forgot = true;
+  record.promised_ballot = {9, "n2"};
+  record.accepted_ballot = {7, "n1"};
+  record.accepted_voters = {3, {"a"}};
+  record.record_lost = true;
   EXPECT_EQ(decode_record(encode(record)), record);
 }
 
@@ -244,7 +248,7 @@
   EXPECT_TRUE(bad([](auto&, auto& a) { a.kind = static_cast<lease::VoteRequest::Kind>(9); }));
   EXPECT_TRUE(bad([](auto&, auto& a) { a.successor = "\x7f"; }));
   Datagram unsorted = samples()[5];
-  std::get<lease::Changed>(unsorted.body).voters.names = {"b", "a"};
+  std::get<lease::ReconfigurationReply>(unsorted.body).voters.names = {"b", "a"};
   EXPECT_FALSE(decode(encode(unsorted)));
   EXPECT_FALSE(decode_record("x"));
   EXPECT_FALSE(decode_record(encode(lease::VoterRecord{})));
