--- a/src/fleet_simulation/group_sim.h
+++ b/src/fleet_simulation/group_sim.h
@@ -12,19 +12,20 @@
 
 #include "group/group_node.h"
 
-// A group of instances under one simulated clock: each with a clock of its own that runs at its own
-// speed, a network that loses, delays, doubles and reorders, and a router that hears of
-// announcements. Everything follows from the seed.
+// A group of nodes under one simulated clock. Each node has a clock of its own with its own speed
+// and offset; the network loses, delays, duplicates and reorders datagrams; a router keeps the
+// announced routes. A run is determined by its seed.
 namespace balancer::group {
 
 class GroupSim {
  public:
   struct Faults {
-    double loss = 0, twice = 0, late = 0;  // of datagrams; late: up to 200 ms
+    // Probabilities for each datagram: lost, duplicated, or delayed by up to 200 ms.
+    double loss = 0, duplicate = 0, delay = 0;
   };
   struct Router {
     std::map<std::string, std::map<std::string, lease::Term>> routes;  // address, instance
-    // Whom the route leads to: the newest term.
+    // Whom traffic is routed to: the announcement with the newest term. Empty if there is none.
     std::string owner(const std::string& address) const {
       const auto it = routes.find(address);
       std::string best;
@@ -59,7 +60,7 @@
 
   Faults faults;
   Router router;
-  // One way, by name; a router is "router".
+  // Links that drop everything, from and to; the router has the name "router".
   std::set<std::pair<std::string, std::string>> cut;
   std::function<void()> check;  // after each event
   std::uint64_t datagrams = 0, bytes = 0, writes = 0, max_datagram = 0;
@@ -87,7 +88,7 @@
     return done();
   }
 
-  // ---- what befalls instances
+  // ---- faults and commands
   void kill(const std::string& name) {
     Node& n = nodes_.at(name);
     n.instance.reset();
@@ -124,7 +125,7 @@
   }
   void heal() {
     cut.clear();
-    // Sessions come back and tell all that is announced.
+    // Sessions reconnect, and announce everything again.
     for (auto& [name, n] : nodes_)
       if (n.instance && !n.paused)
         for (const auto& [address, term] : n.instance->lease_manager().held_terms())
@@ -150,7 +151,7 @@
     work(n);
   }
 
-  // ---- what is seen
+  // ---- observation
   GroupNode* instance(const std::string& name) { return nodes_.at(name).instance.get(); }
   bool paused(const std::string& name) const { return nodes_.at(name).paused; }
   std::vector<std::string> names() const {
@@ -168,7 +169,7 @@
           all.push_back(name);
     return all;
   }
-  // Who lets requests to it through and is not handing it over.
+  // Who forwards requests to the address, except during the overlap of a graceful release.
   std::vector<std::string> serving(const std::string& address) const {
     std::vector<std::string> all;
     for (const auto& [name, n] : nodes_) {
@@ -183,7 +184,7 @@
     const auto all = holders(address);
     return all.empty() ? "" : all.front();
   }
-  // An owner by the route that really holds it and runs.
+  // Whether traffic is routed to a node that runs, is reachable and holds the lease.
   bool answered(const std::string& address) const {
     const auto owner = router.owner(address);
     if (owner.empty()) return false;
@@ -249,10 +250,10 @@
     work(n);
   }
 
-  // Carries out what the instance wants, and calls it again when it is due.
+  // Carries out the node's output, and arms its timer.
   void work(Node& n) {
     for (auto& s : n.instance->take_datagrams()) send(n, std::move(s));
-    for (const auto& c : n.instance->take_route_actions()) carry(n, c);
+    for (const auto& c : n.instance->take_route_actions()) carry_out(n, c);
     for (auto& line : n.instance->take_log_lines())
       lines_.push_back(std::to_string(now_.count() / 1'000'000) + " ms " + n.name + " " + line);
     arm(n, true_time(n, n.instance->next()));
@@ -277,10 +278,10 @@
     bytes += size;
     max_datagram = std::max<std::uint64_t>(max_datagram, size);
     if (it == nodes_.end() || cut.count({from.name, to}) > 0 || chance(faults.loss)) return;
-    const int copies = chance(faults.twice) ? 2 : 1;
+    const int copies = chance(faults.duplicate) ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
       Duration delay = std::chrono::microseconds(100 + random_() % 1500);
-      if (chance(faults.late)) delay += std::chrono::microseconds(random_() % 200'000);
+      if (chance(faults.delay)) delay += std::chrono::microseconds(random_() % 200'000);
       after(delay, [this, &to_node = it->second, endpoint = from.name + ":1", d] {
         if (!to_node.instance) return;
         if (to_node.paused) {
@@ -295,7 +296,7 @@
     n.instance->on_datagram(local(n), endpoint, d);
     work(n);
   }
-  void carry(Node& n, const lease::RouteAction& c) {
+  void carry_out(Node& n, const lease::RouteAction& c) {
     using Kind = lease::RouteAction::Kind;
     const Duration takes = std::chrono::microseconds(500 + random_() % 5000);
     const auto epoch = n.epoch;
--- a/src/proto/seal.cc
+++ b/src/proto/seal.cc
@@ -12,11 +12,11 @@
 namespace balancer::group {
 namespace {
 
-constexpr unsigned char kVersion = 1;
-constexpr std::size_t kNonce = crypto_aead_xchacha20poly1305_ietf_NPUBBYTES;
-constexpr std::size_t kTag = crypto_aead_xchacha20poly1305_ietf_ABYTES;
-constexpr std::size_t kHead = 1 + 4;
-static_assert(kHead + kNonce + kTag == kSealedOverhead);
+constexpr unsigned char kFormatVersion = 1;
+constexpr std::size_t kNonceBytes = crypto_aead_xchacha20poly1305_ietf_NPUBBYTES;
+constexpr std::size_t kTagBytes = crypto_aead_xchacha20poly1305_ietf_ABYTES;
+constexpr std::size_t kHeaderBytes = 1 + 4;
+static_assert(kHeaderBytes + kNonceBytes + kTagBytes == kSealedOverhead);
 constexpr std::size_t kMaxKeys = 8;
 
 void begin_sodium() {
@@ -31,12 +31,12 @@
 
 }  // namespace
 
-std::uint32_t Key::name() const {
+std::uint32_t Key::id() const {
   unsigned char hash[crypto_generichash_BYTES_MIN];
   ::crypto_generichash(hash, sizeof hash, bytes.data(), bytes.size(), nullptr, 0);
-  std::uint32_t name = 0;
-  std::memcpy(&name, hash, sizeof name);
-  return name;
+  std::uint32_t id = 0;
+  std::memcpy(&id, hash, sizeof id);
+  return id;
 }
 
 std::vector<Key> read_keys(const std::string& file) {
@@ -66,56 +66,57 @@
   return keys;
 }
 
-KeyRing::KeyRing(std::vector<Key> keys, Duration change) : change_(change), keys_(std::move(keys)) {
+KeyRing::KeyRing(std::vector<Key> keys, Duration change_time)
+    : change_time_(change_time), keys_(std::move(keys)) {
   begin_sodium();
 }
 
 void KeyRing::reload(Time now, const std::vector<Key>& keys) {
   if (keys.empty() || keys == keys_) return;
-  std::erase_if(old_, [now](const Old& o) { return o.until <= now; });
+  std::erase_if(retired_keys_, [now](const RetiredKey& o) { return o.until <= now; });
   for (const Key& k : keys_)
     if (std::find(keys.begin(), keys.end(), k) == keys.end())
-      old_.push_back({k, now + 2 * change_});
+      retired_keys_.push_back({k, now + 2 * change_time_});
   if (!(keys.front() == keys_.front())) {
-    before_ = keys_.front();
-    seal_new_from_ = now + change_;
+    previous_key_ = keys_.front();
+    new_key_seals_from_ = now + change_time_;
   }
   keys_ = keys;
 }
 
 std::string KeyRing::seal(Time now, std::string_view plain) const {
-  const Key& key = before_ && now < seal_new_from_ ? *before_ : keys_.front();
-  std::string out(kHead + kNonce + plain.size() + kTag, '\0');
-  const std::uint32_t name = key.name();
-  out[0] = static_cast<char>(kVersion);
-  std::memcpy(out.data() + 1, &name, sizeof name);
-  ::randombytes_buf(out.data() + kHead, kNonce);
+  const Key& key = previous_key_ && now < new_key_seals_from_ ? *previous_key_ : keys_.front();
+  std::string out(kHeaderBytes + kNonceBytes + plain.size() + kTagBytes, '\0');
+  const std::uint32_t id = key.id();
+  out[0] = static_cast<char>(kFormatVersion);
+  std::memcpy(out.data() + 1, &id, sizeof id);
+  ::randombytes_buf(out.data() + kHeaderBytes, kNonceBytes);
   unsigned long long length = 0;
-  ::crypto_aead_xchacha20poly1305_ietf_encrypt(bytes_of(out) + kHead + kNonce, &length,
-                                               bytes_of(plain), plain.size(), bytes_of(out), kHead,
-                                               nullptr, bytes_of(out) + kHead, key.bytes.data());
+  ::crypto_aead_xchacha20poly1305_ietf_encrypt(
+      bytes_of(out) + kHeaderBytes + kNonceBytes, &length, bytes_of(plain), plain.size(),
+      bytes_of(out), kHeaderBytes, nullptr, bytes_of(out) + kHeaderBytes, key.bytes.data());
   return out;
 }
 
 std::optional<std::string> KeyRing::open(Time now, std::string_view sealed) const {
-  if (sealed.size() < kSealedOverhead || static_cast<unsigned char>(sealed[0]) != kVersion)
+  if (sealed.size() < kSealedOverhead || static_cast<unsigned char>(sealed[0]) != kFormatVersion)
     return std::nullopt;
-  std::uint32_t name = 0;
-  std::memcpy(&name, sealed.data() + 1, sizeof name);
+  std::uint32_t id = 0;
+  std::memcpy(&id, sealed.data() + 1, sizeof id);
   const auto try_key = [&](const Key& key) -> std::optional<std::string> {
-    if (key.name() != name) return std::nullopt;
+    if (key.id() != id) return std::nullopt;
     std::string plain(sealed.size() - kSealedOverhead, '\0');
     unsigned long long length = 0;
     if (::crypto_aead_xchacha20poly1305_ietf_decrypt(
-            bytes_of(plain), &length, nullptr, bytes_of(sealed) + kHead + kNonce,
-            sealed.size() - kHead - kNonce, bytes_of(sealed), kHead, bytes_of(sealed) + kHead,
-            key.bytes.data()) != 0)
+            bytes_of(plain), &length, nullptr, bytes_of(sealed) + kHeaderBytes + kNonceBytes,
+            sealed.size() - kHeaderBytes - kNonceBytes, bytes_of(sealed), kHeaderBytes,
+            bytes_of(sealed) + kHeaderBytes, key.bytes.data()) != 0)
       return std::nullopt;
     return plain;
   };
   for (const Key& key : keys_)
     if (auto plain = try_key(key)) return plain;
-  for (const Old& old : old_)
+  for (const RetiredKey& old : retired_keys_)
     if (old.until > now)
       if (auto plain = try_key(old.key)) return plain;
   return std::nullopt;
@@ -134,41 +135,41 @@
   return true;
 }
 
-void ReplayGuard::remember(const std::string& sender, const Seen& seen) {
+void ReplayGuard::remember(const std::string& sender, const SenderWindow& window) {
   if (senders_.size() >= max_senders_) {
     by_name_.erase(senders_.back().first);
     senders_.pop_back();
   }
-  senders_.emplace_front(sender, seen);
+  senders_.emplace_front(sender, window);
   by_name_.emplace(senders_.front().first, senders_.begin());
 }
 
-bool ReplayGuard::is_new(Seen& s, std::uint64_t incarnation, std::uint64_t sequence) {
-  if (incarnation < s.incarnation) return false;
-  if (incarnation > s.incarnation) {
-    s = {incarnation, sequence, {1, 0}};
+bool ReplayGuard::is_new(SenderWindow& window, std::uint64_t incarnation, std::uint64_t sequence) {
+  if (incarnation < window.incarnation) return false;
+  if (incarnation > window.incarnation) {
+    window = {incarnation, sequence, {1, 0}};
     return true;
   }
-  if (sequence > s.newest) {
-    const std::uint64_t by = sequence - s.newest;
-    if (by >= 128) {
-      s.window[0] = s.window[1] = 0;
+  if (sequence > window.newest) {
+    const std::uint64_t by = sequence - window.newest;
+    if (by >= kWindow) {
+      window.seen[0] = window.seen[1] = 0;
     } else if (by >= 64) {
-      s.window[1] = by == 64 ? s.window[0] : s.window[0] << (by - 64);
-      s.window[0] = 0;
+      window.seen[1] = by == 64 ? window.seen[0] : window.seen[0] << (by - 64);
+      window.seen[0] = 0;
     } else {
-      s.window[1] = s.window[1] << by | s.window[0] >> (64 - by);
-      s.window[0] <<= by;
+      window.seen[1] = window.seen[1] << by | window.seen[0] >> (64 - by);
+      window.seen[0] <<= by;
     }
-    s.window[0] |= 1;
-    s.newest = sequence;
+    window.seen[0] |= 1;
+    window.newest = sequence;
     return true;
   }
-  const std::uint64_t behind = s.newest - sequence;
-  if (behind >= 128) return false;
+  const std::uint64_t behind = window.newest - sequence;
+  if (behind >= kWindow) return false;
   const std::uint64_t bit = std::uint64_t{1} << (behind % 64);
-  if (s.window[behind / 64] & bit) return false;
-  s.window[behind / 64] |= bit;
+  if (window.seen[behind / 64] & bit) return false;
+  window.seen[behind / 64] |= bit;
   return true;
 }
 
--- a/tests/address_assignment_test.cc
+++ b/tests/address_assignment_test.cc
@@ -30,14 +30,14 @@
   return all;
 }
 
-TEST(DealTest, SpreadsEvenlyAndKeepsWhatIsHeld) {
+TEST(AddressAssignmentTest, SpreadsAddressesEvenlyAndKeepsHolders) {
   const auto all = addresses(10);
   const auto first = first_of(assign_addresses(all, instances(5), {}));
   for (const auto& [name, n] : count(first)) EXPECT_EQ(n, 2) << name;
   EXPECT_EQ(first_of(assign_addresses(all, instances(5), first)), first);
 }
 
-TEST(DealTest, ADeadOnesPartIsDealtOutEvenlyAndNothingElseMoves) {
+TEST(AddressAssignmentTest, SpreadsOnlyAFailedInstancesAddresses) {
   const auto all = addresses(12);
   const auto before = first_of(assign_addresses(all, instances(4), {}));
   auto left = instances(4);
@@ -51,7 +51,7 @@
   }
 }
 
-TEST(DealTest, OneThatComesGetsItsPartOnceItIsSettled) {
+TEST(AddressAssignmentTest, MovesAddressesToANewInstanceOnceItIsSettled) {
   const auto all = addresses(9);
   const auto before = first_of(assign_addresses(all, instances(2), {}));
   auto three = instances(3);
@@ -65,7 +65,7 @@
   EXPECT_EQ(moved, 3);
 }
 
-TEST(DealTest, ThePreferredGetsItOnceItIsSettled) {
+TEST(AddressAssignmentTest, MovesAnAddressToThePreferredInstanceOnceItIsSettled) {
   const std::vector<AddressPreference> one = {{"svc", {"n2", "n0"}}};
   auto three = instances(3);
   three[2].settled = false;
@@ -73,13 +73,13 @@
   EXPECT_EQ(first_of(assign_addresses(one, three, {{"svc", "n0"}})).at("svc"), "n0");
   three[2].settled = true;
   EXPECT_EQ(first_of(assign_addresses(one, three, {{"svc", "n0"}})).at("svc"), "n2");
-  // What nobody holds goes to the best that is able, settled or not.
+  // An address without a holder goes to the best eligible instance, settled or not.
   three[2].settled = false;
   EXPECT_EQ(first_of(assign_addresses(one, three, {})).at("svc"), "n2");
   EXPECT_EQ(assign_addresses(one, three, {}).at("svc")[1], "n0") << "and then to the next";
 }
 
-TEST(DealTest, AllAgreeAndNobodyWhoIsNotAbleIsNamed) {
+TEST(AddressAssignmentTest, IsTheSameForEveryOrderOfInputsAndNamesOnlyEligibleInstances) {
   std::mt19937_64 random(5);
   for (int round = 0; round < 500; ++round) {
     SCOPED_TRACE("round " + std::to_string(round));
--- a/tests/group_sim_test.cc
+++ b/tests/group_sim_test.cc
@@ -1,4 +1,4 @@
-// Groups under the simulated clock: elections, moves, splits, pauses, crashes, keys of memory.
+// Groups under the simulated clock: elections, moves, partitions, pauses, crashes, lost records.
 #include "fleet_simulation/group_sim.h"
 
 #include <gtest/gtest.h>
@@ -54,12 +54,12 @@
         << story();
     return sim->now() - from;
   }
-  void everything_at_once(bool forget, bool change);
+  void run_random_faults(bool forget, bool change);
   std::unique_ptr<GroupSim> sim;
 };
 
 // With the default settings: no member of a group of the size that is designed for goes unheard.
-TEST(GroupSettings, AThousandMembersAreKnown) {
+TEST(MembershipSettingsTest, AllowsAThousandMembersByDefault) {
   membership::MemberUpdate self;
   self.name = "self";
   membership::MembershipProtocol group({}, self, 1, Time{0});
@@ -75,7 +75,7 @@
   EXPECT_EQ(group.members().size(), 1 + kOthers);
 }
 
-TEST_F(GroupSimTest, OneIsElectedAndStays) {
+TEST_F(GroupSimTest, ElectsOneHolderThatStays) {
   begin();
   ASSERT_TRUE(owned(seconds(3)));
   const auto first = sim->holder(kSvc);
@@ -85,7 +85,7 @@
       << story();
 }
 
-TEST_F(GroupSimTest, AKilledHoldersAddressMovesWithinTwoSeconds) {
+TEST_F(GroupSimTest, MovesTheAddressOfAKilledHolderWithinTwoSeconds) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     begin(seed);
@@ -98,7 +98,7 @@
 }
 
 // Cut off from everybody and the router, or from the voters alone: then it withdraws by itself.
-TEST_F(GroupSimTest, AnIsolatedHoldersAddressMovesWithinTwoSeconds) {
+TEST_F(GroupSimTest, MovesTheAddressOfAPartitionedHolderWithinTwoSeconds) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     begin(seed);
@@ -122,7 +122,7 @@
 
 // Cut off from the router only: the lease goes on, the announcement does not arrive. Whoever runs
 // it says that it is not able.
-TEST_F(GroupSimTest, AHolderThatCannotDoTheWorkHandsOver) {
+TEST_F(GroupSimTest, HandsOverWhenTheHolderIsNotEligible) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     begin(seed);
@@ -137,7 +137,7 @@
 }
 
 // The route leads to somebody at every moment of a move in order.
-TEST_F(GroupSimTest, AMoveInOrderHasNoGap) {
+TEST_F(GroupSimTest, AnnouncesTheAddressThroughoutAGracefulMove) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     begin(seed);
@@ -163,7 +163,7 @@
 }
 
 // Stopped past its lease and continued: it finds out before it acts.
-TEST_F(GroupSimTest, AHolderThatWakesFindsOutFirst) {
+TEST_F(GroupSimTest, GivesUpAnExpiredLeaseAfterAPause) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     begin(seed);
@@ -182,7 +182,7 @@
 }
 
 // Two, two and one, of which three vote: only a part with a majority of voters may hold it.
-TEST_F(GroupSimTest, ASplitTwoTwoOne) {
+TEST_F(GroupSimTest, HoldsOnlyWithAMajorityOfVotersInAPartition) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     begin(seed);
@@ -201,7 +201,7 @@
   }
 }
 
-TEST_F(GroupSimTest, LossInOneDirection) {
+TEST_F(GroupSimTest, MovesTheAddressOfAHolderThatNobodyHears) {
   begin(3);
   ASSERT_TRUE(owned());
   sim->run(seconds(3));
@@ -212,7 +212,7 @@
   EXPECT_LT(until_new(old), seconds(2)) << story();
 }
 
-TEST_F(GroupSimTest, WithAllVotersGoneItIsKeptToTheLeasesEndAndReleased) {
+TEST_F(GroupSimTest, KeepsTheAddressUntilTheLeaseEndsWithoutVoters) {
   lease::LeaseManagerSettings lease_manager;
   begin(4, 6, 1, lease_manager);
   ASSERT_TRUE(owned());
@@ -231,7 +231,7 @@
   EXPECT_TRUE(owned(seconds(4))) << "two voters are a majority";
 }
 
-TEST_F(GroupSimTest, VotersThatRestartWithYesterdaysFileOrAnEmptyFolder) {
+TEST_F(GroupSimTest, HasOneHolderWhileVotersRestartWithAndWithoutTheirRecords) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     begin(seed);
@@ -249,7 +249,7 @@
   }
 }
 
-TEST_F(GroupSimTest, AVoterWhoseDiskIsFullGivesNoVote) {
+TEST_F(GroupSimTest, GrantsNothingNewWhileVotersCannotWrite) {
   begin(5);
   ASSERT_TRUE(owned());
   sim->run(seconds(2));
@@ -270,7 +270,7 @@
 
 // What it could not write it has not promised, however often it is asked for again; and once it is
 // asked to forget, nobody is harmed.
-TEST_F(GroupSimTest, AVoterWhoseDiskIsFullDoesNotConfirmItsUnkeptPromise) {
+TEST_F(GroupSimTest, DoesNotConfirmAGrantThatWasNeverWritten) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     begin(seed);
@@ -292,7 +292,7 @@
 }
 
 // One that is preferred and restarts every 3 s: it never gets what it would lose again.
-TEST_F(GroupSimTest, ThePreferredThatFlaps) {
+TEST_F(GroupSimTest, MovesNothingToAPreferredInstanceThatFlaps) {
   lease::LeaseManagerSettings lease_manager;
   lease_manager.addresses = {{"vip", {"n003"}}};
   begin(6, 5, 0, lease_manager);
@@ -312,7 +312,7 @@
   EXPECT_EQ(sim->holder("vip"), "n003") << "once it stays it gets it back\n" << story();
 }
 
-TEST_F(GroupSimTest, SeveralAddressesAreSpreadAndADeadOnesPartIsDealtOut) {
+TEST_F(GroupSimTest, SpreadsAddressesEvenlyAlsoAfterAFailure) {
   begin(7, 5, 10);
   sim->run(seconds(30));
   const auto count = [&] {
@@ -328,7 +328,7 @@
   for (const auto& [name, n] : after) EXPECT_TRUE(n == 2 || n == 3) << name << " has " << n;
 }
 
-TEST_F(GroupSimTest, VotersAreChangedInService) {
+TEST_F(GroupSimTest, ChangesVotersInService) {
   begin(8);
   ASSERT_TRUE(owned());
   sim->run(seconds(3));
@@ -365,7 +365,7 @@
       << "one that was away catches up";
 }
 
-TEST_F(GroupSimTest, OneThatStartsASecondTimeUnderItsNameSupersedesTheFirst) {
+TEST_F(GroupSimTest, SupersedesAnEarlierIncarnationOfAName) {
   begin(9);
   ASSERT_TRUE(owned());
   const auto before = sim->instance("n004")->membership().find("n004")->incarnation;
@@ -379,7 +379,7 @@
 
 // All of it at once, under a bad network. The invariant is checked after each event; at the end,
 // once all is well, the address has an owner within the bound.
-void GroupSimTest::everything_at_once(bool forget, bool change) {
+void GroupSimTest::run_random_faults(bool forget, bool change) {
   const char* more = std::getenv("BALANCER_GROUP_RUNS");
   const int runs = more ? std::atoi(more) : 25;
   for (int seed = 1; seed <= runs && !HasFatalFailure(); ++seed) {
@@ -448,12 +448,14 @@
   }
 }
 
-TEST_F(GroupSimTest, EverythingAtOnce) { everything_at_once(true, false); }
-TEST_F(GroupSimTest, EverythingAtOnceAndVotersThatChange) { everything_at_once(false, true); }
+TEST_F(GroupSimTest, HasOneHolderUnderRandomFaults) { run_random_faults(true, false); }
+TEST_F(GroupSimTest, HasOneHolderUnderRandomFaultsAndVoterChanges) {
+  run_random_faults(false, true);
+}
 
 // A large group, 7 of which vote: all know of all, a death is known, messages stay within their
 // bound. BALANCER_GROUP_SIZE=310 is the size that is promised; it takes half a minute.
-TEST_F(GroupSimTest, ALargeGroup) {
+TEST_F(GroupSimTest, DetectsAFailureInALargeGroup) {
   const char* more = std::getenv("BALANCER_GROUP_SIZE");
   const int size = more ? std::atoi(more) : 100;
   sim = std::make_unique<GroupSim>(1, size, 3, 7);
--- a/tests/lease_model_test.cc
+++ b/tests/lease_model_test.cc
@@ -1,6 +1,6 @@
-// The state tables of three voters and two candidates, walked: each choice of which message comes
-// next, late, twice or never, of crashes (with memory and without), pauses, hand-overs, with clocks
-// at the ends of what they may differ by.
+// The state tables of three voters and two candidates, walked: each choice of which message is
+// delivered next, late, twice or never, of crashes (with and without the record), pauses and
+// hand-overs, with clocks at the bounds of their drift.
 //
 // The exhaustive walk goes breadth first to a stated number of steps and merges states that are the
 // same; BALANCER_MODEL_STEPS deepens it. Random walks go further.
@@ -43,11 +43,11 @@
     bool to_voter;
     int voter, candidate;
     std::uint64_t incarnation;  // of the candidate
-    VoteRequest ask;
+    VoteRequest request;
     VoteReply reply;
     int driver = -1;  // else of a candidate
-    ReconfigurationRequest change{};
-    ReconfigurationReply changed{};
+    ReconfigurationRequest reconfiguration_request{};
+    ReconfigurationReply reconfiguration_reply{};
   };
 
   World() {
@@ -96,7 +96,7 @@
       p.voter = s.voter[0] - 'a';
       p.candidate = static_cast<int>(c);
       p.incarnation = incarnations[c];
-      p.ask = s.request;
+      p.request = s.request;
       net.push_back(std::move(p));
     }
     for (const auto& carry : candidates[c]->take_route_actions())
@@ -130,13 +130,13 @@
     if (p.to_voter) {
       // What changes is on disk before it is answered: a crash finds it there, and nothing else.
       const auto v = static_cast<std::size_t>(p.voter);
-      auto d = voters[v]->on_vote_request(voter_now(), p.ask);
+      auto d = voters[v]->on_vote_request(voter_now(), p.request);
       if (d.record_changed) disk[v] = voters[v]->record();
       Packet back = p;
       back.to_voter = false;
       back.reply = d.reply;
       // One that is no voter grants nothing, and says who is.
-      if (p.ask.kind == VoteRequest::Kind::kLease && !voters[v]->record().voters.has(kNames[v]))
+      if (p.request.kind == VoteRequest::Kind::kLease && !voters[v]->record().voters.has(kNames[v]))
         back.reply.verdict = VoteReply::Verdict::kVoterSetMismatch;
       net.push_back(std::move(back));
     } else if (p.incarnation == incarnations[c]) {
@@ -148,15 +148,15 @@
     const auto d = static_cast<std::size_t>(p.driver);
     if (p.to_voter) {
       const auto v = static_cast<std::size_t>(p.voter);
-      auto decision = voters[v]->on_reconfiguration(voter_now(), p.change);
+      auto decision = voters[v]->on_reconfiguration(voter_now(), p.reconfiguration_request);
       if (decision.record_changed) disk[v] = voters[v]->record();
       Packet back = p;
       back.to_voter = false;
-      back.changed = std::move(decision.reply);
+      back.reconfiguration_reply = std::move(decision.reply);
       net.push_back(std::move(back));
       note_sets();
     } else if (drivers[d]) {
-      drivers[d]->on_reply(voter_now(), kNames[p.voter], p.changed);
+      drivers[d]->on_reply(voter_now(), kNames[p.voter], p.reconfiguration_reply);
       collect_driver(d);
     }
   }
@@ -184,7 +184,7 @@
       p.to_voter = true;
       p.voter = s.to[0] - 'a';
       p.driver = static_cast<int>(d);
-      p.change = s.request;
+      p.reconfiguration_request = s.request;
       net.push_back(std::move(p));
     }
     while (net.size() > kMaxOnTheWay) net.erase(net.begin());
@@ -221,10 +221,11 @@
              std::to_string(withdrawing[c]) + std::to_string(incarnations[c]) + "|";
     std::vector<std::string> packets;
     for (const Packet& p : net) {
-      std::string text =
-          std::to_string(p.to_voter) + std::to_string(p.voter) + std::to_string(p.candidate) + "," +
-          std::to_string(p.incarnation) + "," + std::to_string(static_cast<int>(p.ask.kind)) + "," +
-          std::to_string(p.ask.number) + "," + std::to_string(p.ask.term) + p.ask.successor;
+      std::string text = std::to_string(p.to_voter) + std::to_string(p.voter) +
+                         std::to_string(p.candidate) + "," + std::to_string(p.incarnation) + "," +
+                         std::to_string(static_cast<int>(p.request.kind)) + "," +
+                         std::to_string(p.request.number) + "," + std::to_string(p.request.term) +
+                         p.request.successor;
       if (!p.to_voter)
         text += "," + std::to_string(static_cast<int>(p.reply.verdict)) + "," +
                 std::to_string(p.reply.term) + p.reply.holder.name +
@@ -303,7 +304,7 @@
   World voting(w);
   for (int i = 0; i < 40; ++i)
     for (std::size_t n = 0; n < voting.net.size(); ++n)
-      if (voting.net[n].ask.kind == VoteRequest::Kind::kQuery) {
+      if (voting.net[n].request.kind == VoteRequest::Kind::kQuery) {
         voting.deliver(n, false);
         break;
       }
@@ -331,7 +332,7 @@
   return all;
 }
 
-TEST(LeaseModelTest, NoTwoHoldersInAnyStateWithinSoManySteps) {
+TEST(LeaseModelTest, HasAtMostOneHolderInEveryStateWithinABoundOfSteps) {
   const char* deeper = std::getenv("BALANCER_MODEL_STEPS");
   const int steps = deeper ? std::atoi(deeper) : 3;
   constexpr int kFaults = 2;
@@ -363,10 +364,10 @@
 }
 
 // Far into runs, by chance: with each message as likely to come now, later, twice or never.
-TEST(LeaseModelTest, NoTwoHoldersInLongRandomRuns) {
+TEST(LeaseModelTest, HasAtMostOneHolderInLongRandomRuns) {
   const char* more = std::getenv("BALANCER_MODEL_RUNS");
   const int runs = more ? std::atoi(more) : 400;
-  std::size_t lease_holders = 0;
+  std::size_t elections = 0;
   for (int seed = 1; seed <= runs; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(static_cast<std::uint64_t>(seed));
@@ -393,18 +394,18 @@
       ASSERT_LE(w.holders(), 1) << "step " << i << "\n" << w.fingerprint();
       ASSERT_FALSE(w.two_serve()) << "step " << i << "\n" << w.fingerprint();
     }
-    for (const auto& t : w.candidates) lease_holders += t->elections_won();
+    for (const auto& t : w.candidates) elections += t->elections_won();
   }
-  EXPECT_GT(lease_holders, static_cast<std::size_t>(runs)) << "hardly anybody was ever elected";
+  EXPECT_GT(elections, static_cast<std::size_t>(runs)) << "hardly anybody was ever elected";
 }
 
 // The same while voters come and go by the wishes of two drivers that know nothing of each other
 // and may be gone at any moment. Nobody forgets here: one that has come back to an old set by
 // forgetting, and hears of no newer one, is what the operators' page warns of.
-TEST(LeaseModelTest, NoTwoHoldersWhileVotersChange) {
+TEST(LeaseModelTest, HasAtMostOneHolderAndOneSetAVersionWhileVotersChange) {
   const char* more = std::getenv("BALANCER_MODEL_RUNS");
   const int runs = more ? std::atoi(more) : 400;
-  std::size_t lease_holders = 0, changes = 0;
+  std::size_t elections = 0, changes = 0;
   for (int seed = 1; seed <= runs; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(static_cast<std::uint64_t>(seed));
@@ -432,15 +433,15 @@
       ASSERT_LE(w.holders(), 1) << "step " << i << "\n" << w.fingerprint();
       ASSERT_FALSE(w.two_serve()) << "step " << i << "\n" << w.fingerprint();
     }
-    for (const auto& t : w.candidates) lease_holders += t->elections_won();
+    for (const auto& t : w.candidates) elections += t->elections_won();
     for (const auto& v : w.voters) changes += v->record().voters.version - 1;
   }
-  EXPECT_GT(lease_holders, static_cast<std::size_t>(runs)) << "hardly anybody was ever elected";
+  EXPECT_GT(elections, static_cast<std::size_t>(runs)) << "hardly anybody was ever elected";
   EXPECT_GT(changes, static_cast<std::size_t>(runs)) << "hardly any change was taken over";
 }
 
-// With voters that accept for any ballot the walk finds two sets under one number.
-TEST(LeaseModelTest, ABallotThatIsForgottenIsFound) {
+// The walk is able to find a fault: with voters that forget ballots two sets have one version.
+TEST(LeaseModelTest, FindsTwoSetsWithOneVersionIfBallotsAreForgotten) {
   bool found = false;
   for (int seed = 1; seed <= 400 && !found; ++seed) {
     std::mt19937_64 random(static_cast<std::uint64_t>(seed));
@@ -468,8 +469,8 @@
   EXPECT_TRUE(found);
 }
 
-// What must hold: with a voter that breaks its promise the walk finds two holders.
-TEST(LeaseModelTest, ABrokenPromiseIsFound) {
+// The walk is able to find a fault: with a voter that breaks its grant there are two holders.
+TEST(LeaseModelTest, FindsTwoHoldersIfAVoterBreaksItsGrant) {
   bool found = false;
   for (int seed = 1; seed <= 200 && !found; ++seed) {
     std::mt19937_64 random(static_cast<std::uint64_t>(seed));
--- a/tests/seal_test.cc
+++ b/tests/seal_test.cc
@@ -23,7 +23,7 @@
   return k;
 }
 
-TEST(SealTest, OpensWhatItSealedAndNothingElse) {
+TEST(SealTest, OpensOnlyUnchangedDatagramsUnderItsKey) {
   const Time now{seconds(10)};
   const KeyRing ring({key(1)}, seconds(60)), other({key(2)}, seconds(60));
   const std::string sealed = ring.seal(now, "text");
@@ -43,7 +43,7 @@
 
 // Members read the new key one after the other within the time for it: nobody is ever not
 // understood.
-TEST(SealTest, AKeyIsChangedInServiceMemberByMember) {
+TEST(SealTest, OpensEveryDatagramWhileMembersChangeTheKeyInTurn) {
   const Duration change = seconds(30);
   std::vector<KeyRing> members(5, KeyRing({key(1)}, change));
   for (int t = 0; t < 120; ++t) {
@@ -61,7 +61,7 @@
 
 // Half of the group never hears of the new key: they part when the old one's time is over, not
 // before.
-TEST(SealTest, AKeyThatHalfTheGroupLacks) {
+TEST(SealTest, SeparatesMembersThatLackTheNewKeyOnlyAfterTheChange) {
   KeyRing with({key(1)}, seconds(30)), without({key(1)}, seconds(30));
   const Time at{seconds(100)};
   with.reload(at, {key(2)});
@@ -71,7 +71,7 @@
   EXPECT_FALSE(with.open(at + seconds(61), without.seal(at, "x")));
 }
 
-TEST(SealTest, KeyFiles) {
+TEST(SealTest, ReadsKeyFilesAndNamesTheLineOfAnError) {
   char name[] = "/tmp/balancer-keys-XXXXXX";
   ::close(::mkstemp(name));
   const auto fault = [&](const std::string& text) {
@@ -95,7 +95,7 @@
   EXPECT_THROW(read_keys(name), FileError);
 }
 
-TEST(ReplayTest, EachNumberOnceAsFarAsTheWindowGoes) {
+TEST(ReplayGuardTest, AcceptsEachSequenceNumberOnceWithinTheWindow) {
   ReplayGuard guard;
   EXPECT_TRUE(guard.accept("a", 1, 1000));
   EXPECT_FALSE(guard.accept("a", 1, 1000));
@@ -110,7 +110,7 @@
   EXPECT_FALSE(guard.accept("a", 1, 1002));
 }
 
-TEST(ReplayTest, AnyOrderAsASetWouldHaveIt) {
+TEST(ReplayGuardTest, AcceptsInAnyOrderWhatASetWouldAccept) {
   for (unsigned seed = 1; seed <= 50; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(seed);
@@ -132,7 +132,7 @@
 
 // A group's members are replaced all the time. Those that have gone must not keep new ones out, and
 // those that still speak must not be forgotten for them.
-TEST(ReplayTest, SendersThatAreSilentMakeRoomForNewOnes) {
+TEST(ReplayGuardTest, ForgetsTheSenderThatWasSilentForLongest) {
   ReplayGuard guard(3);
   EXPECT_TRUE(guard.accept("a", 1, 1));
   EXPECT_TRUE(guard.accept("b", 1, 1));
@@ -146,7 +146,7 @@
   EXPECT_TRUE(guard.accept("b", 1, 1)) << "forgotten, and taken as it comes";
 }
 
-TEST(ReplayTest, HearsEveryMemberOfTheLargestGroup) {
+TEST(ReplayGuardTest, RemembersEveryMemberOfTheLargestGroup) {
   ReplayGuard guard;
   for (const std::uint64_t sequence : {1, 2})
     for (int member = 0; member < membership::kMaxMembers; ++member)
@@ -167,15 +167,15 @@
       9,
       "n3",
       {{"n1", "127.0.0.1:1", 5, 2, membership::MemberState::kSuspect, std::string("\0\x01", 2)}}});
-  lease::VoteRequest ask;
-  ask.kind = lease::VoteRequest::Kind::kRelease;
-  ask.address = "svc";
-  ask.term = 7;
-  ask.holder = {"n1", 3};
-  ask.number = 12;
-  ask.voter_set_version = 1;
-  ask.successor = "n2";
-  add(ask);
+  lease::VoteRequest request;
+  request.kind = lease::VoteRequest::Kind::kRelease;
+  request.address = "svc";
+  request.term = 7;
+  request.holder = {"n1", 3};
+  request.number = 12;
+  request.voter_set_version = 1;
+  request.successor = "n2";
+  add(request);
   lease::VoteReply reply;
   reply.verdict = lease::VoteReply::Verdict::kHeld;
   reply.address = "svc";
@@ -204,7 +204,7 @@
   return all;
 }
 
-TEST(GroupWireTest, WhatIsWrittenIsRead) {
+TEST(GroupWireTest, DecodesWhatItEncoded) {
   for (const Datagram& d : samples()) {
     const auto read = decode(encode(d));
     ASSERT_TRUE(read);
@@ -231,7 +231,7 @@
   EXPECT_EQ(decode_record(encode(record)), record);
 }
 
-TEST(GroupWireTest, WhatMakesNoSenseIsRefused) {
+TEST(GroupWireTest, RejectsMalformedInput) {
   EXPECT_FALSE(decode(""));
   EXPECT_FALSE(decode("nonsense"));
   auto bad = [](auto&& change) {
--- a/tests/voter_test.cc
+++ b/tests/voter_test.cc
@@ -23,11 +23,11 @@
  protected:
   LeaseTimes times;
   Time now{seconds(100)};
-  // One that remembers that nothing was promised.
+  // With a record by which nothing was granted.
   Voter voter{"a", times, VoterRecord{kThree, {}}, kThree, now};
 };
 
-TEST_F(VoterTest, PromisesAnAddressToOneAtATime) {
+TEST_F(VoterTest, GrantsAnAddressToOneHolderAtATime) {
   auto d = voter.on_vote_request(now, lease(kX, 1));
   EXPECT_EQ(d.reply.verdict, Verdict::kGranted);
   EXPECT_TRUE(d.record_changed);
@@ -42,7 +42,7 @@
   EXPECT_EQ(voter.on_vote_request(now + seconds(1), lease(kY, 2)).reply.verdict, Verdict::kGranted);
 }
 
-TEST_F(VoterTest, ARenewalCostsNoWrite) {
+TEST_F(VoterTest, LeavesTheRecordUnchangedOnRenewal) {
   voter.on_vote_request(now, lease(kX, 1));
   const auto d = voter.on_vote_request(now + milliseconds(900), lease(kX, 1));
   EXPECT_EQ(d.reply.verdict, Verdict::kGranted);
@@ -51,8 +51,8 @@
             Verdict::kHeld);
 }
 
-// A holder that some voter has heard a newer term from goes on under a newer one still.
-TEST_F(VoterTest, AHolderMayRaiseItsTerm) {
+// A holder that learns of a newer term from a voter continues under one newer still.
+TEST_F(VoterTest, GrantsANewerTermToThePresentHolder) {
   voter.on_vote_request(now, lease(kX, 1));
   const auto d = voter.on_vote_request(now + milliseconds(500), lease(kX, 4));
   EXPECT_EQ(d.reply.verdict, Verdict::kGranted);
@@ -66,8 +66,8 @@
       << "another incarnation is another holder";
 }
 
-// One that came back to an old set by forgetting.
-TEST_F(VoterTest, UnderASetThatAMajorityHasLeftItVotesNoMore) {
+// A voter that returned to an old set by losing its record.
+TEST_F(VoterTest, GrantsNothingUnderASetThatAMajorityHasLeft) {
   voter.on_voter_set_seen(2);
   EXPECT_EQ(voter.on_vote_request(now, lease(kX, 1)).reply.verdict, Verdict::kGranted)
       << "the next set may come to nothing";
@@ -84,7 +84,7 @@
   EXPECT_EQ(voter.on_vote_request(now, ask).reply.verdict, Verdict::kGranted);
 }
 
-TEST_F(VoterTest, EachTermOnceAndEachLifeIsAnother) {
+TEST_F(VoterTest, GrantsEachTermOnceAndTreatsIncarnationsAsDifferentHolders) {
   voter.on_vote_request(now, lease(kX, 5));
   const Time later = now + seconds(2);
   EXPECT_EQ(voter.on_vote_request(later, lease(kY, 5)).reply.verdict, Verdict::kOldTerm);
@@ -93,7 +93,7 @@
   EXPECT_EQ(voter.on_vote_request(later, lease({"x", 2}, 6)).reply.verdict, Verdict::kGranted);
 }
 
-TEST_F(VoterTest, AReleaseFreesItAndKeepsItForTheSuccessor) {
+TEST_F(VoterTest, ReservesAReleasedAddressForTheSuccessor) {
   voter.on_vote_request(now, lease(kX, 1));
   voter.on_vote_request(now, release(kY, 1));
   voter.on_vote_request(now, release(kX, 0));
@@ -104,19 +104,19 @@
   EXPECT_EQ(voter.on_vote_request(now, lease(kX, 1)).reply.verdict, Verdict::kHeld)
       << "a late renewal";
   EXPECT_EQ(voter.on_vote_request(now, lease({"z", 4}, 2)).reply.verdict, Verdict::kGranted);
-  // A release that comes late says nothing of the tenure behind it.
+  // A late release does not affect the lease that followed.
   voter.on_vote_request(now, release(kX, 1));
   EXPECT_EQ(voter.on_vote_request(now, lease(kY, 3)).reply.verdict, Verdict::kHeld);
 }
 
-TEST_F(VoterTest, WhatIsKeptForASuccessorIsNotKeptForLong) {
+TEST_F(VoterTest, EndsAReservationAfterTheOverlap) {
   voter.on_vote_request(now, lease(kX, 1));
   voter.on_vote_request(now, release(kX, 1, "z"));
   EXPECT_EQ(voter.on_vote_request(now + times.overlap, lease(kY, 2)).reply.verdict,
             Verdict::kGranted);
 }
 
-TEST_F(VoterTest, OneThatRemembersHoldsItsPromisesOverACrash) {
+TEST_F(VoterTest, KeepsGrantsOverARestartWithItsRecord) {
   voter.on_vote_request(now, lease(kX, 3));
   const auto record = voter.record();
   const Time start = now + seconds(50);
@@ -131,7 +131,7 @@
             Verdict::kGranted);
 }
 
-TEST_F(VoterTest, OneThatHasForgottenWaitsForAWholeLease) {
+TEST_F(VoterTest, GrantsNothingForALeaseAfterARestartWithoutItsRecord) {
   Voter empty("a", times, std::nullopt, kThree, now);
   const auto d = empty.on_vote_request(now + milliseconds(400), lease(kX, 1));
   EXPECT_EQ(d.reply.verdict, Verdict::kUnavailable);
@@ -139,7 +139,7 @@
   EXPECT_EQ(empty.on_vote_request(now + seconds(1), lease(kX, 1)).reply.verdict, Verdict::kGranted);
 }
 
-TEST_F(VoterTest, QueriesPromiseNothing) {
+TEST_F(VoterTest, AnswersQueriesWithoutAGrant) {
   VoteRequest query = lease(kX, 9);
   query.kind = VoteRequest::Kind::kQuery;
   auto d = voter.on_vote_request(now, query);
@@ -153,7 +153,7 @@
   EXPECT_EQ(d.reply.remaining, times.duration);
 }
 
-TEST_F(VoterTest, AnotherSetOfVotersIsNoMajorityHere) {
+TEST_F(VoterTest, RejectsARequestUnderAnotherVoterSet) {
   VoteRequest ask = lease(kX, 1);
   ask.voter_set_version = 2;
   const auto d = voter.on_vote_request(now, ask);
@@ -174,7 +174,7 @@
 
 const VoterSet kFour{2, {"a", "b", "c", "d"}}, kTwo{2, {"a", "c"}};
 
-TEST_F(VoterTest, AcceptsASuccessorOneStepAwayOnceItHasGoneByItsSetForALease) {
+TEST_F(VoterTest, AcceptsASetOneStepAwayOnceItHasUsedItsOwnForALease) {
   using Kind = ReconfigurationRequest::Kind;
   EXPECT_TRUE(voter.on_reconfiguration(now, change(Kind::kPrepare, 1, kThree, {})).reply.ok);
   const auto accept = change(Kind::kAccept, 1, kThree, kFour);
@@ -196,8 +196,8 @@
   EXPECT_FALSE(voter.on_reconfiguration(later, accept).record_changed) << "told twice";
 }
 
-// Of two drivers the one that is behind hears what the other has half done.
-TEST_F(VoterTest, ANewerBallotHearsWhatAnOlderHadAccepted) {
+// A driver with a newer ballot learns what another left unfinished.
+TEST_F(VoterTest, ReportsWhatWasAcceptedToANewerBallot) {
   using Kind = ReconfigurationRequest::Kind;
   const Time later = now + times.duration;
   voter.on_reconfiguration(later, change(Kind::kPrepare, 1, kThree, {}));
@@ -212,7 +212,7 @@
   EXPECT_EQ(voter.record().accepted_voters, kFour);
 }
 
-TEST_F(VoterTest, GoesByWhatWasChosenAndForgetsTheBallotsBefore) {
+TEST_F(VoterTest, AdoptsAChosenSetAndClearsOlderBallots) {
   using Kind = ReconfigurationRequest::Kind;
   const Time later = now + times.duration;
   voter.on_reconfiguration(later, change(Kind::kAccept, 1, kThree, kFour));
@@ -228,7 +228,7 @@
       voter.on_reconfiguration(later + seconds(1), change(Kind::kAccept, 1, kFour, five)).reply.ok);
   EXPECT_FALSE(voter.on_reconfiguration(later, change(Kind::kAdopt, 1, kThree, kTwo)).reply.ok)
       << "never back";
-  // One that was away catches up, over several sets if need be.
+  // A voter that was away catches up, over several versions if need be.
   EXPECT_TRUE(
       voter.on_reconfiguration(later, change(Kind::kAdopt, 0, kThree, {7, {"x", "y"}})).reply.ok);
   EXPECT_FALSE(voter
@@ -238,7 +238,7 @@
       << "it is no voter any more";
 }
 
-TEST(ForgetfulVoterTest, SaysSoUntilAllHaveAcceptedWithIt) {
+TEST(VoterWithoutRecordTest, ReportsItsLossUntilAllVotersHaveAcceptedASet) {
   using Kind = ReconfigurationRequest::Kind;
   const LeaseTimes times;
   const Time now = seconds(100);
@@ -255,7 +255,7 @@
   EXPECT_FALSE(voter.on_reconfiguration(later, accepted_by_all).reply.record_lost);
 }
 
-TEST_F(VoterTest, ItKeepsPromisesForSoManyAddressesAndNoMore) {
+TEST_F(VoterTest, BoundsTheAddressesOnRecord) {
   for (int i = 0; i < 300; ++i) voter.on_vote_request(now, lease(kX, 1, "svc" + std::to_string(i)));
   EXPECT_EQ(voter.record().grants.size(), 256u);
 }
