--- /dev/null
+++ b/tests/mixed_versions_test.cc
@@ -0,0 +1,208 @@
+// Hot restart between this version's program and the previous one's, in both directions, under
+// load. Built where the CMake option BALANCER_PREVIOUS_PROGRAM names that program.
+#include <fcntl.h>
+#include <gtest/gtest.h>
+#include <signal.h>
+#include <sys/prctl.h>
+#include <sys/wait.h>
+#include <unistd.h>
+
+#include <fstream>
+#include <optional>
+#include <sstream>
+
+#include "program_harness.h"
+
+namespace balancer::node {
+namespace {
+
+using std::chrono::milliseconds;
+
+// The requests of one client that keeps its connection, and of clients that come for one request.
+class SteadyLoad {
+ public:
+  SteadyLoad(asio::io_context& io, const Endpoint& at) : io_(io), at_(at), timer_(io) {
+    for (std::size_t i = 0; i < kKept; ++i) connect(true);
+    arm();
+  }
+  void stop() { stopped_ = true; }
+  bool idle() const {
+    return std::all_of(clients_.begin(), clients_.end(), [](const Client& c) { return !c.waits; });
+  }
+  // Connections that are kept over all restarts and that this side has not closed.
+  std::size_t kept_open() const {
+    return static_cast<std::size_t>(
+        std::count_if(clients_.begin(), clients_.end(),
+                      [](const Client& c) { return c.kept && !c.peer->closed; }));
+  }
+
+  static constexpr std::size_t kKept = 20;
+  int sent = 0, served = 0, failed = 0;
+
+ private:
+  static constexpr milliseconds kInterval{10};
+
+  struct Client {
+    std::shared_ptr<Peer> peer;
+    bool kept = false, waits = false;
+  };
+
+  void connect(bool kept) {
+    clients_.push_back({Peer::dial(io_, at_), kept, false});
+    ask(clients_.back());
+  }
+  void ask(Client& client) {
+    client.waits = true;
+    ++sent;
+    client.peer->send("mg k v O" + std::to_string(sent) + " Pc=read,t=acme,d=5000\r\n");
+  }
+  // Notes what has come, and asks again on connections that are kept.
+  void collect(Client& client) {
+    if (!client.waits) return;
+    const bool answered = client.peer->in.ends_with("\r\nv\r\n");
+    if (!answered && !client.peer->closed && !client.peer->in.starts_with("SERVER_ERROR")) return;
+    client.waits = false;
+    ++(answered ? served : failed);
+    client.peer->in.clear();
+  }
+  void arm() {
+    timer_.expires_after(kInterval);
+    timer_.async_wait([this](auto error) {
+      if (error) return;
+      for (Client& client : clients_) collect(client);
+      std::erase_if(clients_, [](const Client& c) {
+        const bool done = !c.waits && !c.kept;
+        if (done) c.peer->close();
+        return done;
+      });
+      if (!stopped_) {
+        for (Client& client : clients_)
+          if (!client.waits && !client.peer->closed) ask(client);
+        connect(false);
+      }
+      arm();
+    });
+  }
+
+  asio::io_context& io_;
+  const Endpoint at_;
+  asio::steady_timer timer_;
+  std::vector<Client> clients_;
+  bool stopped_ = false;
+};
+
+// One start of one version's program; its log is a file.
+class VersionProcess {
+ public:
+  VersionProcess(const std::string& program, const std::string& folder, const std::string& name,
+                 const std::string& admin)
+      : log_file_(folder + "/" + name + ".log") {
+    const std::string config = "ROUTER_CONFIG=" + folder + "/config.json",
+                      files = "TMPDIR=" + folder, calls = "ROUTER_ADMIN=" + admin;
+    pid_ = ::fork();
+    if (pid_ != 0) return;
+    const int log = ::open(log_file_.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
+    ::dup2(log, 2);
+    ::close_range(3, ~0U, 0);            // the test's own
+    ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // it ends with the test
+    char* const arguments[] = {const_cast<char*>(program.c_str()), nullptr};
+    char* const environment[] = {const_cast<char*>(config.c_str()),
+                                 const_cast<char*>(files.c_str()), const_cast<char*>(calls.c_str()),
+                                 nullptr};
+    ::execve(program.c_str(), arguments, environment);
+    ::_exit(127);
+  }
+  ~VersionProcess() {
+    if (exited()) return;
+    ::kill(pid_, SIGKILL);
+    ::waitpid(pid_, nullptr, 0);
+  }
+  VersionProcess(const VersionProcess&) = delete;
+  VersionProcess& operator=(const VersionProcess&) = delete;
+
+  void terminate() const { ::kill(pid_, SIGTERM); }
+  bool exited() {
+    int status = 0;
+    if (!status_ && ::waitpid(pid_, &status, WNOHANG) == pid_) status_ = status;
+    return status_.has_value();
+  }
+  bool exited_cleanly() { return exited() && WIFEXITED(*status_) && WEXITSTATUS(*status_) == 0; }
+  std::string log() const {
+    std::ostringstream text;
+    text << std::ifstream(log_file_).rdbuf();
+    return text.str();
+  }
+
+ private:
+  const std::string log_file_;
+  pid_t pid_ = -1;
+  std::optional<int> status_;
+};
+
+class MixedVersionsTest : public ProcessTest {
+ protected:
+  // `programs`, one in the place of the other, under load: no request may be lost.
+  void expect_no_loss(const std::vector<std::string>& programs) {
+    discovery.hosts = host_entry("s-1", cache_.server.dial());
+    const Endpoint listen = context.loopback.next_endpoint();
+    std::ofstream(folder + "/config.json") << config_text(testbed::text_of(listen));
+    auto current = start(programs.front(), "0");
+    ASSERT_TRUE(current);
+    SteadyLoad load(io, listen);
+    run_for(io, milliseconds(200));
+    for (std::size_t i = 1; i < programs.size(); ++i) {
+      auto next = start(programs[i], std::to_string(i));
+      ASSERT_TRUE(next);
+      EXPECT_NE(next->log().find("takes the place of a process that serves"), std::string::npos)
+          << next->log();
+      current->terminate();
+      ASSERT_TRUE(run_until(io, [&] { return current->exited(); })) << current->log();
+      EXPECT_TRUE(current->exited_cleanly()) << current->log();
+      current = std::move(next);
+      run_for(io, milliseconds(200));
+    }
+    load.stop();
+    ASSERT_TRUE(run_until(io, [&] { return load.idle(); }));
+    EXPECT_GT(load.served, 100);
+    EXPECT_EQ(load.failed, 0);
+    EXPECT_EQ(load.served, load.sent);
+    EXPECT_EQ(load.kept_open(), SteadyLoad::kKept) << "a client's connection was not passed on";
+    std::printf("%d requests sent, %d served, %d failed\n", load.sent, load.served, load.failed);
+  }
+  // Nothing if it is not ready in time.
+  std::unique_ptr<VersionProcess> start(const std::string& program, const std::string& name) {
+    const Endpoint admin = context.loopback.next_endpoint();
+    auto process = std::make_unique<VersionProcess>(program, folder, name, testbed::text_of(admin));
+    if (run_until(io, [&] { return is_ready(admin); })) return process;
+    ADD_FAILURE() << program << " is not ready: " << process->log();
+    return nullptr;
+  }
+  bool is_ready(const Endpoint& admin) {
+    const auto call = std::make_shared<Peer>(tcp::socket(io));
+    boost::system::error_code error;
+    call->socket.connect(admin, error);
+    if (error) return false;
+    call->read();
+    call->send("GET /healthcheck HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
+    return run_until(io, [&] { return call->closed; }) && call->in.starts_with("HTTP/1.1 200");
+  }
+
+  FakeCache cache_{
+      io, [](const std::string&, const std::string& id) { return FakeCache::value(id, "v"); }};
+};
+
+TEST_F(MixedVersionsTest, ThisVersionTakesThePlaceOfThePreviousOneUnderLoad) {
+  expect_no_loss({BALANCER_PREVIOUS_PROGRAM, BALANCER_PROGRAM});
+}
+
+TEST_F(MixedVersionsTest, ThePreviousVersionTakesThePlaceOfThisOneUnderLoad) {
+  expect_no_loss({BALANCER_PROGRAM, BALANCER_PREVIOUS_PROGRAM});
+}
+
+TEST_F(MixedVersionsTest, VersionsAlternateUnderLoad) {
+  expect_no_loss({BALANCER_PREVIOUS_PROGRAM, BALANCER_PROGRAM, BALANCER_PREVIOUS_PROGRAM,
+                  BALANCER_PROGRAM, BALANCER_PROGRAM, BALANCER_PREVIOUS_PROGRAM});
+}
+
+}  // namespace
+}  // namespace balancer::node
