--- a/src/frontend/admin/calls.cc
+++ b/src/frontend/admin/calls.cc
@@ -55,12 +55,13 @@
   return a;
 }
 
-Answer maintain(std::string_view segment, bool out, const Operations& operations) {
+Answer override_host(std::string_view segment, bool out_of_service, const Operations& operations) {
   const auto host = decode(segment);
   if (!host || host->empty() || host->size() > kMaxHostId)
     return error(400, "the cache host's id cannot be read");
-  if (!operations.maintain(*host, out)) return error(404, "no such cache host");
-  return {200, line_of({{"cache_host", *host}, {"state", out ? "out" : "in service"}}), {}};
+  if (!operations.override_host(*host, out_of_service)) return error(404, "no such cache host");
+  return {
+      200, line_of({{"cache_host", *host}, {"state", out_of_service ? "out" : "in service"}}), {}};
 }
 
 }  // namespace
@@ -74,19 +75,19 @@
   const auto parts = parts_of(target.substr(0, target.find_first_of("?#")));
   if (parts.size() == 1 && parts[0] == "healthcheck") {
     if (!get) return wrong_method("GET, HEAD");
-    if (!operations.serving()) return error(503, "not serving yet");
+    if (!operations.is_serving()) return error(503, "not serving yet");
     return {200, line_of({{"state", "serving"}}), {}};
   }
   if (parts.size() == 2 && parts[0] == "healthcheck" && (parts[1] == "fail" || parts[1] == "ok")) {
     if (!post) return wrong_method("POST");
-    const bool away = parts[1] == "fail";
-    if (!operations.send_away(away)) return error(503, "this process is ending");
-    return {200, line_of({{"state", away ? "sending clients away" : "taking clients in"}}), {}};
+    const bool enabled = parts[1] == "fail";
+    if (!operations.set_client_drain(enabled)) return error(503, "this process is ending");
+    return {200, line_of({{"state", enabled ? "sending clients away" : "taking clients in"}}), {}};
   }
   if (parts.size() == 3 && parts[0] == "cache-hosts" &&
       (parts[2] == "maint" || parts[2] == "ready")) {
     if (!post) return wrong_method("POST");
-    return maintain(parts[1], parts[2] == "maint", operations);
+    return override_host(parts[1], parts[2] == "maint", operations);
   }
   return error(404, "no such path");
 }
--- a/src/frontend/admin/calls.h
+++ b/src/frontend/admin/calls.h
@@ -1,32 +1,38 @@
 #pragma once
 
+#include <cstddef>
 #include <functional>
 #include <string>
 #include <string_view>
 
-// What operators may call, and what each call is answered: paths and words, no sockets.
+// The operators' calls, without I/O: which path and method means what, and the answer to it.
 namespace balancer::admin {
 
-// What the calls act on. Each returns at once.
+// What the calls act on. Each function returns at once.
 struct Operations {
-  // Whether this process can serve clients.
-  std::function<bool()> serving;
-  // Takes a cache host out of service, or puts it back. False: nobody knows such a host.
-  std::function<bool(std::string_view host, bool out)> maintain;
-  // Sends clients away, or takes them in again. False: the process is ending.
-  std::function<bool(bool away)> send_away;
+  // Whether this process accepts clients and can serve them.
+  std::function<bool()> is_serving;
+  // Takes a cache host out of service, or back into it. Returns false if no such host is known.
+  std::function<bool(std::string_view host, bool out_of_service)> override_host;
+  // Asks clients to reconnect elsewhere, or accepts them again. Returns false if the process is
+  // terminating.
+  std::function<bool(bool enabled)> set_client_drain;
 };
 
+// An HTTP answer.
 struct Answer {
   unsigned status = 200;
   std::string body;   // one line of JSON
-  std::string allow;  // of a 405: the methods that the path knows
+  std::string allow;  // with status 405: the methods that the path takes; otherwise empty
 };
 
-// A host's id in a path: 1 to this many bytes once decoded.
+// Of a host's id in a path once decoded, in bytes. An empty id is not allowed either.
 inline constexpr std::size_t kMaxHostId = 256;
 
+// Carries the call out. `target` is the request's, with a query or without. Errors are answers:
+// 400 and 404 for a host, 404 and 405 for a path and method, 503 if the process cannot do it now.
 Answer answer(std::string_view method, std::string_view target, const Operations& operations);
+// `reason`: for a person, in plain words.
 Answer error(unsigned status, std::string_view reason);
 
 }  // namespace balancer::admin
--- a/src/hot_restart/hot_restart_state.cc
+++ b/src/hot_restart/hot_restart_state.cc
@@ -5,7 +5,7 @@
 namespace balancer::hot_restart {
 namespace {
 
-std::uint64_t less(std::uint64_t a, std::uint64_t b) { return a > b ? a - b : 0; }
+std::uint64_t subtract_or_zero(std::uint64_t a, std::uint64_t b) { return a > b ? a - b : 0; }
 
 }  // namespace
 
@@ -46,21 +46,21 @@
   const ResourceShare half{total_.descriptors / 2, total_.bytes / 2};
   if (successor_ == Successor::kNone) {
     if (predecessor_)
-      return {less(total_.descriptors, predecessor_->descriptors),
-              less(total_.bytes, predecessor_->bytes)};
+      return {subtract_or_zero(total_.descriptors, predecessor_->descriptors),
+              subtract_or_zero(total_.bytes, predecessor_->bytes)};
     return has_predecessor(now) ? half : total_;
   }
-  ResourceShare most = half;
+  ResourceShare limit = half;
   if (passes_connections()) {
-    most.descriptors = std::min(half.descriptors, used.descriptors + needs.descriptors);
-    most.bytes = std::min(half.bytes, used.bytes + needs.bytes);
+    limit.descriptors = std::min(half.descriptors, used.descriptors + needs.descriptors);
+    limit.bytes = std::min(half.bytes, used.bytes + needs.bytes);
   }
   if (ceiling_) {
-    most.descriptors = std::min(most.descriptors, ceiling_->descriptors);
-    most.bytes = std::min(most.bytes, ceiling_->bytes);
+    limit.descriptors = std::min(limit.descriptors, ceiling_->descriptors);
+    limit.bytes = std::min(limit.bytes, ceiling_->bytes);
   }
-  // What is in use cannot be called back at once; the successor makes do with the rest.
-  ceiling_ = {std::max(most.descriptors, used.descriptors), std::max(most.bytes, used.bytes)};
+  // What is in use cannot be released at once; the successor has the rest.
+  ceiling_ = {std::max(limit.descriptors, used.descriptors), std::max(limit.bytes, used.bytes)};
   return *ceiling_;
 }
 
--- a/src/node/discovery.cc
+++ b/src/node/discovery.cc
@@ -213,7 +213,7 @@
   const bool is_new = is_first || at - last->second >= kForgetCause;
   last->second = at;
   if (is_new && handlers_.log)
-    handlers_.log("discovery: its answer " + why + "; the hosts that are known stay in force");
+    handlers_.log("discovery: answer " + why + "; the known hosts stay in force");
 }
 
 void Discovery::complain_of_size() {
--- /dev/null
+++ b/src/node/group_coordinator.cc
@@ -0,0 +1,58 @@
+#include "node/group_coordinator.h"
+
+#include <algorithm>
+#include <chrono>
+#include <exception>
+#include <utility>
+
+#include "node/drain_times.h"
+
+namespace balancer::node {
+namespace {
+
+// Within which connections are closed once a lease was lost; their requests are rejected meanwhile.
+constexpr std::chrono::milliseconds kLostLeaseDrain{200};
+
+}  // namespace
+
+GroupCoordinator::GroupCoordinator(boost::asio::io_context& io, const Clock& clock,
+                                   const GroupFile& settings, Services& services, const Log& log)
+    : clock_(clock),
+      settings_(settings),
+      services_(services),
+      log_(log),
+      runtime_(io, settings, true,
+               group_runtime::GroupRuntime::Owner{
+                   [this](const std::string& address) { return open_listeners(address); },
+                   [this](const std::string& address, bool is_graceful) {
+                     close_listeners(address, is_graceful);
+                   },
+                   [this] { return services_.have_hosts(); }, log}),
+      status_(
+          io, group_runtime::status_path(settings),
+          [this](const std::string& line, const std::function<void(const std::string&)>& answer) {
+            runtime_.command(line, answer);
+          },
+          log) {}
+
+bool GroupCoordinator::open_listeners(const std::string& service_address) {
+  try {
+    services_.for_each_listener_of(service_address,
+                                   [](ClientListener& listener) { listener.open(); });
+    return true;
+  } catch (const std::exception& error) {
+    log_("lease " + service_address + ": its listener cannot be opened: " + error.what());
+    close_listeners(service_address, false);
+    return false;
+  }
+}
+
+void GroupCoordinator::close_listeners(const std::string& service_address, bool is_graceful) {
+  const Duration graceful_drain =
+      settings_.drain - std::min<Duration>(kLastRequestTime, settings_.drain / 2);
+  const Time last = clock_.now() + (is_graceful ? graceful_drain : Duration{kLostLeaseDrain});
+  services_.for_each_listener_of(service_address,
+                                 [last](ClientListener& listener) { listener.shut(last); });
+}
+
+}  // namespace balancer::node
--- /dev/null
+++ b/src/node/group_coordinator.h
@@ -0,0 +1,48 @@
+#pragma once
+
+#include <boost/asio/io_context.hpp>
+#include <functional>
+#include <string>
+
+#include "group_runtime/group_runtime.h"
+#include "group_runtime/status.h"
+#include "net/clock.h"
+#include "node/process_log.h"
+#include "node/services.h"
+#include "settings/group_file.h"
+
+namespace balancer::node {
+
+// Opens and closes the listeners of service addresses as this process acquires and loses their
+// leases.
+class GroupCoordinator {
+ public:
+  // Joins the group. All references outlive the coordinator. Throws std::runtime_error with one
+  // line if it cannot.
+  GroupCoordinator(boost::asio::io_context& io, const Clock& clock, const GroupFile& settings,
+                   Services& services, const Log& log);
+
+  // Whether a request that came to this service address may go out to a host now.
+  bool may_serve(const std::string& service_address) const {
+    return runtime_.may_serve(service_address);
+  }
+  // Reads the group's keys again. Throws FileError; then the old keys go on.
+  void reload() { runtime_.reload(); }
+  // Transfers all leases; `done` is called once none is held.
+  void leave(std::function<void()> done) { runtime_.leave(std::move(done)); }
+  void stop() { runtime_.end(); }
+  const group_runtime::GroupRuntime& runtime() const { return runtime_; }
+
+ private:
+  bool open_listeners(const std::string& service_address);
+  void close_listeners(const std::string& service_address, bool is_graceful);
+
+  const Clock& clock_;
+  const GroupFile& settings_;
+  Services& services_;
+  const Log log_;
+  group_runtime::GroupRuntime runtime_;
+  group_runtime::StatusSocket status_;
+};
+
+}  // namespace balancer::node
--- a/src/node/main.cc
+++ b/src/node/main.cc
@@ -1,301 +1,121 @@
 #include <malloc.h>
 
-#include <CLI/CLI.hpp>
 #include <boost/asio/io_context.hpp>
-#include <boost/asio/signal_set.hpp>
 #include <csignal>
 #include <cstdio>
 #include <exception>
-#include <functional>
 #include <optional>
-#include <sstream>
-#include <stdexcept>
 #include <string>
 #include <utility>
 
 #include "node/balancer.h"
-#include "node/config.h"
-#include "settings/operator.h"
-
+#include "node/command_line.h"
+#include "node/endpoint_text.h"
+#include "node/group_commands.h"
+#include "node/process_log.h"
+#include "node/process_signals.h"
+#include "node/program_settings.h"
+
+namespace balancer::node {
 namespace {
 
-using namespace balancer::node;
-
-using Log = Balancer::Log;
+// Descriptors of a group member: datagrams, the voter's record, routers, and status queries.
+constexpr std::size_t kGroupDescriptors = 64;
 
-Log log_of(const std::string& name) {
-  return [name](const std::string& line) {
-    std::fprintf(stderr, "balancer %s: %s\n", name.c_str(), line.c_str());
-  };
-}
+// Memory of long values is returned to the system once they have passed.
+constexpr int kMmapThresholdBytes = 256 << 10, kTrimThresholdBytes = 1 << 20;
 
-// What the two files say; either may be missing, but not both.
-struct Settings {
-  std::optional<Config> config;
-  balancer::Operator added;
-};
-
-Settings load(const std::string& operator_file) {
-  Settings all;
-  if (!operator_file.empty()) all.added = balancer::load_operator(operator_file);
-  if (has_config()) {
-    all.config = load_config();
-    // The platform's word on its limits holds.
-    all.added.process = {all.config->name, "", all.config->memory_mb, all.config->sockets};
-  } else if (operator_file.empty()) {
-    throw std::runtime_error("neither ROUTER_CONFIG is set nor --operator given");
-  } else if (all.added.listeners.empty()) {
-    throw std::runtime_error(operator_file + ": has no [[listener]], and ROUTER_CONFIG is not set");
-  }
-  return all;
+std::size_t set_aside_descriptors(const ProgramSettings& settings) {
+  std::size_t count = 0;
+  if (settings.operator_settings.group) count += kGroupDescriptors;
+  if (settings.config && settings.config->admin)
+    count += admin::AdminServer::kDescriptors + hot_restart::HotRestart::kDescriptors;
+  return count;
 }
 
-// Lines go to standard error, which is the operator's log file where one is named. Opened anew on
-// each call, so that a file that was moved away is left.
-void open_log(const std::string& file) {
-  if (!file.empty() && !std::freopen(file.c_str(), "a", stderr))
-    throw std::runtime_error(file + ": the log cannot be opened");
-  std::setvbuf(stderr, nullptr, _IOLBF, 0);
-}
-
-// A configuration that cannot be read leaves the one in force as it is: whoever sent the signal
-// must not take down a balancer under load with a slip of the pen.
-void reload(const balancer::ProcessSettings& process, const std::string& operator_file,
+void reload(const std::string& operator_file, const ProcessSettings& process, const Log& log,
             Balancer& balancer) {
-  const char* const name = process.name.c_str();
-  try {
-    open_log(process.log);
-    const Settings all = load(operator_file);
-    const auto wait = balancer.reload(all.added);
-    if (all.config) balancer.reload(*all.config);
-    for (const auto& what : wait)
-      std::fprintf(stderr, "balancer %s: %s: %s has changed, and waits for a restart\n", name,
-                   operator_file.c_str(), what.c_str());
-    std::fprintf(stderr, "balancer %s: reloaded\n", name);
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "balancer %s: not reloaded: %s\n", name, e.what());
+  open_log(process.log);
+  const ProgramSettings settings = load_settings(operator_file);
+  const auto waiting = balancer.reload(settings.operator_settings);
+  if (settings.config) balancer.reload(*settings.config);
+  const std::string subject = "reload: " + operator_file + ": ";
+  for (const auto& what : waiting) {
+    std::string line = subject;
+    line += what;
+    line += " has changed, and waits for a restart";
+    log(line);
   }
 }
 
-std::string text_of(const balancer::Endpoint& e) {
-  std::ostringstream out;
-  out << e;
-  return out.str();
+// Tests and the testbed wait for these lines: behind them the addresses accept clients.
+void log_addresses(const Log& log, const ProgramSettings& settings, std::size_t resp_listeners,
+                   const Balancer& balancer) {
+  if (settings.config) log("listening on " + text_of(balancer.local()));
+  if (settings.config && settings.config->admin) log("operators on " + text_of(balancer.admin()));
+  for (std::size_t i = 0; i < resp_listeners; ++i) log("RESP on " + text_of(balancer.local(i)));
 }
 
-// What it would listen on and connect to.
-void describe(const Settings& all) {
-  if (all.config)
-    std::printf("memcache on %s, cache hosts as listed by %s\n",
-                text_of(all.config->listen).c_str(), text_of(all.config->discovery).c_str());
-  if (all.config && all.config->admin)
-    std::printf("operators on %s\n", text_of(*all.config->admin).c_str());
-  for (const auto& l : all.added.listeners)
-    std::printf("RESP on %s, pool %s%s%s\n", l.address.c_str(), l.pool.c_str(),
-                l.require_auth ? ", with passwords" : "",
-                l.service.empty() ? "" : (", while " + l.service + " is held").c_str());
-  for (const auto& p : all.added.pools) {
-    std::printf("pool %s: up to %zu connections to the cluster of", p.name.c_str(),
-                p.site.max_connections);
-    for (const auto& seed : p.cluster.seeds) std::printf(" %s", seed.c_str());
-    std::printf("\n");
-  }
-  if (const auto& g = all.added.group) {
-    balancer::group::read_keys(g->key_file);
-    std::printf("group: %s, datagrams on %s, state in %s, voters", g->name.c_str(),
-                g->listen.c_str(), g->folder.c_str());
-    for (const auto& v : g->founding.names) std::printf(" %s", v.c_str());
-    std::printf("\n");
-    for (const auto& a : g->addresses)
-      std::printf("address %s: %s\n", a.name.c_str(),
-                  a.prefix ? "announced to routers" : ("claimed by " + a.claim.front()).c_str());
-    if (g->bgp)
-      for (const auto& r : g->bgp->routers)
-        std::printf("router %s of AS %u\n", r.address.c_str(), r.as);
-  }
-  std::printf("limits: %zu MB, %zu descriptors\n", all.added.process.memory_mb,
-              all.added.process.sockets);
-}
-
-// Descriptors of a member of a group: its datagrams, its record, its routers, those who ask.
-constexpr std::size_t kMemberSockets = 64;
-
-// Once nothing handles them any more a signal would take its default action: SIGHUP would end the
-// process as a crash while it is ending in order.
-void block_signals() {
-  sigset_t all;
-  ::sigfillset(&all);
-  ::pthread_sigmask(SIG_BLOCK, &all, nullptr);
-}
-
-// A member of the group that votes and serves nothing.
-int run_voter(const std::string& operator_file) {
-  const balancer::Operator all = balancer::load_operator(operator_file);
-  if (!all.group) throw std::runtime_error(operator_file + ": has no [group]");
+// Balances until SIGTERM or SIGINT has been received and the drain is over.
+void serve(const std::string& operator_file) {
+  std::optional<Limits> limits;  // outlives the event loop, whose last handlers hold leases
   boost::asio::io_context io(1);
-  boost::asio::signal_set signals(io, SIGTERM, SIGINT, SIGHUP);
-  open_log(all.process.log);
-  const Log log = log_of(all.group->name);
-  balancer::group_runtime::GroupRuntime member(io, *all.group, false, {{}, {}, {}, log});
-  balancer::group_runtime::StatusSocket status(
-      io, balancer::group_runtime::status_path(*all.group),
-      [&member](const std::string& line, std::function<void(const std::string&)> answer) {
-        member.command(line, std::move(answer));
-      },
-      log);
-  std::function<void()> await_signal = [&] {
-    signals.async_wait([&](const boost::system::error_code& e, int number) {
-      if (e) return;
-      if (number != SIGHUP) {
-        log("signal " + std::to_string(number) + ", ends");
-        member.end();
-        return io.stop();
-      }
-      try {
-        open_log(all.process.log);
-        member.reload();
-        log("reloaded");
-      } catch (const std::exception& wrong) {
-        log(std::string("not reloaded: ") + wrong.what());
-      }
-      await_signal();
-    });
-  };
-  await_signal();
-  log("voter, datagrams on " + all.group->listen);
+  ProcessSignals signals(io);  // first: before its handler is set, a signal would end the process
+  ProgramSettings settings = load_settings(operator_file);
+  const ProcessSettings process = settings.operator_settings.process;
+  const std::size_t resp_listeners = settings.operator_settings.listeners.size();
+  open_log(process.log);
+  const Log log = make_log(process.name);
+  limits.emplace(process.sockets, process.memory_mb, set_aside_descriptors(settings));
+  Balancer balancer(io, settings.config, *limits, std::move(settings.operator_settings), log);
+  signals.on_reload(
+      [&] { reload_or_keep(log, [&] { reload(operator_file, process, log, balancer); }); });
+  signals.on_terminate([&](int number) {
+    log("drain: begins on signal " + std::to_string(number));
+    balancer.drain();
+  });
+  log_addresses(log, settings, resp_listeners, balancer);
   io.run();
-  block_signals();
-  return 0;
+  ProcessSignals::block_all();
 }
 
-struct AddressCommand {
-  std::string operator_file, socket, address, to, voter;
-  bool json = false;
-};
-
-// Asks the member that runs with this file, or the one at this socket.
-int ask_address(const AddressCommand& c, const std::string& line) {
-  std::string path = c.socket;
-  if (path.empty()) {
-    if (c.operator_file.empty())
-      throw std::runtime_error("neither --operator nor --socket is given");
-    const auto all = balancer::load_operator(c.operator_file);
-    if (!all.group) throw std::runtime_error(c.operator_file + ": has no [group]");
-    path = balancer::group_runtime::status_path(*all.group);
+// Commands that print a result. Returns the exit status.
+int run_query(const CommandLine& line) {
+  try {
+    if (line.command == Command::kAddress) return query_address(line.address_query) ? 0 : 1;
+    print_settings(load_settings(line.operator_file));
+    std::printf("nothing wrong\n");
+    return 0;
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "%s\n", error.what());
+    return 2;
   }
-  const std::string answer = balancer::group_runtime::ask_member(path, line);
-  std::printf("%s", c.json ? (answer + "\n").c_str()
-                           : balancer::group_runtime::status_text(answer).c_str());
-  return balancer::group_runtime::outcome_good(answer) ? 0 : 1;
 }
 
-}  // namespace
-
-int main(int argc, char** argv) {
-  CLI::App app{"A balancer for memcache and, with an operator's file, RESP clusters"};
-  std::string operator_file;
-  app.set_version_flag("--version", "balancer " BALANCER_VERSION);
-  app.add_option("--operator", operator_file, "the operator's own file");
-  auto* check = app.add_subcommand(
-      "check", "reads the files, tells what it would listen on and connect to, and ends");
-  check->add_option("--operator", operator_file, "the operator's own file");
-  auto* voter = app.add_subcommand(
-      "voter", "a member of the file's group of balancers that votes and serves nothing");
-  voter->add_option("--operator", operator_file, "the operator's own file")->required();
-  AddressCommand asked;
-  auto* address = app.add_subcommand(
-      "address", "asks a running member of a group who holds which service address, and why");
-  address->add_option("--operator", asked.operator_file, "the file that it was started with");
-  address->add_option("--socket", asked.socket, "its socket, in place of the file");
-  address->add_flag("--json", asked.json, "as it comes");
-  address->require_subcommand(0, 1);
-  auto* move = address->add_subcommand("move", "hands an address that it holds over, in order");
-  move->add_option("ADDRESS", asked.address, "its name")->required();
-  move->add_option("--to", asked.to, "the instance; the best one if left out");
-  auto* voters = address->add_subcommand("voters", "changes who votes, one at a time");
-  voters->require_subcommand(1);
-  auto* add = voters->add_subcommand("add", "a member more");
-  add->add_option("NAME", asked.voter)->required();
-  auto* remove = voters->add_subcommand("remove", "one less");
-  remove->add_option("NAME", asked.voter)->required();
-  CLI11_PARSE(app, argc, argv);
-  if (*address) {
-    try {
-      return ask_address(asked, *move     ? "move " + asked.address + " " + asked.to
-                                : *add    ? "voters add " + asked.voter
-                                : *remove ? "voters remove " + asked.voter
-                                          : "status");
-    } catch (const std::exception& e) {
-      std::fprintf(stderr, "%s\n", e.what());
-      return 2;
-    }
-  }
-  if (*check) {
-    try {
-      describe(load(operator_file));
-      std::printf("nothing wrong\n");
-      return 0;
-    } catch (const std::exception& e) {
-      std::fprintf(stderr, "%s\n", e.what());
-      return 2;
-    }
-  }
+// Commands that run until a signal. Returns the exit status.
+int run_process(const CommandLine& line) {
   std::signal(SIGPIPE, SIG_IGN);
-  // Long bodies come and go; what they took must go back to the system.
-  mallopt(M_MMAP_THRESHOLD, 256 << 10);
-  mallopt(M_TRIM_THRESHOLD, 1 << 20);
-  if (*voter) {
-    try {
-      return run_voter(operator_file);
-    } catch (const std::exception& e) {
-      std::fprintf(stderr, "balancer: %s\n", e.what());
-      return 1;
-    }
-  }
+  mallopt(M_MMAP_THRESHOLD, kMmapThresholdBytes);
+  mallopt(M_TRIM_THRESHOLD, kTrimThresholdBytes);
   try {
-    std::optional<balancer::Limits> limits;  // outlives the event loop, whose last handlers hold
-                                             // leases
-    boost::asio::io_context io(1);
-    // Caught before anything else happens: a signal that comes early waits for the event loop,
-    // where its default action would end the program.
-    boost::asio::signal_set signals(io, SIGTERM, SIGINT, SIGHUP);
-    Settings all = load(operator_file);
-    const balancer::ProcessSettings process = all.added.process;
-    open_log(process.log);
-    const char* const name = process.name.c_str();
-    const std::size_t listeners = all.added.listeners.size();
-    const bool admin = all.config && all.config->admin;
-    limits.emplace(
-        process.sockets, process.memory_mb,
-        (all.added.group ? kMemberSockets : 0) +
-            (admin ? balancer::admin::AdminServer::kDescriptors + HotRestart::kDescriptors : 0));
-    Balancer balancer(io, all.config, *limits, std::move(all.added), log_of(process.name));
-    std::function<void()> await_signal = [&] {
-      signals.async_wait([&](const boost::system::error_code& e, int number) {
-        if (e) return;
-        if (number == SIGHUP) {
-          reload(process, operator_file, balancer);
-        } else {
-          std::fprintf(stderr, "balancer %s: signal %d, draining\n", name, number);
-          balancer.drain();
-        }
-        await_signal();
-      });
-    };
-    await_signal();
-    if (all.config)
-      std::fprintf(stderr, "balancer %s: listening on %s\n", name,
-                   text_of(balancer.local()).c_str());
-    if (admin)
-      std::fprintf(stderr, "balancer %s: operators on %s\n", name,
-                   text_of(balancer.admin()).c_str());
-    for (std::size_t i = 0; i < listeners; ++i)
-      std::fprintf(stderr, "balancer %s: RESP on %s\n", name, text_of(balancer.local(i)).c_str());
-    io.run();
-    block_signals();
+    if (line.command == Command::kVoter) {
+      run_voter(line.operator_file);
+    } else {
+      serve(line.operator_file);
+    }
     return 0;
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "balancer: %s\n", e.what());
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "balancer: %s\n", error.what());
     return 1;
   }
 }
+
+}  // namespace
+}  // namespace balancer::node
+
+int main(int argc, char** argv) {
+  using namespace balancer::node;
+  const CommandLine line = parse_command_line(argc, argv);
+  const bool is_query = line.command == Command::kCheck || line.command == Command::kAddress;
+  return is_query ? run_query(line) : run_process(line);
+}
--- /dev/null
+++ b/src/node/memcache_service.cc
@@ -0,0 +1,86 @@
+#include "node/memcache_service.h"
+
+#include <algorithm>
+#include <chrono>
+#include <utility>
+
+#include "frontend/memcache/cache_connection.h"
+#include "frontend/memcache/origin_connection.h"
+
+namespace balancer::node {
+namespace {
+
+using std::chrono::milliseconds;
+
+// A request that waits for memory to be read may be of any class. It is rejected while a client
+// with the shortest deadline still waits.
+SessionTimes session_times(const std::vector<RequestClass>& classes) {
+  constexpr Duration kMinWait = milliseconds(50), kMaxWait = milliseconds(1000);
+  constexpr int kWaitsPerDeadline = 4;
+  SessionTimes times;
+  Duration shortest = kMaxWait * kWaitsPerDeadline;
+  for (const RequestClass& request_class : classes)
+    if (request_class.deadline > Duration{0}) shortest = std::min(shortest, request_class.deadline);
+  times.memory_wait = std::clamp(shortest / kWaitsPerDeadline, kMinWait, kMaxWait);
+  return times;
+}
+
+Dial dial_hosts(boost::asio::io_context& io, Limits& limits) {
+  return [&io, &limits](bool is_origin, AttemptEvents& events,
+                        UpstreamOwner& owner) -> std::shared_ptr<UpstreamConnection> {
+    if (is_origin) return std::make_shared<OriginConnection>(io, limits, events, owner);
+    return std::make_shared<CacheConnection>(io, limits, events, owner);
+  };
+}
+
+}  // namespace
+
+MemcacheService::MemcacheService(boost::asio::io_context& io, const Config& config,
+                                 const Clock& clock, Limits& limits, ForwardingCheck may_forward,
+                                 const Log& log)
+    : site_(config.site),
+      pool_(io, clock, site_, config.seed, limits, dial_hosts(io, limits),
+            [this] { discovery_.start(); }),
+      front_(site_, pool_),
+      discovery_(
+          io, config.discovery, site_, config.known ? config.known->seq : 0, config.seed,
+          max_list_bytes(config.memory_mb),
+          {[this](const HostList& list) { apply(list); }, [this] { pool_.on_list_refused(); },
+           [this](Duration took) { pool_.on_confirmed(took); }, log}),
+      log_(log) {
+  if (config.known) apply(*config.known);
+  listener_ = std::make_unique<ClientListener>(
+      io, config.listen, limits, clock, pool_, [this] { return front_.make(); },
+      session_times(site_.policy.classes), std::move(may_forward));
+}
+
+void MemcacheService::start_discovery() {
+  if (site_.policy.discovery_is_polled) return;
+  discovery_.start();
+  pool_.enable_stall_guard([this] { discovery_.confirm(); }, log_);
+}
+
+void MemcacheService::apply(const HostList& list) {
+  if (list.whole) {
+    serving_caches_.clear();
+    hosts_.clear();
+  }
+  list_sequence_ = std::max(list_sequence_, list.seq);
+  for (const ListedHost& host : list.hosts) {
+    if (host.state == HostState::kGone) {
+      hosts_.erase(host.id);
+    } else {
+      hosts_[host.id] = host;
+    }
+    if (host.origin) continue;
+    if (host.state == HostState::kServing) {
+      serving_caches_.insert(host.id);
+    } else {
+      serving_caches_.erase(host.id);
+    }
+  }
+  pool_.on_list(list);
+  if (!std::exchange(has_list_, true) && on_first_list_) on_first_list_();
+}
+
+}  // namespace balancer::node
--- /dev/null
+++ b/src/node/memcache_service.h
@@ -0,0 +1,71 @@
+#pragma once
+
+#include <boost/asio/io_context.hpp>
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <memory>
+#include <optional>
+#include <set>
+#include <string>
+
+#include "dispatch/server_pool.h"
+#include "frontend/memcache/memcache_front.h"
+#include "net/client_listener.h"
+#include "net/clock.h"
+#include "net/limits.h"
+#include "node/config.h"
+#include "node/discovery.h"
+#include "node/process_log.h"
+
+namespace balancer::node {
+
+// Serves memcache clients: their listener and front, the pool of cache hosts and origins, and
+// discovery, which lists those hosts. Keeps the endpoint list as discovery sent it.
+class MemcacheService {
+ public:
+  // The listener is closed until open(). `may_forward` is asked of every request; empty: always.
+  // `clock` and `limits` outlive the service.
+  MemcacheService(boost::asio::io_context& io, const Config& config, const Clock& clock,
+                  Limits& limits, ForwardingCheck may_forward, const Log& log);
+  MemcacheService(const MemcacheService&) = delete;
+  MemcacheService& operator=(const MemcacheService&) = delete;
+
+  // Subscribes to endpoint lists where they are pushed, and guards against process stalls by
+  // confirming the list. Where discovery is polled, the policy asks for the first list.
+  void start_discovery();
+  void stop_discovery() { discovery_.stop(); }
+  // From now on lists come from the service at `endpoint`.
+  void move_discovery(const Endpoint& endpoint) { discovery_.move(endpoint); }
+
+  // Applies an endpoint list, or the changes in it.
+  void apply(const HostList& list);
+  // Called once, at the first list.
+  void set_on_first_list(std::function<void()> callback) { on_first_list_ = std::move(callback); }
+
+  ClientListener& listener() { return *listener_; }
+  const ClientListener& listener() const { return *listener_; }
+  ServerPool& pool() { return pool_; }
+  MemcacheFront& front() { return front_; }
+  bool has_list() const { return has_list_; }
+  // Whether the list holds a cache host that serves.
+  bool has_cache_hosts() const { return !serving_caches_.empty(); }
+  // The hosts and the sequence number of the endpoint list, for a successor.
+  const std::map<std::string, ListedHost>& hosts() const { return hosts_; }
+  std::uint64_t list_sequence() const { return list_sequence_; }
+
+ private:
+  const SiteSettings site_;
+  ServerPool pool_;
+  MemcacheFront front_;
+  Discovery discovery_;
+  const Log log_;
+  std::set<std::string> serving_caches_;
+  std::map<std::string, ListedHost> hosts_;
+  std::uint64_t list_sequence_ = 0;
+  bool has_list_ = false;
+  std::function<void()> on_first_list_;
+  std::unique_ptr<ClientListener> listener_;
+};
+
+}  // namespace balancer::node
--- a/src/proto/hot_restart_wire.h
+++ b/src/proto/hot_restart_wire.h
@@ -10,95 +10,106 @@
 
 #include "structures/time.h"
 
-// The messages between a balancer and the one that takes its place: protocol buffers, checked like
-// any peer's. No I/O.
+// Codec of the messages between a balancer process and its successor: protocol buffers, validated
+// like those of any peer. No I/O.
 namespace balancer::hot_restart {
 
+// Of the protocol. A snapshot of a later version is read in part; see decode().
 inline constexpr std::uint32_t kVersion = 1;
-// A packet of the system's is bounded; so are the entries of one part, and what a whole snapshot
-// may come to.
-inline constexpr std::size_t kMaxMessage = 128u << 10;
+// Bounds of one packet, of one part of a snapshot, and of a complete snapshot.
+inline constexpr std::size_t kMaxMessage = 128u << 10;  // bytes
 inline constexpr std::size_t kEntriesPerPart = 256;
 inline constexpr std::size_t kMaxHosts = 16384;
 inline constexpr std::size_t kMaxOverrides = 4096;
-inline constexpr std::size_t kMaxDescriptors = 16;  // beside one message
-inline constexpr std::size_t kMaxInput = 16u << 10;
-inline constexpr std::size_t kMaxId = 256;
+inline constexpr std::size_t kMaxDescriptors = 16;   // beside one message
+inline constexpr std::size_t kMaxInput = 16u << 10;  // bytes
+inline constexpr std::size_t kMaxId = 256;           // bytes
 inline constexpr Duration kMaxAge = std::chrono::hours(24 * 365 * 100);
 
+// The most that a process holds of the limits that both processes share.
 struct ResourceShare {
   std::uint64_t descriptors = 0, bytes = 0;
   bool operator==(const ResourceShare&) const = default;
 };
 
-struct Host {
+// A host of the endpoint list, with what the sender has learnt about it.
+struct HostRecord {
   std::string id;
-  std::string address;  // 4 or 16 bytes, or none
+  std::string address;  // 4 or 16 bytes in network order; empty: it could not be read
   std::uint16_t port = 0;
-  std::optional<UnixTime> born;  // its last start, as discovery says it
-  std::optional<Duration> age;   // since that start, as far as the sender knows
-  bool origin = false;
+  std::optional<UnixTime> started_at;        // its last start, as discovery states it
+  std::optional<Duration> time_since_start;  // as far as the sender knows
+  bool is_origin = false;
   int zone = 0, cell = 0;
   int state = 0;  // 0 to 2, as balancer::HostState
   double weight = 1;
-  double share = 1;  // 0 to 1
-  bool operator==(const Host&) const = default;
+  double load_factor = 1;  // 0 to 1
+  bool operator==(const HostRecord&) const = default;
 };
 
+// An operator's override of a cache host.
 struct OperatorOverride {
   std::string host;
-  bool out = false;
-  Duration age{0};  // since it came to hold
+  bool out_of_service = false;
+  Duration age{0};  // since the override was made
   bool operator==(const OperatorOverride&) const = default;
 };
 
+// First message of a successor.
 struct Hello {
   std::uint32_t version = kVersion;
-  std::string name;
+  std::string name;  // of the balancer; a process with another name is not answered
   bool operator==(const Hello&) const = default;
 };
 
+// The predecessor's state.
 struct Snapshot {
   std::uint32_t version = kVersion;
-  bool more = false;
-  std::vector<Host> hosts;
+  bool has_more = false;  // another part follows
+  std::vector<HostRecord> hosts;
   std::vector<OperatorOverride> overrides;
-  std::uint64_t seq = 0;
-  bool listed = false, away = false;
-  ResourceShare held;
-  double work_rate = 0, origin_open = 1, caches_open = 1;
-  std::vector<std::string> listeners;
+  std::uint64_t list_sequence = 0;              // of the endpoint list
+  bool has_list = false, client_drain = false;  // a list was received; clients are being drained
+  ResourceShare resources_held;
+  double work_rate = 0;  // seconds of work that the cache hosts receive in a second
+  double origin_admit_fraction = 1, caches_admit_fraction = 1;  // 0 to 1
+  std::vector<std::string> listeners;  // addresses, in the order of the descriptors
   bool operator==(const Snapshot&) const = default;
 };
 
+// The process is still taking over from its own predecessor: query again.
 struct Busy {
   bool operator==(const Busy&) const = default;
 };
+// The sender accepts new connections.
 struct Serving {
   bool operator==(const Serving&) const = default;
 };
-struct Away {
-  bool away = false;
-  bool operator==(const Away&) const = default;
+// Whether clients are asked to reconnect elsewhere, by an operator's call.
+struct ClientDrain {
+  bool enabled = false;
+  bool operator==(const ClientDrain&) const = default;
 };
-struct Connection {
-  std::string listener;
-  std::string input;
-  std::uint64_t answered = 0;
-  bool operator==(const Connection&) const = default;
+// A client's connection between two requests; its descriptor is sent beside the message.
+struct PassedConnection {
+  std::string listener;  // address at which the client connected
+  std::string input;     // read from the client and not parsed yet
+  std::uint64_t requests_answered = 0;
+  bool operator==(const PassedConnection&) const = default;
 };
 
-using Message =
-    std::variant<Hello, Snapshot, Busy, Serving, OperatorOverride, Away, ResourceShare, Connection>;
+using Message = std::variant<Hello, Snapshot, Busy, Serving, OperatorOverride, ClientDrain,
+                             ResourceShare, PassedConnection>;
 
 std::string encode(const Message& message);
-// Nothing if it is no message, says what makes no sense, or goes beyond the bounds above. A
-// snapshot of a newer version is read for its version, share and listeners alone.
+// Returns nothing if the bytes are no message, hold values that are not allowed, or exceed the
+// bounds above. A snapshot of a later version is read for its version, share and listeners alone.
 std::optional<Message> decode(std::string_view bytes);
 
-// In parts that each fit a packet; what is no list, and the listeners, in the last.
+// Splits a snapshot into parts that each fit a packet. Fields that are not lists, and the
+// listeners, stand in the last part.
 std::vector<Snapshot> split(Snapshot whole);
-// Puts parts together. False: they go beyond the bounds.
+// Appends a part. Returns false if the result would exceed the bounds.
 bool append(Snapshot& whole, Snapshot part);
 
 }  // namespace balancer::hot_restart
--- a/tests/fuzz/hot_restart_fuzz.cc
+++ b/tests/fuzz/hot_restart_fuzz.cc
@@ -31,7 +31,7 @@
       if (!append(whole, *s)) break;
     must(whole.hosts.size() <= kMaxHosts && whole.overrides.size() <= kMaxOverrides);
     HotRestartState state({1000, 1000000});
-    state.on_predecessor(s->held);
+    state.on_predecessor(s->resources_held);
     const ResourceShare share = state.share(std::chrono::seconds(1), {}, {});
     must(share.descriptors <= 1000 && share.bytes <= 1000000);
   }
--- a/tests/group_runtime_test.cc
+++ b/tests/group_runtime_test.cc
@@ -81,7 +81,7 @@
     return c;
   }
   const lease::LeaseHolder& lease_holder() const {
-    return *balancer->member()->group_node().lease_manager().lease_holder("svc");
+    return *balancer->group_runtime()->group_node().lease_manager().lease_holder("svc");
   }
   // Asks through the socket in its folder, as `balancer address` does.
   json ask(const std::string& line) {
--- a/tests/hot_restart_state_test.cc
+++ b/tests/hot_restart_state_test.cc
@@ -15,13 +15,13 @@
 
 // ---- messages
 
-Host host(const std::string& id) {
-  Host h;
+HostRecord host(const std::string& id) {
+  HostRecord h;
   h.id = id;
   h.address = std::string("\x7f\0\0\1", 4);
   h.port = 11211;
-  h.born = UnixTime(seconds(3));
-  h.age = seconds(7);
+  h.started_at = UnixTime(seconds(3));
+  h.time_since_start = seconds(7);
   h.cell = 2;
   h.state = 1;
   h.weight = 0.5;
@@ -30,20 +30,20 @@
 
 std::vector<Message> examples() {
   Snapshot s;
-  s.hosts = {host("s-1"), Host{"s-2", "", 0, {}, {}, true, 0, 0, 0, 1}};
+  s.hosts = {host("s-1"), HostRecord{"s-2", "", 0, {}, {}, true, 0, 0, 0, 1}};
   s.overrides = {{"s-1", true, seconds(4)}};
-  s.seq = 41;
-  s.listed = s.away = true;
-  s.held = {200, 1 << 20};
+  s.list_sequence = 41;
+  s.has_list = s.client_drain = true;
+  s.resources_held = {200, 1 << 20};
   s.listeners = {"127.0.0.1:11211"};
   return {Hello{1, "n0"},
           s,
           Busy{},
           Serving{},
           OperatorOverride{"s-1", false, seconds(5)},
-          Away{true},
+          ClientDrain{true},
           ResourceShare{100, 1000},
-          Connection{"127.0.0.1:11211", std::string("mg k\0", 5), 7}};
+          PassedConnection{"127.0.0.1:11211", std::string("mg k\0", 5), 7}};
 }
 
 TEST(HandoverWire, MessagesComeAsTheyWent) {
@@ -71,10 +71,10 @@
   EXPECT_FALSE(decode(encode(Hello{1, std::string(257, 'n')})));
   EXPECT_FALSE(decode(encode(OperatorOverride{"", true, seconds(1)})));
   EXPECT_FALSE(decode(encode(OperatorOverride{"a", true, seconds(-1)})));
-  EXPECT_FALSE(decode(encode(Connection{"l", std::string(kMaxInput + 1, 'x'), 0})));
+  EXPECT_FALSE(decode(encode(PassedConnection{"l", std::string(kMaxInput + 1, 'x'), 0})));
   for (const int kind : {0, 1, 2, 3}) {
     Snapshot s;
-    Host h = host("s-1");
+    HostRecord h = host("s-1");
     if (kind == 0) h.id.clear();
     if (kind == 1) h.address = "abc";
     if (kind == 2) h.state = 3;
@@ -94,7 +94,7 @@
   const auto m = decode(encode(s));
   ASSERT_TRUE(m);
   const auto& got = std::get<Snapshot>(*m);
-  EXPECT_EQ(got.held, s.held);
+  EXPECT_EQ(got.resources_held, s.resources_held);
   EXPECT_EQ(got.listeners, s.listeners);
   EXPECT_TRUE(got.hosts.empty());
   EXPECT_TRUE(got.overrides.empty());
--- a/tests/hot_restart_test.cc
+++ b/tests/hot_restart_test.cc
@@ -302,7 +302,7 @@
       measure();
       return serves(*next);
     })) << next->log;
-    EXPECT_TRUE(next->logged("takes the place")) << next->log;
+    EXPECT_TRUE(next->logged("hot restart: predecessor answered")) << next->log;
     ::kill(now->pid, SIGTERM);
     ASSERT_TRUE(wait([&] {
       measure();
@@ -413,7 +413,7 @@
   ASSERT_TRUE(wait([&] { return std::filesystem::exists(dir_ + "/silverpin-n%2f0.sock"); }));
   auto next = start();
   ASSERT_TRUE(serving(*next));
-  EXPECT_TRUE(next->logged("takes the place of a process that serves")) << next->log;
+  EXPECT_TRUE(next->logged("hot restart: predecessor answered")) << next->log;
 }
 
 // As many words as a process takes are read again by the next.
@@ -430,7 +430,7 @@
   kill(*first);
   auto next = start();
   ASSERT_TRUE(serving(*next));
-  EXPECT_TRUE(next->logged("600 operators' words taken from their file")) << next->log;
+  EXPECT_TRUE(next->logged("hot restart: 600 overrides restored from their file")) << next->log;
 }
 
 // A word given to either is heard by both, while both are there.
@@ -442,13 +442,15 @@
   auto next = start();
   ASSERT_TRUE(serving(*next));
   EXPECT_EQ(call(*next, "POST /cache-hosts/s-1/maint"), 200);
-  ASSERT_TRUE(wait([&] { return old->logged("s-1 taken out by an operator, at the other"); }));
+  ASSERT_TRUE(wait(
+      [&] { return old->logged("override s-1: out of service, by an operator at the other"); }));
   lines_.clear();
   for (int i = 0; i < 30; ++i) ask(*kept, "k" + std::to_string(i));
   EXPECT_EQ(lines_.size(), 0u);
   EXPECT_EQ(call(*old, "POST /healthcheck/fail"), 200);
   auto probe = Peer::dial(io_, listen_);
-  ASSERT_TRUE(wait([&] { return next->logged("clients are sent away"); }));
+  ASSERT_TRUE(
+      wait([&] { return next->logged("drain: clients are asked to reconnect elsewhere"); }));
   probe->send("mn\r\n");
   ASSERT_TRUE(wait([&] { return !probe->in.empty(); }));
   EXPECT_EQ(probe->in, "SERVER_ERROR draining\r\n");
@@ -467,7 +469,7 @@
     EXPECT_TRUE(ask(*c, "k").starts_with("VA 1 "));
   }
   auto next = upgrade(*old);  // and is found by the next
-  EXPECT_TRUE(next->logged("takes the place")) << next->log;
+  EXPECT_TRUE(next->logged("hot restart: predecessor answered")) << next->log;
 }
 
 // A version that cannot start says why and ends; the old one goes on untouched.
@@ -481,7 +483,7 @@
   run_for(io_, milliseconds(50));
   EXPECT_EQ(std::count(bad->log.begin(), bad->log.end(), '\n'), 1) << bad->log;
   EXPECT_TRUE(bad->logged("listen")) << bad->log;
-  EXPECT_FALSE(old->logged("asks for this one's place"));
+  EXPECT_FALSE(old->logged("hot restart: successor connected"));
   auto c = Peer::dial(io_, listen_);
   EXPECT_TRUE(ask(*c, "k").starts_with("VA 1 "));
 }
@@ -510,14 +512,14 @@
       std::string part = "\xff nonsense";
       if (kind == 3) {
         hot_restart::Snapshot s;
-        s.more = true;
+        s.has_more = true;
         part = hot_restart::encode(s);
       }
       EXPECT_TRUE(send_packet(peer.get(), part, {}));
     }
     ASSERT_TRUE(serving(*next));
     EXPECT_TRUE(next->logged("presumed to hold half")) << kind << next->log;
-    EXPECT_TRUE(next->logged("1 operators' words taken from their file")) << next->log;
+    EXPECT_TRUE(next->logged("hot restart: 1 overrides restored from their file")) << next->log;
     // Both listen; the old one ends as if alone.
     ::kill(old->pid, SIGTERM);
     ASSERT_TRUE(wait([&] { return old->exited(); }));
@@ -543,7 +545,7 @@
     ASSERT_TRUE(wait([&] { return cache_.ids.size() + cache_2_.ids.size() > 2; }));
     next = start();
     ASSERT_TRUE(serving(*next));
-    ASSERT_TRUE(wait([&] { return old->logged("the other process serves"); }));
+    ASSERT_TRUE(wait([&] { return old->logged("hot restart: successor serves"); }));
     ::kill(next->pid, SIGSTOP);
     const std::size_t before = old->descriptors();
     ::kill(old->pid, SIGTERM);
@@ -665,12 +667,12 @@
     for (int i = 0; i < 50 && !next; ++i) {
       old->log.clear();
       next = start();
-      ASSERT_TRUE(wait([&] { return old->logged("asks for this one's place"); }));
+      ASSERT_TRUE(wait([&] { return old->logged("hot restart: successor connected"); }));
       ::kill(next->pid, SIGSTOP);
       run_for(io_, milliseconds(50));
-      if (!old->logged("the other process serves")) break;
+      if (!old->logged("hot restart: successor serves")) break;
       next.reset();
-      ASSERT_TRUE(wait([&] { return old->logged("the other process has ended"); }));
+      ASSERT_TRUE(wait([&] { return old->logged("hot restart: successor has ended"); }));
     }
     ASSERT_TRUE(next) << "it always came to its yes";
     ::kill(old->pid, signal);
--- a/tests/program_test.cc
+++ b/tests/program_test.cc
@@ -129,7 +129,8 @@
     log_.clear();
     write_config(text);
     ::kill(pid_, SIGHUP);
-    ASSERT_TRUE(wait([&] { return logged("not reloaded: "); })) << text;
+    ASSERT_TRUE(wait([&] { return logged("reload: rejected, the settings in force stay: "); }))
+        << text;
   }
   const int before = discovery.calls;
   ASSERT_TRUE(wait([&] { return discovery.calls > before + 2; }));
@@ -244,7 +245,10 @@
   ASSERT_TRUE(wait([&] { return c->in == "+PONG\r\n"; }));
   std::ofstream(file) << text << "frob = 1\n";
   ::kill(pid_, SIGHUP);
-  ASSERT_TRUE(wait([&] { return logged("not reloaded: " + file + ":8: frob: is not known"); }));
+  ASSERT_TRUE(wait([&] {
+    return logged("reload: rejected, the settings in force stay: " + file +
+                  ":8: frob: is not known");
+  }));
   std::ofstream(file) << text << "most_bulk_kb = 7\n";
   ::kill(pid_, SIGHUP);
   ASSERT_TRUE(wait([&] { return logged("listener l has changed, and waits for a restart"); }));
@@ -279,7 +283,7 @@
   ::kill(pid_, SIGHUP);
   ASSERT_TRUE(wait([&] {
     read_log();
-    return logged("balancer lane-1: reloaded");
+    return logged("balancer lane-1: reload: done");
   }));
   ::kill(pid_, SIGTERM);
   ASSERT_TRUE(wait([&] { return exited(); }));
@@ -343,7 +347,7 @@
   c->send("mg k v O1 Pc=read,t=acme,d=5000\r\n");
   ASSERT_TRUE(wait([&] { return cache.ids.size() == 1; }));
   ::kill(pid_, SIGTERM);
-  ASSERT_TRUE(wait([&] { return logged("draining"); }));
+  ASSERT_TRUE(wait([&] { return logged("drain: begins on signal 15"); }));
   ::kill(pid_, SIGTERM);
   // On a connection that stays open it goes on asking.
   c->send("mg k v O2 Pc=read,t=acme,d=5000\r\n");
--- a/tests/testbed/program_test.cc
+++ b/tests/testbed/program_test.cc
@@ -232,7 +232,7 @@
   int status = 0;
   ASSERT_EQ(::waitpid(pid, &status, 0), pid);
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 2);
-  EXPECT_NE(log().find("draining"), std::string::npos) << log();
+  EXPECT_NE(log().find("drain: begins on signal"), std::string::npos) << log();
 }
 
 }  // namespace
