--- a/src/node/hot_restart_coordinator.cc
+++ b/src/node/hot_restart_coordinator.cc
@@ -89,7 +89,7 @@
   Policy::PolicyCheckpoint checkpoint{
       snapshot.work_rate, snapshot.origin_admit_fraction, snapshot.caches_admit_fraction, {}};
   for (const auto& host : snapshot.hosts)
-    if (host.load_factor < 1) checkpoint.shares.emplace_back(host.id, host.load_factor);
+    if (host.load_factor < 1) checkpoint.load_factors.emplace_back(host.id, host.load_factor);
   memcache.pool().restore(checkpoint);
   for (const auto& in_force : snapshot.overrides) operator_calls_.restore(in_force);
   if (snapshot.client_drain) operator_calls_.set_client_drain(true);
@@ -154,8 +154,8 @@
   snapshot.work_rate = checkpoint.work_rate;
   snapshot.origin_admit_fraction = checkpoint.origin;
   snapshot.caches_admit_fraction = checkpoint.caches;
-  const std::map<std::string, double> load_factors(checkpoint.shares.begin(),
-                                                   checkpoint.shares.end());
+  const std::map<std::string, double> load_factors(checkpoint.load_factors.begin(),
+                                                   checkpoint.load_factors.end());
   for (const auto& [id, host] : memcache.hosts()) {
     hot_restart::HostRecord record = to_record(host);
     if (host.born) record.time_since_start = memcache.pool().age_of(id);
