--- a/src/cluster/router.cc
+++ b/src/cluster/router.cc
@@ -131,8 +131,8 @@
 
 // ---- Placement
 
-void Router::insert(const std::vector<Member>& members) {
-  for (const Member& m : members) {
+void Router::insert(const std::vector<PlacedHost>& members) {
+  for (const PlacedHost& m : members) {
     const auto node = table_.find(m.id);
     if (!node) continue;
     if (hosts_.size() <= *node) hosts_.resize(*node + 1u);
--- a/src/cluster/router.h
+++ b/src/cluster/router.h
@@ -61,10 +61,10 @@
 
   // ---- Placement
 
-  void insert(const std::vector<Member>& members) override;
+  void insert(const std::vector<PlacedHost>& members) override;
   void erase(const std::set<Host>& hosts) override;
   std::uint64_t point(std::string_view key) const override;  // its slot in the low 14 bits
-  bool pinned() const override { return true; }
+  bool keys_are_sticky() const override { return true; }
   bool walk(std::uint64_t point, RequestId request, Accept accept) const override;
 
   // ---- the slots
--- a/src/dispatch/server_pool.cc
+++ b/src/dispatch/server_pool.cc
@@ -188,11 +188,11 @@
 void ServerPool::look() {
   if (!stall_guard_ || !stall_guard_->observe(now())) return;
   confirm_();
-  hold_timer_.expires_at(clock_.steady(stall_guard_->until()));
+  hold_timer_.expires_at(clock_.steady(stall_guard_->hold_until()));
   hold_timer_.async_wait([this](const error_code& e) {
     if (e) return;
     look();
-    if (stall_guard_->on_hold_over(now())) let_go("no list came; what was known goes on");
+    if (stall_guard_->on_hold_expired(now())) let_go("no list came; what was known goes on");
   });
 }
 
@@ -207,8 +207,8 @@
 void ServerPool::let_go(const char* why) {
   hold_timer_.cancel();
   const auto held = std::exchange(held_, {});
-  log_("stood still for " + ms(stall_guard_->stood_still()) + "; " + why + " after " +
-       ms(now() - stall_guard_->woken()) + ", " + std::to_string(held.size()) +
+  log_("stood still for " + ms(stall_guard_->last_stall()) + "; " + why + " after " +
+       ms(now() - stall_guard_->resumed_at()) + ", " + std::to_string(held.size()) +
        " attempt(s) held back");
   for (const AttemptPtr& attempt : held)
     on_end(attempt,
@@ -220,7 +220,7 @@
 void ServerPool::submit(const std::shared_ptr<ResponseSink>& caller, ResponseSlot ticket,
                         RequestSpec ask) {
   look();
-  const Duration unnoticed = stall_guard_ ? stall_guard_->unnoticed(now()) : Duration{0};
+  const Duration unnoticed = stall_guard_ ? stall_guard_->unnoticed_age(now()) : Duration{0};
   if (unnoticed >= ask.budget ||
       (site_.max_held > 0 && open_ >= static_cast<std::size_t>(site_.max_held)) ||
       !caller->may_forward() || !caller->is_connected()) {
@@ -374,7 +374,7 @@
     entries.push_back(
         {host.id, start_of(host), host.origin, host.zone, host.cell, host.state, host.weight});
   }
-  policy_.on_hosts(now(), list.whole ? ListKind::kWhole : ListKind::kChanges, entries);
+  policy_.on_hosts(now(), list.whole ? ListKind::kComplete : ListKind::kChanges, entries);
   upstreams_.review();
   forget_finished();
 }
--- a/src/fleet_simulation/plant.cc
+++ b/src/fleet_simulation/plant.cc
@@ -310,7 +310,7 @@
       settings_, testbed::Random(scenario_.seed * 1000 + index(b), index(balancer.life)).next(),
       now_, balancer);
   balancer.listed = true;
-  balancer.policy->on_hosts(now_, ListKind::kWhole, whole_list());
+  balancer.policy->on_hosts(now_, ListKind::kComplete, whole_list());
 }
 
 // What it had out runs on at the hosts; its clients see their connections end.
--- a/src/hosts/host_registry.cc
+++ b/src/hosts/host_registry.cc
@@ -17,103 +17,115 @@
 
 std::vector<HostRegistry::HostChange> HostRegistry::on_list(ListKind kind,
                                                             const std::vector<HostEntry>& entries) {
-  std::vector<HostChange> news;
-  if (kind == ListKind::kRejected) return news;
+  std::vector<HostChange> changes;
+  if (kind == ListKind::kRejected) return changes;
   ++lists_;
-  for (const HostEntry& e : entries) {
-    const auto [index, is_new] = hosts_.insert(e.id);
-    Host& host = hosts_[index];
-    host.id = e.id;
-    host.listed = lists_;
-    const bool was_placed = host.placed();
-    host.origin = e.origin;
-    host.zone = e.zone;
-    host.cell = e.cell;
-    host.state = e.state;
-    take_start(index, e.start, news);
-    const auto word = is_new ? overrides_.find(e.id) : overrides_.end();
-    if (word != overrides_.end()) heed(index, word->second, news);
-    if (host.placed() && !was_placed) {
-      if (weights_) host.weight = bounded_weight(e.weight);
-      news.push_back({HostChange::Kind::kJoined, index});
-    } else if (was_placed && !host.placed()) {
-      news.push_back({HostChange::Kind::kLeft, index});
-    }
+  for (const HostEntry& entry : entries) apply_entry(entry, changes);
+  remove_unlisted(kind, changes);
+  return changes;
+}
+
+void HostRegistry::apply_entry(const HostEntry& entry, std::vector<HostChange>& changes) {
+  const auto [index, is_new] = hosts_.insert(entry.id);
+  Host& host = hosts_[index];
+  host.id = entry.id;
+  host.last_list = lists_;
+  const bool was_placed = host.is_placed();
+  host.origin = entry.origin;
+  host.zone = entry.zone;
+  host.cell = entry.cell;
+  host.state = entry.state;
+  apply_start(index, entry.start, changes);
+  const auto known_override = is_new ? overrides_.find(entry.id) : overrides_.end();
+  if (known_override != overrides_.end()) apply_override(index, known_override->second, changes);
+  if (host.is_placed() && !was_placed) {
+    if (use_weights_) host.weight = bounded_weight(entry.weight);
+    changes.push_back({HostChange::Kind::kJoined, index});
+  } else if (was_placed && !host.is_placed()) {
+    changes.push_back({HostChange::Kind::kLeft, index});
   }
-  placed_weight_ = 0;
+}
+
+void HostRegistry::remove_unlisted(ListKind kind, std::vector<HostChange>& changes) {
+  total_weight_ = 0;
   for (Index i = 0; i < hosts_.size(); ++i) {
     Host& host = hosts_[i];
-    if (kind == ListKind::kWhole && host.listed != lists_ && host.state != HostState::kGone) {
-      if (!host.origin) news.push_back({HostChange::Kind::kLeft, i});
+    const bool is_unlisted = kind == ListKind::kComplete && host.last_list != lists_;
+    if (is_unlisted && host.state != HostState::kGone) {
+      if (!host.origin) changes.push_back({HostChange::Kind::kLeft, i});
       host.state = HostState::kGone;
     }
-    if (host.placed()) placed_weight_ += host.weight;
-    if (forget_if_gone(i)) news.push_back({HostChange::Kind::kForgotten, i});
+    if (host.is_placed()) total_weight_ += host.weight;
+    if (forget_if_gone(i)) changes.push_back({HostChange::Kind::kForgotten, i});
   }
-  return news;
 }
 
-void HostRegistry::take_start(Index i, const std::optional<HostStart>& start,
-                              std::vector<HostChange>& news) {
+void HostRegistry::apply_start(Index i, const std::optional<HostStart>& start,
+                               std::vector<HostChange>& changes) {
   Host& host = hosts_[i];
-  const bool same = start ? host.born() == start->born : !host.start;
-  if (!same) {
+  const bool is_same = start ? host.born() == start->born : !host.start;
+  if (!is_same) {
     host.start = start;
-    if (start) news.push_back({HostChange::Kind::kStarted, i, start->at});
+    if (start) changes.push_back({HostChange::Kind::kStarted, i, start->at});
   } else if (start && start->at < host.start->at) {
     host.start = start;
-    // One that was called back has started since, whatever its list still says.
-    if (!overrides_.contains(host.id)) news.push_back({HostChange::Kind::kOlder, i, start->at});
+    // One that was returned to service has started since, whatever its list still says.
+    if (!overrides_.contains(host.id))
+      changes.push_back({HostChange::Kind::kStartedEarlier, i, start->at});
   }
 }
 
-// Facts beside the lists': a host is used only where both allow it, and leaving a list or coming
-// back on one changes nothing.
+// Overrides stand beside the lists: a host is used only where both allow it, and leaving a list or
+// returning to one changes nothing.
 std::vector<HostRegistry::HostChange> HostRegistry::restore(std::string_view id,
-                                                            OperatorOverride word) {
-  std::vector<HostChange> news;
-  if (overrides_.size() >= kMaxOverrides && !overrides_.contains(id)) return news;
-  overrides_.insert_or_assign(std::string(id), word);
-  if (const auto listed = hosts_.find(id)) heed(*listed, word, news);
-  return news;
+                                                            OperatorOverride operator_override) {
+  std::vector<HostChange> changes;
+  if (overrides_.size() >= kMaxOverrides && !overrides_.contains(id)) return changes;
+  overrides_.insert_or_assign(std::string(id), operator_override);
+  if (const auto listed = hosts_.find(id)) apply_override(*listed, operator_override, changes);
+  return changes;
 }
 
-bool HostRegistry::may_speak_of(Time now, std::string_view id) {
-  std::erase_if(overrides_,
-                [&](const auto& w) { return !w.second.out && now - w.second.at > remembered_; });
+bool HostRegistry::accepts_override(Time now, std::string_view id) {
+  std::erase_if(overrides_, [&](const auto& entry) {
+    const OperatorOverride& known = entry.second;
+    return !known.out_of_service && now - known.since > override_retention_;
+  });
   if (overrides_.contains(id)) return true;
   const auto listed = hosts_.find(id);
   return listed && !hosts_[*listed].origin && overrides_.size() < kMaxOverrides;
 }
 
-bool HostRegistry::differs(std::string_view id, bool out) const {
-  const auto word = overrides_.find(id);
-  return out != (word != overrides_.end() && word->second.out);
+bool HostRegistry::differs_from_override(std::string_view id, bool out_of_service) const {
+  const auto known = overrides_.find(id);
+  return out_of_service != (known != overrides_.end() && known->second.out_of_service);
 }
 
-// One that comes back was restarted meanwhile, also where no list has told so: it is cold, and what
-// was learnt of the old process must not keep it unused.
-void HostRegistry::heed(Index i, const OperatorOverride& word, std::vector<HostChange>& news) {
+// A host that returns to service was restarted meanwhile, also where no list has said so: it is in
+// slow start, and what was learnt of the old process must not keep it unused.
+void HostRegistry::apply_override(Index i, const OperatorOverride& operator_override,
+                                  std::vector<HostChange>& changes) {
   Host& host = hosts_[i];
-  host.out = word.out;
-  if (word.out) {
-    news.push_back({HostChange::Kind::kTakenOut, i});
+  host.out_of_service = operator_override.out_of_service;
+  if (host.out_of_service) {
+    changes.push_back({HostChange::Kind::kTakenOutOfService, i});
   } else {
-    const Time listed = host.start ? host.start->at : word.at;
-    news.push_back({HostChange::Kind::kCalledBack, i, std::max(word.at, listed)});
+    const Time listed_start = host.start ? host.start->at : operator_override.since;
+    changes.push_back(
+        {HostChange::Kind::kReturnedToService, i, std::max(operator_override.since, listed_start)});
   }
 }
 
 bool HostRegistry::release(Index i) {
-  --hosts_[i].held;
+  --hosts_[i].references;
   return forget_if_gone(i);
 }
 
 // In a fleet whose hosts are always new the table would grow for as long as the balancer runs. A
-// host that comes back under its id is told from its start like any other.
+// host that returns under its id is known from its start like any other.
 bool HostRegistry::forget_if_gone(Index i) {
   const Host& host = hosts_[i];
-  if (host.state != HostState::kGone || host.held > 0 || host.id.empty()) return false;
+  if (host.state != HostState::kGone || host.references > 0 || host.id.empty()) return false;
   hosts_.erase(std::string(host.id));
   return true;
 }
--- a/src/node/balancer.cc
+++ b/src/node/balancer.cc
@@ -465,7 +465,7 @@
 std::vector<hot_restart::OperatorOverride> Balancer::overrides() const {
   std::vector<hot_restart::OperatorOverride> all;
   for (const auto& [id, word] : memcache_->pool.overrides())
-    all.push_back({id, word.out, clock_.now() - word.at});
+    all.push_back({id, word.out_of_service, clock_.now() - word.since});
   return all;
 }
 
@@ -479,8 +479,8 @@
   if (!hot_restart_) return true;
   const auto& all = memcache_->pool.overrides();
   if (const auto w = all.find(host); w != all.end())
-    hot_restart_->tell(
-        hot_restart::OperatorOverride{w->first, w->second.out, clock_.now() - w->second.at});
+    hot_restart_->tell(hot_restart::OperatorOverride{w->first, w->second.out_of_service,
+                                                     clock_.now() - w->second.since});
   hot_restart::Snapshot kept;
   kept.overrides = overrides();
   hot_restart_->persist_overrides(std::move(kept));
--- a/src/policy/fleet_slow_start.cc
+++ b/src/policy/fleet_slow_start.cc
@@ -15,7 +15,7 @@
   const HostRegistry::Host& host = hosts_[index];
   if (host.origin) return true;
   const double normal_rate =
-      hosts_.weight() > 0 ? cache_work_.rate(now) * host.weight / hosts_.weight() : 0;
+      hosts_.total_weight() > 0 ? cache_work_.rate(now) * host.weight / hosts_.total_weight() : 0;
   return starts_[index].has_budget(now, rule_, work, normal_rate);
 }
 
--- a/src/policy/hash_ring.h
+++ b/src/policy/hash_ring.h
@@ -10,25 +10,25 @@
 
 namespace balancer {
 
-// A consistent hash ring with virtual nodes. The points follow from host ids and static weights
-// alone: balancers that know the same hosts build the same ring, and a host that comes or goes
-// moves only the keys it gains or leaves.
+// A consistent hash ring with virtual nodes. The nodes follow from host ids and static weights
+// alone: balancers that know the same hosts build the same ring, and a host that joins or leaves
+// moves only its own keys.
 class HashRing : public Placement {
  public:
-  void insert(const std::vector<Member>& members) override;
+  void insert(const std::vector<PlacedHost>& members) override;
   void erase(const std::set<Host>& hosts) override;
   std::uint64_t point(std::string_view key) const override { return stable_hash(key); }
-  // In ring order from the point, whoever asks.
+  // In ring order from the point, the same for every request.
   bool walk(std::uint64_t point, std::uint64_t request, Accept accept) const override;
 
  private:
-  struct Point {
-    std::uint64_t at;
+  struct VirtualNode {
+    std::uint64_t position;
     Host host;
-    auto operator<=>(const Point&) const = default;
+    auto operator<=>(const VirtualNode&) const = default;
   };
 
-  std::vector<Point> points_;  // sorted
+  std::vector<VirtualNode> nodes_;  // sorted by position
   std::size_t hosts_ = 0;
 };
 
--- a/src/policy/host_selector.cc
+++ b/src/policy/host_selector.cc
@@ -78,7 +78,7 @@
   // going one way would leave a host overloaded by that key alone. So too where keys are sticky:
   // nothing is cached elsewhere, and the same ones would be rejected again and again.
   bool hands_on(HostIndex index, double rank) const {
-    const bool by_request = query_.spread > 1 || sources_.placement.pinned();
+    const bool by_request = query_.spread > 1 || sources_.placement.keys_are_sticky();
     const double position = by_request ? sources_.random.next() : rank;
     return position >= sources_.outliers[index].load_factor(query_.now);
   }
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -8,27 +8,29 @@
 
 namespace balancer {
 
-// Offers the hosts that may hold a key, in order. The policy chooses among them.
+// Offers the cache hosts that may hold a key, in order of preference. The policy chooses among
+// them.
 class Placement {
  public:
-  using Host = std::uint32_t;
-  struct Member {
+  using Host = std::uint32_t;  // index in the host registry
+  struct PlacedHost {
     Host host;
     std::string_view id;
-    double weight;
+    double weight;  // relative size
   };
 
-  // Refers to the caller's function, which is given a host and says whether it takes it. Lives no
-  // longer than the call that it is made for.
+  // A reference to the caller's function, which is given a candidate and returns whether to stop
+  // there. Valid only during the call that it is passed to.
   class Accept {
    public:
     // The constraint keeps it from hiding the copy constructor, which clang-tidy 14 does not see.
-    // NOLINTNEXTLINE(bugprone-forwarding-reference-overload)
+    // NOLINTBEGIN(bugprone-forwarding-reference-overload)
     template <typename F>
     requires(!std::is_same_v<std::remove_cvref_t<F>, Accept>) Accept(F&& f)
         : f_(&f), call_([](void* g, Host host) {
             return (*static_cast<std::remove_reference_t<F>*>(g))(host);
           }) {}
+    // NOLINTEND(bugprone-forwarding-reference-overload)
     bool operator()(Host host) const { return call_(f_, host); }
 
    private:
@@ -37,14 +39,16 @@
   };
 
   virtual ~Placement() = default;
-  virtual void insert(const std::vector<Member>& members) = 0;
-  virtual void erase(const std::set<Host>& hosts) = 0;  // all of them members
-  // Where a key lies; the same at every balancer.
+  virtual void insert(const std::vector<PlacedHost>& joined) = 0;
+  // All of them were inserted.
+  virtual void erase(const std::set<Host>& hosts) = 0;
+  // The position of a key; the same at every balancer.
   virtual std::uint64_t point(std::string_view key) const = 0;
-  // Whether none but the hosts that are offered for a key can serve it. Where any could after a
-  // miss, a host that hands keys on hands on the same ones always.
-  virtual bool pinned() const { return false; }
-  // Offers each host once until one is taken; false if none is. `request`: who asks.
+  // Whether only the hosts that are offered for a key can serve it. Else any host could after a
+  // miss, and an overloaded host always hands on the same keys.
+  virtual bool keys_are_sticky() const { return false; }
+  // Offers each host at most once until `accept` returns true; false if it never does. `request`:
+  // the id of the request, for placements that distribute requests of one key.
   virtual bool walk(std::uint64_t point, std::uint64_t request, Accept accept) const = 0;
 };
 
--- a/src/policy/policy.cc
+++ b/src/policy/policy.cc
@@ -87,7 +87,7 @@
   using Kind = HostRegistry::HostChange::Kind;
   outliers_.resize(host_registry_.size());
   slow_start_.resize();
-  std::vector<Placement::Member> joined;
+  std::vector<Placement::PlacedHost> joined;
   std::set<HostIndex> left;
   for (const HostRegistry::HostChange& change : changes) {
     apply(change);
@@ -105,16 +105,16 @@
 void Policy::apply(const HostRegistry::HostChange& change) {
   using Kind = HostRegistry::HostChange::Kind;
   switch (change.kind) {
-    case Kind::kCalledBack:
+    case Kind::kReturnedToService:
     case Kind::kStarted:
       outliers_[change.host].on_restart();
       slow_start_.on_start(change.host, change.at, random_.next());
-      if (change.kind == Kind::kCalledBack) sink_.close_idle(host_registry_[change.host].id);
+      if (change.kind == Kind::kReturnedToService) sink_.close_idle(host_registry_[change.host].id);
       break;
-    case Kind::kOlder:
+    case Kind::kStartedEarlier:
       slow_start_.on_earlier_start(change.host, change.at);
       break;
-    case Kind::kTakenOut:
+    case Kind::kTakenOutOfService:
       sink_.close_idle(host_registry_[change.host].id);
       break;
     case Kind::kForgotten:
@@ -128,8 +128,8 @@
 }
 
 bool Policy::on_maintenance(Time now, std::string_view id, bool out) {
-  if (!host_registry_.may_speak_of(now, id)) return false;
-  if (host_registry_.differs(id, out)) restore(now, id, {out, now});
+  if (!host_registry_.accepts_override(now, id)) return false;
+  if (host_registry_.differs_from_override(id, out)) restore(now, id, {out, now});
   return true;
 }
 
@@ -153,8 +153,8 @@
 // ones and to the origin.
 void Policy::restore(Time now, const PolicyCheckpoint& from) {
   slow_start_.restore_work_rate(now, from.work_rate);
-  origin_admission_.resume(from.origin);
-  cache_admission_.resume(from.caches);
+  origin_admission_.restore(from.origin);
+  cache_admission_.restore(from.caches);
   for (const auto& [id, factor] : from.load_factors)
     if (const auto listed = host_registry_.find(id))
       outliers_[*listed].restore_load_factor(now, factor);
--- a/src/recovery/discovery_poll_scheduler.cc
+++ b/src/recovery/discovery_poll_scheduler.cc
@@ -8,37 +8,37 @@
 
 using std::chrono::milliseconds;
 
-// A watch that has fallen silent looks like one with no news until its wait is over. Where a call
-// costs nothing the wait is short, so that a drain is heard of well within its grace all the same.
+// A watch whose connection hangs looks like one without changes until its wait is over. Where a
+// call costs nothing the wait is short, so that a drain is known well within its grace period.
 constexpr milliseconds kPushedWait{1000};
 constexpr milliseconds kRequestWait{5000};
-// Of a watch behind one that was turned away: the service that is back may count its versions anew,
-// and says so only at the end of the wait.
-constexpr milliseconds kWaitAfterRefusal{2000};
-// So long may pass without a sign of the service, behind the wait. A service that works through
-// calls in turn may take its time-out of 2 s for a whole list; the answer to a watch costs it
-// little, and there must be time for a call after one that is given up.
-constexpr milliseconds kPushedPatience{500};
-constexpr milliseconds kWholePatience{2000};
-constexpr milliseconds kWatchPatience{1000};
+// Of a watch after a rejected one: the service that is back may have restarted its versions, and
+// says so only at the end of the wait.
+constexpr milliseconds kWaitAfterRejection{2000};
+// Time without a byte from the service, beyond the wait, after which a call is cancelled. A service
+// that serves calls in turn may take its time-out of 2 s for a complete list; the answer to a watch
+// costs it little, and there must be time for a call after a cancelled one.
+constexpr milliseconds kPushedTimeout{500};
+constexpr milliseconds kCompleteListTimeout{2000};
+constexpr milliseconds kWatchTimeout{1000};
 // An answer that comes slowly is read for so long: a list of megabytes passes, and one that never
 // ends leaves time for another call.
-constexpr milliseconds kLongestAnswer{3000};
-// A watch on request ends so long behind its wait, come what may.
-constexpr milliseconds kLongestWatch{1500};
+constexpr milliseconds kMaxAnswerTime{3000};
+// A watch of a polled service ends so long after its wait in any case.
+constexpr milliseconds kMaxWatchOverrun{1500};
 // A watch calls once a second where nothing happens. While discovery is away the fleet calls twice
-// as often as that, and no more in any moment: what failed for one has most likely failed for all.
-constexpr milliseconds kMinRetry{250};
-constexpr milliseconds kMaxRetry{750};
+// as often as that, and evenly: what failed for one balancer has most likely failed for all.
+constexpr milliseconds kMinRetryInterval{250};
+constexpr milliseconds kMaxRetryInterval{750};
 // Answers that come at once and hold nothing new must not become a busy loop. The next call of a
 // watch has 200 ms.
-constexpr milliseconds kPause{50};
+constexpr milliseconds kMinCallInterval{50};
 
 }  // namespace
 
 DiscoveryPollScheduler::DiscoveryPollScheduler(Mode mode, std::uint64_t known_seq,
                                                std::uint64_t seed)
-    : mode_(mode), retries_(kMinRetry, kMaxRetry), random_(seed), seq_(known_seq) {}
+    : mode_(mode), retries_(kMinRetryInterval, kMaxRetryInterval), random_(seed), seq_(known_seq) {}
 
 bool DiscoveryPollScheduler::start(Time now) {
   if (std::exchange(running_, true)) return false;
@@ -52,7 +52,7 @@
 }
 
 void DiscoveryPollScheduler::restart(Time now) {
-  whole_next_ = true;
+  complete_list_next_ = true;
   retries_.on_success();
   call_at(running_ ? now : Time::max());
 }
@@ -67,28 +67,26 @@
   return phase_ == Phase::kIdle ? Step::kCall : Step::kCancelCall;
 }
 
-Time DiscoveryPollScheduler::next() const {
-  return phase_ == Phase::kIdle ? call_at_ : give_up_at_;
-}
+Time DiscoveryPollScheduler::next() const { return phase_ == Phase::kIdle ? call_at_ : cancel_at_; }
 
 DiscoveryPollScheduler::Call DiscoveryPollScheduler::begin(Time now, bool connected) {
-  call_ = {whole_next_, seq_, Duration{0}};
+  call_ = {complete_list_next_, seq_, Duration{0}};
   if (!call_.whole) call_.wait = wait();
-  begun_ = now;
+  call_began_at_ = now;
   phase_ = Phase::kConnecting;
-  give_up_at_ = now + patience();
+  cancel_at_ = now + answer_timeout();
   if (connected) await_answer(now);
   return call_;
 }
 
 Duration DiscoveryPollScheduler::wait() const {
   if (mode_ == Mode::kPushed) return kPushedWait;
-  return was_rejected_ ? kWaitAfterRefusal : kRequestWait;
+  return was_rejected_ ? kWaitAfterRejection : kRequestWait;
 }
 
-Duration DiscoveryPollScheduler::patience() const {
-  if (mode_ == Mode::kPushed) return kPushedPatience;
-  return call_.whole ? kWholePatience : kWatchPatience;
+Duration DiscoveryPollScheduler::answer_timeout() const {
+  if (mode_ == Mode::kPushed) return kPushedTimeout;
+  return call_.whole ? kCompleteListTimeout : kWatchTimeout;
 }
 
 void DiscoveryPollScheduler::on_connected(Time now) {
@@ -97,52 +95,53 @@
 
 void DiscoveryPollScheduler::await_answer(Time now) {
   phase_ = Phase::kWaiting;
-  give_up_at_ = now + call_.wait + patience();
+  cancel_at_ = now + call_.wait + answer_timeout();
 }
 
 void DiscoveryPollScheduler::on_answer_bytes(Time now) {
   if (phase_ == Phase::kIdle) return;
-  if (phase_ != Phase::kReading) answer_begun_ = now;
+  if (phase_ != Phase::kReading) answer_began_at_ = now;
   phase_ = Phase::kReading;
-  give_up_at_ = std::min(now + patience(), answer_begun_ + kLongestAnswer);
+  cancel_at_ = std::min(now + answer_timeout(), answer_began_at_ + kMaxAnswerTime);
   if (mode_ == Mode::kOnRequest && !call_.whole)
-    give_up_at_ = std::min(give_up_at_, begun_ + call_.wait + kLongestWatch);
+    cancel_at_ = std::min(cancel_at_, call_began_at_ + call_.wait + kMaxWatchOverrun);
 }
 
 bool DiscoveryPollScheduler::on_list(std::uint64_t seq, bool whole) {
-  const bool counts = whole || seq > seq_;
-  // A service that is behind what it has told counts its versions anew. A watch on the old version
-  // would never hear of anything.
-  whole_next_ = !whole && seq < seq_;
-  if (counts) seq_ = seq;
-  has_news_ = counts;
-  return counts;
+  const bool applies = whole || seq > seq_;
+  // A service whose version is behind what it sent before has restarted its versions. A watch on
+  // the old version would never receive a change.
+  complete_list_next_ = !whole && seq < seq_;
+  if (applies) seq_ = seq;
+  has_changes_ = applies;
+  return applies;
 }
 
 Duration DiscoveryPollScheduler::on_answered(Time now) {
-  const Duration took = now - begun_;
+  const Duration took = now - call_began_at_;
   was_rejected_ = false;
   retries_.on_success();
-  call_at(has_news_ || took > kPause ? now : now + kPause);
+  call_at(has_changes_ || took > kMinCallInterval ? now : now + kMinCallInterval);
   return took;
 }
 
 bool DiscoveryPollScheduler::on_failure(Time now, Failure failure) {
-  const bool was_silent_watch = phase_ != Phase::kIdle && !call_.whole && now >= give_up_at_;
+  const bool was_hung_watch = phase_ != Phase::kIdle && !call_.whole && now >= cancel_at_;
   if (mode_ == Mode::kPushed) {
-    // What the broken call would have told may have been told: the whole list leaves no doubt.
-    whole_next_ = true;
+    // The service may take the changes of the failed call for sent: the complete list leaves no
+    // doubt.
+    complete_list_next_ = true;
     std::uniform_real_distribution<double> chance(0, 1);
     const double first = chance(random_), second = chance(random_);
     call_at(now + retries_.after_failure(first, second));
     return true;
   }
   was_rejected_ = failure == Failure::kRejected;
-  // A service that counts its versions anew would keep a watch on the old one waiting for ever. The
-  // whole list costs it more than changes do, so not where it only turned the call away.
-  whole_next_ = whole_next_ || failure == Failure::kBroken;
-  // Watches begin at different times, so that those which fell silent together do not end together.
-  running_ = was_silent_watch;
+  // A service that has restarted its versions would keep a watch on the old one waiting forever.
+  // The complete list costs it more than changes do, so not where it only rejected the call.
+  complete_list_next_ = complete_list_next_ || failure == Failure::kBroken;
+  // Watches begin at different times, so that those which hang together do not end together.
+  running_ = was_hung_watch;
   call_at(running_ ? now : Time::max());
   return running_;
 }
--- a/src/recovery/host_age_estimator.h
+++ b/src/recovery/host_age_estimator.h
@@ -9,11 +9,11 @@
 // Turns the Unix times at which cache hosts say they started into times of this process's monotonic
 // clock, without trusting the wall clock of this machine, which may be wrong by any amount.
 //
-// What is certain is one-sided: nobody has started in the future, so each start that is told proves
-// that the true Unix time is that much or more. The greatest such lower bound makes a host at most
-// as old as it is. Too young is the safe side: it costs a host at most one slow start, where too
-// old pushes a cold one over. A host is never younger than the time since it was first heard of, so
-// that each warms in time, however wrong the clocks are. docs/design/recovery.md
+// What is certain is one-sided: no host has started in the future, so each listed start proves that
+// the true Unix time is that much or more. The greatest such lower bound makes a host at most as
+// old as it is. Too young is the safe side: it costs a host at most one slow start, where too old
+// overloads a host that is warming up. A host is never younger than the time since it was first
+// listed, so that each warms up in time, however wrong the clocks are. docs/design/recovery.md
 //
 // No I/O, no clock: times come with each call.
 class HostAgeEstimator {
@@ -25,6 +25,7 @@
   // It was `unix_time` or later at `now`: a host had started by then, or a service's clock said so.
   void on_unix_time(Time now, UnixTime unix_time);
   // When a host that says it was born at `born` started, as far as is known; not after `now`.
+  // Without any Unix time known, `now`.
   Time started(Time now, UnixTime born) const;
 
  private:
--- a/src/recovery/retry_schedule.cc
+++ b/src/recovery/retry_schedule.cc
@@ -5,13 +5,12 @@
 
 namespace balancer::recovery {
 
-Duration RetrySchedule::after_failure(double chance, double second_chance) {
-  const double a = seconds(min_), b = seconds(max_);
-  if (std::exchange(failing_, true)) return from_seconds(a + chance * (b - a));
-  // The interval that one comes into is a long one the more likely the longer it is, and any moment
-  // of it is as likely as another.
-  const double interval = std::sqrt(a * a + chance * (b * b - a * a));
-  return from_seconds(second_chance * interval);
+Duration RetrySchedule::after_failure(double draw, double second_draw) {
+  const double min = seconds(min_), max = seconds(max_);
+  if (std::exchange(is_failing_, true)) return from_seconds(min + draw * (max - min));
+  // The interval at a random moment is length-biased, and the moment is uniform within it.
+  const double interval = std::sqrt(min * min + draw * (max * max - min * min));
+  return from_seconds(second_draw * interval);
 }
 
 }  // namespace balancer::recovery
--- a/src/recovery/stall_guard.cc
+++ b/src/recovery/stall_guard.cc
@@ -8,28 +8,29 @@
 bool StallGuard::observe(Time now) {
   const Time before = std::exchange(observed_at_, std::max(observed_at_, now));
   const Duration gap = now - before;
-  if (gap < bounds_.still) return false;
-  // A process that gets to run for moments only would hold for ever, were each standstill worth a
-  // whole hold: what was left of the last one is.
-  const Duration left = is_holding() ? std::max(Duration{0}, until_ - before) : bounds_.hold;
-  gap_ = gap;
-  woken_ = now;
-  until_ = now + left;
+  if (gap < bounds_.stall_threshold) return false;
+  // A process that gets to run for moments only would hold forever if each stall allowed a whole
+  // hold, so it goes on with the rest of the last one.
+  const Duration hold_left =
+      is_holding() ? std::max(Duration{0}, hold_until_ - before) : bounds_.max_hold;
+  last_stall_ = gap;
+  resumed_at_ = now;
+  hold_until_ = now + hold_left;
   stage_ = Stage::kAwaitingRefresh;
-  ++standstills_;
+  ++stalls_;
   return true;
 }
 
-bool StallGuard::on_discovery_answer(Time asked) {
-  // What had been asked for before the standstill may have been answered then, too.
-  if (stage_ == Stage::kFresh || asked < woken_) return false;
-  const bool held = is_holding();
+bool StallGuard::on_discovery_answer(Time called_at) {
+  // A call from before the stall may have been answered then, too.
+  if (stage_ == Stage::kFresh || called_at < resumed_at_) return false;
+  const bool was_holding = is_holding();
   stage_ = Stage::kFresh;
-  return held;
+  return was_holding;
 }
 
-bool StallGuard::on_hold_over(Time now) {
-  if (!is_holding() || now < until_) return false;
+bool StallGuard::on_hold_expired(Time now) {
+  if (!is_holding() || now < hold_until_) return false;
   stage_ = Stage::kStale;
   return true;
 }
--- a/src/recovery/stall_guard.h
+++ b/src/recovery/stall_guard.h
@@ -4,58 +4,61 @@
 
 namespace balancer::recovery {
 
-// Whether what an instance knows of its surroundings may still be acted on. A process that was
-// stopped, or whose machine stood still, goes on with the list that it had, and with requests that
-// came meanwhile: what it decides in its first milliseconds rests on facts that are as old as its
-// standstill. It finds out by the gap between two looks, holds what it would send until discovery
-// has answered a call that was made since, and goes on as it is where none comes in time. No I/O,
-// no threads, no clock of its own. docs/design/recovery.md
+// Whether what a process knows of its surroundings may still be acted on. A process that was
+// stopped, or whose machine was suspended (a stall), goes on with the host list that it had and
+// with requests that came meanwhile: its first decisions would rest on facts that are as old as the
+// stall. The guard detects a stall by the gap between two observations, holds what the process
+// would send until discovery has answered a call that was made since, and lets it go on with what
+// it has where no answer comes in time. No I/O, no threads, no clock of its own.
+// docs/design/recovery.md
 class StallGuard {
  public:
   struct Bounds {
-    Duration still = std::chrono::seconds(1);  // no look for so long is a standstill
-    // So long, of the time in which it runs, it may hold at most.
-    Duration hold = std::chrono::milliseconds(250);
-    // What is read for so long after it may have lain there all the time.
-    Duration settle = std::chrono::milliseconds(50);
+    // A gap between two observations from which on it is a stall. Default: 1 s.
+    Duration stall_threshold = std::chrono::seconds(1);
+    // Longest hold, in time in which the process runs. Default: 250 ms.
+    Duration max_hold = std::chrono::milliseconds(250);
+    // What is read for so long after a stall may have been waiting during all of it. Default: 50
+    // ms.
+    Duration settle_time = std::chrono::milliseconds(50);
   };
   enum class Stage {
-    kFresh,            // nothing speaks against what is known
-    kAwaitingRefresh,  // it has stood still, and nothing has confirmed what is known
-    kStale             // nor did anything in time: it goes on with what it has
+    kFresh,            // what is known is not in doubt
+    kAwaitingRefresh,  // after a stall, until discovery has answered: holds
+    kStale             // no answer came in time: goes on with what is known
   };
 
   StallGuard(Time now, const Bounds& bounds) : bounds_(bounds), observed_at_(now) {}
   explicit StallGuard(Time now) : StallGuard(now, Bounds()) {}
 
-  // To be called wherever the event loop comes in, and far more often than `still` where nothing
-  // happens. True, once for each standstill: what is known is to be asked for anew.
+  // To be called wherever the event loop comes in, and far more often than `stall_threshold` where
+  // nothing happens. True, once for each stall: discovery has to be called anew.
   bool observe(Time now);
-  // Discovery has answered a call that was made at `asked`. True: what was held may go now. Before
-  // this and the next a look is due: the standstill may be found out here.
-  bool on_discovery_answer(Time asked);
-  // The time of until() has come. True: what was held may go now.
-  bool on_hold_over(Time now);
+  // Discovery has answered a call that was made at `called_at`. True: what was held may be sent.
+  // observe() has to be called before this and on_hold_expired(): the stall may be detected there.
+  bool on_discovery_answer(Time called_at);
+  // The time of hold_until() has come. True: what was held may be sent.
+  bool on_hold_expired(Time now);
 
   // How much older than it looks a request may be that is read now.
-  Duration unnoticed(Time now) const {
-    return standstills_ > 0 && now < woken_ + bounds_.settle ? gap_ : Duration{0};
+  Duration unnoticed_age(Time now) const {
+    return stalls_ > 0 && now < resumed_at_ + bounds_.settle_time ? last_stall_ : Duration{0};
   }
 
   Stage stage() const { return stage_; }
   bool is_holding() const { return stage_ == Stage::kAwaitingRefresh; }
-  Time until() const { return until_; }          // while it holds: when it ends at the latest
-  Duration stood_still() const { return gap_; }  // the last time that it did
-  Time woken() const { return woken_; }
-  int standstills() const { return standstills_; }  // since its start
+  Time hold_until() const { return hold_until_; }      // while it holds: its end at the latest
+  Duration last_stall() const { return last_stall_; }  // length of the last stall; 0 before any
+  Time resumed_at() const { return resumed_at_; }      // end of the last stall
+  int stalls() const { return stalls_; }               // since the process started
 
  private:
   const Bounds bounds_;
   Time observed_at_;
-  Time woken_{0}, until_{0};
-  Duration gap_{0};
+  Time resumed_at_{0}, hold_until_{0};
+  Duration last_stall_{0};
   Stage stage_ = Stage::kFresh;
-  int standstills_ = 0;
+  int stalls_ = 0;
 };
 
 }  // namespace balancer::recovery
--- a/src/simulator_adapter/wire.cc
+++ b/src/simulator_adapter/wire.cc
@@ -47,7 +47,8 @@
   out += '"';
 }
 
-class Decisions : public ActionSink {
+// Writes the policy's actions as the wire's decisions.
+class DecisionWriter : public ActionSink {
  public:
   void send(RequestId id, std::string_view host, Time until) override {
     begin("submitTo", id);
@@ -134,24 +135,24 @@
 }  // namespace
 
 struct Wire::Instance {
-  Decisions decisions;
+  DecisionWriter decisions;
   std::optional<SiteSettings> options;
   std::unique_ptr<Policy> policy;  // null before the first provision and after exit
 
   void on_event(Time now, object e);
 
  private:
-  void provision(Time now, object e);
-  void fleet(Time now, object e);
-  void submit(Time now, object e);
-  void completed(Time now, object e);
+  void on_provision(Time now, object e);
+  void on_fleet(Time now, object e);
+  void on_submit(Time now, object e);
+  void on_completed(Time now, object e);
 };
 
 struct Wire::Impl {
   simdjson::dom::parser parser;
 };
 
-void Wire::Instance::provision(Time now, object e) {
+void Wire::Instance::on_provision(Time now, object e) {
   options = read_settings(need<object>(e, "options"));
   const element entropy = need<element>(e, "entropy");
   std::uint64_t seed;
@@ -159,7 +160,7 @@
   policy = std::make_unique<Policy>(options->policy, seed, now, decisions);
 }
 
-void Wire::Instance::fleet(Time now, object e) {
+void Wire::Instance::on_fleet(Time now, object e) {
   const auto kind = need<std::string_view>(e, "kind");
   if (kind == "refused") return policy->on_hosts(now, ListKind::kRejected, {});
   if (kind != "changes" && kind != "all" && kind != "remembered") bad("kind", "is unknown");
@@ -177,42 +178,42 @@
     entry.weight = get_or(r, "scale", 1.0);
     entries.push_back(entry);
   }
-  policy->on_hosts(now, kind == "changes" ? ListKind::kChanges : ListKind::kWhole, entries);
+  policy->on_hosts(now, kind == "changes" ? ListKind::kChanges : ListKind::kComplete, entries);
 }
 
-void Wire::Instance::submit(Time now, object e) {
+void Wire::Instance::on_submit(Time now, object e) {
   constexpr std::int64_t kHintValid = 1, kWrite = 4;
-  Request q;
-  q.id = read_id(e);
-  q.request_class = small(need<std::int64_t>(e, "priority"), "priority",
-                          static_cast<std::int64_t>(options->policy.classes.size()));
-  q.tenant = small(get_or<std::int64_t>(e, "clientGroup", 0), "clientGroup");
+  Request request;
+  request.id = read_id(e);
+  request.request_class = small(need<std::int64_t>(e, "priority"), "priority",
+                                static_cast<std::int64_t>(options->policy.classes.size()));
+  request.tenant = small(get_or<std::int64_t>(e, "clientGroup", 0), "clientGroup");
   const auto bits = get_or<std::int64_t>(e, "stateBits", 0);
-  q.write = (bits & kWrite) != 0;
-  if (const auto key = find(e, "item")) q.key = as<std::string_view>(*key, "item");
+  request.write = (bits & kWrite) != 0;
+  if (const auto key = find(e, "item")) request.key = as<std::string_view>(*key, "item");
   if (const auto hint = find(e, "predicted"); hint && (bits & kHintValid) != 0)
-    q.work = Duration{as<std::int64_t>(*hint, "predicted")};
-  q.time_left = Duration{need<std::int64_t>(e, "budget")};
-  policy->on_request(now, q);
+    request.work = Duration{as<std::int64_t>(*hint, "predicted")};
+  request.time_left = Duration{need<std::int64_t>(e, "budget")};
+  policy->on_request(now, request);
 }
 
-void Wire::Instance::completed(Time now, object e) {
-  Outcome o;
-  o.id = read_id(e);
-  o.attempt = small(need<std::int64_t>(e, "sendNo"), "sendNo");
-  o.result = read_result(need<std::int64_t>(e, "status"));
-  o.finished = need<bool>(e, "complete");
-  policy->on_outcome(now, o);
+void Wire::Instance::on_completed(Time now, object e) {
+  Outcome outcome;
+  outcome.id = read_id(e);
+  outcome.attempt = small(need<std::int64_t>(e, "sendNo"), "sendNo");
+  outcome.result = read_result(need<std::int64_t>(e, "status"));
+  outcome.finished = need<bool>(e, "complete");
+  policy->on_outcome(now, outcome);
 }
 
 void Wire::Instance::on_event(Time now, object e) {
   const auto type = need<std::string_view>(e, "t");
   try {
-    if (type == "provision") return provision(now, e);
+    if (type == "provision") return on_provision(now, e);
     if (!policy) throw WireError("the instance was never provisioned");
-    if (type == "fleet") return fleet(now, e);
-    if (type == "submit") return submit(now, e);
-    if (type == "completed") return completed(now, e);
+    if (type == "fleet") return on_fleet(now, e);
+    if (type == "submit") return on_submit(now, e);
+    if (type == "completed") return on_completed(now, e);
     if (type == "ackFirst") return policy->on_first_byte(now, read_id(e));
     if (type == "withdrawn") return policy->on_withdrawn(now, read_id(e));
     if (type == "wakeup") {
@@ -244,19 +245,19 @@
   bool first = true;
   for (const element group : need<array>(batch, "balancers")) {
     const auto g = as<object>(group, "balancers");
-    const auto who = need<std::int64_t>(g, "who");
-    auto& instance = instances_[who];
+    const auto number = need<std::int64_t>(g, "who");
+    auto& instance = instances_[number];
     if (!instance) instance = std::make_unique<Instance>();
     try {
       for (const element e : need<array>(g, "events"))
         instance->on_event(now, as<object>(e, "events"));
     } catch (const WireError& error) {
-      throw WireError("instance " + std::to_string(who) + ": " + error.what());
+      throw WireError("instance " + std::to_string(number) + ": " + error.what());
     }
     if (instance->decisions.empty()) continue;
     if (!first) reply += ',';
     first = false;
-    reply += "{\"who\":" + std::to_string(who) + ",\"decisions\":[";
+    reply += "{\"who\":" + std::to_string(number) + ",\"decisions\":[";
     reply += instance->decisions.take() + "]}";
   }
   return reply + "]}";
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -9,16 +9,19 @@
 
 namespace balancer::simulator_adapter {
 
-// Input that is not the wire's; what() says what and where.
+// Input that does not follow the wire; what() says which field, where and why.
 using WireError = FieldError;
 
-// Hosts one Policy per instance and translates between it and the wire. It decides nothing.
+// Runs one Policy per simulated balancer and translates between it and the simulator's JSON lines.
+// The wire's field names are mapped to the policy's terms here and nowhere else. It decides
+// nothing.
 class Wire {
  public:
   Wire();
   ~Wire();
 
-  // Takes one batch, returns the reply without its newline.
+  // Takes one batch of events, returns the reply without its newline. Throws WireError; instances
+  // may then have taken a part of the batch.
   std::string handle(std::string_view line);
 
  private:
--- a/tests/admission_controller_test.cc
+++ b/tests/admission_controller_test.cc
@@ -27,7 +27,7 @@
   for (int i = 0; i < n; ++i) gate.on_read(now);
 }
 
-TEST(AdmissionController, StepsAreWorkedOutByHand) {
+TEST(AdmissionControllerTest, StepsAsCalculatedByHand) {
   AdmissionController gate(kTarget, Time{0});
   read(gate, milliseconds(10), 10);  // 40 a second
   one_period(gate, milliseconds(250), milliseconds(220), 4);
@@ -56,7 +56,7 @@
   EXPECT_DOUBLE_EQ(before, 1);
 }
 
-TEST(AdmissionController, OneSlowFetchIsNoSlowOrigin) {
+TEST(AdmissionControllerTest, StaysOpenAfterOneSlowFetch) {
   AdmissionController gate(kTarget, Time{0});
   one_period(gate, milliseconds(500), milliseconds(400), 1);
   EXPECT_DOUBLE_EQ(gate.admit_fraction(), 1);
@@ -66,7 +66,7 @@
 
 // Sent at once, none has come back: the queue shows in the first period, and not once it has been
 // waited for.
-TEST(AdmissionController, AQueueShowsBeforeItsFetchesComeBack) {
+TEST(AdmissionControllerTest, DetectsAQueueBeforeItsFetchesEnd) {
   AdmissionController gate(kTarget, Time{0});
   read(gate, milliseconds(1), 100);
   Time now{0};
@@ -80,7 +80,7 @@
 // The caches are lost behind a gate that is wide open: before any step what is out stays at what
 // all reads would have out at the target. An origin that keeps up is not held back by it, nor one
 // that is busy with more writes than there are reads.
-TEST(AdmissionController, NoMoreIsOutThanAllReadsWouldHaveOutAtTheTarget) {
+TEST(AdmissionControllerTest, BoundsFetchesInFlightByAllReadsAtTheTarget) {
   AdmissionController gate(kTarget, Time{0});
   int out = 0;
   for (int i = 0; i < 50; ++i) {
@@ -115,7 +115,7 @@
 }
 
 // One fetch in two seconds, as a balancer of a large fleet sees: it acts on what is out for long.
-TEST(AdmissionController, ALoneFetchThatTakesLongEnoughIsEvidence) {
+TEST(AdmissionControllerTest, ReactsToALoneFetchThatTakesLongEnough) {
   AdmissionController gate(kTarget, Time{0});
   read(gate, milliseconds(1), 1);
   gate.on_sent(milliseconds(10));
@@ -157,7 +157,7 @@
   std::deque<std::pair<Time, Time>> out;  // sent, done
 };
 
-TEST(AdmissionController, SettlesOnWhatTheOriginDoesAndReopensOnceItDoesMore) {
+TEST(AdmissionControllerTest, SettlesAtTheOriginsCapacityAndReopensOnceThatGrows) {
   Queue q;
   q.run(seconds(10), milliseconds(20));  // 50 a second
   for (int s = 0; s < 10; ++s) {
@@ -172,7 +172,7 @@
 }
 
 // What refused clients ask for again must not open the gate wider: what was done is a share of it.
-TEST(AdmissionController, RepeatsOfWhatWasRefusedDoNotRaiseWhatGoes) {
+TEST(AdmissionControllerTest, DoesNotAdmitMoreWhereRejectedReadsAreRetried) {
   for (const int repeats : {0, 2}) {
     Queue q;
     q.run(seconds(10), milliseconds(20), repeats);
@@ -185,7 +185,7 @@
 
 // The origin falls to a tenth for 20 s, with a second of work in it when it is back: it is not
 // swamped, and all is served again within seconds.
-TEST(AdmissionController, AnOriginThatIsATenthOfItselfForAWhileIsNotSwamped) {
+TEST(AdmissionControllerTest, DoesNotOverloadAnOriginAtATenthOfItsCapacity) {
   Queue q;
   q.run(seconds(5), milliseconds(4));
   q.run(seconds(3), milliseconds(40));
@@ -197,7 +197,7 @@
   EXPECT_EQ(q.run(seconds(1), milliseconds(4)), 200);
 }
 
-TEST(AdmissionController, AChanceHighPointIsNoCeilingForGood) {
+TEST(AdmissionControllerTest, ForgetsAHighPointThatWasChance) {
   AdmissionController gate(kTarget, Time{0});
   Time now{0};
   for (int i = 0; i < 6; ++i) one_period(gate, now += milliseconds(500), milliseconds(500), 4);
@@ -211,14 +211,14 @@
   EXPECT_GT(gate.admit_fraction(), low + 0.1);
 }
 
-TEST(AdmissionController, HungFetchesCloseItWhileStillOut) {
+TEST(AdmissionControllerTest, ClosesWhileHungFetchesAreInFlight) {
   AdmissionController gate(kTarget, Time{0});
   for (int i = 0; i < 4; ++i) gate.on_sent(milliseconds(10));
   gate.advance(seconds(5));
   EXPECT_LT(gate.admit_fraction(), 0.3);
 }
 
-TEST(AdmissionController, FailedFetchesCountAsSlowAndDroppedOnesNotAtAll) {
+TEST(AdmissionControllerTest, CountsFailedFetchesAsSlowAndDroppedOnesNotAtAll) {
   AdmissionController gate(kTarget, Time{0});
   one_period(gate, milliseconds(500), milliseconds(1), 4, true);
   EXPECT_LT(gate.admit_fraction(), 0.9);
@@ -229,7 +229,7 @@
   EXPECT_DOUBLE_EQ(other.admit_fraction(), 1);
 }
 
-TEST(AdmissionController, NoInputMakesItLeaveItsBoundsOrStayShut) {
+TEST(AdmissionControllerTest, StaysWithinItsBoundsAndReopensUnderAnyInput) {
   AdmissionController gate(kTarget, Time{0});
   Time now{0};
   std::uint64_t x = 88172645463325252u;
--- a/tests/cluster_test.cc
+++ b/tests/cluster_test.cc
@@ -153,7 +153,7 @@
   }
   // What the pool does when nodes come or go.
   void list() {
-    std::vector<Placement::Member> joined;
+    std::vector<Placement::PlacedHost> joined;
     const auto nodes = router->nodes();
     for (const auto& node : nodes)
       if (names.try_emplace(node, names.size()).second)
--- a/tests/decision_modules_test.cc
+++ b/tests/decision_modules_test.cc
@@ -141,7 +141,7 @@
     b.cell = 1;
     c.id = "c";
     c.zone = 1;
-    hosts.on_list(ListKind::kWhole, {a, b, c});
+    hosts.on_list(ListKind::kComplete, {a, b, c});
   }
   void set_class(Idempotency idempotency, DeduplicationScope scope) {
     settings.classes = {{milliseconds(300), seconds(1), idempotency, scope, seconds(10)}};
--- a/tests/discovery_poll_scheduler_test.cc
+++ b/tests/discovery_poll_scheduler_test.cc
@@ -211,7 +211,7 @@
       heard_seq_ = seq_;
     }
     // As the node does: an asked service's answer always reaches the policy.
-    policy_.on_hosts(now_, whole ? ListKind::kWhole : ListKind::kChanges, {});
+    policy_.on_hosts(now_, whole ? ListKind::kComplete : ListKind::kChanges, {});
     schedule_.on_answered(now_);
   }
   void hang_up() {
@@ -285,7 +285,7 @@
 
 // The trouble begins at each moment of a watch's wait and lasts from nothing (calls that are out
 // are spoilt, new ones are not) to long enough for every pause to have grown to its longest.
-TEST_P(DiscoveryBound, AChangeIsHeardWithinSixSecondsOfTheServicesReturn) {
+TEST_P(DiscoveryBound, ReceivesAChangeWithinSixSecondsOfTheServicesReturn) {
   const auto [mode, trouble, versions] = GetParam();
   Duration worst = Duration::min();
   for (const Duration max_poll_interval :
@@ -339,7 +339,7 @@
 };
 
 // Troubles of all kinds one behind the other, of any length.
-TEST_P(DiscoveryMode, AnyOrderOfTroublesKeepsTheBound) {
+TEST_P(DiscoveryMode, KeepsTheBoundUnderAnyOrderOfFaults) {
   for (std::uint64_t seed = 1; seed <= 3000; ++seed) {
     Draw draw(GetParam(), seed);
     Simulation simulation(draw.scenario, seed);
@@ -354,7 +354,7 @@
 
 // A new configuration names another address: whatever became of calls to the old one, and whatever
 // its versions were, the new one's list is heard within 4 s.
-TEST_P(DiscoveryMode, BehindAMoveTheNewServiceIsHeardWithinFourSeconds) {
+TEST_P(DiscoveryMode, ReceivesFromAServiceThatMovedWithinFourSeconds) {
   for (std::uint64_t seed = 1; seed <= 3000; ++seed) {
     Draw draw(GetParam(), seed);
     Simulation simulation(draw.scenario, seed);
@@ -374,7 +374,7 @@
 
 // A list of megabytes over a slow link takes longer than silence is borne, and is heard all the
 // same.
-TEST_P(DiscoveryMode, AListThatComesSlowlyButSteadilyIsNotGivenUp) {
+TEST_P(DiscoveryMode, DoesNotCancelAListThatComesSlowlyButSteadily) {
   DiscoveryPollScheduler schedule(GetParam(), 0, 1);
   schedule.start(Time{0});
   schedule.begin(Time{0}, false);
@@ -388,7 +388,7 @@
 }
 
 // What the bound costs: a service that is away is not called in a busy loop, whatever the settings.
-TEST_P(DiscoveryMode, AServiceThatIsAwayIsCalledAtABoundedRate) {
+TEST_P(DiscoveryMode, CallsAServiceThatIsAwayAtABoundedRate) {
   for (const int max_poll_interval : {0, 10, 60}) {
     Scenario scenario;
     scenario.mode = GetParam();
--- a/tests/hash_ring_test.cc
+++ b/tests/hash_ring_test.cc
@@ -30,7 +30,7 @@
   return ring;
 }
 
-TEST(HashRing, SharesKeysEvenly) {
+TEST(HashRingTest, SharesKeysEvenly) {
   const HashRing ring = ring_of({0, 1, 2, 3, 4, 5, 6, 7, 8, 9});
   std::map<HashRing::Host, int> keys;
   for (int k = 0; k < kKeys; ++k) ++keys[owner(ring, k)];
@@ -41,13 +41,13 @@
   }
 }
 
-TEST(HashRing, BalancersThatLearnedHostsInAnotherOrderAgree) {
+TEST(HashRingTest, IsTheSameInWhateverOrderHostsWereInserted) {
   const HashRing a = ring_of({0, 1, 2, 3, 4});
   const HashRing b = ring_of({4, 2, 0, 3, 1});
   for (int k = 0; k < kKeys; ++k) ASSERT_EQ(owner(a, k), owner(b, k));
 }
 
-TEST(HashRing, OnlyTheKeysOfAHostThatGoesMove) {
+TEST(HashRingTest, MovesOnlyTheKeysOfAHostThatLeaves) {
   HashRing ring = ring_of({0, 1, 2, 3, 4});
   std::vector<HashRing::Host> before;
   for (int k = 0; k < kKeys; ++k) before.push_back(owner(ring, k));
@@ -63,7 +63,7 @@
   for (int k = 0; k < kKeys; ++k) ASSERT_EQ(owner(ring, k), before[k]);
 }
 
-TEST(HashRing, WeightScalesTheShareAndOddWeightsDoNoHarm) {
+TEST(HashRingTest, ScalesAHostsPartByItsWeightAndBoundsOddWeights) {
   HashRing ring;
   ring.insert({{0, "a:1", 1.0}, {1, "b:1", 3.0}, {2, "c:1", 0.0}, {3, "d:1", std::stod("nan")}});
   std::map<HashRing::Host, int> keys;
@@ -73,7 +73,7 @@
   EXPECT_GT(keys[3], 0);
 }
 
-TEST(HashRing, WalkOffersEveryHostOnce) {
+TEST(HashRingTest, OffersEveryHostOnce) {
   const HashRing ring = ring_of({0, 1, 2, 3, 4});
   std::map<HashRing::Host, int> offered;
   EXPECT_FALSE(ring.walk(7, 0, [&](HashRing::Host h) {
--- a/tests/host_age_estimator_test.cc
+++ b/tests/host_age_estimator_test.cc
@@ -21,11 +21,11 @@
   Duration wrong_by;
 };
 
-class HostAgeTest : public ::testing::TestWithParam<WallClock> {
+class HostAgeEstimatorClockTest : public ::testing::TestWithParam<WallClock> {
  protected:
   HostAgeEstimator ages{kOrigin.time_since_epoch() + GetParam().wrong_by};
 };
-INSTANTIATE_TEST_SUITE_P(WallClocks, HostAgeTest,
+INSTANTIATE_TEST_SUITE_P(WallClocks, HostAgeEstimatorClockTest,
                          ::testing::Values(WallClock{"Right", hours(0)},
                                            WallClock{"AnHourAhead", hours(1)},
                                            WallClock{"AnHourBehind", hours(-1)},
@@ -34,13 +34,13 @@
                                            WallClock{"AtTheEpoch", -kOrigin.time_since_epoch()}),
                          [](const auto& i) { return i.param.name; });
 
-TEST_P(HostAgeTest, WhoeverHasJustStartedIsNew) {
+TEST_P(HostAgeEstimatorClockTest, TakesAHostThatHasJustStartedForNew) {
   const Time now = seconds(100);
   ages.on_unix_time(now, unix_at(now));
   EXPECT_EQ(ages.started(now, unix_at(now)), now);
 }
 
-TEST_P(HostAgeTest, NobodyIsOlderThanItIsOrYoungerThanWhatIsKnownOfIt) {
+TEST_P(HostAgeEstimatorClockTest, TakesNoHostForOlderThanItIsOrYoungerThanKnown) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(seed);
@@ -55,7 +55,7 @@
 }
 
 // What hosts say of each other: the one that started last was not in the future.
-TEST(HostAge, OthersStartsBoundAnAgeFromBelow) {
+TEST(HostAgeEstimatorTest, BoundsAnAgeFromBelowByOtherHostsStarts) {
   HostAgeEstimator ages(kOrigin.time_since_epoch() + hours(1));
   const Time now = seconds(100);
   ages.on_unix_time(now, unix_at(seconds(98)));
@@ -66,7 +66,7 @@
 }
 
 // One whose own clock is ahead makes no other look old.
-TEST(HostAge, AHostFromTheFutureMakesNobodyOld) {
+TEST(HostAgeEstimatorTest, TakesNoHostForOlderBecauseOfAHostFromTheFuture) {
   HostAgeEstimator ages(kOrigin.time_since_epoch());
   const Time now = seconds(100);
   ages.on_unix_time(now, unix_at(now + hours(1)));
--- a/tests/host_registry_test.cc
+++ b/tests/host_registry_test.cc
@@ -24,79 +24,82 @@
   return e;
 }
 
-TEST(HostRegistry, TellsWhoJoinedLeftAndStartedInTheOrderOfTheList) {
+TEST(HostRegistryTest, ReturnsWhoJoinedLeftAndStartedInTheOrderOfTheList) {
   HostRegistry registry(false, seconds(10));
   HostEntry b = entry("b");
   b.start = HostStart::exactly(seconds(4));
-  EXPECT_EQ(kinds(registry.on_list(ListKind::kWhole, {entry("a"), b})),
+  EXPECT_EQ(kinds(registry.on_list(ListKind::kComplete, {entry("a"), b})),
             (std::vector{Kind::kJoined, Kind::kStarted, Kind::kJoined}));
-  EXPECT_EQ(registry.weight(), 2);
+  EXPECT_EQ(registry.total_weight(), 2);
   // The same again is no news; another start of one that stays is.
   EXPECT_TRUE(registry.on_list(ListKind::kChanges, {b}).empty());
   b.start = HostStart::exactly(seconds(5));
   EXPECT_EQ(kinds(registry.on_list(ListKind::kChanges, {b})), std::vector{Kind::kStarted});
-  EXPECT_EQ(kinds(registry.on_list(ListKind::kWhole, {b})),
+  EXPECT_EQ(kinds(registry.on_list(ListKind::kComplete, {b})),
             (std::vector{Kind::kLeft, Kind::kForgotten}));
   EXPECT_FALSE(registry.find("a"));
   EXPECT_TRUE(registry.on_list(ListKind::kRejected, {}).empty());
   EXPECT_TRUE(registry.find("b"));
 }
 
-TEST(HostRegistry, OneThatIsStillNamedIsNotForgotten) {
+TEST(HostRegistryTest, KeepsAHostThatHasReferences) {
   HostRegistry registry(false, seconds(10));
-  registry.on_list(ListKind::kWhole, {entry("a")});
+  registry.on_list(ListKind::kComplete, {entry("a")});
   const auto a = *registry.find("a");
   registry.hold(a);
-  EXPECT_EQ(kinds(registry.on_list(ListKind::kWhole, {})), std::vector{Kind::kLeft});
+  EXPECT_EQ(kinds(registry.on_list(ListKind::kComplete, {})), std::vector{Kind::kLeft});
   EXPECT_TRUE(registry.find("a"));
   EXPECT_TRUE(registry.release(a));
   EXPECT_FALSE(registry.find("a"));
 }
 
 // A list that names a host twice, last as gone, must not leave it with a place.
-TEST(HostRegistry, OneThatJoinsAndLeavesInOneListHasNoPlace) {
+TEST(HostRegistryTest, DoesNotPlaceAHostThatJoinsAndLeavesInOneList) {
   HostRegistry registry(false, seconds(10));
   EXPECT_EQ(kinds(registry.on_list(ListKind::kChanges, {entry("a"), entry("a", HostState::kGone)})),
             (std::vector{Kind::kJoined, Kind::kLeft, Kind::kForgotten}));
-  EXPECT_EQ(registry.weight(), 0);
+  EXPECT_EQ(registry.total_weight(), 0);
 }
 
-TEST(HostRegistry, AWordOutlastsTheHostThatItIsOf) {
+TEST(HostRegistryTest, KeepsAnOverrideAfterItsHostIsForgotten) {
   HostRegistry registry(false, seconds(10));
-  EXPECT_FALSE(registry.may_speak_of(seconds(0), "a"));
-  registry.on_list(ListKind::kWhole, {entry("a")});
-  ASSERT_TRUE(registry.may_speak_of(seconds(1), "a"));
-  ASSERT_TRUE(registry.differs("a", true));
-  EXPECT_EQ(kinds(registry.restore("a", {true, seconds(1)})), std::vector{Kind::kTakenOut});
-  EXPECT_FALSE(registry.differs("a", true));
-  registry.on_list(ListKind::kWhole, {});
-  EXPECT_EQ(kinds(registry.on_list(ListKind::kWhole, {entry("a")})),
-            (std::vector{Kind::kTakenOut, Kind::kJoined}));
+  EXPECT_FALSE(registry.accepts_override(seconds(0), "a"));
+  registry.on_list(ListKind::kComplete, {entry("a")});
+  ASSERT_TRUE(registry.accepts_override(seconds(1), "a"));
+  ASSERT_TRUE(registry.differs_from_override("a", true));
+  EXPECT_EQ(kinds(registry.restore("a", {true, seconds(1)})),
+            std::vector{Kind::kTakenOutOfService});
+  EXPECT_FALSE(registry.differs_from_override("a", true));
+  registry.on_list(ListKind::kComplete, {});
+  EXPECT_EQ(kinds(registry.on_list(ListKind::kComplete, {entry("a")})),
+            (std::vector{Kind::kTakenOutOfService, Kind::kJoined}));
   EXPECT_FALSE(registry[*registry.find("a")].takes_new());
   registry.restore("a", {false, seconds(5)});
   EXPECT_TRUE(registry[*registry.find("a")].takes_new());
   // Given up once it can no longer matter.
   EXPECT_EQ(registry.overrides().size(), 1u);
-  EXPECT_TRUE(registry.may_speak_of(seconds(16), "a"));
+  EXPECT_TRUE(registry.accepts_override(seconds(16), "a"));
   EXPECT_TRUE(registry.overrides().empty());
 }
 
-TEST(HostRegistry, OperatorsMaySpeakOfAThousandHostsAtATime) {
+TEST(HostRegistryTest, AcceptsOverridesOfAThousandHosts) {
   HostRegistry registry(false, seconds(10));
   std::vector<std::string> ids;
   for (int i = 0; i < 2048; ++i) ids.push_back("h" + std::to_string(i));
   std::vector<HostEntry> entries;
   for (const auto& id : ids) entries.push_back(entry(id));
-  registry.on_list(ListKind::kWhole, entries);
+  registry.on_list(ListKind::kComplete, entries);
   for (const auto& id : ids) {
-    ASSERT_TRUE(registry.may_speak_of(seconds(1), id)) << id;
-    ASSERT_EQ(kinds(registry.restore(id, {true, seconds(1)})), std::vector{Kind::kTakenOut}) << id;
+    ASSERT_TRUE(registry.accepts_override(seconds(1), id)) << id;
+    ASSERT_EQ(kinds(registry.restore(id, {true, seconds(1)})),
+              std::vector{Kind::kTakenOutOfService})
+        << id;
   }
   EXPECT_EQ(registry.overrides().size(), ids.size());
 }
 
 // Whatever lists say, replaying the news gives the same set of places as the roster itself has.
-TEST(HostRegistry, TheNewsAddUpToTheRoster) {
+TEST(HostRegistryTest, ReturnsChangesThatAddUpToTheRegistry) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(seed);
@@ -117,7 +120,8 @@
       const auto news =
           random() % 4 == 0 && !names.empty()
               ? registry.restore(names[0], {random() % 2 == 0, seconds(step)})
-              : registry.on_list(random() % 3 == 0 ? ListKind::kWhole : ListKind::kChanges, list);
+              : registry.on_list(random() % 3 == 0 ? ListKind::kComplete : ListKind::kChanges,
+                                 list);
       for (const auto& n : news) {
         if (n.kind == Kind::kJoined) {
           ASSERT_TRUE(placed.insert(n.host).second);
@@ -130,21 +134,21 @@
       double weight = 0;
       std::set<HostRegistry::Index> here;
       for (HostRegistry::Index i = 0; i < registry.size(); ++i) {
-        if (!registry[i].placed()) continue;
+        if (!registry[i].is_placed()) continue;
         here.insert(i);
         weight += registry[i].weight;
         ASSERT_GE(registry[i].weight, 0.1);
       }
       ASSERT_EQ(here, placed);
       // Words change no weight, and lists add them all up.
-      ASSERT_DOUBLE_EQ(weight, registry.weight());
+      ASSERT_DOUBLE_EQ(weight, registry.total_weight());
       if (!here.empty() && random() % 2 == 0) {
         held.push_back(*here.begin());
         registry.hold(held.back());
       } else if (!held.empty()) {
         const auto i = held.back();
         held.pop_back();
-        const bool gone = !registry[i].placed();
+        const bool gone = !registry[i].is_placed();
         if (registry.release(i)) {
           ASSERT_TRUE(gone);
         }
--- a/tests/policy_test.cc
+++ b/tests/policy_test.cc
@@ -33,7 +33,7 @@
 
 struct PolicyTest : ::testing::Test {
   explicit PolicyTest(const Settings& s = settings()) : policy(s, 1, seconds(1), sink) {
-    policy.on_hosts(seconds(1), ListKind::kWhole, {entry("a"), entry("b"), origin()});
+    policy.on_hosts(seconds(1), ListKind::kComplete, {entry("a"), entry("b"), origin()});
   }
   static HostEntry entry(std::string_view id) {
     HostEntry e;
@@ -97,7 +97,7 @@
   back.start = HostStart::exactly(seconds(3));
   policy.on_hosts(seconds(3), ListKind::kChanges, {gone});
   policy.on_hosts(seconds(4), ListKind::kChanges, {back});
-  policy.on_hosts(seconds(5), ListKind::kWhole, {entry("a"), entry("b"), origin()});
+  policy.on_hosts(seconds(5), ListKind::kComplete, {entry("a"), entry("b"), origin()});
   for (RequestId id = 2; id < 40; ++id)
     policy.on_request(seconds(6), request(id, 0, false, "k" + std::to_string(id)));
   for (std::size_t i = 2; i < sink.sent.size(); ++i) EXPECT_NE(sink.sent[i].host, owner);
@@ -115,7 +115,7 @@
   EXPECT_FALSE(policy.on_maintenance(seconds(2), "nobody", false));
   EXPECT_FALSE(policy.on_maintenance(seconds(2), "origin", true)) << "that is no cache host";
   EXPECT_TRUE(policy.on_maintenance(seconds(2), "a", true));
-  policy.on_hosts(seconds(3), ListKind::kWhole, {entry("b"), origin()});
+  policy.on_hosts(seconds(3), ListKind::kComplete, {entry("b"), origin()});
   EXPECT_TRUE(policy.on_maintenance(seconds(4), "a", false)) << "an operator knows it";
   EXPECT_TRUE(policy.overrides().contains("a"));
   // Once it cannot be cold any more nothing of it is kept.
@@ -154,7 +154,7 @@
   FakeSink sink;
   Policy policy(settings(), 1, seconds(1), sink);
   policy.restore(seconds(1), "a", {true, milliseconds(500)});
-  policy.on_hosts(seconds(2), ListKind::kWhole,
+  policy.on_hosts(seconds(2), ListKind::kComplete,
                   {PolicyTest::entry("a"), PolicyTest::entry("b"), PolicyTest::origin()});
   for (RequestId id = 1; id < 40; ++id)
     policy.on_request(seconds(2), PolicyTest::request(id, 0, false, "k" + std::to_string(id)));
@@ -167,7 +167,7 @@
   int taken = 0;
   for (int i = 0; i < 6000; ++i) {
     const std::string id = "h" + std::to_string(i);
-    policy.on_hosts(seconds(2), ListKind::kWhole, {entry(id), origin()});
+    policy.on_hosts(seconds(2), ListKind::kComplete, {entry(id), origin()});
     taken += policy.on_maintenance(seconds(2), id, true);
   }
   EXPECT_EQ(policy.overrides().size(), static_cast<std::size_t>(taken));
@@ -176,7 +176,9 @@
 
 // Counts how often it is changed, which costs it as much as it has hosts.
 struct CountingPlacement : Placement {
-  void insert(const std::vector<Member>& members) override { inserts += members.empty() ? 0 : 1; }
+  void insert(const std::vector<PlacedHost>& members) override {
+    inserts += members.empty() ? 0 : 1;
+  }
   void erase(const std::set<Host>& hosts) override {
     ++erases;
     erased += hosts.size();
@@ -195,9 +197,9 @@
   for (int i = 0; i < 20'000; ++i) ids.push_back("h" + std::to_string(i));
   std::vector<HostEntry> all;
   for (const auto& id : ids) all.push_back(entry(id));
-  large.on_hosts(seconds(2), ListKind::kWhole, all);
+  large.on_hosts(seconds(2), ListKind::kComplete, all);
   EXPECT_EQ(placement.inserts, 1);
-  large.on_hosts(seconds(3), ListKind::kWhole, {all.begin(), all.begin() + 5000});
+  large.on_hosts(seconds(3), ListKind::kComplete, {all.begin(), all.begin() + 5000});
   EXPECT_EQ(placement.erases, 1);
   EXPECT_EQ(placement.erased, 15'000u);
   // Joined and gone in one list: it never had a place.
@@ -214,7 +216,7 @@
   policy.on_request(seconds(2), request(1, 0, false));
   for (int i = 0; i < 1000; ++i) {
     const std::string id = "new-" + std::to_string(i);
-    policy.on_hosts(seconds(2), ListKind::kWhole, {entry(id), origin()});
+    policy.on_hosts(seconds(2), ListKind::kComplete, {entry(id), origin()});
   }
   EXPECT_LE(policy.host_places(), 6u);
   // The late outcome is still that of the old host: a miss there leads to the origin.
@@ -266,7 +268,7 @@
   for (RequestId id = 1; id < 40; ++id)
     policy.on_request(seconds(2), request(id, 0, false, std::string(id, 'x')));
   for (const auto& s : sink.sent) EXPECT_EQ(s.host, "b");
-  policy.on_hosts(seconds(3), ListKind::kWhole, {});
+  policy.on_hosts(seconds(3), ListKind::kComplete, {});
   const std::size_t before = sink.sent.size();
   policy.on_request(seconds(3), request(99, 0, false));
   EXPECT_EQ(sink.sent.size(), before);
@@ -279,7 +281,7 @@
   FleetTest() {
     std::vector<HostEntry> entries = {origin()};
     for (const std::string& name : ids) entries.push_back(entry(name));
-    policy.on_hosts(seconds(1), ListKind::kWhole, entries);
+    policy.on_hosts(seconds(1), ListKind::kComplete, entries);
   }
   // Sends one request for `key` and returns where it went, or "" where it was refused.
   std::string ask(Time now, std::string_view key) {
@@ -387,14 +389,14 @@
 
 // Every key is on one host, or on it and a replica.
 struct PinnedPlacement : Placement {
-  void insert(const std::vector<Member>& members) override {
-    for (const Member& m : members) hosts.push_back(m.host);
+  void insert(const std::vector<PlacedHost>& members) override {
+    for (const PlacedHost& m : members) hosts.push_back(m.host);
   }
   void erase(const std::set<Host>&) override {}
   std::uint64_t point(std::string_view key) const override {
     return std::hash<std::string_view>()(key);
   }
-  bool pinned() const override { return true; }
+  bool keys_are_sticky() const override { return true; }
   bool walk(std::uint64_t, std::uint64_t, Accept accept) const override {
     for (const Host h : hosts)
       if (accept(h)) return true;
@@ -413,7 +415,7 @@
     Policy policy(s, 1, seconds(1), sink, &placement);
     std::vector<HostEntry> entries = {PolicyTest::entry("a"), PolicyTest::entry("b")};
     entries.resize(static_cast<std::size_t>(hosts));
-    policy.on_hosts(seconds(1), ListKind::kWhole, entries);
+    policy.on_hosts(seconds(1), ListKind::kComplete, entries);
     RequestId id = 0;
     const auto ask = [&](Time now, const std::string& key, Result result) {
       const std::size_t before = sink.sent.size();
@@ -455,7 +457,7 @@
       entries.push_back(entry(name));
       entries.back().zone = name[0] == 'n';
     }
-    policy.on_hosts(seconds(1), ListKind::kWhole, entries);
+    policy.on_hosts(seconds(1), ListKind::kComplete, entries);
   }
   std::vector<std::string> names;
 };
@@ -597,7 +599,7 @@
   Policy lone(patient, 7, seconds(1), sink);
   std::vector<HostEntry> entries = {origin()};
   for (const std::string& name : ids) entries.push_back(entry(name));
-  lone.on_hosts(seconds(1), ListKind::kWhole, entries);
+  lone.on_hosts(seconds(1), ListKind::kComplete, entries);
   for (const double open : {0.1, 0.5, 0.9}) {
     lone.restore(seconds(2), {0, open, 1, {}});
     sink.waits.clear();
@@ -627,7 +629,7 @@
     Policy lone(settings(), 7, seconds(1), sink);
     std::vector<HostEntry> entries = {origin()};
     for (const std::string& name : ids) entries.push_back(entry(name));
-    lone.on_hosts(seconds(1), ListKind::kWhole, entries);
+    lone.on_hosts(seconds(1), ListKind::kComplete, entries);
     lone.restore(seconds(2), {0, open, 1, {}});
     const auto fetched = [&](RequestId fresh, Duration miss_takes) {
       const auto before = sink.sent.size();
@@ -698,7 +700,7 @@
   Policy strict(with_quota, 1, seconds(1), sink);
   std::vector<HostEntry> entries = {origin()};
   for (const std::string& name : ids) entries.push_back(entry(name));
-  strict.on_hosts(seconds(1), ListKind::kWhole, entries);
+  strict.on_hosts(seconds(1), ListKind::kComplete, entries);
   const auto refused = [&](Time now, int tenant) {
     const std::size_t before = sink.refused.size();
     for (int i = 0; i < 20; ++i) {
@@ -728,7 +730,7 @@
     Policy strict(with_quota, 1, seconds(1), sink);
     std::vector<HostEntry> entries = {origin()};
     for (const std::string& name : ids) entries.push_back(entry(name));
-    strict.on_hosts(seconds(1), ListKind::kWhole, entries);
+    strict.on_hosts(seconds(1), ListKind::kComplete, entries);
     int refused = 0;
     const auto ask_for = [&](Time now, int tenant, bool slow) {
       const std::size_t before = sink.refused.size();
--- a/tests/retry_schedule_test.cc
+++ b/tests/retry_schedule_test.cc
@@ -13,7 +13,7 @@
 
 using std::chrono::milliseconds;
 
-TEST(RetrySchedule, WaitsWithinItsBounds) {
+TEST(RetryScheduleTest, WaitsWithinItsBounds) {
   RetrySchedule pace(milliseconds(250), milliseconds(750));
   EXPECT_EQ(pace.mean(), milliseconds(500));
   EXPECT_EQ(pace.after_failure(0, 0), Duration{0});
@@ -52,7 +52,7 @@
 }
 
 // The sum over the fleet: from the first instant on n / 0.5 s, in any tenth of a second alike.
-TEST(RetrySchedule, AFleetThatFailsInStepCallsAtAnEvenRate) {
+TEST(RetryScheduleTest, SpreadsRetriesEvenlyWhereAFleetFailsInStep) {
   for (int seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(static_cast<std::uint64_t>(seed));
@@ -74,7 +74,7 @@
 
 // What it is for: with the same intervals from the first one on nobody calls for 0.25 s, and then
 // half as many again as on average come at once.
-TEST(RetrySchedule, IntervalsFromTheFirstOneOnWouldBeAWave) {
+TEST(RetryScheduleTest, WouldRetryInAWaveWithIntervalsFromTheFirstOneOn) {
   std::mt19937_64 random(1);
   const auto all = calls(3000, 5, random, true);
   EXPECT_GT(all.front(), 0.24);
--- a/tests/rules_test.cc
+++ b/tests/rules_test.cc
@@ -124,7 +124,7 @@
       if (pick(4) == 0) e.start = HostStart::exactly(check.now);
       if (!whole || place.state != HostState::kGone) entries.push_back(e);
     }
-    policy.on_hosts(check.now, whole ? ListKind::kWhole : ListKind::kChanges, entries);
+    policy.on_hosts(check.now, whole ? ListKind::kComplete : ListKind::kChanges, entries);
   };
   for (int i = 0; i < 8; ++i) check.places["h" + std::to_string(i)] = {i % 2, i / 2};
   check.places["o"] = {0, 9};
@@ -178,7 +178,7 @@
   }
 }
 
-TEST(Rules, HoldOverRandomEventsForEveryKindOfRequest) {
+TEST(RulesTest, HoldUnderRandomEventsForEveryKindOfRequest) {
   std::uint32_t seed = 1;
   for (const Idempotency idempotency :
        {Idempotency::kIdempotent, Idempotency::kIdempotencyKey, Idempotency::kNone})
--- a/tests/stall_guard_test.cc
+++ b/tests/stall_guard_test.cc
@@ -12,55 +12,56 @@
 using std::chrono::seconds;
 using Stage = StallGuard::Stage;
 
-TEST(StallGuard, HoldsAfterAGapUntilAWordThatWasAskedForSince) {
+TEST(StallGuardTest, HoldsAfterAGapUntilACallMadeSinceIsAnswered) {
   StallGuard s(seconds(1));
   EXPECT_FALSE(s.observe(milliseconds(1999)));
   EXPECT_EQ(s.stage(), Stage::kFresh);
   EXPECT_TRUE(s.observe(seconds(9)));
   EXPECT_FALSE(s.observe(seconds(9))) << "one standstill is one";
   EXPECT_TRUE(s.is_holding());
-  EXPECT_EQ(s.stood_still(), milliseconds(7001));
+  EXPECT_EQ(s.last_stall(), milliseconds(7001));
   // Asked for before, answered behind: may have lain there all the time.
   EXPECT_FALSE(s.on_discovery_answer(milliseconds(1900)));
   EXPECT_TRUE(s.is_holding());
   EXPECT_TRUE(s.on_discovery_answer(milliseconds(9002)));
   EXPECT_EQ(s.stage(), Stage::kFresh);
   EXPECT_FALSE(s.on_discovery_answer(milliseconds(9003))) << "nothing was held";
-  EXPECT_FALSE(s.on_hold_over(seconds(10)));
+  EXPECT_FALSE(s.on_hold_expired(seconds(10)));
 }
 
-TEST(StallGuard, GoesOnUnsureWhereNoWordComesAndIsSureWithTheNextOne) {
+TEST(StallGuardTest, IsStaleWhereNoAnswerComesAndFreshWithTheNextOne) {
   StallGuard s(seconds(1));
   ASSERT_TRUE(s.observe(seconds(5)));
-  EXPECT_EQ(s.until(), milliseconds(5250));
-  EXPECT_FALSE(s.on_hold_over(milliseconds(5249)));
-  EXPECT_TRUE(s.on_hold_over(milliseconds(5250)));
+  EXPECT_EQ(s.hold_until(), milliseconds(5250));
+  EXPECT_FALSE(s.on_hold_expired(milliseconds(5249)));
+  EXPECT_TRUE(s.on_hold_expired(milliseconds(5250)));
   EXPECT_EQ(s.stage(), Stage::kStale);
   EXPECT_FALSE(s.is_holding());
   EXPECT_FALSE(s.on_discovery_answer(milliseconds(5700)));
   EXPECT_EQ(s.stage(), Stage::kFresh);
 }
 
-TEST(StallGuard, WhatIsReadShortlyBehindItMayBeAsOldAsTheStandstill) {
+TEST(StallGuardTest, TakesRequestsReadShortlyAfterAStallForAsOldAsTheStall) {
   StallGuard s(seconds(1));
   s.observe(milliseconds(1800));
-  EXPECT_EQ(s.unnoticed(milliseconds(1801)), Duration{0});
+  EXPECT_EQ(s.unnoticed_age(milliseconds(1801)), Duration{0});
   s.observe(seconds(5));
-  EXPECT_EQ(s.unnoticed(seconds(5)), milliseconds(3200));
+  EXPECT_EQ(s.unnoticed_age(seconds(5)), milliseconds(3200));
   s.on_discovery_answer(milliseconds(5001));
-  EXPECT_EQ(s.unnoticed(milliseconds(5049)), milliseconds(3200)) << "sure of the list, not of them";
-  EXPECT_EQ(s.unnoticed(milliseconds(5050)), Duration{0});
+  EXPECT_EQ(s.unnoticed_age(milliseconds(5049)), milliseconds(3200))
+      << "sure of the list, not of them";
+  EXPECT_EQ(s.unnoticed_age(milliseconds(5050)), Duration{0});
 }
 
 // One that runs for 100 ms in every 2 s holds for three of its turns and not for ever.
-TEST(StallGuard, OneThatRunsForMomentsOnlyDoesNotHoldForEver) {
+TEST(StallGuardTest, DoesNotHoldForeverWhereTheProcessRunsForMomentsOnly) {
   StallGuard s(Time{0});
   int held = 0;
   for (int turn = 1; turn <= 10; ++turn) {
     const Time woken = seconds(2 * turn);
     s.observe(woken);
     const Time end = woken + milliseconds(100);
-    s.on_hold_over(std::min(end, s.until()));
+    s.on_hold_expired(std::min(end, s.hold_until()));
     held += s.is_holding();
     s.observe(end);
     if (s.is_holding()) continue;
@@ -72,7 +73,7 @@
 
 // Whatever comes in whatever order: it holds only after a gap, never for longer than the bound of
 // the time in which it runs, and no word from before its last standstill makes it sure.
-TEST(StallGuard, RandomLooksWordsAndGaps) {
+TEST(StallGuardTest, KeepsItsBoundsUnderRandomObservationsAnswersAndGaps) {
   for (int seed = 1; seed <= 300; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(static_cast<std::uint64_t>(seed));
@@ -86,9 +87,9 @@
       const Duration step =
           below(20) == 0 ? milliseconds(1000 + below(9000)) : milliseconds(below(120));
       const bool was_held = s.is_holding();
-      if (was_held && step < bounds.still) held_running += step;
+      if (was_held && step < bounds.stall_threshold) held_running += step;
       now += step;
-      const bool still = now - looked >= bounds.still;
+      const bool still = now - looked >= bounds.stall_threshold;
       looked = now;
       if (still) {
         sure = false;
@@ -110,13 +111,13 @@
           EXPECT_EQ(s.observe(now), still);
       }
       // The timer comes when it is due, or late where the process stood still.
-      s.on_hold_over(now);
+      s.on_hold_expired(now);
       EXPECT_EQ(s.stage() == Stage::kFresh, sure);
       if (s.is_holding()) {
-        EXPECT_LE(held_running, bounds.hold + milliseconds(120));
+        EXPECT_LE(held_running, bounds.max_hold + milliseconds(120));
       }
     }
-    EXPECT_GT(s.standstills(), 0);
+    EXPECT_GT(s.stalls(), 0);
   }
 }
 
--- a/tests/wire_test.cc
+++ b/tests/wire_test.cc
@@ -12,7 +12,7 @@
   return R"({"moment":2000,"balancers":[{"who":4,"events":[)" + e + "]}]}";
 }
 
-TEST(Wire, SendsARequestToACacheAndAMissToTheOrigin) {
+TEST(WireTest, SendsARequestToACacheAndAMissToTheOrigin) {
   Wire wire;
   EXPECT_EQ(wire.handle(kStart), R"({"balancers":[]})");
   const std::string sent = wire.handle(event(
@@ -25,7 +25,7 @@
   EXPECT_NE(fetched.find(R"("host":"o:1")"), std::string::npos) << fetched;
 }
 
-TEST(Wire, SaysWhatIsWrongWithInputThatIsNotTheWires) {
+TEST(WireTest, SaysWhatIsWrongWithMalformedInput) {
   const auto message = [](const std::string& line) -> std::string {
     Wire wire;
     wire.handle(kStart);
@@ -49,7 +49,7 @@
             "instance 5: event 'wakeup': the instance was never provisioned");
 }
 
-TEST(Wire, IgnoresWhatIsAlreadyOverAndForgetsAtExit) {
+TEST(WireTest, IgnoresFinishedRequestsAndForgetsAtExit) {
   Wire wire;
   wire.handle(kStart);
   const std::string late =
