--- a/src/dispatch/server_pool.cc
+++ b/src/dispatch/server_pool.cc
@@ -290,7 +290,7 @@
     entries.push_back({host.id, host_start_times_.start_of(now(), host), host.origin, host.zone,
                        host.cell, host.state, host.weight});
   }
-  policy_.on_hosts(now(), list.whole ? ListKind::kWhole : ListKind::kChanges, entries);
+  policy_.on_hosts(now(), list.whole ? ListKind::kComplete : ListKind::kChanges, entries);
   upstreams_.withdraw_unsendable();
   erase_finished();
 }
