--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -24,13 +24,12 @@
   class Accept {
    public:
     // The constraint keeps it from hiding the copy constructor, which clang-tidy 14 does not see.
-    // NOLINTBEGIN(bugprone-forwarding-reference-overload)
     template <typename F>
+    // NOLINTNEXTLINE(bugprone-forwarding-reference-overload)
     requires(!std::is_same_v<std::remove_cvref_t<F>, Accept>) Accept(F&& f)
         : f_(&f), call_([](void* g, Host host) {
             return (*static_cast<std::remove_reference_t<F>*>(g))(host);
           }) {}
-    // NOLINTEND(bugprone-forwarding-reference-overload)
     bool operator()(Host host) const { return call_(f_, host); }
 
    private:
