--- a/tests/fake_sink.h
+++ b/tests/fake_sink.h
@@ -22,9 +22,9 @@
   void send(RequestId id, std::string_view host, Time until) override {
     sent.push_back({id, std::string(host), until});
   }
-  void reject(RequestId id, Duration wait) override {
-    refused.push_back(id);
-    waits.push_back(wait);
+  void reject(RequestId id, Duration retry_after) override {
+    rejected.push_back(id);
+    retry_afters.push_back(retry_after);
   }
   void fail(RequestId id) override { failed.push_back(id); }
   void set_timer(Time at, std::uint64_t tag) override { timers.push_back({at, tag}); }
@@ -32,8 +32,8 @@
   void close_idle(std::string_view host) override { closed.emplace_back(host); }
 
   std::vector<Sent> sent;
-  std::vector<RequestId> refused, failed;
-  std::vector<Duration> waits;  // of the refused
+  std::vector<RequestId> rejected, failed;
+  std::vector<Duration> retry_afters;  // of the rejected requests
   std::vector<Timer> timers;
   std::vector<std::string> closed;
   int subscribed = 0;
