--- a/src/fleet_simulation/group_sim.h
+++ b/src/fleet_simulation/group_sim.h
@@ -95,9 +95,9 @@
     ++n.epoch;
     drop_routes_after(n, Duration{0});  // its connections break
   }
-  void restart(const std::string& name, bool forgets = false) {
+  void restart(const std::string& name, bool loses_record = false) {
     Node& n = nodes_.at(name);
-    if (forgets) n.disk.reset();
+    if (loses_record) n.disk.reset();
     start(n);
   }
   void pause(const std::string& name) {
--- a/src/membership/membership_protocol.cc
+++ b/src/membership/membership_protocol.cc
@@ -13,7 +13,7 @@
 constexpr int kMaxLocalHealth = 8;
 // An update is sent this many times the logarithm of the number of members.
 constexpr double kTransmitMultiplier = 3;
-// Members that are told at once of what one says of itself at its end.
+// Members that are notified at once when this one leaves.
 constexpr std::size_t kLeaveReceivers = 8;
 constexpr std::size_t kMaxRelayedPings = 256;
 constexpr std::size_t kMaxLateProbes = 64;
--- a/tests/fuzz/group_fuzz.cc
+++ b/tests/fuzz/group_fuzz.cc
@@ -1,5 +1,6 @@
-// Any bytes as a group's datagram, as a member's own word and as a voter's record. What must hold:
-// no crash; what is taken is within its bounds, reads the same again, and can be given to a member.
+// Arbitrary bytes as a group's datagram, as a member's meta and as a voter's record. Invariants: no
+// crash; what is decoded is within its bounds, encodes to the same again, and a node can process
+// it.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -18,11 +19,11 @@
   if (!holds) std::abort();
 }
 
-struct Nowhere : VoterRecordStore {
+struct DiscardingRecordStore : VoterRecordStore {
   bool save(const lease::VoterRecord&) override { return true; }
 };
 
-void give(const Datagram& d) {
+void process(const Datagram& d) {
   GroupNodeSettings s;
   s.name = "n0";
   s.endpoint = "127.0.0.1:1";
@@ -30,9 +31,9 @@
   s.membership.seeds = {"127.0.0.1:2"};
   s.lease_manager.addresses = {{"svc", {}}};
   s.initial_voters.names = {"n0", "n1", "n2"};
-  Nowhere memory;
+  DiscardingRecordStore record_store;
   Time now = std::chrono::seconds(100);
-  GroupNode instance(s, lease::VoterRecord{s.initial_voters, {}}, memory, 1, now);
+  GroupNode instance(s, lease::VoterRecord{s.initial_voters, {}}, record_store, 1, now);
   instance.on_eligible(now, true, "ready");
   for (int i = 0; i < 20; ++i) {
     instance.on_datagram(now, "127.0.0.1:2", d);
@@ -54,7 +55,7 @@
     must(!d->sender.empty() && d->sender.size() <= kMaxName && d->sequence > 0);
     const auto again = decode(encode(*d));
     must(again && encode(*again) == encode(*d));
-    give(*d);
+    process(*d);
   }
   if (const auto m = decode_meta(bytes)) must(decode_meta(encode(*m)).has_value());
   if (const auto r = decode_record(bytes)) must(decode_record(encode(*r)) == r);
--- a/tests/group_sim_test.cc
+++ b/tests/group_sim_test.cc
@@ -36,7 +36,7 @@
         for (const auto& n : v.names) t += " " + n;
         return t;
       };
-      all += name + " goes by " + text(i->voter()->record().voters) + ", has heard of " +
+      all += name + " uses " + text(i->voter()->record().voters) + ", has heard of " +
              text(i->voters()) + "\n";
     }
     return all;
@@ -121,7 +121,7 @@
 }
 
 // Cut off from the router only: the lease goes on, the announcement does not arrive. Whoever runs
-// it says that it is not able.
+// it reports that it is not eligible.
 TEST_F(GroupSimTest, HandsOverWhenTheHolderIsNotEligible) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
@@ -136,7 +136,7 @@
   }
 }
 
-// The route leads to somebody at every moment of a move in order.
+// Traffic is routed to some instance at every moment of a graceful move.
 TEST_F(GroupSimTest, AnnouncesTheAddressThroughoutAGracefulMove) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
@@ -283,7 +283,7 @@
     EXPECT_LE(sim->instance(holder)->lease_manager().lease_holder(kSvc)->voters_reached(), 2u)
         << "the one that cannot write has answered";
     if (holder == "n001") continue;
-    // Its crash forgets what it never wrote; with the other's it must not make a majority anew.
+    // Its crash loses what it never wrote: that must not add up to a majority.
     sim->kill("n001");
     sim->restart("n001");
     sim->run(seconds(3));
--- a/tests/lease_model_test.cc
+++ b/tests/lease_model_test.cc
@@ -22,8 +22,9 @@
 using std::chrono::milliseconds;
 
 constexpr Duration kTick = milliseconds(250);
-constexpr std::size_t kVoters = 4, kCandidates = 2,
-                      kMaxOnTheWay = 12;  // the fourth at first only in name
+constexpr std::size_t kVoters = 4;  // the fourth is at first in no set
+constexpr std::size_t kCandidates = 2;
+constexpr std::size_t kMaxInFlight = 12;  // packets; beyond that the oldest are lost
 const VoterSet kAll{1, {"a", "b", "c"}};
 const std::string kNames[kVoters] = {"a", "b", "c", "d"};
 const std::string kAddress = "svc";
@@ -35,7 +36,7 @@
 }
 
 struct World {
-  // Holders' clocks go as slowly, and voters' as fast, as the bound on drift lets them.
+  // Holders' clocks run as slowly, and voters' as fast, as max_clock_drift allows.
   static constexpr double kRates[kCandidates] = {0.99, 1.0};
   static constexpr double kVoterRate = 1.01;
 
@@ -77,7 +78,7 @@
     return n;
   }
 
-  // Two that let requests through, though neither is being handed over.
+  // Two forward requests, and neither is in the overlap of a graceful release.
   bool two_serve() const {
     int serve = 0;
     for (std::size_t c = 0; c < kCandidates; ++c) {
@@ -101,8 +102,7 @@
     }
     for (const auto& carry : candidates[c]->take_route_actions())
       if (carry.kind == RouteAction::Kind::kWithdraw) withdrawing[c] = true;
-    // The oldest are lost.
-    while (net.size() > kMaxOnTheWay) net.erase(net.begin());
+    while (net.size() > kMaxInFlight) net.erase(net.begin());
   }
 
   void tick() {
@@ -164,11 +164,11 @@
     const Packet& p = net[i];
     return p.to_voter || p.driver >= 0 || !paused[static_cast<std::size_t>(p.candidate)];
   }
-  void crash_voter(std::size_t v, bool forgets) {
-    if (forgets) disk[v].reset();
+  void crash_voter(std::size_t v, bool loses_record) {
+    if (loses_record) disk[v].reset();
     voters[v].emplace(kNames[v], times(), disk[v], kAll, voter_now());
   }
-  // A driver that wants a voter more, or one less; one that was at it is gone, wherever it was.
+  // Starts a driver that adds or removes a voter; one that was in progress is gone.
   void change_voters(std::size_t d, const std::string& name) {
     VoterSet present = kAll;
     for (const auto& v : voters)
@@ -187,9 +187,9 @@
       p.reconfiguration_request = s.request;
       net.push_back(std::move(p));
     }
-    while (net.size() > kMaxOnTheWay) net.erase(net.begin());
+    while (net.size() > kMaxInFlight) net.erase(net.begin());
   }
-  // Whoever has heard a voter say by whom it goes may tell another.
+  // Whoever has seen a voter use a set may send it to another.
   void catch_up(std::size_t from, std::size_t to) {
     ReconfigurationRequest adopt;
     adopt.kind = ReconfigurationRequest::Kind::kAdopt;
@@ -198,7 +198,7 @@
     disk[to] = voters[to]->record();
     note_sets();
   }
-  // Each number is that of one set.
+  // Each version must be that of one set.
   void note_sets() {
     for (const auto& v : voters) {
       const VoterSet& s = v->record().voters;
@@ -284,7 +284,7 @@
   }
 }
 
-// Everything arrives until nothing is on its way.
+// Delivers everything until nothing is in flight.
 void settle(World& w) {
   for (int i = 0; i < 100 && !w.net.empty(); ++i)
     for (std::size_t n = 0; n < w.net.size(); ++n)
@@ -483,7 +483,7 @@
         const auto i_th = random() % w.net.size();
         if (w.can_deliver(i_th)) w.deliver(i_th, false);
       } else {
-        // It forgets, and votes at once.
+        // It loses its record, and votes without waiting for a lease.
         const auto v = random() % kVoters;
         w.voters[v].emplace(kNames[v], times(), VoterRecord{kAll, {}}, kAll, w.voter_now());
       }
