--- a/tests/previous_version_test.cc
+++ b/tests/previous_version_test.cc
@@ -20,9 +20,9 @@
 using namespace std::chrono_literals;
 
 const std::string kFolder = BALANCER_TEST_DATA "/previous_version/";
-const lease::Voters kVoters{7, {"a/0", "b/0", "c/0"}};
-const lease::Voters kNextVoters{8, {"a/0", "b/0", "c/0", "d/0"}};
-const lease::Holder kHolder{"a/0", 1764750000001};
+const lease::VoterSet kVoters{7, {"a/0", "b/0", "c/0"}};
+const lease::VoterSet kNextVoters{8, {"a/0", "b/0", "c/0", "d/0"}};
+const lease::InstanceId kHolder{"a/0", 1764750000001};
 
 std::string read_file(const std::string& name) {
   std::ifstream in(kFolder + name, std::ios::binary);
@@ -55,14 +55,14 @@
     ASSERT_TRUE(storage.remembered());
     const lease::VoterRecord& record = *storage.remembered();
     EXPECT_EQ(record.voters, kVoters);
-    ASSERT_EQ(record.promises.size(), 2u);
-    EXPECT_EQ(record.promises.at("192.0.2.10"), (lease::VoterRecord::Promise{41, kHolder}));
-    EXPECT_EQ(record.promises.at("2001:db8::10"),
-              (lease::VoterRecord::Promise{3, {"b/0", 1764750000002}}));
-    EXPECT_EQ(record.promised, (lease::Ballot{9, "b/0"}));
-    EXPECT_EQ(record.accepted_at, (lease::Ballot{8, "a/0"}));
-    EXPECT_EQ(record.accepted, kNextVoters);
-    EXPECT_TRUE(record.forgot);
+    ASSERT_EQ(record.grants.size(), 2u);
+    EXPECT_EQ(record.grants.at("192.0.2.10"), (lease::VoterRecord::Grant{41, kHolder}));
+    EXPECT_EQ(record.grants.at("2001:db8::10"),
+              (lease::VoterRecord::Grant{3, {"b/0", 1764750000002}}));
+    EXPECT_EQ(record.promised_ballot, (lease::Ballot{9, "b/0"}));
+    EXPECT_EQ(record.accepted_ballot, (lease::Ballot{8, "a/0"}));
+    EXPECT_EQ(record.accepted_voters, kNextVoters);
+    EXPECT_TRUE(record.record_lost);
     EXPECT_TRUE(log.empty()) << log.front();
   }
 
@@ -123,7 +123,7 @@
   const auto datagram = group::decode(*plain);
   if (!datagram) return std::nullopt;
   EXPECT_EQ(datagram->sender, "a/0");
-  EXPECT_EQ(datagram->life, 1764750000001u);
+  EXPECT_EQ(datagram->incarnation, 1764750000001u);
   EXPECT_EQ(datagram->sequence, sequence);
   EXPECT_EQ(datagram->to, to);
   EXPECT_EQ(encode(*datagram), *plain) << "the same message has other bytes now";
@@ -132,8 +132,8 @@
 }
 
 TEST(PreviousVersionDatagramTest, GossipWithUpdatesIsRead) {
-  using membership::State;
-  const auto gossip = open_datagram<membership::Message>("gossip", 1, "");
+  using membership::MemberState;
+  const auto gossip = open_datagram<membership::GossipMessage>("gossip", 1, "");
   ASSERT_TRUE(gossip);
   EXPECT_EQ(static_cast<int>(gossip->kind), 2);
   EXPECT_EQ(gossip->number, 77u);
@@ -141,13 +141,14 @@
   ASSERT_EQ(gossip->updates.size(), 4u);
   const std::string endpoints[] = {"127.0.0.1:7946", "127.0.0.2:7946", "[::1]:7946",
                                    "127.0.0.4:7946"};
-  const State states[] = {State::kAlive, State::kSuspect, State::kDead, State::kLeft};
+  const MemberState states[] = {MemberState::kAlive, MemberState::kSuspect, MemberState::kDead,
+                                MemberState::kLeft};
   for (std::size_t i = 0; i < 4; ++i) {
-    const membership::Update& update = gossip->updates[i];
+    const membership::MemberUpdate& update = gossip->updates[i];
     EXPECT_EQ(update.name, std::string(1, static_cast<char>('a' + i)) + "/0");
     EXPECT_EQ(update.endpoint, endpoints[i]);
-    EXPECT_EQ(update.life, 1764750000001u + i);
-    EXPECT_EQ(update.version, 5 + i);
+    EXPECT_EQ(update.incarnation, 1764750000001u + i);
+    EXPECT_EQ(update.sequence, 5 + i);
     EXPECT_EQ(update.state, states[i]);
     EXPECT_EQ(update.meta, i == 0 ? read_file("member-meta") : "");
   }
@@ -156,7 +157,8 @@
 TEST(PreviousVersionDatagramTest, EveryKindOfGossipIsRead) {
   const int kinds[] = {0, 1, 3, 4};  // a ping, its acknowledgement, a join, updates alone
   for (std::size_t i = 0; i < 4; ++i) {
-    const auto gossip = open_datagram<membership::Message>("gossip-" + std::to_string(i), 2 + i);
+    const auto gossip =
+        open_datagram<membership::GossipMessage>("gossip-" + std::to_string(i), 2 + i);
     ASSERT_TRUE(gossip) << i;
     EXPECT_EQ(static_cast<int>(gossip->kind), kinds[i]);
     EXPECT_EQ(gossip->number, 100 + i);
@@ -170,9 +172,9 @@
   const auto meta = group::decode_meta(bytes);
   ASSERT_TRUE(meta);
   EXPECT_TRUE(meta->eligible);
-  EXPECT_TRUE(meta->voter);
-  EXPECT_EQ(meta->voters, 7u);
-  EXPECT_EQ(meta->holds,
+  EXPECT_TRUE(meta->is_voter);
+  EXPECT_EQ(meta->voter_set_version, 7u);
+  EXPECT_EQ(meta->held_terms,
             (std::map<std::string, lease::Term>{{"192.0.2.10", 41}, {"2001:db8::10", 3}}));
   EXPECT_EQ(encode(*meta), bytes);
 }
@@ -187,7 +189,7 @@
     EXPECT_EQ(request->term, 41u);
     EXPECT_EQ(request->holder, kHolder);
     EXPECT_EQ(request->number, 1234u);
-    EXPECT_EQ(request->voters, 7u);
+    EXPECT_EQ(request->voter_set_version, 7u);
     EXPECT_EQ(request->successor, kind == 2 ? "c/0" : "");
   }
 }
@@ -202,7 +204,7 @@
     EXPECT_EQ(reply->number, 1234u);
     EXPECT_EQ(reply->term, 41u);
     EXPECT_EQ(reply->holder, kHolder);
-    EXPECT_EQ(reply->left, 350ms);
+    EXPECT_EQ(reply->remaining, 350ms);
     EXPECT_EQ(reply->voters, kVoters);
   }
 }
@@ -220,32 +222,32 @@
 
 TEST(PreviousVersionDatagramTest, VoterChangesAreRead) {
   for (std::size_t kind = 0; kind < 3; ++kind) {
-    const auto change =
-        open_datagram<lease::Change>("voter-change-" + std::to_string(kind), 17 + kind);
+    const auto change = open_datagram<lease::ReconfigurationRequest>(
+        "voter-change-" + std::to_string(kind), 17 + kind);
     ASSERT_TRUE(change) << kind;
     EXPECT_EQ(static_cast<std::size_t>(change->kind), kind);
     EXPECT_EQ(change->number, 55u);
     EXPECT_EQ(change->ballot, (lease::Ballot{9, "b/0"}));
-    EXPECT_EQ(change->present, kVoters);
-    EXPECT_EQ(change->next, kind == 0 ? lease::Voters{} : kNextVoters);
-    EXPECT_EQ(change->by_all, kind == 2);
+    EXPECT_EQ(change->current, kVoters);
+    EXPECT_EQ(change->next, kind == 0 ? lease::VoterSet{} : kNextVoters);
+    EXPECT_EQ(change->accepted_by_all, kind == 2);
   }
 }
 
 TEST(PreviousVersionDatagramTest, AnswersToVoterChangesAreRead) {
   for (std::size_t kind = 0; kind < 3; ++kind) {
-    const auto answer =
-        open_datagram<lease::Changed>("voter-changed-" + std::to_string(kind), 20 + kind);
+    const auto answer = open_datagram<lease::ReconfigurationReply>(
+        "voter-changed-" + std::to_string(kind), 20 + kind);
     ASSERT_TRUE(answer) << kind;
     EXPECT_EQ(static_cast<std::size_t>(answer->kind), kind);
     EXPECT_EQ(answer->number, 55u);
-    EXPECT_EQ(answer->good, kind != 1);
-    EXPECT_EQ(answer->forgot, kind == 0);
+    EXPECT_EQ(answer->ok, kind != 1);
+    EXPECT_EQ(answer->record_lost, kind == 0);
     EXPECT_EQ(answer->voters, kVoters);
-    EXPECT_EQ(answer->promised, (lease::Ballot{9, "b/0"}));
-    EXPECT_EQ(answer->accepted_at, (lease::Ballot{8, "a/0"}));
-    EXPECT_EQ(answer->accepted, kNextVoters);
-    EXPECT_EQ(answer->why_not, kind == 1 ? "a newer ballot" : "");
+    EXPECT_EQ(answer->promised_ballot, (lease::Ballot{9, "b/0"}));
+    EXPECT_EQ(answer->accepted_ballot, (lease::Ballot{8, "a/0"}));
+    EXPECT_EQ(answer->accepted_voters, kNextVoters);
+    EXPECT_EQ(answer->rejection_reason, kind == 1 ? "a newer ballot" : "");
   }
 }
 
