--- a/src/dispatch/stall_hold.cc
+++ b/src/dispatch/stall_hold.cc
@@ -43,11 +43,11 @@
 
 void StallHold::start_hold() {
   poll_discovery_();
-  hold_timer_.expires_at(clock_.steady(guard_->until()));
+  hold_timer_.expires_at(clock_.steady(guard_->hold_until()));
   hold_timer_.async_wait([this](const error_code& error) {
     if (error) return;
     observe();
-    if (guard_->on_hold_over(clock_.now()))
+    if (guard_->on_hold_expired(clock_.now()))
       release("no endpoint list in time, continuing with the last known one");
   });
 }
@@ -61,14 +61,14 @@
 void StallHold::release(const char* reason) {
   hold_timer_.cancel();
   const auto released = std::exchange(held_, {});
-  log_("stall: process did not run for " + format_ms(guard_->stood_still()) + "; " + reason +
-       " after " + format_ms(clock_.now() - guard_->woken()) + ", " +
+  log_("stall: process did not run for " + format_ms(guard_->last_stall()) + "; " + reason +
+       " after " + format_ms(clock_.now() - guard_->resumed_at()) + ", " +
        std::to_string(released.size()) + " attempt(s) held");
   on_release_(released);
 }
 
 Duration StallHold::max_unread_age() const {
-  return guard_ ? guard_->unnoticed(clock_.now()) : Duration{0};
+  return guard_ ? guard_->unnoticed_age(clock_.now()) : Duration{0};
 }
 
 }  // namespace balancer
--- a/src/node/hot_restart_coordinator.cc
+++ b/src/node/hot_restart_coordinator.cc
@@ -172,7 +172,8 @@
 
 hot_restart::ResourceShare HotRestartCoordinator::needs() {
   std::size_t open_requests = 0;
-  services_.for_each_pool([&open_requests](ServerPool& pool) { open_requests += pool.open_requests(); });
+  services_.for_each_pool(
+      [&open_requests](ServerPool& pool) { open_requests += pool.open_requests(); });
   return {open_requests * kDescriptorsPerRequest + kRetryDescriptors,
           open_requests * kMaxCollectedValue + kMaxCollectedValue};
 }
--- a/src/node/operator_calls.cc
+++ b/src/node/operator_calls.cc
@@ -26,8 +26,8 @@
   if (!hot_restart_) return true;
   const auto& all = memcache->pool().overrides();
   if (const auto at = all.find(host); at != all.end())
-    hot_restart_->notify_peers(
-        hot_restart::OperatorOverride{at->first, at->second.out, clock_.now() - at->second.at});
+    hot_restart_->notify_peers(hot_restart::OperatorOverride{at->first, at->second.out_of_service,
+                                                             clock_.now() - at->second.since});
   hot_restart_->persist_overrides(overrides());
   return true;
 }
@@ -57,7 +57,7 @@
 std::vector<hot_restart::OperatorOverride> OperatorCalls::overrides() const {
   std::vector<hot_restart::OperatorOverride> all;
   for (const auto& [host, in_force] : services_.memcache()->pool().overrides())
-    all.push_back({host, in_force.out, clock_.now() - in_force.at});
+    all.push_back({host, in_force.out_of_service, clock_.now() - in_force.since});
   return all;
 }
 
