--- a/src/net/client_listener.cc
+++ b/src/net/client_listener.cc
@@ -6,7 +6,6 @@
 #include <algorithm>
 #include <cerrno>
 #include <utility>
-#include <vector>
 
 namespace balancer {
 namespace {
@@ -14,21 +13,51 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-constexpr auto kTick = std::chrono::milliseconds(50);
+constexpr Duration kTickInterval = std::chrono::milliseconds(50);
 constexpr int kBacklog = 4096;
-// Accepted at one go before others get their turn.
+// Accepted at one go before other events get their turn.
 constexpr int kAcceptBatch = 64;
-// A client that comes to ask does so at once, and may take a while to write its command.
-constexpr Duration kSpeaks = std::chrono::milliseconds(300);
-constexpr Duration kWrites = std::chrono::milliseconds(1000);
-// A client that is busy asks again sooner than this.
-constexpr Duration kComesBack = std::chrono::seconds(2);
+// Clients that intend a request have sent its first byte by then.
+constexpr Duration kFirstByteGrace = std::chrono::milliseconds(300);
+// Most clients have written a command by then.
+constexpr Duration kCommandGrace = std::chrono::milliseconds(1000);
+// A client in use sends its next request sooner than this.
+constexpr Duration kReuseInterval = std::chrono::seconds(2);
+
+// The order in which connections are closed to make room, the first kind first. Most connections of
+// a crowd never send a request; they must not drive out clients that were served and come back.
+// Clients within a command are mostly honest slow writers.
+enum class ClosePriority {
+  kProtocolError,
+  kSilent,
+  kLongIdle,
+  kIdle,
+  kNew,
+  kSlowCommand,
+  kKeep,  // has requests in flight, or has just begun a command
+};
+
+ClosePriority close_priority(const ClientSession& session, Time now) {
+  const Duration in_state = now - session.state_since();
+  switch (session.state()) {
+    case ClientSession::State::kProtocolError:
+      return ClosePriority::kProtocolError;
+    case ClientSession::State::kAwaitingFirstRequest:
+      return in_state > kFirstByteGrace ? ClosePriority::kSilent : ClosePriority::kNew;
+    case ClientSession::State::kIdle:
+      return in_state > kReuseInterval ? ClosePriority::kLongIdle : ClosePriority::kIdle;
+    case ClientSession::State::kReadingCommand:
+      return in_state > kCommandGrace ? ClosePriority::kSlowCommand : ClosePriority::kKeep;
+    default:
+      return ClosePriority::kKeep;
+  }
+}
 
 }  // namespace
 
 ClientListener::ClientListener(asio::io_context& io, const asio::ip::tcp::endpoint& listen,
                                Limits& limits, const Clock& clock, RequestSink& core,
-                               MakeDialect make, const SessionTimes& times,
+                               MakeDialect make_dialect, const SessionTimes& times,
                                ForwardingCheck may_forward)
     : io_(io),
       listen_(listen),
@@ -37,10 +66,10 @@
       limits_(limits),
       clock_(clock),
       core_(core),
-      make_(std::move(make)),
+      make_dialect_(std::move(make_dialect)),
       times_(times),
       may_forward_(std::move(may_forward)),
-      tick_(io) {
+      tick_timer_(io) {
   arm_tick();
 }
 
@@ -63,7 +92,7 @@
     throw;
   }
   local_ = acceptor_.local_endpoint();
-  give_back_.reset();
+  drain_.reset();
   arm_accept();
 }
 
@@ -74,68 +103,69 @@
   acceptor_.non_blocking(true);
   report_aborted_connections();
   local_ = acceptor_.local_endpoint();
-  give_back_.reset();
+  drain_.reset();
   arm_accept();
 }
 
-// Without this accept() of a non-blocking acceptor waits for the next connection where one that was
-// waiting has been reset, and the whole event loop with it.
+// Without this option accept() blocks, and the event loop with it, when a client that waited in the
+// backlog has reset its connection, although the acceptor is non-blocking.
 void ClientListener::report_aborted_connections() {
   acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
 }
 
 void ClientListener::shut(Time last) {
   stop();
-  stop_listening();
+  close_acceptor();
   const Time now = clock_.now();
   drain(now, std::max(now, last));
 }
 
 void ClientListener::arm_accept() {
-  if (accepting_ || paused_ || !acceptor_.is_open()) return;
-  accepting_ = true;
+  if (accept_pending_ || paused_ || !acceptor_.is_open()) return;
+  accept_pending_ = true;
   acceptor_.async_wait(asio::ip::tcp::acceptor::wait_read, [this](const error_code& e) {
-    accepting_ = false;
+    accept_pending_ = false;
     if (!e && !paused_) return on_acceptable();
     arm_accept();
   });
 }
 
 void ClientListener::on_acceptable() {
-  // With nobody to make room, new clients wait in the backlog; the tick looks again.
-  if (accept_some() != Accepted::kNoRoom) arm_accept();
+  // Without room new clients wait in the backlog until the next tick.
+  if (accept_batch() != AcceptResult::kNoRoom) arm_accept();
 }
 
-ClientListener::Accepted ClientListener::accept_some() {
+ClientListener::AcceptResult ClientListener::accept_batch() {
   for (int i = 0; i < kAcceptBatch; ++i) {
-    if (!limits_.clients.room_for(1) && !make_room()) return Accepted::kNoRoom;
+    if (!limits_.clients.room_for(1) && !make_room()) return AcceptResult::kNoRoom;
     asio::ip::tcp::socket socket(io_);
     error_code error;
     acceptor_.accept(socket, error);
     if (error == asio::error::connection_aborted || error == asio::error::interrupted) continue;
-    if (error == asio::error::would_block || error == asio::error::try_again) return Accepted::kAll;
-    // Out of descriptors or memory: to wait for readiness would spin.
-    if (error) return Accepted::kNoRoom;
+    if (error == asio::error::would_block || error == asio::error::try_again)
+      return AcceptResult::kNoneLeft;
+    // Out of descriptors or memory; waiting for readiness would spin.
+    if (error) return AcceptResult::kNoRoom;
     const auto session = make_session(std::move(socket));
     session->start();
-    if (give_back_) give_back(*session);
+    if (drain_) session->drain(drain_->next());
   }
-  return Accepted::kSome;
+  return AcceptResult::kMoreMayWait;
 }
 
-std::shared_ptr<ClientSession> ClientListener::make_session(asio::ip::tcp::socket socket) {
+ClientListener::SessionPtr ClientListener::make_session(asio::ip::tcp::socket socket) {
   SessionOwner& owner = *this;
   auto session = std::make_shared<ClientSession>(std::move(socket), limits_, clock_, core_, owner,
-                                                 make_(), times_, may_forward_);
+                                                 make_dialect_(), times_, may_forward_);
   sessions_.insert(session);
   return session;
 }
 
-// ---- beside another process
+// ---- sharing with another process
 
 void ClientListener::pause() {
   paused_ = true;
-  if (!accepting_ || !acceptor_.is_open()) return;
+  if (!accept_pending_ || !acceptor_.is_open()) return;
   error_code ignored;
   acceptor_.cancel(ignored);
 }
@@ -150,18 +180,17 @@
   return Descriptor(::fcntl(acceptor.native_handle(), F_DUPFD_CLOEXEC, 0));
 }
 
-void ClientListener::pass_on(MayPass may, Pass pass) {
-  may_pass_ = std::move(may);
-  pass_ = std::move(pass);
-  if (!may_pass_) return;
-  const std::vector<std::shared_ptr<ClientSession>> all(sessions_.begin(), sessions_.end());
-  for (const auto& session : all)
-    if (session->can_release()) take_over(*session);
+void ClientListener::transfer_clients(MayTransfer may_transfer, Transfer transfer) {
+  may_transfer_ = std::move(may_transfer);
+  transfer_ = std::move(transfer);
+  if (!may_transfer_) return;
+  for (const SessionPtr& session : all_sessions())
+    if (session->can_release()) this->transfer(*session);
 }
 
-bool ClientListener::take_over(ClientSession& session) {
-  if (!may_pass_ || !may_pass_()) return false;
-  pass_(session.release());
+bool ClientListener::transfer(ClientSession& session) {
+  if (!may_transfer_ || !may_transfer_()) return false;
+  transfer_(session.release());
   return true;
 }
 
@@ -173,118 +202,96 @@
   client.socket.release();
   const auto session = make_session(std::move(socket));
   session->resume(client);
-  if (give_back_) give_back(*session);
+  if (drain_) session->drain(drain_->next());
 }
 
-void ClientListener::shed() {
+// ---- connections
+
+void ClientListener::close_excess() {
   while (limits_.clients.used() > limits_.clients.max() && make_room()) {
   }
 }
 
-// In a crowd most connections never ask for anything. First to go are those that are being turned
-// away or have had time to speak; clients that were served and come back must not be driven out by
-// them. Those that have begun a command go only where nothing else is left: slow writers are honest
-// more often than not.
+// Closes the connection with the first priority, of these the one that has been in its state for
+// longest. One with unread input has just sent something and is kept, unless it was no command.
 bool ClientListener::make_room() {
   const Time now = clock_.now();
-  constexpr int kKeeps = 6;  // in work, or has just begun its command
-  const auto rank = [now](const ClientSession& s) {
-    const Duration age = now - s.since();
-    switch (s.rest()) {
-      case ClientSession::Rest::kFaulty:
-        return 0;
-      case ClientSession::Rest::kSilent:
-        return age > kSpeaks ? 1 : 4;
-      case ClientSession::Rest::kServed:
-        return age > kComesBack ? 2 : 3;
-      case ClientSession::Rest::kPartial:
-        return age > kWrites ? 5 : kKeeps;
-      default:
-        return kKeeps;
-    }
-  };
-  std::shared_ptr<ClientSession> best;
-  std::pair<int, Time> best_rank{kKeeps, Time::max()};
-  for (const auto& s : sessions_) {
-    const std::pair<int, Time> r{rank(*s), s->since()};
-    const bool speaking = r.first > 0;  // for those, input means that they just spoke
-    if (r < best_rank && r.first < kKeeps && !(speaking && s->has_input())) {
-      best_rank = r;
-      best = s;
-    }
+  SessionPtr chosen;
+  std::pair<ClosePriority, Time> chosen_rank{ClosePriority::kKeep, Time::max()};
+  for (const SessionPtr& session : sessions_) {
+    const std::pair rank{close_priority(*session, now), session->state_since()};
+    if (rank.first == ClosePriority::kKeep || rank >= chosen_rank) continue;
+    if (rank.first != ClosePriority::kProtocolError && session->has_input()) continue;
+    chosen_rank = rank;
+    chosen = session;
   }
-  if (best) best->close();
-  return best != nullptr;
+  if (chosen) chosen->close();
+  return chosen != nullptr;
 }
 
-void ClientListener::on_session_closed(const std::shared_ptr<ClientSession>& session) {
-  sessions_.erase(session);
-}
+void ClientListener::on_session_closed(const SessionPtr& session) { sessions_.erase(session); }
 
 void ClientListener::arm_tick() {
-  tick_.expires_after(kTick);
-  tick_.async_wait([this](const error_code& e) {
-    if (e) return;
-    const std::vector<std::shared_ptr<ClientSession>> all(sessions_.begin(), sessions_.end());
+  tick_timer_.expires_after(kTickInterval);
+  tick_timer_.async_wait([this](const error_code& error) {
+    if (error) return;
     const Time now = clock_.now();
-    for (const auto& session : all) session->tick(now);
+    for (const SessionPtr& session : all_sessions()) session->tick(now);
     arm_accept();
     arm_tick();
   });
 }
 
-// Clients go on using what they have, and each that loses it needs another balancer at that moment.
-// Given back all at once, they would come down together on the ones left, or find none: where
-// balancers restart in turn, the one before may not be in use again yet.
-void ClientListener::give_back(ClientSession& session) {
-  // The golden ratio's multiples, less their whole parts, fill the time evenly for any number.
-  give_back_->part += 0.6180339887498949;
-  if (give_back_->part >= 1) give_back_->part -= 1;
-  const auto length = static_cast<double>((give_back_->last - give_back_->first).count());
-  session.drain(give_back_->first +
-                Duration(static_cast<Duration::rep>(length * give_back_->part)));
+// ---- draining
+
+// The multiples of the golden ratio, modulo 1, fill the interval evenly for any number of
+// connections. Closed all at once, their clients would reconnect together to the balancers that are
+// left.
+Time ClientListener::DrainSchedule::next() {
+  constexpr double kGoldenRatio = 0.6180339887498949;
+  fraction += kGoldenRatio;
+  if (fraction >= 1) fraction -= 1;
+  const auto length = static_cast<double>((last - first).count());
+  return first + Duration(static_cast<Duration::rep>(length * fraction));
 }
 
 void ClientListener::drain(Time first, Time last) {
-  give_back_ = GiveBack{first, last};
-  const std::vector<std::shared_ptr<ClientSession>> all(sessions_.begin(), sessions_.end());
-  for (const auto& session : all) give_back(*session);
+  drain_ = DrainSchedule{first, last};
+  for (const SessionPtr& session : all_sessions()) session->drain(drain_->next());
 }
 
 void ClientListener::reject_unread() {
-  const std::vector<std::shared_ptr<ClientSession>> all(sessions_.begin(), sessions_.end());
-  for (const auto& session : all) session->reject_unread();
+  for (const SessionPtr& session : all_sessions()) session->reject_unread();
 }
 
-void ClientListener::keep() {
-  give_back_.reset();
-  for (const auto& session : sessions_) session->keep();
+void ClientListener::cancel_drain() {
+  drain_.reset();
+  for (const SessionPtr& session : sessions_) session->cancel_drain();
 }
 
-// Those in the backlog count as accepted: the system resets them where the socket is closed.
+// Clients in the backlog are accepted first: the system resets them when the socket is closed.
 bool ClientListener::stop() {
   if (!acceptor_.is_open()) return true;
   if (!paused_) {
-    Accepted accepted = Accepted::kSome;
-    for (int i = 0; i < kBacklog / kAcceptBatch && accepted == Accepted::kSome; ++i)
-      accepted = accept_some();
-    if (accepted == Accepted::kNoRoom) return false;
+    AcceptResult accepted = AcceptResult::kMoreMayWait;
+    for (int i = 0; i < kBacklog / kAcceptBatch && accepted == AcceptResult::kMoreMayWait; ++i)
+      accepted = accept_batch();
+    if (accepted == AcceptResult::kNoRoom) return false;
   }
-  stop_listening();
+  close_acceptor();
   return true;
 }
 
-void ClientListener::stop_listening() {
+void ClientListener::close_acceptor() {
   error_code ignored;
   acceptor_.close(ignored);
 }
 
 void ClientListener::close_all() {
   stop();
-  stop_listening();
-  tick_.cancel();
-  const std::vector<std::shared_ptr<ClientSession>> all(sessions_.begin(), sessions_.end());
-  for (const auto& session : all) session->close();
+  close_acceptor();
+  tick_timer_.cancel();
+  for (const SessionPtr& session : all_sessions()) session->close();
 }
 
 }  // namespace balancer
--- a/src/node/balancer.cc
+++ b/src/node/balancer.cc
@@ -441,7 +441,7 @@
   const auto share = hot_restart_->share();
   limits_.share(share.descriptors, share.bytes, state.accepts());
   each_listener([&](ClientListener& l) {
-    l.shed();
+    l.close_excess();
     if (state.accepts()) {
       l.resume();
     } else {
@@ -451,11 +451,12 @@
   each_pool([](ServerPool& p) { p.close_excess_connections(); });
   if (std::exchange(passing_, succeeded()) == succeeded()) return;
   each_listener([this](ClientListener& l) {
-    if (!passing_) return l.pass_on({}, {});
-    l.pass_on([this] { return hot_restart_->may_pass(); },
-              [this, to = text_of(l.local())](HandedClient c) {
-                hot_restart_->pass({to, std::move(c.input), c.answered}, std::move(c.socket));
-              });
+    if (!passing_) return l.transfer_clients({}, {});
+    l.transfer_clients(
+        [this] { return hot_restart_->may_pass(); },
+        [this, to = text_of(l.local())](HandedClient c) {
+          hot_restart_->pass({to, std::move(c.input), c.answered}, std::move(c.socket));
+        });
   });
 }
 
@@ -495,7 +496,7 @@
   if (away) {
     give_back_away();
   } else {
-    each_listener([](ClientListener& l) { l.keep(); });
+    each_listener([](ClientListener& l) { l.cancel_drain(); });
   }
   return true;
 }
