--- a/src/group_runtime/status.cc
+++ b/src/group_runtime/status.cc
@@ -116,14 +116,10 @@
                               {"settled", s.settled()},
                               {"last_end", s.last_end()}});
   }
-  out["datagrams"] = {{"heard", f.datagrams.heard},
-                      {"sent", f.datagrams.sent},
-                      {"bytes_sent", f.datagrams.bytes_sent},
-                      {"not_sent", f.datagrams.not_sent},
-                      {"turned_away", f.datagrams.turned_away},
-                      {"under_no_key", f.unsealed},
-                      {"unreadable", f.unreadable},
-                      {"replayed", f.replayed}};
+  out["datagrams"] = {{"heard", f.datagrams.received},        {"sent", f.datagrams.sent},
+                      {"bytes_sent", f.datagrams.bytes_sent}, {"not_sent", f.datagrams.not_sent},
+                      {"turned_away", f.datagrams.rejected},  {"under_no_key", f.unsealed},
+                      {"unreadable", f.unreadable},           {"replayed", f.replayed}};
   return out.dump();
 }
 
--- a/src/net/address_set.cc
+++ b/src/net/address_set.cc
@@ -9,14 +9,14 @@
 
 namespace ip = boost::asio::ip;
 
-AddressSet::Bits AddressSet::Bits::first(int n) const {
+AddressSet::Bits AddressSet::Bits::prefix(int n) const {
   const auto mask = [](int bits) {
     return bits <= 0 ? 0 : bits >= 64 ? ~std::uint64_t{0} : ~std::uint64_t{0} << (64 - bits);
   };
   return {high & mask(n), low & mask(n - 64)};
 }
 
-int AddressSet::Bits::common(const Bits& other) const {
+int AddressSet::Bits::common_prefix(const Bits& other) const {
   if (high != other.high) return std::countl_zero(high ^ other.high);
   return 64 + std::countl_zero(low ^ other.low);
 }
@@ -54,55 +54,57 @@
   return true;
 }
 
+std::int32_t AddressSet::add_node(const Bits& bits, int length, bool is_network) {
+  nodes_.push_back({bits.prefix(length), length, is_network, {kNone, kNone}});
+  return static_cast<std::int32_t>(nodes_.size() - 1);
+}
+
 void AddressSet::insert(const Bits& bits, int length) {
-  const auto add = [this](const Bits& b, int n, bool whole) {
-    nodes_.push_back({b.first(n), n, whole, {kNone, kNone}});
-    return static_cast<std::int32_t>(nodes_.size() - 1);
-  };
-  std::int32_t at = root_, above = kNone;
+  std::int32_t at = root_;
+  std::int32_t parent = kNone;
   bool side = false;
-  const auto hang = [&](std::int32_t node) {
-    if (above == kNone) {
+  const auto attach = [&](std::int32_t node) {
+    if (parent == kNone) {
       root_ = node;
     } else {
-      nodes_[static_cast<std::size_t>(above)].child[side] = node;
+      nodes_[static_cast<std::size_t>(parent)].child[side] = node;
     }
   };
   while (at != kNone) {
-    Node& n = nodes_[static_cast<std::size_t>(at)];
-    const int common = std::min({bits.common(n.bits), n.length, length});
-    if (common < n.length) {
-      // It branches off within this node's path, or lies above it.
-      const Bits old = n.bits;
-      const std::int32_t joint = add(bits, common, common == length);
-      hang(joint);
-      nodes_[static_cast<std::size_t>(joint)].child[old.bit(common)] = at;
+    Node& node = nodes_[static_cast<std::size_t>(at)];
+    const int common = std::min({bits.common_prefix(node.bits), node.length, length});
+    if (common < node.length) {
+      // The network branches off within this node's path, or contains the node.
+      const Bits old = node.bits;
+      const std::int32_t branch = add_node(bits, common, common == length);
+      attach(branch);
+      nodes_[static_cast<std::size_t>(branch)].child[old.bit(common)] = at;
       if (common < length) {
-        const std::int32_t leaf = add(bits, length, true);
-        nodes_[static_cast<std::size_t>(joint)].child[bits.bit(common)] = leaf;
+        const std::int32_t leaf = add_node(bits, length, true);
+        nodes_[static_cast<std::size_t>(branch)].child[bits.bit(common)] = leaf;
       }
       return;
     }
-    if (n.whole) return;  // all of it is in already
-    if (n.length == length) {
-      n.whole = true;
+    if (node.is_network) return;  // contains the new one
+    if (node.length == length) {
+      node.is_network = true;
       return;
     }
-    above = at;
-    side = bits.bit(n.length);
-    at = n.child[side];
+    parent = at;
+    side = bits.bit(node.length);
+    at = node.child[side];
   }
-  hang(add(bits, length, true));
+  attach(add_node(bits, length, true));
 }
 
 bool AddressSet::contains(const ip::address& address) const {
   const Bits bits = bits_of(address);
   for (std::int32_t at = root_; at != kNone;) {
-    const Node& n = nodes_[static_cast<std::size_t>(at)];
-    if (bits.common(n.bits) < n.length) return false;
-    if (n.whole) return true;
-    if (n.length >= 128) return false;
-    at = n.child[bits.bit(n.length)];
+    const Node& node = nodes_[static_cast<std::size_t>(at)];
+    if (bits.common_prefix(node.bits) < node.length) return false;
+    if (node.is_network) return true;
+    if (node.length >= 128) return false;
+    at = node.child[bits.bit(node.length)];
   }
   return false;
 }
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -6,15 +6,15 @@
 
 namespace balancer {
 
-// The monotonic clock, on which all decisions run. Wall clocks are set, forward and back; they are
-// read for nothing but the offset below.
+// The monotonic clock, on which all decisions run. The wall clock may be set, forward and back; it
+// is read only for the offset below.
 class Clock {
  public:
   Time now() const { return std::chrono::steady_clock::now().time_since_epoch(); }
   std::chrono::steady_clock::time_point steady(Time t) const {
     return std::chrono::steady_clock::time_point(t);
   }
-  // What the wall clock showed less what this one showed at the start; it may be wrong.
+  // Wall clock less monotonic clock at the start of the process; it may be wrong.
   Duration wall_offset() const { return wall_offset_; }
 
  private:
--- a/src/net/datagram_socket.cc
+++ b/src/net/datagram_socket.cc
@@ -9,14 +9,14 @@
 using boost::system::error_code;
 namespace asio = boost::asio;
 
-// Read at one go before others get their turn.
+// Datagrams read at one go before other events get their turn.
 constexpr int kBatch = 64;
 
 }  // namespace
 
 DatagramSocket::DatagramSocket(asio::io_context& io, const Endpoint& listen, AddressSet admitted,
-                               Hear hear)
-    : socket_(io), admitted_(std::move(admitted)), hear_(std::move(hear)) {
+                               Receiver receiver)
+    : socket_(io), admitted_(std::move(admitted)), receiver_(std::move(receiver)) {
   socket_.open(listen.protocol());
   socket_.bind(listen);
   socket_.non_blocking(true);
@@ -35,14 +35,13 @@
     error_code error;
     const auto n = socket_.receive_from(asio::buffer(buffer_), from, 0, error);
     if (error == asio::error::would_block || error == asio::error::try_again) break;
-    // A peer that is away sends back that nobody listens.
-    if (error) continue;
+    if (error) continue;  // an earlier datagram met a port on which nobody listens
     if (!admitted_.contains(from.address())) {
-      ++counters_.turned_away;
+      ++counters_.rejected;
       continue;
     }
-    ++counters_.heard;
-    hear_(from, {buffer_.data(), n});
+    ++counters_.received;
+    receiver_(from, {buffer_.data(), n});
   }
   if (socket_.is_open()) arm();
 }
--- a/src/net/datagram_socket.h
+++ b/src/net/datagram_socket.h
@@ -3,6 +3,7 @@
 #include <array>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/udp.hpp>
+#include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <string_view>
@@ -11,35 +12,42 @@
 
 namespace balancer {
 
-// A UDP socket that hears only whom it may. Sends directly: what the system has no room for is
-// dropped, as the network may drop any.
+// A UDP socket that takes datagrams from admitted addresses only. Sends directly: a datagram for
+// which the system has no room is dropped, as the network may drop any.
 class DatagramSocket {
  public:
   using Endpoint = boost::asio::ip::udp::endpoint;
-  using Hear = std::function<void(const Endpoint& from, std::string_view bytes)>;
+  using Receiver = std::function<void(const Endpoint& from, std::string_view bytes)>;
 
   // Throws boost::system::system_error if it cannot be bound.
   DatagramSocket(boost::asio::io_context& io, const Endpoint& listen, AddressSet admitted,
-                 Hear hear);
+                 Receiver receiver);
 
+  // Never waits; a datagram that could not be sent is counted.
   void send(const Endpoint& to, std::string_view bytes);
   void close();
   Endpoint local() const { return socket_.local_endpoint(); }
 
   struct Counters {
-    std::uint64_t heard = 0, turned_away = 0, sent = 0, not_sent = 0, bytes_sent = 0;
+    std::uint64_t received = 0;
+    std::uint64_t rejected = 0;  // from addresses that are not admitted
+    std::uint64_t sent = 0;
+    std::uint64_t not_sent = 0;
+    std::uint64_t bytes_sent = 0;
   };
   const Counters& counters() const { return counters_; }
 
  private:
+  static constexpr std::size_t kMaxDatagram = 2048;  // bytes
+
   void arm();
   void on_readable();
 
   boost::asio::ip::udp::socket socket_;
   const AddressSet admitted_;
-  const Hear hear_;
+  const Receiver receiver_;
   Counters counters_;
-  std::array<char, 2048> buffer_{};
+  std::array<char, kMaxDatagram> buffer_{};
 };
 
 }  // namespace balancer
--- a/src/net/descriptor_link.cc
+++ b/src/net/descriptor_link.cc
@@ -13,10 +13,12 @@
 using boost::system::error_code;
 using Stream = boost::asio::posix::stream_descriptor;
 
-// Packets that wait for a peer that does not read. Beyond it the link is given up.
-constexpr std::size_t kMaxWaiting = 1024;
-// The most that one call can carry (SCM_MAX_FD is 253); callers ask for far fewer.
-constexpr std::size_t kMaxAtOnce = 64;
+// Packets queued for a peer that does not read; with more the link fails.
+constexpr std::size_t kMaxQueued = 1024;
+// Descriptors in one packet (the kernel allows SCM_MAX_FD, 253).
+constexpr std::size_t kMaxDescriptors = 64;
+// Packets read at one go before other events get their turn.
+constexpr int kReadBatch = 16;
 
 }  // namespace
 
@@ -24,16 +26,16 @@
   if (fd_ >= 0) ::close(fd_);
 }
 
-Received receive_packet(int fd, std::size_t longest, std::size_t most) {
+Received receive_packet(int fd, std::size_t max_bytes, std::size_t max_descriptors) {
   Received r;
-  r.packet.bytes.resize(longest);
-  iovec part{r.packet.bytes.data(), longest};
-  alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int) * kMaxAtOnce)];
+  r.packet.bytes.resize(max_bytes);
+  iovec part{r.packet.bytes.data(), max_bytes};
+  alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int) * kMaxDescriptors)];
   msghdr head{};
   head.msg_iov = &part;
   head.msg_iovlen = 1;
   head.msg_control = control;
-  head.msg_controllen = CMSG_SPACE(sizeof(int) * std::min(most, kMaxAtOnce));
+  head.msg_controllen = CMSG_SPACE(sizeof(int) * std::min(max_descriptors, kMaxDescriptors));
   r.n = ::recvmsg(fd, &head, MSG_CMSG_CLOEXEC | MSG_DONTWAIT);
   if (r.n <= 0) return r;
   for (cmsghdr* c = CMSG_FIRSTHDR(&head); c; c = CMSG_NXTHDR(&head, c)) {
@@ -54,12 +56,12 @@
 }
 
 bool send_packet(int fd, std::string_view bytes, const std::vector<Descriptor>& descriptors) {
-  if (descriptors.size() > kMaxAtOnce) {
+  if (descriptors.size() > kMaxDescriptors) {
     errno = E2BIG;
     return false;
   }
   iovec part{const_cast<char*>(bytes.data()), bytes.size()};
-  alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int) * kMaxAtOnce)];
+  alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int) * kMaxDescriptors)];
   std::memset(control, 0, sizeof control);
   msghdr head{};
   head.msg_iov = &part;
@@ -79,10 +81,11 @@
   return ::sendmsg(fd, &head, MSG_NOSIGNAL | MSG_DONTWAIT) == static_cast<ssize_t>(bytes.size());
 }
 
-DescriptorLink::DescriptorLink(boost::asio::io_context& io, Descriptor socket, std::size_t longest,
-                               std::size_t max_descriptors, Handlers handlers)
+DescriptorLink::DescriptorLink(boost::asio::io_context& io, Descriptor socket,
+                               std::size_t max_bytes, std::size_t max_descriptors,
+                               Handlers handlers)
     : stream_(io, socket.release()),
-      longest_(longest),
+      max_bytes_(max_bytes),
       max_descriptors_(max_descriptors),
       handlers_(std::move(handlers)) {
   arm_read();
@@ -99,13 +102,12 @@
 
 void DescriptorLink::on_readable() {
   const auto alive = alive_;
-  // A few at a time: clients get their turn between.
-  for (int i = 0; i < 16 && open(); ++i) {
-    Received r = receive_packet(stream_.native_handle(), longest_, max_descriptors_);
+  for (int i = 0; i < kReadBatch && open(); ++i) {
+    Received r = receive_packet(stream_.native_handle(), max_bytes_, max_descriptors_);
     if (r.n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) break;
-    // Told once where the peer ended with input unread; what it had sent can be read still.
-    if (r.n < 0 && errno == ECONNRESET && i < 15) continue;
-    if (r.n <= 0) return lose();
+    // Reported once if the peer closed with input unread; what it had sent can still be read.
+    if (r.n < 0 && errno == ECONNRESET && i < kReadBatch - 1) continue;
+    if (r.n <= 0) return fail();
     handlers_.on_packet(std::move(r.packet));
     if (!*alive) return;
   }
@@ -114,41 +116,41 @@
 
 void DescriptorLink::send(Packet packet) {
   if (!open()) return;
-  waiting_.push_back(std::move(packet));
-  if (!writing_) flush();
+  queue_.push_back(std::move(packet));
+  if (!write_pending_) flush();
 }
 
 void DescriptorLink::flush() {
-  while (!waiting_.empty() && open()) {
-    const Packet& p = waiting_.front();
+  while (!queue_.empty() && open()) {
+    const Packet& p = queue_.front();
     if (!send_packet(stream_.native_handle(), p.bytes, p.descriptors)) {
       if (errno == EINTR) continue;
       const bool full = errno == EAGAIN || errno == EWOULDBLOCK || errno == ETOOMANYREFS;
-      if (full && waiting_.size() <= kMaxWaiting) return arm_write();
-      // From the event loop: its owner may be in the middle of something.
+      if (full && queue_.size() <= kMaxQueued) return arm_write();
+      // Posted, as the owner may be inside a call of its own.
       boost::asio::post(stream_.get_executor(), [this, alive = alive_] {
-        if (*alive) lose();
+        if (*alive) fail();
       });
       return;
     }
-    waiting_.pop_front();
+    queue_.pop_front();
   }
 }
 
 void DescriptorLink::arm_write() {
-  writing_ = true;
+  write_pending_ = true;
   stream_.async_wait(Stream::wait_write, [this, alive = alive_](const error_code& e) {
     if (!*alive) return;
-    writing_ = false;
+    write_pending_ = false;
     if (!e) flush();
   });
 }
 
-void DescriptorLink::lose() {
+void DescriptorLink::fail() {
   if (!open()) return;
   error_code ignored;
   stream_.close(ignored);
-  waiting_.clear();
+  queue_.clear();
   handlers_.on_lost();
 }
 
--- a/src/net/descriptor_link.h
+++ b/src/net/descriptor_link.h
@@ -37,33 +37,35 @@
   std::vector<Descriptor> descriptors;
 };
 
-// A packet of at most `longest` bytes with up to `most` descriptors. `n`: as recvmsg returns it, 0
-// if the peer has ended, -1 with errno set; a packet that was cut off counts as EMSGSIZE.
 struct Received {
+  // As recvmsg() returns it: bytes, 0 if the peer has closed, or -1 with errno set (EMSGSIZE for a
+  // packet that was truncated).
   long n = -1;
   Packet packet;
 };
-Received receive_packet(int fd, std::size_t longest, std::size_t most);
-// False with errno set if nothing of it was sent; the descriptors stay the caller's.
+// Receives one packet of at most `max_bytes` with up to `max_descriptors`, without waiting.
+Received receive_packet(int fd, std::size_t max_bytes, std::size_t max_descriptors);
+// Sends one packet without waiting. False with errno set if nothing of it was sent; the descriptors
+// stay the caller's.
 bool send_packet(int fd, std::string_view bytes, const std::vector<Descriptor>& descriptors);
 
-// Packets with descriptors beside them, in order, over a connected Unix socket of type
+// Exchanges packets that carry descriptors, in order, over a connected Unix socket of type
 // SOCK_SEQPACKET, to another process of the same user on this machine.
 class DescriptorLink {
  public:
   struct Handlers {
     std::function<void(Packet)> on_packet;
-    // The peer has ended, or sent more than the bounds allow. Once, and from the event loop only.
+    // The peer has closed, or sent more than the bounds allow. Once, and from the event loop only.
     std::function<void()> on_lost;
   };
 
-  DescriptorLink(boost::asio::io_context& io, Descriptor socket, std::size_t longest,
+  // `max_bytes`, `max_descriptors`: of one packet.
+  DescriptorLink(boost::asio::io_context& io, Descriptor socket, std::size_t max_bytes,
                  std::size_t max_descriptors, Handlers handlers);
   ~DescriptorLink();
 
-  // Whether the next packet goes out at once. Others wait, in memory that is bounded: what must not
-  // wait is sent only then.
-  bool room() const { return open() && waiting_.empty(); }
+  // Whether the next packet goes out at once; others wait in a bounded queue.
+  bool room() const { return open() && queue_.empty(); }
   void send(Packet packet);
   bool open() const { return stream_.is_open(); }
 
@@ -72,14 +74,15 @@
   void arm_write();
   void on_readable();
   void flush();
-  void lose();
+  void fail();
 
   boost::asio::posix::stream_descriptor stream_;
-  const std::size_t longest_, max_descriptors_;
+  const std::size_t max_bytes_;
+  const std::size_t max_descriptors_;
   const Handlers handlers_;
-  std::deque<Packet> waiting_;
-  bool writing_ = false;
-  // Outlives the link in its handlers, which look at it first.
+  std::deque<Packet> queue_;
+  bool write_pending_ = false;  // a wait for room is pending
+  // Shared with pending handlers, which check it first: they may outlive the link.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/net/lease_clock.h
+++ b/src/net/lease_clock.h
@@ -8,9 +8,8 @@
 
 namespace balancer {
 
-// The clock of leases: never set, and it goes on while the machine sleeps, as the voters' clocks do
-// meanwhile (CLOCK_BOOTTIME; the usual steady clock stands still then). Counts from the machine's
-// start.
+// The clock of leases, CLOCK_BOOTTIME: never set, and unlike the steady clock it also counts while
+// the machine is suspended, as the voters' clocks go on meanwhile. Counts from the machine's start.
 inline Time lease_now() {
   timespec t{};
   ::clock_gettime(CLOCK_BOOTTIME, &t);
--- a/src/net/value_stream.h
+++ b/src/net/value_stream.h
@@ -11,27 +11,25 @@
 
 namespace balancer {
 
-// A long value on its way from one reader to one writer, through a window that the byte budget has
-// lent. The pace is that of the slower side: with the window full nothing more is read, and with it
-// empty there is nothing to write. One thread; handlers may be called from inside a call.
+// A long value that passes from a connection that reads it to one that writes it, through a window
+// that is reserved from the byte budget. With the window full nothing more is read; with it empty
+// there is nothing to write. One thread; handlers may be called from inside a call.
 class ValueStream {
  public:
-  // Bytes held at most.
+  // Bytes buffered at most.
   static constexpr std::size_t kWindow = 128u << 10;
-  // The longest value that is passed on.
-  static constexpr std::size_t kLongest = 4u << 20;
 
-  // `length`: of the whole value. Takes the window from the budget whether or not there is room;
-  // who makes one has asked.
+  // `length`: of the complete value, in bytes. Reserves the window whether or not the budget has
+  // room.
   ValueStream(std::size_t length, Budget& budget)
       : length_(length), reservation_(budget, kWindow) {}
 
   std::size_t length() const { return length_; }
 
-  // ---- the side that reads the value
+  // ---- the reading side
 
   std::size_t room() const { return abandoned_ ? kWindow : kWindow - buffered(); }
-  // No more than room() and, with what came before, length().
+  // At most room() bytes and, with what came before, length().
   void push(std::string_view piece) {
     pushed_ += piece.size();
     if (abandoned_) return;
@@ -43,18 +41,20 @@
     buffer_ += piece;
     if (on_data) on_data();
   }
-  // Nothing more comes. What is not whole by now never will be.
+  // Nothing more comes; a value that is not complete by now is broken.
   void finish() {
     if (std::exchange(finished_, true)) return;
     on_room = nullptr;
     if (on_data) on_data();
   }
-  // There is room again, or the value is not wanted any more.
+  // Called when there is room again, or the value has been abandoned.
   std::function<void()> on_room;
 
-  // ---- the side that writes it
+  // ---- the writing side
 
+  // The next bytes; valid until the next call.
   std::string_view front() const { return std::string_view(buffer_).substr(at_); }
+  // `n` bytes of front() have been written.
   void take(std::size_t n) {
     at_ += n;
     if (at_ == buffer_.size()) {
@@ -65,7 +65,7 @@
   }
   bool is_complete() const { return pushed_ == length_; }
   bool is_broken() const { return finished_ && !is_complete(); }
-  // Nobody wants the rest.
+  // The rest is not wanted; what comes is dropped.
   void abandon() {
     if (std::exchange(abandoned_, true)) return;
     on_data = nullptr;
@@ -73,7 +73,7 @@
     at_ = 0;
     if (on_room) on_room();
   }
-  // More has come, or the end.
+  // Called when more has come, or the end.
   std::function<void()> on_data;
 
   bool abandoned() const { return abandoned_; }
@@ -85,9 +85,10 @@
   const std::size_t length_;
   Reservation reservation_;
   std::string buffer_;
-  std::size_t at_ = 0;  // taken up to here
+  std::size_t at_ = 0;  // bytes of buffer_ that were taken
   std::size_t pushed_ = 0;
-  bool finished_ = false, abandoned_ = false;
+  bool finished_ = false;
+  bool abandoned_ = false;
 };
 using StreamPtr = std::shared_ptr<ValueStream>;
 
--- a/tests/accept_fault_test.cc
+++ b/tests/accept_fault_test.cc
@@ -7,7 +7,7 @@
 
 class AcceptFaultTest : public ProcessTest {};
 
-TEST_F(AcceptFaultTest, AnAbortedConnectionHoldsUpNobody) {
+TEST_F(AcceptFaultTest, ServesOthersAfterAnAbortedConnection) {
   FakeCache cache(io, [](const auto&, const auto& id) { return FakeCache::value(id, "v"); });
   discovery.hosts = host_entry("h", cache.server.dial());
   faults = "aborted_accepts=3";
--- a/tests/address_set_test.cc
+++ b/tests/address_set_test.cc
@@ -10,7 +10,7 @@
 
 namespace ip = boost::asio::ip;
 
-TEST(AddressSetTest, NetworksAndSingleAddresses) {
+TEST(AddressSetTest, ContainsNetworksAndSingleAddresses) {
   AddressSet set;
   EXPECT_TRUE(set.empty());
   EXPECT_FALSE(set.contains(ip::make_address("10.0.0.1")));
@@ -26,7 +26,7 @@
   EXPECT_FALSE(all.contains(ip::make_address("2001:db8::1")));
 }
 
-TEST(AddressSetTest, WhatIsNoNetwork) {
+TEST(AddressSetTest, RejectsTextThatIsNoNetwork) {
   AddressSet set;
   for (const char* bad : {"", "x", "10.0.0.0/33", "10.0.0.1/24", "10.0.0/8", "10.0.0.0/", "/8",
                           "fd00::1/8", "::/129", "10.0.0.0/8 "})
@@ -34,7 +34,7 @@
   EXPECT_TRUE(set.empty());
 }
 
-TEST(AddressSetTest, LikeAListOfNetworks) {
+TEST(AddressSetTest, AgreesWithAListOfNetworksOverRandomInput) {
   for (unsigned seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937 random(seed);
--- a/tests/client_session_test.cc
+++ b/tests/client_session_test.cc
@@ -20,7 +20,7 @@
 
 // What makes no sense gets one error and a close, and never reaches a host. Before, some of it was
 // passed on, and hosts broke off what else waited on the connection.
-TEST_F(ClientSessionTest, FaultsGetOneErrorAndAClose) {
+TEST_F(ClientSessionTest, AnswersMalformedInputWithOneErrorAndAClose) {
   const std::string read = " v O1 Pc=read,t=acme,d=500\r\n";
   for (const std::string& text :
        {std::string("frob k\r\n"), std::string("\r\n"), std::string("\x01\xff\x02\r\n"),
@@ -47,7 +47,7 @@
 }
 
 // What follows a fault may be the rest of it, and is not run; what came before it is answered.
-TEST_F(ClientSessionTest, NothingBehindAFaultIsRun) {
+TEST_F(ClientSessionTest, RunsNothingAfterMalformedInput) {
   auto c = client();
   c->send(get("k", "1") + "mg k v O2 P=\r\n" + get("k", "3"));
   ASSERT_TRUE(wait([&] { return c->closed; }));
@@ -57,7 +57,7 @@
 
 // A client that sent nonsense is held for a moment before it hears of it. That delays no answer to
 // anything valid that it sent before: those go out as they come, also long behind the fault.
-TEST_F(ClientSessionTest, AFaultHoldsBackNoAnswer) {
+TEST_F(ClientSessionTest, WritesEarlierAnswersWithoutDelayAfterMalformedInput) {
   silent_ = true;
   auto c = client();
   c->send(get("k", "1") + "frob\r\n");
@@ -81,7 +81,7 @@
 }
 
 // An open request's answer must not go to another client that names its id.
-TEST_F(ClientSessionTest, AnOpenIdIsTakenOnce) {
+TEST_F(ClientSessionTest, RejectsASecondRequestWithAnOpenId) {
   silent_ = true;
   auto first = client(), second = client();
   first->send(get("k", "7"));
@@ -99,7 +99,7 @@
 
 // Connections on which no request is open have an end, also such that say nothing or stop within a
 // command. Before, silent ones stayed until descriptors ran out.
-TEST_F(ClientSessionTest, SilentAndHalfSpokenConnectionsEnd) {
+TEST_F(ClientSessionTest, ClosesSilentAndHalfWrittenConnections) {
   std::vector<std::shared_ptr<Peer>> crowd;
   for (const std::string& text : {std::string(), std::string("m"), get("k", "1").substr(0, 20),
                                   std::string("ms k 50 O1 Pc=book,t=acme,d=5\r\nabc")}) {
@@ -113,7 +113,7 @@
 }
 
 // Half-sent bodies are paid for like all else that is held: many of them must not fill the memory.
-TEST_F(ClientSessionTest, HalfBodiesStayWithinTheBudget) {
+TEST_F(ClientSessionTest, KeepsHalfReadBodiesWithinTheByteBudget) {
   constexpr std::size_t kBody = 60'000;
   std::vector<std::shared_ptr<Peer>> crowd;
   std::size_t most = 0;
@@ -132,7 +132,7 @@
 }
 
 // Many commands at once are all answered, in their order.
-TEST_F(ClientSessionTest, ManyCommandsAtOnceAreAnsweredInOrder) {
+TEST_F(ClientSessionTest, AnswersPipelinedCommandsInOrder) {
   auto c = client();
   std::string text, expected;
   for (int i = 1; i <= 300; ++i) {
@@ -147,7 +147,7 @@
 
 // While draining, a client that has just connected is about to ask: it is heard. Those that were
 // served before are closed between requests, one that said nothing is closed.
-TEST_F(ClientSessionTest, ADrainHearsNewClients) {
+TEST_F(ClientSessionTest, AnswersNewClientsDuringADrain) {
   auto old = client();
   old->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return !old->in.empty(); }));
@@ -162,7 +162,7 @@
 // Before, a drain closed all connections at once though their clients went on using them, and each
 // needed another balancer at that moment. Now they are given back one by one, and until then each
 // request gets its answer.
-TEST_F(ClientSessionTest, ADrainGivesConnectionsBackOneByOne) {
+TEST_F(ClientSessionTest, SpreadsTheClosesOfADrain) {
   constexpr int kClients = 8;
   std::vector<std::shared_ptr<Peer>> clients;
   std::vector<int> asked(kClients), answered(kClients);
@@ -205,7 +205,7 @@
 
 // The balancer's end stops the loop that its peers run on as well: what has come for them by then,
 // an answer and a close, is read behind it all the same.
-TEST_F(ClientSessionTest, WhatCameBeforeTheEndIsReadBehindIt) {
+TEST_F(ClientSessionTest, AnswersRequestsThatCameBeforeTheEndOfADrain) {
   auto late = std::make_shared<Peer>(tcp::socket(io));
   late->socket.connect(balancer->local());
   late->send(get("k", "1"));
@@ -219,7 +219,7 @@
 
 // Where descriptors run short, clients that asked once and stay make room for others; those that
 // came back keep their connection.
-TEST_F(ClientSessionTest, OnceAskedConnectionsGoWhereDescriptorsRunShort) {
+TEST_F(ClientSessionTest, ClosesOnceUsedConnectionsWhereDescriptorsAreShort) {
   auto regular = client();
   for (const char* id : {"1", "2"}) {
     regular->in.clear();
@@ -240,7 +240,7 @@
 }
 
 // A host that can't use one command says so; the next on that connection is answered as ever.
-TEST_F(ClientSessionTest, AHostsComplaintSpoilsNoOtherRequest) {
+TEST_F(ClientSessionTest, ServesOtherRequestsWhenAHostReportsAnError) {
   silent_ = true;
   auto a = client();
   a->send(get("k", "1"));
--- a/tests/crossings_test.cc
+++ b/tests/crossings_test.cc
@@ -22,7 +22,7 @@
 TEST_P(LeavingClientTest, BehindAConnectionThatComesUp) {
   begin();
   list({listed("h", cache.server.local())});
-  cache.server.hold();
+  cache.server.pause_accepting();
   auto c = client(), other = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return limits->upstreams.used() == 1; }));
@@ -31,7 +31,7 @@
   ASSERT_TRUE(wait([&] { return pool->open_requests() == 0; }));
   EXPECT_LE(limits->bytes.used(), bytes);
   other->send(get("k", "2"));
-  cache.server.let();
+  cache.server.resume_accepting();
   ASSERT_TRUE(wait([&] { return cache.saw("2"); }));
   EXPECT_EQ(cache.ids, std::vector<std::string>{"2"});
   cache.answer("2", "v");
@@ -117,14 +117,14 @@
   cache.on_command = [&](Peer&, const std::string& id) { cache.miss(id); };
   begin();
   list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
-  origin.server.hold();
+  origin.server.pause_accepting();
   auto c = client(), follower = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return limits->upstreams.used() == 2; }));
   follower->send(get("k", "2"));
   ASSERT_TRUE(wait([&] { return cache.saw("2") && pool->open_requests() == 2; }));
   ASSERT_TRUE(gone(c, GetParam()));
-  origin.server.let();
+  origin.server.resume_accepting();
   ASSERT_TRUE(wait([&] { return origin.saw("2"); }));
   EXPECT_EQ(origin.ids, std::vector<std::string>{"2"});
   origin.answer("2", "v");
@@ -172,7 +172,7 @@
 }
 
 // Not begun, behind a standstill: held back, and never let go.
-TEST_P(LeavingClientTest, HeldBackBehindAStandstill) {
+TEST_P(LeavingClientTest, HeldAfterAStall) {
   begin();
   list({listed("h", cache.server.local())});
   bool asked = false;
@@ -202,7 +202,7 @@
                                                               Unread::kShortOfMemory),
                                             ::testing::Bool()));
 
-TEST_P(UnreadClientTest, IsHeardToLeave) {
+TEST_P(UnreadClientTest, IsNoticedWhenItDisconnects) {
   const auto [unread, by_reset] = GetParam();
   site.max_connections = 1;
   begin();
@@ -309,11 +309,11 @@
                                            Change::kMoves, Change::kTakenOut));
 
 // Decided anew, at once, and at no cost of a retry (here: no second attempt is allowed).
-TEST_P(ListAndAttemptTest, OnAConnectionThatComesUp) {
+TEST_P(ListAndAttemptTest, DecidesAnewForAConnectionThatComesUp) {
   site.policy.max_attempts = 1;
   begin();
   list({listed("h", old.server.local())});
-  old.server.hold();
+  old.server.pause_accepting();
   auto c = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return limits->upstreams.used() == 1; }));
@@ -321,13 +321,13 @@
   ASSERT_TRUE(wait([&] { return now.saw("1"); }));
   now.answer("1", "v");
   ASSERT_TRUE(wait([&] { return c->in == FakeCache::value("1", "v"); }));
-  old.server.let();
+  old.server.resume_accepting();
   c->send(get("k", "2"));
   ASSERT_TRUE(wait([&] { return now.saw("2"); }));
   EXPECT_TRUE(old.ids.empty());
 }
 
-TEST_P(ListAndAttemptTest, ForAPlace) {
+TEST_P(ListAndAttemptTest, DecidesAnewForAQueuedAttempt) {
   site.policy.max_attempts = 1;
   site.max_connections = 1;
   begin();
@@ -345,7 +345,7 @@
 }
 
 // A connection that was in use at the time of the change leads to the old process or address.
-TEST_P(ListAndAttemptTest, AConnectionInUseIsNotUsedAgain) {
+TEST_P(ListAndAttemptTest, AssignsNothingMoreToAConnectionInUse) {
   begin();
   list({listed("h", old.server.local())});
   auto c = client();
@@ -362,7 +362,7 @@
 // A write waits for an origin that is another by now: it goes there, at once and once.
 // A request is to be written at the end of the turn, the list drops its host, and the tick that
 // sweeps up comes before that end: it is due already, as the loop was late.
-TEST_F(DispatchTest, AHostIsSweptUpInTheTurnInWhichSomethingIsToBeWritten) {
+TEST_F(DispatchTest, ErasesARetiredHostInTheTurnOfAPostedWrite) {
   ScriptedCache cache(io), left(io);
   site.shared_connections = true;
   site.streams_per_connection = 4;
@@ -380,16 +380,16 @@
   EXPECT_TRUE(cache.ids.empty());
 }
 
-TEST_F(DispatchTest, AWriteFollowsTheOrigin) {
+TEST_F(DispatchTest, SendsAWaitingWriteToTheMovedOrigin) {
   ScriptedOrigin old(io), now(io);
   begin();
   list({listed("o", old.server.local(), true)});
-  old.server.hold();
+  old.server.pause_accepting();
   auto c = client();
   c->send(put("k", "1"));
   ASSERT_TRUE(wait([&] { return limits->upstreams.used() == 1; }));
   list({listed("o", now.server.local(), true)});
-  old.server.let();
+  old.server.resume_accepting();
   ASSERT_TRUE(wait([&] { return now.saw("1"); }));
   now.answer("1", "r");
   ASSERT_TRUE(wait([&] { return c->in == "HD O1 cr\r\n"; }));
@@ -398,13 +398,13 @@
 }
 
 // So does a fetch, and with it who waits for it.
-TEST_F(DispatchTest, AFetchFollowsTheOrigin) {
+TEST_F(DispatchTest, SendsAWaitingFetchToTheMovedOrigin) {
   ScriptedCache cache(io);
   ScriptedOrigin old(io), now(io);
   cache.on_command = [&](Peer&, const std::string& id) { cache.miss(id); };
   begin();
   list({listed("h", cache.server.local()), listed("o", old.server.local(), true)});
-  old.server.hold();
+  old.server.pause_accepting();
   auto c = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return limits->upstreams.used() == 2; }));
@@ -416,7 +416,7 @@
 }
 
 // Half of a write is at its host when that begins to drain: it has begun there, and goes on.
-TEST_F(DispatchTest, WhatHasBegunAtAHostGoesOnThere) {
+TEST_F(DispatchTest, FinishesAHalfWrittenAttemptAtADrainingHost) {
   ScriptedOrigin origin(io, 4096);
   origin.server.reads = false;
   begin();
@@ -436,7 +436,7 @@
 // The origin answers a second time, some milliseconds late, when the next fetch is out: HTTP does
 // not tell whose answer it is. On a busy machine the connection may have rested meanwhile, and
 // another try is made.
-TEST_F(DispatchTest, ALateSecondAnswerOfTheOriginIsNobodysValue) {
+TEST_F(DispatchTest, ServesNoLateSecondAnswerOfTheOrigin) {
   ScriptedCache cache(io);
   ScriptedOrigin origin(io);
   cache.on_command = [&](Peer&, const std::string& id) { cache.miss(id); };
@@ -467,7 +467,7 @@
 
 // An answer comes while its request is being written. It cannot be that request's: nobody is served
 // with it, and what may have run by then is not sent again.
-TEST_F(DispatchTest, AnAnswerAheadOfItsRequestIsNone) {
+TEST_F(DispatchTest, IgnoresAnAnswerThatComesBeforeItsRequestIsWritten) {
   ScriptedOrigin origin(io, 4096);
   origin.server.reads = false;
   begin();
@@ -486,13 +486,13 @@
 // ---- a keyed write is decided on within the time in which repeats are discarded, and its turn to
 // be written comes behind it
 
-TEST_F(DispatchTest, AKeyedRepeatIsNotWrittenBehindItsWindow) {
+TEST_F(DispatchTest, WritesNoKeyedRetryAfterItsDeduplicationWindow) {
   ScriptedOrigin origin(io);
   begin();
   list({listed("o", origin.server.local(), true)});
   origin.on_request = [&](Peer& p, const std::string&) {
     if (origin.ids.size() > 1) return;
-    origin.server.hold();
+    origin.server.pause_accepting();
     p.close();  // it may have run, and is sent again at once: to a connection that does not come up
   };
   auto c = client();
@@ -500,7 +500,7 @@
   c->send(put("k", "1", 2, "c=save,k=key"));
   ASSERT_TRUE(wait([&] { return origin.saw("1") && limits->upstreams.used() == 1; }));
   ASSERT_TRUE(wait([&] { return clock.now() - start > milliseconds(301); }));
-  origin.server.let();
+  origin.server.resume_accepting();
   ASSERT_TRUE(wait([&] { return !c->in.empty(); }));
   EXPECT_TRUE(c->in == "SERVER_ERROR failed\r\n" || c->in == "SERVER_ERROR busy\r\n") << c->in;
   EXPECT_EQ(origin.ids.size(), 1u);
@@ -508,7 +508,7 @@
 
 // ---- an idle connection's end, and the next request
 
-TEST_F(DispatchTest, AnUnsafeWriteCrossesNoCloseThatHasCome) {
+TEST_F(DispatchTest, SendsNoNonIdempotentWriteOnAClosedConnection) {
   ScriptedOrigin origin(io);
   begin();
   list({listed("o", origin.server.local(), true)});
@@ -529,7 +529,7 @@
 }
 
 // The other order: the request is written, and the close comes behind it. It may have run.
-TEST_F(DispatchTest, AnUnsafeWriteThatMetACloseIsNotRepeated) {
+TEST_F(DispatchTest, RetriesNoNonIdempotentWriteThatCrossedAClose) {
   ScriptedOrigin origin(io);
   begin();
   list({listed("o", origin.server.local(), true)});
@@ -551,7 +551,7 @@
 
 // The rest of a command comes in the turn in which its time is over, or in which its place is
 // needed. The loop is late, so that the ticks are due; the test's own timer is the first of them.
-TEST_F(DispatchTest, ACommandThatBecomesWholeInTheTurnOfItsEndIsAnswered) {
+TEST_F(DispatchTest, AnswersACommandThatIsCompletedInTheTurnOfItsTimeout) {
   times.first_command = milliseconds(100);
   begin();
   std::shared_ptr<Peer> c;
@@ -571,7 +571,7 @@
   EXPECT_EQ(c->in, "MN\r\n");
 }
 
-TEST_F(DispatchTest, ACommandThatBecomesWholeIsNotClosedForItsPlace) {
+TEST_F(DispatchTest, KeepsAClientWhoseCommandIsCompletedWhenRoomIsNeeded) {
   begin();
   auto c = client();
   c->send("m");
@@ -591,7 +591,7 @@
 // ---- a drain
 
 // What waits to be accepted has been taken as far as its clients can tell.
-TEST_F(DispatchTest, WhoWaitsToBeAcceptedIsHeardBeforeTheEnd) {
+TEST_F(DispatchTest, AnswersClientsInTheBacklogBeforeItStops) {
   begin();
   std::vector<std::shared_ptr<Peer>> crowd;
   for (int i = 0; i < 90; ++i) {
@@ -606,7 +606,7 @@
 }
 
 // Without room the listener stays until there is some.
-TEST_F(DispatchTest, WhoFindsNoRoomIsHeardOnceThereIsSome) {
+TEST_F(DispatchTest, AnswersClientsInTheBacklogOnceThereIsRoom) {
   ScriptedCache cache(io);
   begin();
   list({listed("h", cache.server.local())});
@@ -625,7 +625,7 @@
 }
 
 // A connection is to be given back; a request comes between the decision and the close.
-TEST_F(DispatchTest, ARequestThatComesBeforeTheCloseIsAnswered) {
+TEST_F(DispatchTest, AnswersARequestThatComesBeforeADrainedConnectionCloses) {
   begin();
   auto c = client();
   c->send("mn\r\n");
@@ -637,7 +637,7 @@
 }
 
 // The other order: given back first, the client finds an end in order and nothing lost.
-TEST_F(DispatchTest, AConnectionIsGivenBackInOrder) {
+TEST_F(DispatchTest, ClosesADrainedConnectionGracefully) {
   begin();
   auto c = client();
   c->send("mn\r\n");
@@ -651,7 +651,7 @@
 
 // A process that stands still in its drain wakes behind its last moment: what is open is failed and
 // the process ends in one turn, and several answers of one client leave together.
-TEST_F(ProcessEndTest, WhatIsAnsweredInTheLastTurnLeaves) {
+TEST_F(ProcessEndTest, WritesAnswersOfItsLastTurn) {
   FakeCache cache(io, [](const auto&, const auto&) { return std::string(); });
   discovery.hosts = host_entry("h1", cache.server.dial());
   begin();
@@ -664,13 +664,13 @@
   // The program would end here: what has not left by now never does.
   c->on_data = [](Peer&) {};
   c->socket.non_blocking(true);
-  LateServer::read_now(*c);
+  PausableServer::read_now(*c);
   EXPECT_EQ(std::count(c->in.begin(), c->in.end(), '\n'), 3) << c->in;
 }
 
 // Discovery moves while this process is leaving: what is still out has hosts that may come to
 // drain.
-TEST_F(ProcessEndTest, AReloadIsHeardInADrain) {
+TEST_F(ProcessEndTest, AppliesAReloadDuringADrain) {
   FakeCache cache(io, [](const auto&, const auto&) { return std::string(); });
   discovery.hosts = host_entry("h1", cache.server.dial());
   begin();
@@ -711,8 +711,8 @@
   ScriptedOrigin origin{io};
 };
 
-TEST_F(ShortOfMemoryTest, AReadIsRefused) { expect_refused(get("k", "1")); }
-TEST_F(ShortOfMemoryTest, ALongWriteIsRefused) { expect_refused(put("k", "1", 200u << 10)); }
+TEST_F(ShortOfMemoryTest, RejectsARead) { expect_refused(get("k", "1")); }
+TEST_F(ShortOfMemoryTest, RejectsALongWrite) { expect_refused(put("k", "1", 200u << 10)); }
 
 }  // namespace
 }  // namespace balancer::node
--- a/tests/deadline_test.cc
+++ b/tests/deadline_test.cc
@@ -103,7 +103,7 @@
   site.connect_timeout = kDelay;
   begin();
   list({listed("a", cache.server.local()), listed("o", origin.server.local(), true)});
-  cache.server.hold();
+  cache.server.pause_accepting();
   auto c = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return origin.saw("1"); }));
@@ -139,7 +139,7 @@
 }
 
 // The origin has refused the write unrun; the next try is told the rest.
-TEST_F(DeadlineTest, WriteBehindARefusal) {
+TEST_F(DeadlineTest, WriteAfterARejection) {
   begin();
   list({listed("o", origin.server.local(), true)});
   auto c = client();
@@ -153,7 +153,7 @@
 
 // The host has hung: after a while the module sends a second copy to the origin, while the first is
 // still out.
-TEST_F(DeadlineTest, SecondCopyWhileTheFirstIsOut) {
+TEST_F(DeadlineTest, HedgedRequestWhileTheFirstIsInFlight) {
   site.policy.hedging = true;
   begin();
   list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
@@ -176,12 +176,12 @@
 TEST_F(DeadlineTest, BehindAConnectionThatComesUpLate) {
   begin();
   list({listed("h", cache.server.local())});
-  cache.server.hold();
+  cache.server.pause_accepting();
   auto c = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return limits->upstreams.used() == 1; }));
   const auto passed = pass_time();
-  cache.server.let();
+  cache.server.resume_accepting();
   ASSERT_TRUE(wait([&] { return cache.saw("1"); }));
   expect_told_at_cache(cache, passed);
 }
@@ -189,12 +189,12 @@
 TEST_F(DeadlineTest, WriteBehindAConnectionThatComesUpLate) {
   begin();
   list({listed("o", origin.server.local(), true)});
-  origin.server.hold();
+  origin.server.pause_accepting();
   auto c = client();
   c->send(put("k", "1"));
   ASSERT_TRUE(wait([&] { return limits->upstreams.used() == 1; }));
   const auto passed = pass_time();
-  origin.server.let();
+  origin.server.resume_accepting();
   ASSERT_TRUE(wait([&] { return origin.saw("1"); }));
   expect_told_at_origin(origin, passed);
 }
@@ -203,7 +203,7 @@
 TEST_F(DeadlineTest, DecidedAnewBehindADrain) {
   begin();
   list({listed("a", cache.server.local())});
-  cache.server.hold();
+  cache.server.pause_accepting();
   auto c = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return limits->upstreams.used() == 1; }));
@@ -216,7 +216,7 @@
 }
 
 // With less than a millisecond left nothing can be told, and nothing is begun.
-TEST_F(DeadlineTest, WithoutAMillisecondLeftNothingIsBegun) {
+TEST_F(DeadlineTest, BeginsNoAttemptWithLessThanAMillisecondLeft) {
   begin();
   list({listed("h", cache.server.local())});
   auto c = client(), other = client();
@@ -275,7 +275,7 @@
 }
 
 // A key that reads like the list of names and values is not taken for it.
-TEST_F(DeadlineTest, AKeyThatReadsLikeTheList) {
+TEST_F(DeadlineTest, ReadsNoDeadlineFromAKeyThatLooksLikeProperties) {
   begin();
   list({listed("h", cache.server.local())});
   auto c = client();
--- a/tests/descriptor_test.cc
+++ b/tests/descriptor_test.cc
@@ -53,7 +53,7 @@
 INSTANTIATE_TEST_SUITE_P(Kinds, DescriptorTest,
                          ::testing::Values(State::kSilent, State::kResetting));
 
-TEST_P(DescriptorTest, AChangedListIsFetchedThroughACrowd) {
+TEST_P(DescriptorTest, FetchesAChangedListWhileClientsTakeAllDescriptors) {
   const auto answer = [](const auto&, const auto& id) { return FakeCache::value(id, "v"); };
   FakeCache before(io, answer), after(io, answer);
   discovery.hosts = host_entry("h1", before.server.dial());
--- a/tests/dispatch_harness.h
+++ b/tests/dispatch_harness.h
@@ -16,15 +16,15 @@
 #include "net/client_listener.h"
 #include "node_harness.h"
 
-// The core with real sockets on both sides, on the test's own event loop. Lists are the test's
-// calls, so that it decides between which two handlers one comes.
+// A server pool with real sockets on both sides, on the test's own event loop. The test applies
+// endpoint lists itself, and so decides between which two handlers one comes.
 namespace balancer::node {
 
-// A server that can stop taking connections at the kernel: until let() they neither come up nor
-// fail. What its peers write is theirs as with Server.
-class LateServer {
+// A server that can stop taking connections at the kernel: until resume_accepting() they neither
+// connect nor fail. Its peers are handled as those of Server.
+class PausableServer {
  public:
-  LateServer(asio::io_context& io, std::function<void(Peer&)> on_data, int receive_buffer = 0)
+  PausableServer(asio::io_context& io, std::function<void(Peer&)> on_data, int receive_buffer = 0)
       : io_(io), acceptor_(io), on_data_(std::move(on_data)) {
     acceptor_.open(tcp::v4());
     if (receive_buffer > 0)
@@ -36,10 +36,10 @@
   }
   Endpoint local() const { return acceptor_.local_endpoint(); }
 
-  // Fills the queue of those that wait to be accepted; the system drops what comes then.
-  void hold() {
+  // Fills the backlog; the system drops further connections.
+  void pause_accepting() {
     take_waiting();
-    holding_ = true;
+    paused_ = true;
     boost::system::error_code ignored;
     acceptor_.cancel(ignored);
     acceptor_.listen(0);
@@ -52,13 +52,13 @@
       full = ::poll(&p, 1, 50) == 0;
     }
   }
-  void let() {
+  void resume_accepting() {
     for (auto& s : fillers_) {
       boost::system::error_code ignored;
       s.close(ignored);
     }
     fillers_.clear();
-    holding_ = false;
+    paused_ = false;
     acceptor_.listen(kBacklog);
     accept();
   }
@@ -75,10 +75,10 @@
       p.on_data(p);
     }
   }
-  // Takes who waits, at once.
+  // Accepts the clients that wait, at once.
   void take_waiting() {
     boost::system::error_code e;
-    while (!holding_) {
+    while (!paused_) {
       tcp::socket s(io_);
       acceptor_.accept(s, e);
       if (e) return;
@@ -94,7 +94,7 @@
 
   void accept() {
     acceptor_.async_wait(tcp::acceptor::wait_read, [this](auto e) {
-      if (e || holding_) return;
+      if (e || paused_) return;
       take_waiting();
       accept();
     });
@@ -119,10 +119,10 @@
   tcp::acceptor acceptor_;
   std::function<void(Peer&)> on_data_;
   std::vector<tcp::socket> fillers_;
-  bool holding_ = false;
+  bool paused_ = false;
 };
 
-// All that a peer has sent, its end included, has come to the other side's system.
+// Waits until all that a peer has sent, its close included, has arrived at the other side's system.
 inline bool delivered(Peer& p) {
   for (int i = 0; i < 1000; ++i) {
     int left = 0;
@@ -141,7 +141,7 @@
   return line.substr(at, line.find(' ', at) - at);
 }
 
-// A memcache host: what came, in order; answered when the test says so.
+// A memcache host that records commands in order, and answers when the test says so.
 struct ScriptedCache {
   explicit ScriptedCache(asio::io_context& io)
       : server(io, [this](Peer& p) {
@@ -162,7 +162,7 @@
   std::vector<std::string> lines;  // of the commands, as they came
   std::map<std::string, std::shared_ptr<Peer>> from;
   std::function<void(Peer&, const std::string& id)> on_command;
-  LateServer server;
+  PausableServer server;
 };
 
 // The same over HTTP; a request has come once its body has.
@@ -183,7 +183,7 @@
   std::vector<std::string> heads;  // of the requests, as they came
   std::map<std::string, std::shared_ptr<Peer>> from;
   std::function<void(Peer&, const std::string& id)> on_request;
-  LateServer server;
+  PausableServer server;
 
  private:
   void on_data(Peer& p) {
@@ -213,7 +213,7 @@
   return h;
 }
 
-// Client, host and origin are the test's, and so is the list.
+// A server pool between clients, hosts and an origin that the test scripts.
 class DispatchTest : public ::testing::Test {
  protected:
   using MakeEvents = std::function<AttemptEvents&(AttemptEvents&)>;
@@ -236,10 +236,10 @@
         [this] { return front->make(); }, times);
     listener->open();
   }
-  virtual RequestSink& core() { return *pool; }  // as fronts see it
+  virtual RequestSink& core() { return *pool; }  // as frontends see it
   void list(std::vector<ListedHost> hosts) { pool->on_list({++seq, true, std::move(hosts)}); }
   std::shared_ptr<Peer> client() { return Peer::dial(io, listener->local()); }
-  // The client is gone, and the balancer has heard it.
+  // Closes the client, and waits until the balancer has noticed.
   ::testing::AssertionResult gone(const std::shared_ptr<Peer>& c, bool by_reset = false) {
     if (by_reset) c->socket.set_option(asio::socket_base::linger(true, 0));
     const std::size_t before = limits->clients.used();
@@ -279,7 +279,7 @@
   Clock clock;
   std::unique_ptr<Limits> limits;  // outlives the loop
   asio::io_context io{1};
-  MakeEvents between;  // stands between the connections and the core
+  MakeEvents between;  // wraps what the connections report to the pool
   std::unique_ptr<ServerPool> pool;
   std::unique_ptr<MemcacheFront> front;
   std::unique_ptr<ClientListener> listener;
--- a/tests/leaving_client_test.cc
+++ b/tests/leaving_client_test.cc
@@ -15,16 +15,17 @@
 // | unread, with its client's end behind it   | LeavingClientTest.WithItsCommandUnread,          |
 // |                                           | .WhileItWaitsToBeAccepted                        |
 // | behind a full pipeline, a fault, memory   | UnreadClientTest.IsHeardToLeave                  |
-// | unread behind those taken in one turn     | GoneClientTest.BehindThoseTakenInOneTurn         |
-// | half written by its client                | GoneClientTest.HalfWrittenByItsClient            |
-// | for an answer that turns out a miss       | GoneClientTest.AMissComesBehindTheLeaving        |
-// | for an answer, and the connection breaks  | GoneClientTest.AResetComesBehindTheLeaving       |
-// | for its slow-copy timer                   | GoneClientTest.ItsSlowCopyIsDueBehindTheLeaving  |
-// | for a connection that times out           | GoneClientTest.ItsConnectionTimesOutBehindThe... |
-// | RESP: for an answer that sends it on      | GoneRespClientTest.IsSentOnNoFurther             |
-// | RESP: for an answer, the connection breaks| GoneRespClientTest.IsAskedAgainNoFurther         |
-// | any, and the loop is late: what lets the  | UnheardLeavingTest, all                          |
-// | request go on is read before the close    |                                                  |
+// | unread behind those taken in one turn     | ClosedClientTest.BehindThoseTakenInOneTurn | | half
+// written by its client                | ClosedClientTest.HalfWrittenByItsClient            | | for
+// an answer that turns out a miss       | ClosedClientTest.GetsNoFetchForAMissAfterTheClose | | for
+// an answer, and the connection breaks  | ClosedClientTest.GetsNoRetryForAResetAfterTheClose | |
+// for its slow-copy timer                   | ClosedClientTest.GetsNoHedgedRequestDueAfterTheClose
+// | | for a connection that times out           |
+// ClosedClientTest.ItsConnectionTimesOutBehindThe... | | RESP: for an answer that sends it on |
+// ClosedRespClientTest.IsNotForwardedAfterARedirection             | | RESP: for an answer, the
+// connection breaks| ClosedRespClientTest.IsNotRetriedAfterAReset         | | any, and the loop is
+// late: what lets the  | UnreadCloseTest, all                          | | request go on is read
+// before the close    |                                                  |
 //
 // The tests of LeavingClientTest and UnreadClientTest stand in tests/crossings_test.cc. Under load:
 // tests/leaving_load_test.cc.
@@ -49,7 +50,7 @@
 
 // ---- the leaving has been heard
 
-class GoneClientTest : public DispatchTest, public ::testing::WithParamInterface<bool> {
+class ClosedClientTest : public DispatchTest, public ::testing::WithParamInterface<bool> {
  protected:
   // A host and an origin; the client of the first request leaves once the host has it.
   void begin_and_leave() {
@@ -64,9 +65,9 @@
   ScriptedCache cache{io};
   ScriptedOrigin origin{io};
 };
-INSTANTIATE_TEST_SUITE_P(ByFinAndReset, GoneClientTest, ::testing::Bool());
+INSTANTIATE_TEST_SUITE_P(ByFinAndReset, ClosedClientTest, ::testing::Bool());
 
-TEST_P(GoneClientTest, BehindThoseTakenInOneTurn) {
+TEST_P(ClosedClientTest, BehindThoseTakenInOneTurn) {
   site.max_connections = 1;
   begin();
   list({listed("h", cache.server.local())});
@@ -89,7 +90,7 @@
   EXPECT_TRUE(cache.ids == Ids{"last"} || cache.ids == (Ids{"c0", "last"}));
 }
 
-TEST_P(GoneClientTest, HalfWrittenByItsClient) {
+TEST_P(ClosedClientTest, HalfWrittenByItsClient) {
   begin();
   list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
   auto other = client();
@@ -105,7 +106,7 @@
   EXPECT_TRUE(origin.ids.empty());
 }
 
-TEST_P(GoneClientTest, AMissComesBehindTheLeaving) {
+TEST_P(ClosedClientTest, GetsNoFetchForAMissAfterTheClose) {
   begin_and_leave();
   auto other = client();
   cache.miss("1");
@@ -116,7 +117,7 @@
   EXPECT_EQ(origin.ids, Ids{"2"});
 }
 
-TEST_P(GoneClientTest, AResetComesBehindTheLeaving) {
+TEST_P(ClosedClientTest, GetsNoRetryForAResetAfterTheClose) {
   begin_and_leave();
   auto other = client();
   cache.from.at("1")->close();
@@ -128,7 +129,7 @@
   EXPECT_TRUE(origin.ids.empty());
 }
 
-TEST_P(GoneClientTest, ItsSlowCopyIsDueBehindTheLeaving) {
+TEST_P(ClosedClientTest, GetsNoHedgedRequestDueAfterTheClose) {
   site.policy.hedging = true;
   for (RequestClass& c : site.policy.classes) c.aim = milliseconds(800);  // slow behind the half
   begin_and_leave();
@@ -139,11 +140,11 @@
   EXPECT_EQ(cache.ids, (Ids{"1", "2"}));
 }
 
-TEST_P(GoneClientTest, ItsConnectionTimesOutBehindTheLeaving) {
+TEST_P(ClosedClientTest, GetsNoRetryOfAConnectTimeoutAfterTheClose) {
   site.connect_timeout = milliseconds(200);
   begin();
   list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
-  cache.server.hold();
+  cache.server.pause_accepting();
   auto c = client(), other = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return limits->upstreams.used() == 1; }));
@@ -155,7 +156,7 @@
 
 // ---- the loop is late: the close has come, and lies unread behind what lets the request go on
 
-class UnheardLeavingTest : public GoneClientTest {
+class UnreadCloseTest : public ClosedClientTest {
  protected:
   // Longer than an attempt may begin behind a close.
   static constexpr milliseconds kLate{150};
@@ -196,9 +197,9 @@
     return wait([&] { return cache.saw("last"); });
   }
 };
-INSTANTIATE_TEST_SUITE_P(ByFinAndReset, UnheardLeavingTest, ::testing::Bool());
+INSTANTIATE_TEST_SUITE_P(ByFinAndReset, UnreadCloseTest, ::testing::Bool());
 
-TEST_P(UnheardLeavingTest, BehindAMiss) {
+TEST_P(UnreadCloseTest, BehindAMiss) {
   begin_warm();
   auto c = client();
   c->send(get("k", "1"));
@@ -209,7 +210,7 @@
   EXPECT_TRUE(origin.ids.empty());
 }
 
-TEST_P(UnheardLeavingTest, BehindAReset) {
+TEST_P(UnreadCloseTest, BehindAReset) {
   begin_warm();
   auto c = client();
   c->send(get("k", "1"));
@@ -221,7 +222,7 @@
   EXPECT_TRUE(origin.ids.empty());
 }
 
-TEST_P(UnheardLeavingTest, BehindAPlaceThatComesFree) {
+TEST_P(UnreadCloseTest, BehindAPlaceThatComesFree) {
   site.max_connections = 1;
   begin();
   list({listed("h", cache.server.local())});
@@ -237,7 +238,7 @@
   EXPECT_EQ(cache.ids, (Ids{"1", "last"}));
 }
 
-TEST_P(UnheardLeavingTest, BehindAnothersFetch) {
+TEST_P(UnreadCloseTest, BehindAnothersFetch) {
   begin_warm();
   cache.on_command = [&](Peer&, const std::string& id) { cache.miss(id); };
   auto leader = client(), c = client();
@@ -252,7 +253,7 @@
   EXPECT_EQ(cache.ids, (Ids{"1", "2", "last"}));
 }
 
-TEST_P(UnheardLeavingTest, BehindABreakOfAKeyedWrite) {
+TEST_P(UnreadCloseTest, BehindABreakOfAKeyedWrite) {
   begin_warm();
   auto c = client();
   c->send(put("k", "1", 2, "c=save,k=key"));
@@ -265,7 +266,7 @@
 
 // ---- RESP
 
-class GoneRespClientTest : public ::testing::TestWithParam<bool> {
+class ClosedRespClientTest : public ::testing::TestWithParam<bool> {
  protected:
   void SetUp() override {
     for (ScriptedNode* node : {&a, &b})
@@ -338,15 +339,15 @@
   std::shared_ptr<Peer> asked;  // where the request that waits has come
   std::unique_ptr<Balancer> balancer;
 };
-INSTANTIATE_TEST_SUITE_P(ByFinAndReset, GoneRespClientTest, ::testing::Bool());
+INSTANTIATE_TEST_SUITE_P(ByFinAndReset, ClosedRespClientTest, ::testing::Bool());
 
-TEST_P(GoneRespClientTest, IsSentOnNoFurther) {
+TEST_P(ClosedRespClientTest, IsNotForwardedAfterARedirection) {
   leave_behind([&](Peer& node) { node.send(moved("waits")); });
   EXPECT_EQ(begun(a), 1);
   EXPECT_EQ(begun(b), 0);
 }
 
-TEST_P(GoneRespClientTest, IsAskedAgainNoFurther) {
+TEST_P(ClosedRespClientTest, IsNotRetriedAfterAReset) {
   leave_behind([](Peer& node) { node.close(); });
   EXPECT_EQ(begun(a), 1);
 }
--- a/tests/leaving_load_test.cc
+++ b/tests/leaving_load_test.cc
@@ -196,7 +196,7 @@
   std::map<std::string, std::vector<WallTime>> begins;  // of attempts, by id
 };
 
-TEST_F(LeavingLoadTest, NothingBeginsForThoseWhoHaveLeft) {
+TEST_F(LeavingLoadTest, BeginsNoAttemptForClientsThatHaveClosed) {
   const unsigned seed = std::random_device()();
   std::printf("seed %u\n", seed);
   random.seed(seed);
--- a/tests/long_value_test.cc
+++ b/tests/long_value_test.cc
@@ -106,7 +106,7 @@
 };
 
 // Short requests go on beside one that takes 1 KiB at a time, and the budget holds one window.
-TEST_F(LongValueTest, ASlowClientHoldsUpNobody) {
+TEST_F(LongValueTest, ServesOthersBesideASlowClient) {
   const std::string value = bytes_of(kLong);
   LongHost host(io, [&](const std::string& line, const std::string& id) -> LongHost::Does {
     return {answer(id, line.starts_with("mg long") ? value : "v")};
@@ -136,7 +136,7 @@
 }
 
 // Three times what the process may hold.
-TEST_F(LongValueTest, AHundredAtOnceInLittleMemory) {
+TEST_F(LongValueTest, StreamsAHundredAtOnceInLittleMemory) {
   const std::string value = bytes_of(1u << 20);
   LongHost host(io, [&](const std::string&, const std::string& id) -> LongHost::Does {
     return {answer(id, value)};
@@ -168,7 +168,7 @@
 }
 
 // The client can tell: it gets what came, and a close.
-TEST_F(LongValueTest, AHostThatDiesInTheMiddle) {
+TEST_F(LongValueTest, ClosesWithoutPaddingWhenTheHostDies) {
   const std::string value = bytes_of(kLong);
   LongHost host(io, [&](const std::string&, const std::string& id) -> LongHost::Does {
     return {answer(id, value).substr(0, 1000000), true};
@@ -185,7 +185,7 @@
 
 // Nothing of an answer passes whose first line is another request's, or says more than may be: the
 // origin is asked, whose long answer passes, unless it names another request.
-TEST_F(LongValueTest, AWrongFirstLineIsAskedForElsewhere) {
+TEST_F(LongValueTest, RetriesElsewhereAfterAWrongFirstLine) {
   const std::string value = bytes_of(100000);
   LongHost host(io, [&](const std::string& line, const std::string& id) -> LongHost::Does {
     if (line.starts_with("mg long")) return {"VA 4194305 O" + id + "\r\n" + value};
@@ -220,7 +220,7 @@
 }
 
 // A client that leaves ends the transfer; nothing is kept for it.
-TEST_F(LongValueTest, AClientThatLeavesInTheMiddle) {
+TEST_F(LongValueTest, EndsTheHostsSideWhenTheClientCloses) {
   const std::string value = bytes_of(kLong);
   LongHost host(io, [&](const std::string&, const std::string& id) -> LongHost::Does {
     return {answer(id, value)};
@@ -237,7 +237,7 @@
 }
 
 // A client that takes nothing at all has an end, and so has a host that stops in the middle.
-TEST_F(LongValueTest, WhoMakesNoProgressHasAnEnd) {
+TEST_F(LongValueTest, ClosesConnectionsThatMakeNoProgress) {
   const std::string value = bytes_of(kLong);
   LongHost host(io, [&](const std::string& line, const std::string& id) -> LongHost::Does {
     const bool stops = line.starts_with("mg stops");
@@ -254,7 +254,7 @@
 }
 
 // Answers keep their order behind a long one.
-TEST_F(LongValueTest, AnswersBehindALongOneWaitForIt) {
+TEST_F(LongValueTest, WritesLaterAnswersAfterTheLongOne) {
   const std::string value = bytes_of(300000);
   LongHost host(io, [&](const std::string& line, const std::string& id) -> LongHost::Does {
     return {answer(id, line.starts_with("mg long") ? value : "v")};
@@ -271,7 +271,7 @@
 
 // A body that is cut one byte before its end never ran; cut right behind it, it may have, and runs
 // once.
-TEST_F(LongValueTest, ALongWriteThatIsCut) {
+TEST_F(LongValueTest, ForwardsNoLongWriteThatIsCut) {
   const std::string body = bytes_of(1000000);
   int puts = 0;
   std::size_t got = 0;
--- a/tests/storm_test.cc
+++ b/tests/storm_test.cc
@@ -167,9 +167,9 @@
     for (auto& [name, c] : caches_) read_now(c.script->server);
     read_now(origin_->server);
   }
-  static void read_now(LateServer& server) {
+  static void read_now(PausableServer& server) {
     server.take_waiting();
-    for (const auto& p : server.peers) LateServer::read_now(*p);
+    for (const auto& p : server.peers) PausableServer::read_now(*p);
   }
 
   // What was written before the list has come when it does, so that all that comes later was
@@ -321,7 +321,7 @@
     } else if (what < 98) {
       change(c);
     } else {
-      c.held ? c.script->server.let() : c.script->server.hold();
+      c.held ? c.script->server.resume_accepting() : c.script->server.pause_accepting();
       c.held = !c.held;
     }
     for (int i = below(6); i > 0; --i) io.poll_one();
@@ -341,7 +341,7 @@
   // Everybody answers, and every request that a client still waits for has its end.
   void heal() {
     for (auto& [name, c] : caches_)
-      if (c.held) c.script->server.let();
+      if (c.held) c.script->server.resume_accepting();
     const bool all = run_until(
         io,
         [this] {
--- a/tests/timing_wheel_test.cc
+++ b/tests/timing_wheel_test.cc
@@ -13,7 +13,7 @@
 
 constexpr Duration kTick = milliseconds(1);
 
-TEST(TimingWheelTest, NothingComesEarlyAndAllComeWithinATick) {
+TEST(TimingWheelTest, FiresEachTimerWithinATickAndNoneEarly) {
   TimingWheel<int> wheel(Time(12'345'678), kTick);
   wheel.set(Time(12'345'679), 1);
   wheel.set(Time(13'000'000), 2);
@@ -32,7 +32,7 @@
   EXPECT_FALSE(wheel.next());
 }
 
-TEST(TimingWheelTest, AHandleOutlivesItsTimer) {
+TEST(TimingWheelTest, CancelsNothingByTheHandleOfAFiredTimer) {
   TimingWheel<int> wheel(Time(0), kTick);
   const auto first = wheel.set(milliseconds(5), 1);
   EXPECT_EQ(wheel.cancel(first), 1);
@@ -45,7 +45,7 @@
   EXPECT_FALSE(wheel.cancel({}));
 }
 
-TEST(TimingWheelTest, OneThatComesDueMayTakeBackAnotherOfItsTickAndSetNew) {
+TEST(TimingWheelTest, AllowsCancelAndSetFromInsideAFiringTimer) {
   TimingWheel<int> wheel(Time(0), kTick);
   std::vector<TimingWheel<int>::Handle> handles;
   for (int i = 0; i < 10; ++i) handles.push_back(wheel.set(milliseconds(3), i));
@@ -62,9 +62,9 @@
 
 // Against an ordered map: times from a tick to days, half of the timers taken back, steps of any
 // length.
-class RandomWheelTest : public ::testing::TestWithParam<unsigned> {};
+class RandomTimingWheelTest : public ::testing::TestWithParam<unsigned> {};
 
-TEST_P(RandomWheelTest, ComesDueLikeAnOrderedMap) {
+TEST_P(RandomTimingWheelTest, FiresLikeAnOrderedMapOverRandomEvents) {
   SCOPED_TRACE("seed " + std::to_string(GetParam()));
   std::mt19937_64 random(GetParam());
   const auto below = [&](std::uint64_t n) { return random() % n; };
@@ -107,7 +107,7 @@
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, RandomWheelTest, ::testing::Range(1u, 9u));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomTimingWheelTest, ::testing::Range(1u, 9u));
 
 }  // namespace
 }  // namespace balancer
--- a/tests/upstream_test.cc
+++ b/tests/upstream_test.cc
@@ -29,7 +29,7 @@
 
 // A good answer with noise behind it, cut off without a line's end: the noise must not become the
 // start of the next answer on that connection.
-TEST_F(UpstreamTest, NoiseBehindAnAnswerSpoilsNoOther) {
+TEST_F(UpstreamTest, ServesTheNextRequestWhereNoiseFollowedAnAnswer) {
   FakeCache cache(io, [](const auto&, const auto& id) {
     return FakeCache::value(id, "val-" + id) + (id == "1" ? "noise" : "");
   });
@@ -47,9 +47,9 @@
 
 // Answers that can't be read fail their attempt; the host is not taken for one that is away, and
 // reads are served by another host.
-class SpoiltAnswerTest : public UpstreamTest, public ::testing::WithParamInterface<std::string> {};
+class CorruptAnswerTest : public UpstreamTest, public ::testing::WithParamInterface<std::string> {};
 
-TEST_P(SpoiltAnswerTest, IsAskedForElsewhere) {
+TEST_P(CorruptAnswerTest, IsRetriedAtAnotherHost) {
   int answers = 0;
   const auto answer = [&](const auto&, const auto& id) {
     return ++answers == 1 ? GetParam() : FakeCache::value(id, "good");
@@ -71,7 +71,7 @@
   EXPECT_EQ(std::min(a.ids.size(), b.ids.size()), 0u);
 }
 
-INSTANTIATE_TEST_SUITE_P(Kinds, SpoiltAnswerTest,
+INSTANTIATE_TEST_SUITE_P(Kinds, CorruptAnswerTest,
                          ::testing::Values("\x01\x02noise\r\n", std::string(5000, 'x'),
                                            "VA 3000000000 O1\r\nabc", "VA 3 Oother\r\nabc\r\n",
                                            "VA -1 O1\r\n", "VA 5 O1\r\nab", "VA 2 O1\r\nabcdef\r\n",
@@ -79,7 +79,7 @@
 
 // A host that closes as soon as it has answered: a write that must not run twice goes out on a
 // connection that has rested for a moment, or on a new one, never right behind an answer.
-TEST_F(UpstreamTest, UnsafeWritesTakeNoConnectionThatWasJustUsed) {
+TEST_F(UpstreamTest, SendsNonIdempotentWritesOnNoJustUsedConnection) {
   std::vector<Peer*> seen;
   Server store(io, [&](Peer& p) {
     if (p.in.find("\r\n\r\nab") == std::string::npos) return;
@@ -103,7 +103,7 @@
 
 // A reset is no end: a body that breaks off by one is not served, whether or not it states a
 // length. A read is asked for again; a write that may have run is failed and not sent twice.
-TEST_F(UpstreamTest, ABodyThatBreaksOffIsNotServed) {
+TEST_F(UpstreamTest, ServesNoBodyThatBreaksOff) {
   int gets = 0, puts = 0;
   FakeCache cache(io, [](const auto&, const auto& id) { return "EN O" + id + "\r\n"; });
   Server store(io, [&](Peer& p) {
@@ -140,7 +140,7 @@
 
 // An answer that states no length ends where the origin ends the connection in order, and is then
 // as whole as any other.
-TEST_F(UpstreamTest, AnAnswerWithoutALengthEndsWithItsConnection) {
+TEST_F(UpstreamTest, TakesTheCloseAsTheEndOfAnAnswerWithoutALength) {
   int calls = 0;
   FakeCache cache(io, [](const auto&, const auto& id) { return "EN O" + id + "\r\n"; });
   Server store(io, [&](Peer& p) {
@@ -172,7 +172,7 @@
 }
 
 // 1xx ahead, chunks and a second copy behind are legal or harmless: the answer is served once.
-TEST_F(UpstreamTest, GoodAnswersWithMoreAroundThemAreServed) {
+TEST_F(UpstreamTest, ServesGoodAnswersWithNoiseAroundThem) {
   FakeCache cache(io, [](const auto&, const auto& id) { return "EN O" + id + " Lx=,=,7\r\n"; });
   Server store(io, origin([](const std::string& head) {
                  if (head.find("X-Trace-Id: 1") != std::string::npos)
