--- a/src/node/hot_restart_coordinator.cc
+++ b/src/node/hot_restart_coordinator.cc
@@ -192,7 +192,7 @@
   const hot_restart::ResourceShare share = hot_restart_->share();
   limits_.share(share.descriptors, share.bytes, state.accepts());
   services_.for_each_listener([&state](ClientListener& listener) {
-    listener.shed();
+    listener.close_excess();
     if (state.accepts()) {
       listener.resume();
     } else {
@@ -207,12 +207,13 @@
   const bool is_passing = passes_connections();
   if (std::exchange(is_passing_, is_passing) == is_passing) return;
   services_.for_each_listener([this, is_passing](ClientListener& listener) {
-    if (!is_passing) return listener.pass_on({}, {});
-    listener.pass_on([this] { return hot_restart_->may_pass(); },
-                     [this, address = text_of(listener.local())](HandedClient client) {
-                       hot_restart_->pass({address, std::move(client.input), client.answered},
-                                          std::move(client.socket));
-                     });
+    if (!is_passing) return listener.transfer_clients({}, {});
+    listener.transfer_clients([this] { return hot_restart_->may_pass(); },
+                              [this, address = text_of(listener.local())](HandedClient client) {
+                                hot_restart_->pass(
+                                    {address, std::move(client.input), client.answered},
+                                    std::move(client.socket));
+                              });
   });
 }
 
--- a/src/node/operator_calls.cc
+++ b/src/node/operator_calls.cc
@@ -42,7 +42,7 @@
   if (enabled) {
     drain_connections();
   } else {
-    services_.for_each_listener([](ClientListener& listener) { listener.keep(); });
+    services_.for_each_listener([](ClientListener& listener) { listener.cancel_drain(); });
   }
   return true;
 }
