--- a/src/dispatch/server_pool.cc
+++ b/src/dispatch/server_pool.cc
@@ -124,9 +124,9 @@
   request.key = spec.key;
   request.write = spec.write;
   request.work = spec.work;
-  request.budget = spec.time_left - stall_hold_.max_unread_age();
+  request.time_left = spec.time_left - stall_hold_.max_unread_age();
   if (drain_end_)
-    request.budget = std::max(Duration{0}, std::min(request.budget, *drain_end_ - now()));
+    request.time_left = std::max(Duration{0}, std::min(request.time_left, *drain_end_ - now()));
   const RequestPayloadPtr payload = spec.payload;
   register_request(request.id, sink, slot, std::move(spec));
   if (routing_extension_) routing_extension_->on_request(request.id, *payload);
