--- a/tests/group_sim_test.cc
+++ b/tests/group_sim_test.cc
@@ -1,4 +1,4 @@
-// Groups under the simulated clock: elections, moves, splits, pauses, crashes, keys of memory.
+// Groups under the simulated clock: elections, moves, partitions, pauses, crashes, lost records.
 #include "fleet_simulation/group_sim.h"
 
 #include <gtest/gtest.h>
@@ -31,7 +31,7 @@
     for (const auto& name : sim->names()) {
       const auto* i = sim->instance(name);
       if (!i) continue;
-      const auto text = [](const lease::Voters& v) {
+      const auto text = [](const lease::VoterSet& v) {
         std::string t = "version " + std::to_string(v.version) + ":";
         for (const auto& n : v.names) t += " " + n;
         return t;
@@ -54,19 +54,19 @@
         << story();
     return sim->now() - from;
   }
-  void everything_at_once(bool forget, bool change);
+  void run_random_faults(bool forget, bool change);
   std::unique_ptr<GroupSim> sim;
 };
 
 // With the default settings: no member of a group of the size that is designed for goes unheard.
-TEST(GroupSettings, AThousandMembersAreKnown) {
-  membership::Update self;
+TEST(MembershipSettingsTest, AllowsAThousandMembersByDefault) {
+  membership::MemberUpdate self;
   self.name = "self";
   membership::MembershipProtocol group({}, self, 1, Time{0});
   constexpr std::size_t kOthers = 1024;
   for (std::size_t i = 0; i < kOthers; ++i) {
-    membership::Message message;
-    membership::Update update;
+    membership::GossipMessage message;
+    membership::MemberUpdate update;
     update.name = "n" + std::to_string(i);
     update.endpoint = "127.0.0.1:" + std::to_string(i + 1);
     message.updates.push_back(update);
@@ -75,17 +75,17 @@
   EXPECT_EQ(group.members().size(), 1 + kOthers);
 }
 
-TEST_F(GroupSimTest, OneIsElectedAndStays) {
+TEST_F(GroupSimTest, ElectsOneHolderThatStays) {
   begin();
   ASSERT_TRUE(owned(seconds(3)));
   const auto first = sim->holder(kSvc);
   sim->run(seconds(60));
   EXPECT_EQ(sim->holder(kSvc), first);
-  EXPECT_EQ(sim->instance(first)->lease_manager().lease_holder(kSvc)->lease_holders(), 1u)
+  EXPECT_EQ(sim->instance(first)->lease_manager().lease_holder(kSvc)->elections_won(), 1u)
       << story();
 }
 
-TEST_F(GroupSimTest, AKilledHoldersAddressMovesWithinTwoSeconds) {
+TEST_F(GroupSimTest, MovesTheAddressOfAKilledHolderWithinTwoSeconds) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     begin(seed);
@@ -98,7 +98,7 @@
 }
 
 // Cut off from everybody and the router, or from the voters alone: then it withdraws by itself.
-TEST_F(GroupSimTest, AnIsolatedHoldersAddressMovesWithinTwoSeconds) {
+TEST_F(GroupSimTest, MovesTheAddressOfAPartitionedHolderWithinTwoSeconds) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     begin(seed);
@@ -110,7 +110,7 @@
     sim->run(seconds(4));
     EXPECT_EQ(sim->router.routes[kSvc].count(old), 0u) << "it is still announced\n" << story();
     EXPECT_EQ(sim->instance(old)->lease_manager().lease_holder(kSvc)->state(),
-              lease::LeaseHolder::State::kCutOff);
+              lease::LeaseHolder::State::kPartitioned);
     sim->heal();
     sim->run(seconds(20));
     const auto state = sim->instance(old)->lease_manager().lease_holder(kSvc)->state();
@@ -122,14 +122,14 @@
 
 // Cut off from the router only: the lease goes on, the announcement does not arrive. Whoever runs
 // it says that it is not able.
-TEST_F(GroupSimTest, AHolderThatCannotDoTheWorkHandsOver) {
+TEST_F(GroupSimTest, HandsOverWhenTheHolderIsNotEligible) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     begin(seed);
     ASSERT_TRUE(owned());
     sim->run(seconds(3));
     const auto old = sim->holder(kSvc);
-    sim->set_able(old, false);
+    sim->set_eligible(old, false);
     EXPECT_LT(until_new(old), milliseconds(300)) << story();
     sim->run(seconds(3));
     EXPECT_EQ(sim->router.routes[kSvc].size(), 1u);
@@ -137,7 +137,7 @@
 }
 
 // The route leads to somebody at every moment of a move in order.
-TEST_F(GroupSimTest, AMoveInOrderHasNoGap) {
+TEST_F(GroupSimTest, AnnouncesTheAddressThroughoutAGracefulMove) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     begin(seed);
@@ -152,7 +152,7 @@
           EXPECT_FALSE(sim->router.owner(kSvc).empty()) << "a gap\n" << story();
           if (sim->router.routes[kSvc].size() > 1) both += sim->now() - last;
           last = sim->now();
-          return sim->instance(old)->idle();
+          return sim->instance(old)->is_idle();
         },
         seconds(5)))
         << story();
@@ -163,7 +163,7 @@
 }
 
 // Stopped past its lease and continued: it finds out before it acts.
-TEST_F(GroupSimTest, AHolderThatWakesFindsOutFirst) {
+TEST_F(GroupSimTest, GivesUpAnExpiredLeaseAfterAPause) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     begin(seed);
@@ -175,14 +175,14 @@
     sim->run(seconds(10));
     sim->resume(old);  // the check after each event holds here too
     sim->run(milliseconds(1));
-    EXPECT_FALSE(sim->instance(old)->lease_manager().lease_holder(kSvc)->listens());
+    EXPECT_FALSE(sim->instance(old)->lease_manager().lease_holder(kSvc)->should_listen());
     sim->run(seconds(2));
     EXPECT_EQ(sim->router.routes[kSvc].size(), 1u) << story();
   }
 }
 
 // Two, two and one, of which three vote: only a part with a majority of voters may hold it.
-TEST_F(GroupSimTest, ASplitTwoTwoOne) {
+TEST_F(GroupSimTest, HoldsOnlyWithAMajorityOfVotersInAPartition) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     begin(seed);
@@ -201,7 +201,7 @@
   }
 }
 
-TEST_F(GroupSimTest, LossInOneDirection) {
+TEST_F(GroupSimTest, MovesTheAddressOfAHolderThatNobodyHears) {
   begin(3);
   ASSERT_TRUE(owned());
   sim->run(seconds(3));
@@ -212,13 +212,13 @@
   EXPECT_LT(until_new(old), seconds(2)) << story();
 }
 
-TEST_F(GroupSimTest, WithAllVotersGoneItIsKeptToTheLeasesEndAndReleased) {
+TEST_F(GroupSimTest, KeepsTheAddressUntilTheLeaseEndsWithoutVoters) {
   lease::LeaseManagerSettings lease_manager;
   begin(4, 6, 1, lease_manager);
   ASSERT_TRUE(owned());
   sim->run(seconds(2));
   // Voters that hold nothing: the address goes to one that does not vote.
-  for (const char* voter : {"n000", "n001", "n002"}) sim->set_able(voter, false);
+  for (const char* voter : {"n000", "n001", "n002"}) sim->set_eligible(voter, false);
   sim->run(seconds(3));
   const auto old = sim->holder(kSvc);
   ASSERT_GE(old, "n003");
@@ -231,7 +231,7 @@
   EXPECT_TRUE(owned(seconds(4))) << "two voters are a majority";
 }
 
-TEST_F(GroupSimTest, VotersThatRestartWithYesterdaysFileOrAnEmptyFolder) {
+TEST_F(GroupSimTest, HasOneHolderWhileVotersRestartWithAndWithoutTheirRecords) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     begin(seed);
@@ -249,7 +249,7 @@
   }
 }
 
-TEST_F(GroupSimTest, AVoterWhoseDiskIsFullGivesNoVote) {
+TEST_F(GroupSimTest, GrantsNothingNewWhileVotersCannotWrite) {
   begin(5);
   ASSERT_TRUE(owned());
   sim->run(seconds(2));
@@ -270,7 +270,7 @@
 
 // What it could not write it has not promised, however often it is asked for again; and once it is
 // asked to forget, nobody is harmed.
-TEST_F(GroupSimTest, AVoterWhoseDiskIsFullDoesNotConfirmItsUnkeptPromise) {
+TEST_F(GroupSimTest, DoesNotConfirmAGrantThatWasNeverWritten) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     begin(seed);
@@ -292,7 +292,7 @@
 }
 
 // One that is preferred and restarts every 3 s: it never gets what it would lose again.
-TEST_F(GroupSimTest, ThePreferredThatFlaps) {
+TEST_F(GroupSimTest, MovesNothingToAPreferredInstanceThatFlaps) {
   lease::LeaseManagerSettings lease_manager;
   lease_manager.addresses = {{"vip", {"n003"}}};
   begin(6, 5, 0, lease_manager);
@@ -312,7 +312,7 @@
   EXPECT_EQ(sim->holder("vip"), "n003") << "once it stays it gets it back\n" << story();
 }
 
-TEST_F(GroupSimTest, SeveralAddressesAreSpreadAndADeadOnesPartIsDealtOut) {
+TEST_F(GroupSimTest, SpreadsAddressesEvenlyAlsoAfterAFailure) {
   begin(7, 5, 10);
   sim->run(seconds(30));
   const auto count = [&] {
@@ -328,7 +328,7 @@
   for (const auto& [name, n] : after) EXPECT_TRUE(n == 2 || n == 3) << name << " has " << n;
 }
 
-TEST_F(GroupSimTest, VotersAreChangedInService) {
+TEST_F(GroupSimTest, ChangesVotersInService) {
   begin(8);
   ASSERT_TRUE(owned());
   sim->run(seconds(3));
@@ -365,20 +365,21 @@
       << "one that was away catches up";
 }
 
-TEST_F(GroupSimTest, OneThatStartsASecondTimeUnderItsNameSupersedesTheFirst) {
+TEST_F(GroupSimTest, SupersedesAnEarlierIncarnationOfAName) {
   begin(9);
   ASSERT_TRUE(owned());
-  const auto before = sim->instance("n004")->group().find("n004")->life;
+  const auto before = sim->instance("n004")->membership().find("n004")->incarnation;
   sim->kill("n004");
   sim->restart("n004");
   sim->run(seconds(2));
-  EXPECT_EQ(sim->instance("n000")->group().find("n004")->life, before + 1);
-  EXPECT_EQ(sim->instance("n000")->group().find("n004")->state, membership::State::kAlive);
+  EXPECT_EQ(sim->instance("n000")->membership().find("n004")->incarnation, before + 1);
+  EXPECT_EQ(sim->instance("n000")->membership().find("n004")->state,
+            membership::MemberState::kAlive);
 }
 
 // All of it at once, under a bad network. The invariant is checked after each event; at the end,
 // once all is well, the address has an owner within the bound.
-void GroupSimTest::everything_at_once(bool forget, bool change) {
+void GroupSimTest::run_random_faults(bool forget, bool change) {
   const char* more = std::getenv("BALANCER_GROUP_RUNS");
   const int runs = more ? std::atoi(more) : 25;
   for (int seed = 1; seed <= runs && !HasFatalFailure(); ++seed) {
@@ -409,7 +410,7 @@
           sim->heal();
           break;
         case 6:
-          if (up && !sim->paused(name)) sim->set_able(name, random() % 2);
+          if (up && !sim->paused(name)) sim->set_eligible(name, random() % 2);
           break;
         case 7:
           sim->set_disk_full(name, random() % 3 == 0);
@@ -430,7 +431,7 @@
       sim->set_disk_full(name, false);
       if (!sim->instance(name)) sim->restart(name);
       if (sim->paused(name)) sim->resume(name);
-      sim->set_able(name, true);
+      sim->set_eligible(name, true);
     }
     EXPECT_TRUE(owned(seconds(8))) << story();
     // What was behind with the voters has caught up.
@@ -447,18 +448,20 @@
   }
 }
 
-TEST_F(GroupSimTest, EverythingAtOnce) { everything_at_once(true, false); }
-TEST_F(GroupSimTest, EverythingAtOnceAndVotersThatChange) { everything_at_once(false, true); }
+TEST_F(GroupSimTest, HasOneHolderUnderRandomFaults) { run_random_faults(true, false); }
+TEST_F(GroupSimTest, HasOneHolderUnderRandomFaultsAndVoterChanges) {
+  run_random_faults(false, true);
+}
 
 // A large group, 7 of which vote: all know of all, a death is known, messages stay within their
 // bound. BALANCER_GROUP_SIZE=310 is the size that is promised; it takes half a minute.
-TEST_F(GroupSimTest, ALargeGroup) {
+TEST_F(GroupSimTest, DetectsAFailureInALargeGroup) {
   const char* more = std::getenv("BALANCER_GROUP_SIZE");
   const int size = more ? std::atoi(more) : 100;
   sim = std::make_unique<GroupSim>(1, size, 3, 7);
   sim->run(seconds(20));
   for (const int i : {0, size / 2, size - 1})
-    EXPECT_EQ(sim->instance(GroupSim::name_of(i))->group().members().size(),
+    EXPECT_EQ(sim->instance(GroupSim::name_of(i))->membership().members().size(),
               static_cast<std::size_t>(size));
   for (int a = 0; a < 3; ++a) EXPECT_EQ(sim->holders("svc" + std::to_string(a)).size(), 1u);
   const auto datagrams = sim->datagrams, bytes = sim->bytes, writes = sim->writes;
@@ -480,8 +483,8 @@
         int know = 0;
         for (const auto& name : sim->names())
           if (auto* i = sim->instance(name))
-            if (const auto* m = i->group().find(victim))
-              know += m->state == membership::State::kDead;
+            if (const auto* m = i->membership().find(victim))
+              know += m->state == membership::MemberState::kDead;
         return know == size - 1;
       },
       seconds(60)));
@@ -489,7 +492,8 @@
   for (const auto& name : sim->names()) {
     if (auto* i = sim->instance(name)) {
       int dead = 0;
-      for (const auto& [n, m] : i->group().members()) dead += m.state == membership::State::kDead;
+      for (const auto& [n, m] : i->membership().members())
+        dead += m.state == membership::MemberState::kDead;
       EXPECT_EQ(dead, 1) << name << " takes others for dead too";
     }
   }
--- a/tests/seal_test.cc
+++ b/tests/seal_test.cc
@@ -23,7 +23,7 @@
   return k;
 }
 
-TEST(SealTest, OpensWhatItSealedAndNothingElse) {
+TEST(SealTest, OpensOnlyUnchangedDatagramsUnderItsKey) {
   const Time now{seconds(10)};
   const KeyRing ring({key(1)}, seconds(60)), other({key(2)}, seconds(60));
   const std::string sealed = ring.seal(now, "text");
@@ -43,7 +43,7 @@
 
 // Members read the new key one after the other within the time for it: nobody is ever not
 // understood.
-TEST(SealTest, AKeyIsChangedInServiceMemberByMember) {
+TEST(SealTest, OpensEveryDatagramWhileMembersChangeTheKeyInTurn) {
   const Duration change = seconds(30);
   std::vector<KeyRing> members(5, KeyRing({key(1)}, change));
   for (int t = 0; t < 120; ++t) {
@@ -61,7 +61,7 @@
 
 // Half of the group never hears of the new key: they part when the old one's time is over, not
 // before.
-TEST(SealTest, AKeyThatHalfTheGroupLacks) {
+TEST(SealTest, SeparatesMembersThatLackTheNewKeyOnlyAfterTheChange) {
   KeyRing with({key(1)}, seconds(30)), without({key(1)}, seconds(30));
   const Time at{seconds(100)};
   with.reload(at, {key(2)});
@@ -71,7 +71,7 @@
   EXPECT_FALSE(with.open(at + seconds(61), without.seal(at, "x")));
 }
 
-TEST(SealTest, KeyFiles) {
+TEST(SealTest, ReadsKeyFilesAndNamesTheLineOfAnError) {
   char name[] = "/tmp/balancer-keys-XXXXXX";
   ::close(::mkstemp(name));
   const auto fault = [&](const std::string& text) {
@@ -95,7 +95,7 @@
   EXPECT_THROW(read_keys(name), FileError);
 }
 
-TEST(ReplayTest, EachNumberOnceAsFarAsTheWindowGoes) {
+TEST(ReplayGuardTest, AcceptsEachSequenceNumberOnceWithinTheWindow) {
   ReplayGuard guard;
   EXPECT_TRUE(guard.accept("a", 1, 1000));
   EXPECT_FALSE(guard.accept("a", 1, 1000));
@@ -105,12 +105,12 @@
   EXPECT_TRUE(guard.accept("a", 1, 874));
   EXPECT_FALSE(guard.accept("a", 1, 873)) << "behind the window";
   EXPECT_TRUE(guard.accept("b", 1, 1000)) << "another sender";
-  EXPECT_FALSE(guard.accept("a", 0, 5000)) << "an earlier life";
+  EXPECT_FALSE(guard.accept("a", 0, 5000)) << "an earlier incarnation";
   EXPECT_TRUE(guard.accept("a", 2, 1));
   EXPECT_FALSE(guard.accept("a", 1, 1002));
 }
 
-TEST(ReplayTest, AnyOrderAsASetWouldHaveIt) {
+TEST(ReplayGuardTest, AcceptsInAnyOrderWhatASetWouldAccept) {
   for (unsigned seed = 1; seed <= 50; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(seed);
@@ -132,13 +132,13 @@
 
 // A group's members are replaced all the time. Those that have gone must not keep new ones out, and
 // those that still speak must not be forgotten for them.
-TEST(ReplayTest, SendersThatAreSilentMakeRoomForNewOnes) {
+TEST(ReplayGuardTest, ForgetsTheSenderThatWasSilentForLongest) {
   ReplayGuard guard(3);
   EXPECT_TRUE(guard.accept("a", 1, 1));
   EXPECT_TRUE(guard.accept("b", 1, 1));
   EXPECT_TRUE(guard.accept("c", 1, 1));
   EXPECT_TRUE(guard.accept("a", 1, 2)) << "b has been silent for longest now";
-  EXPECT_FALSE(guard.accept("b", 1, 1)) << "a replay is no sign of life";
+  EXPECT_FALSE(guard.accept("b", 1, 1)) << "a replay is no sign of incarnation";
   EXPECT_TRUE(guard.accept("d", 1, 1));
   EXPECT_FALSE(guard.accept("a", 1, 2));
   EXPECT_FALSE(guard.accept("c", 1, 1));
@@ -146,7 +146,7 @@
   EXPECT_TRUE(guard.accept("b", 1, 1)) << "forgotten, and taken as it comes";
 }
 
-TEST(ReplayTest, HearsEveryMemberOfTheLargestGroup) {
+TEST(ReplayGuardTest, RemembersEveryMemberOfTheLargestGroup) {
   ReplayGuard guard;
   for (const std::uint64_t sequence : {1, 2})
     for (int member = 0; member < membership::kMaxMembers; ++member)
@@ -162,45 +162,49 @@
   const auto add = [&all](auto body) {
     all.push_back({"n1", 77, all.size() + 1, "n2", std::move(body)});
   };
-  add(membership::Message{
-      membership::Message::Kind::kPingFor,
+  add(membership::GossipMessage{
+      membership::GossipMessage::Kind::kPingRequest,
       9,
       "n3",
-      {{"n1", "127.0.0.1:1", 5, 2, membership::State::kSuspect, std::string("\0\x01", 2)}}});
-  lease::VoteRequest ask;
-  ask.kind = lease::VoteRequest::Kind::kRelease;
-  ask.address = "svc";
-  ask.term = 7;
-  ask.holder = {"n1", 3};
-  ask.number = 12;
-  ask.voters = 1;
-  ask.successor = "n2";
-  add(ask);
+      {{"n1", "127.0.0.1:1", 5, 2, membership::MemberState::kSuspect, std::string("\0\x01", 2)}}});
+  lease::VoteRequest request;
+  request.kind = lease::VoteRequest::Kind::kRelease;
+  request.address = "svc";
+  request.term = 7;
+  request.holder = {"n1", 3};
+  request.number = 12;
+  request.voter_set_version = 1;
+  request.successor = "n2";
+  add(request);
   lease::VoteReply reply;
   reply.verdict = lease::VoteReply::Verdict::kHeld;
   reply.address = "svc";
   reply.number = 12;
   reply.term = 7;
   reply.holder = {"n3", 4};
-  reply.left = std::chrono::milliseconds(250);
+  reply.remaining = std::chrono::milliseconds(250);
   reply.voters = {2, {"n1", "n2", "n3"}};
   add(reply);
   add(lease::TransferMessage{lease::TransferMessage::Kind::kAnnounces, "svc", 8});
-  add(lease::Change{
-      lease::Change::Kind::kAccept, 3, {7, "n1"}, {1, {"a", "b", "c"}}, {2, {"a", "b"}}, true});
-  add(lease::Changed{lease::Change::Kind::kAccept,
-                     3,
-                     true,
-                     true,
-                     {1, {"a", "b", "c"}},
-                     {8, "n2"},
-                     {7, "n1"},
-                     {2, {"a", "b"}},
-                     "because"});
+  add(lease::ReconfigurationRequest{lease::ReconfigurationRequest::Kind::kAccept,
+                                    3,
+                                    {7, "n1"},
+                                    {1, {"a", "b", "c"}},
+                                    {2, {"a", "b"}},
+                                    true});
+  add(lease::ReconfigurationReply{lease::ReconfigurationRequest::Kind::kAccept,
+                                  3,
+                                  true,
+                                  true,
+                                  {1, {"a", "b", "c"}},
+                                  {8, "n2"},
+                                  {7, "n1"},
+                                  {2, {"a", "b"}},
+                                  "because"});
   return all;
 }
 
-TEST(GroupWireTest, WhatIsWrittenIsRead) {
+TEST(GroupWireTest, DecodesWhatItEncoded) {
   for (const Datagram& d : samples()) {
     const auto read = decode(encode(d));
     ASSERT_TRUE(read);
@@ -210,24 +214,24 @@
   }
   const auto reply = decode(encode(samples()[2]));
   const auto& r = std::get<lease::VoteReply>(reply->body);
-  EXPECT_EQ(r.left, std::chrono::milliseconds(250));
+  EXPECT_EQ(r.remaining, std::chrono::milliseconds(250));
   EXPECT_EQ(r.voters.names.size(), 3u);
-  EXPECT_EQ(r.holder, (lease::Holder{"n3", 4}));
-  const Meta meta{true, false, 3, {{"svc", 7}}};
+  EXPECT_EQ(r.holder, (lease::InstanceId{"n3", 4}));
+  const MemberMeta meta{true, false, 3, {{"svc", 7}}};
   const auto m = decode_meta(encode(meta));
   ASSERT_TRUE(m);
-  EXPECT_EQ(m->holds, meta.holds);
+  EXPECT_EQ(m->held_terms, meta.held_terms);
   EXPECT_TRUE(m->eligible);
   lease::VoterRecord record{{2, {"a", "b"}}, {{"svc", {5, {"n1", 9}}}}};
   EXPECT_EQ(decode_record(encode(record)), record);
-  record.promised = {9, "n2"};
-  record.accepted_at = {7, "n1"};
-  record.accepted = {3, {"a"}};
-  record.forgot = true;
+  record.promised_ballot = {9, "n2"};
+  record.accepted_ballot = {7, "n1"};
+  record.accepted_voters = {3, {"a"}};
+  record.record_lost = true;
   EXPECT_EQ(decode_record(encode(record)), record);
 }
 
-TEST(GroupWireTest, WhatMakesNoSenseIsRefused) {
+TEST(GroupWireTest, RejectsMalformedInput) {
   EXPECT_FALSE(decode(""));
   EXPECT_FALSE(decode("nonsense"));
   auto bad = [](auto&& change) {
@@ -244,7 +248,7 @@
   EXPECT_TRUE(bad([](auto&, auto& a) { a.kind = static_cast<lease::VoteRequest::Kind>(9); }));
   EXPECT_TRUE(bad([](auto&, auto& a) { a.successor = "\x7f"; }));
   Datagram unsorted = samples()[5];
-  std::get<lease::Changed>(unsorted.body).voters.names = {"b", "a"};
+  std::get<lease::ReconfigurationReply>(unsorted.body).voters.names = {"b", "a"};
   EXPECT_FALSE(decode(encode(unsorted)));
   EXPECT_FALSE(decode_record("x"));
   EXPECT_FALSE(decode_record(encode(lease::VoterRecord{})));
