--- a/src/frontend/admin/admin_server.cc
+++ b/src/frontend/admin/admin_server.cc
@@ -18,18 +18,17 @@
 namespace http = beast::http;
 using boost::system::error_code;
 
-constexpr std::size_t kMaxHead = 8u << 10;
-constexpr std::size_t kMaxBody = 16u << 10;
-// A whole call is due by then, and its answer to be taken.
-constexpr std::chrono::seconds kCall{5}, kTake{1};
-// A caller has at least so long to send its call before it may be sent away for others: with the
-// callers that there may be at once, 750 half-made calls a second pass by.
+constexpr std::size_t kMaxHeadBytes = 8u << 10, kMaxBodyBytes = 16u << 10;
+// For a complete call, and for its answer to be read.
+constexpr std::chrono::seconds kCallTimeout{5}, kAnswerTimeout{1};
+// A caller has at least so long to send its call before it may be closed in favour of others: with
+// kMaxCallers, 750 incomplete calls a second do not keep a complete one out.
 constexpr std::chrono::milliseconds kGrace{20};
-// The listener looks again after this where nobody can go yet, or the system has no descriptor.
-constexpr std::chrono::milliseconds kRetry{5};
+// Accepting is retried after this where no caller may be closed yet, or no descriptor is left.
+constexpr std::chrono::milliseconds kAcceptRetry{5};
 constexpr int kBacklog = 1024;
-// Accepted at one go. Fewer than the callers that there may be, so that none goes before what it
-// sent with its connection has been looked at.
+// Fewer than kMaxCallers, so that no caller is closed before what it sent with its connection has
+// been read.
 constexpr int kAcceptBatch = 8;
 
 }  // namespace
@@ -40,10 +39,10 @@
       : stream_(std::move(socket)), server_(&server) {}
 
   void start() {
-    parser_.header_limit(kMaxHead);
-    parser_.body_limit(kMaxBody);
-    stream_.expires_after(kCall);
-    http::async_read(stream_, in_, parser_,
+    parser_.header_limit(kMaxHeadBytes);
+    parser_.body_limit(kMaxBodyBytes);
+    stream_.expires_after(kCallTimeout);
+    http::async_read(stream_, input_, parser_,
                      [self = shared_from_this()](const error_code& e, std::size_t) {
                        if (self->server_) self->on_call(e);
                      });
@@ -57,13 +56,15 @@
     server.on_ended(*this);
   }
 
-  // Whether a whole call has come.
-  bool called() const { return called_; }
-  bool may_go() const { return called_ || std::chrono::steady_clock::now() - born_ >= kGrace; }
+  // Whether a complete call was received.
+  bool has_call() const { return has_call_; }
+  bool may_close() const {
+    return has_call_ || std::chrono::steady_clock::now() - connected_at_ >= kGrace;
+  }
 
  private:
   void on_call(const error_code& e) {
-    called_ = true;
+    has_call_ = true;
     if (!e) {
       const auto method = parser_.get().method_string(), target = parser_.get().target();
       return write(answer({method.data(), method.size()}, {target.data(), target.size()},
@@ -89,39 +90,39 @@
     response_.body() = a.body;
     response_.prepare_payload();
     if (parser_.is_header_done() && parser_.get().method() == http::verb::head)
-      response_.body().clear();  // its length is still told
-    stream_.expires_after(kTake);
+      response_.body().clear();  // its length is still stated
+    stream_.expires_after(kAnswerTimeout);
     http::async_write(stream_, response_,
                       [self = shared_from_this()](const error_code& e, std::size_t) {
                         if (!self->server_) return;
                         if (e) return self->end();
                         error_code ignored;
                         self->stream_.socket().shutdown(asio::socket_base::shutdown_send, ignored);
-                        self->stream_.expires_after(kTake);
+                        self->stream_.expires_after(kAnswerTimeout);
                         self->discard();
                       });
   }
 
-  // To close with input unread would reset the connection, and the answer might be lost.
+  // Closing with unread input would reset the connection, and the answer could be lost.
   void discard() {
-    stream_.async_read_some(asio::buffer(rest_),
+    stream_.async_read_some(asio::buffer(discard_buffer_),
                             [self = shared_from_this()](const error_code& e, std::size_t n) {
                               if (!self->server_) return;
                               self->discarded_ += n;
-                              if (e || self->discarded_ > kMaxBody) return self->end();
+                              if (e || self->discarded_ > kMaxBodyBytes) return self->end();
                               self->discard();
                             });
   }
 
   beast::tcp_stream stream_;
   AdminServer* server_;  // none once ended
-  beast::flat_buffer in_{kMaxHead + kMaxBody};
+  beast::flat_buffer input_{kMaxHeadBytes + kMaxBodyBytes};
   http::request_parser<http::string_body> parser_;
   http::response<http::string_body> response_;
-  std::array<char, 1024> rest_{};
+  std::array<char, 1024> discard_buffer_{};
   std::size_t discarded_ = 0;
-  bool called_ = false;
-  const std::chrono::steady_clock::time_point born_ = std::chrono::steady_clock::now();
+  bool has_call_ = false;
+  const std::chrono::steady_clock::time_point connected_at_ = std::chrono::steady_clock::now();
 };
 
 AdminServer::AdminServer(asio::io_context& io, const asio::ip::tcp::endpoint& listen,
@@ -152,7 +153,7 @@
 }
 
 void AdminServer::accept_later() {
-  retry_.expires_after(kRetry);
+  retry_.expires_after(kAcceptRetry);
   retry_.async_wait([this](const error_code& cancelled) {
     if (!cancelled) on_acceptable();
   });
@@ -174,14 +175,14 @@
   arm_accept();
 }
 
-// One whose call is answered has only its close to wait for, and goes before one that may still be
-// writing.
+// A caller whose call is answered only waits for its close: it is closed before one that may still
+// be writing.
 bool AdminServer::make_room() {
   auto oldest =
-      std::find_if(sessions_.begin(), sessions_.end(), [](const auto& s) { return s->called(); });
+      std::find_if(sessions_.begin(), sessions_.end(), [](const auto& s) { return s->has_call(); });
   if (oldest == sessions_.end()) oldest = sessions_.begin();
   const auto going = *oldest;
-  if (!going->may_go()) return false;
+  if (!going->may_close()) return false;
   going->end();
   return true;
 }
--- a/src/frontend/admin/admin_server.h
+++ b/src/frontend/admin/admin_server.h
@@ -10,12 +10,13 @@
 
 namespace balancer::admin {
 
-// Operators' HTTP/1.1: one call to a connection. Its descriptors and bytes are set aside from the
-// clients', so no crowd of those can use them up; its own callers are bounded in number and time,
-// and one that has sent no whole call goes, oldest first, before another has to wait.
+// The HTTP/1.1 server for operators' calls, one call a connection. Its descriptors and bytes are
+// set aside from the clients', so that no number of clients can exhaust them. Its own callers are
+// bounded in number and time: where there are too many, the oldest that has sent no complete call
+// is closed.
 class AdminServer {
  public:
-  // Of its connections, and with the listener of its descriptors.
+  // Bounds of its connections, and of its descriptors with the listener's.
   static constexpr std::size_t kMaxCallers = 15;
   static constexpr std::size_t kDescriptors = kMaxCallers + 1;
 
@@ -25,7 +26,8 @@
   ~AdminServer();
 
   boost::asio::ip::tcp::endpoint local() const { return acceptor_.local_endpoint(); }
-  void close();  // at once
+  // Closes the listener and all connections at once.
+  void close();
 
  private:
   class Session;
--- a/src/node/config.cc
+++ b/src/node/config.cc
@@ -4,9 +4,9 @@
 #include <charconv>
 #include <cstdlib>
 #include <random>
-#include <stdexcept>
 
 #include "node/discovery_list.h"
+#include "settings/field_error.h"
 #include "settings/json.h"
 
 namespace balancer::node {
@@ -48,11 +48,11 @@
 
 Config load_config() {
   const auto path = variable("ROUTER_CONFIG");
-  if (path.empty()) throw std::runtime_error("ROUTER_CONFIG is not set");
+  if (path.empty()) throw FileError("ROUTER_CONFIG is not set");
   simdjson::dom::parser parser;
   element root;
   if (const auto error = parser.load(path).get(root))
-    throw std::runtime_error(path + ": " + simdjson::error_message(error));
+    throw FileError(path + ": " + simdjson::error_message(error));
   try {
     const auto o = as<object>(root, "config");
     Config config;
@@ -65,7 +65,7 @@
     config.seed = read_seed(o);
     if (const auto e = find(o, "limits")) {
       const auto limits = as<object>(*e, "limits");
-      // Below these there is no balancer to speak of.
+      // With less the balancer cannot work.
       config.sockets = static_cast<std::size_t>(
           std::clamp<std::int64_t>(get_or<std::int64_t>(limits, "sockets", 1024), 64, 1 << 20));
       config.memory_mb = static_cast<std::size_t>(
@@ -76,7 +76,7 @@
       config.known = read_host_list(as<object>(*e, "known"), config.site);
     return config;
   } catch (const FieldError& e) {
-    throw std::runtime_error(path + ": " + e.what());
+    throw FileError(path + ": " + e.what());
   }
 }
 
--- a/src/node/discovery.cc
+++ b/src/node/discovery.cc
@@ -15,12 +15,12 @@
 using boost::system::error_code;
 using recovery::DiscoveryPollScheduler;
 
-constexpr std::uint32_t kMaxHead = 64u << 10;
+constexpr std::uint32_t kMaxHeadBytes = 64u << 10;
 constexpr std::size_t kMemoryPerListByte = 24;
-// What the parser took for a list that is longer is given back at once.
-constexpr std::size_t kSmallList = 256u << 10;
-// A cause that was not met for so long is logged anew.
-constexpr Duration kForgetCause = std::chrono::seconds(60);
+// After a list that is longer, the parser's memory is released at once.
+constexpr std::size_t kMaxKeptParserBytes = 256u << 10;
+// A cause that has not occurred for so long is logged again.
+constexpr Duration kCauseExpiry = std::chrono::seconds(60);
 
 Time now() { return std::chrono::steady_clock::now().time_since_epoch(); }
 
@@ -35,25 +35,25 @@
       site_(site),
       handlers_(std::move(handlers)),
       max_list_bytes_(max_list_bytes),
-      asked_(site.policy.discovery_is_polled),
+      is_polled_(site.policy.discovery_is_polled),
       io_(io),
       timer_(io),
-      schedule_(
-          asked_ ? DiscoveryPollScheduler::Mode::kOnRequest : DiscoveryPollScheduler::Mode::kPushed,
-          known_seq, seed) {}
+      schedule_(is_polled_ ? DiscoveryPollScheduler::Mode::kOnRequest
+                           : DiscoveryPollScheduler::Mode::kPushed,
+                known_seq, seed) {}
 
-// The module that subscribes must not be called back from here; the timer's handler comes later.
+// The policy calls this and must not be called back from here: the first call waits for the timer.
 void Discovery::start() {
-  if (schedule_.start(now())) arm();
+  if (schedule_.start(now())) arm_timer();
 }
 
 void Discovery::stop() {
   schedule_.stop();
-  hang_up();
+  disconnect();
 }
 
-// Nothing of the call that is out, or of the pause before the next, will be heard any more.
-void Discovery::hang_up() {
+// Cancels the call in flight, or the pause before the next one.
+void Discovery::disconnect() {
   ++call_;
   timer_.cancel();
   if (!link_) return;
@@ -62,24 +62,24 @@
   link_.reset();
 }
 
-// The new service may count its versions in its own way, so the whole list is asked for. What the
-// old one had still to say must not be heard: it could put an old list over the new.
-void Discovery::move(const Endpoint& endpoint) {
-  hang_up();
+// The new service may count its versions in its own way, so the complete list is requested. An
+// answer of the old one must not be applied: it could replace the new list by an old one.
+void Discovery::move_to(const Endpoint& endpoint) {
+  disconnect();
   endpoint_ = endpoint;
   schedule_.restart(now());
-  arm();
+  arm_timer();
 }
 
-void Discovery::confirm() {
-  if (!schedule_.running() || asked_) return;
-  hang_up();
+void Discovery::refetch() {
+  if (!schedule_.running() || is_polled_) return;
+  disconnect();
   schedule_.restart(now());
-  arm();
+  arm_timer();
 }
 
-// One timer stands for the next call and for the end of the one that is out.
-void Discovery::arm() {
+// One timer serves for the next call and for the timeout of the one in flight.
+void Discovery::arm_timer() {
   const Time next = schedule_.next();
   if (next == Time::max()) {
     timer_.cancel();
@@ -90,7 +90,7 @@
     if (error || call != call_) return;
     switch (schedule_.due(now())) {
       case DiscoveryPollScheduler::Step::kNothing:
-        return arm();
+        return arm_timer();
       case DiscoveryPollScheduler::Step::kCall:
         return this->call();
       case DiscoveryPollScheduler::Step::kCancelCall:
@@ -103,7 +103,7 @@
   const auto call = ++call_;
   const bool connected = link_ != nullptr;
   const DiscoveryPollScheduler::Call what = schedule_.begin(now(), connected);
-  arm();
+  arm_timer();
   std::string target = "/discovery/hosts";
   if (!what.whole) {
     const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(what.wait);
@@ -119,7 +119,7 @@
     error_code ignored;
     link->socket.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
     schedule_.on_connected(now());
-    arm();
+    arm_timer();
     write(call);
   });
 }
@@ -127,7 +127,7 @@
 void Discovery::write(std::uint64_t call) {
   link_->parser.emplace();
   link_->parser->body_limit(max_list_bytes_);
-  link_->parser->header_limit(kMaxHead);
+  link_->parser->header_limit(kMaxHeadBytes);
   http::async_write(link_->socket, link_->request,
                     [this, call, link = link_](const error_code& error, std::size_t) {
                       if (call != call_) return;
@@ -145,15 +145,15 @@
 void Discovery::on_read(std::uint64_t call, const error_code& error) {
   if (call != call_) return;
   if (error == http::error::body_limit) {
-    complain_of_size();
+    log_body_too_long();
   } else if (error && error.category() == make_error_code(http::error::bad_version).category() &&
              error != http::error::end_of_stream && error != http::error::partial_message) {
-    complain(Cause::kHeadUnreadable, "cannot be read: " + error.message());
+    log_failure(Cause::kHeadUnreadable, "cannot be read: " + error.message());
   }
   if (error) return fail(Failure::kBroken);
   if (link_->parser->is_done()) return on_answer(call);
   schedule_.on_answer_bytes(now());
-  arm();
+  arm_timer();
   read(call);
 }
 
@@ -162,14 +162,14 @@
   link_->parser.reset();
   if (message.result() != http::status::ok) {
     if (message.result() != http::status::service_unavailable)
-      complain(Cause::kStatus, "has status " + std::to_string(message.result_int()));
+      log_failure(Cause::kStatus, "has status " + std::to_string(message.result_int()));
     return fail(Failure::kRejected);
   }
   const auto date = parse_http_date(std::string(message[http::field::date]));
   const auto fault = apply(message.body(), date);
   if (fault) {
-    complain(Cause::kNoList,
-             "of " + std::to_string(message.body().size()) + " bytes is no list: " + *fault);
+    log_failure(Cause::kNoList,
+                "of " + std::to_string(message.body().size()) + " bytes is no list: " + *fault);
     return fail(Failure::kBroken);
   }
   if (call != call_ || !schedule_.running()) return;
@@ -179,7 +179,7 @@
     handlers_.on_answered(took);
     if (call != call_ || !schedule_.running()) return;
   }
-  arm();
+  arm_timer();
 }
 
 std::optional<std::string> Discovery::apply(const std::string& body,
@@ -189,10 +189,10 @@
     if (const auto error = json_.parse(body).get(root)) return simdjson::error_message(error);
     HostList list = read_host_list(json::as<simdjson::dom::object>(root, "list"), site_);
     list.sent_at = sent_at;
-    if (body.size() > kSmallList) json_ = simdjson::dom::parser();
-    const bool counts = schedule_.on_list(list.seq, list.whole);
-    if (!counts) list.hosts.clear();
-    if (counts || asked_) handlers_.on_list(list);
+    if (body.size() > kMaxKeptParserBytes) json_ = simdjson::dom::parser();
+    const bool is_new = schedule_.on_list(list.seq, list.whole);
+    if (!is_new) list.hosts.clear();
+    if (is_new || is_polled_) handlers_.on_list(list);
     return std::nullopt;
   } catch (const FieldError& error) {
     return error.what();
@@ -200,29 +200,28 @@
 }
 
 void Discovery::fail(Failure failure) {
-  hang_up();
+  disconnect();
   if (!schedule_.on_failure(now(), failure)) return handlers_.on_rejected();
-  arm();
+  arm_timer();
 }
 
-// Where an answer is of no use the hosts that are known go on, and a call follows soon: one line
-// tells of all of them.
-void Discovery::complain(Cause cause, const std::string& why) {
+// Calls follow each other soon while answers cannot be used: one line stands for all of them.
+void Discovery::log_failure(Cause cause, const std::string& why) {
   const Time at = now();
-  const auto [last, is_first] = last_met_.try_emplace(cause, at);
-  const bool is_new = is_first || at - last->second >= kForgetCause;
+  const auto [last, is_first] = last_failures_.try_emplace(cause, at);
+  const bool is_new = is_first || at - last->second >= kCauseExpiry;
   last->second = at;
   if (is_new && handlers_.log)
     handlers_.log("discovery: answer " + why + "; the known hosts stay in force");
 }
 
-void Discovery::complain_of_size() {
+void Discovery::log_body_too_long() {
   const auto& head = link_->parser->get();
   const auto length = head.find(http::field::content_length);
   const std::string size =
       length == head.end() ? "of unstated length" : "of " + std::string(length->value()) + " bytes";
-  complain(Cause::kBodyTooLong, size + " is longer than the " + std::to_string(max_list_bytes_) +
-                                    " bytes that the memory limit leaves for it");
+  log_failure(Cause::kBodyTooLong, size + " is longer than the " + std::to_string(max_list_bytes_) +
+                                       " bytes that the memory limit leaves for it");
 }
 
 }  // namespace balancer::node
--- a/src/node/discovery.h
+++ b/src/node/discovery.h
@@ -20,19 +20,20 @@
 
 namespace balancer::node {
 
-// The longest list that is read, in bytes, of a process that may use so much memory. Parsing takes
-// up to 16 times the body, at most two thirds of the memory; lists of hosts take some 4 times.
+// The longest endpoint list that is read, in bytes, by a process with this memory limit. Parsing
+// needs up to 16 times the body, at most two thirds of the memory; lists of hosts some 4 times.
 std::size_t max_list_bytes(std::size_t memory_mb);
 
-// The client of the service that lists the hosts: carries out over HTTP what the schedule says.
+// The HTTP client of the discovery service. DiscoveryPollScheduler decides when it calls; it has
+// one call in flight at most. Answers that cannot be used change nothing and are logged.
 class Discovery {
  public:
   struct Handlers {
     std::function<void(const HostList&)> on_list;
-    std::function<void()> on_rejected;  // only where discovery must be asked
-    // A call that took so long was answered, and what it told has been handed over.
+    std::function<void()> on_rejected;  // only where lists are polled
+    // A call that took so long was answered, and on_list has been called for it.
     std::function<void(Duration took)> on_answered;
-    // Why an answer could not be used: once for each cause, not for each call.
+    // Why an answer could not be used: one line for each cause, not for each call.
     std::function<void(const std::string& line)> log;
   };
 
@@ -40,18 +41,18 @@
             std::uint64_t known_seq, std::uint64_t seed, std::size_t max_list_bytes,
             Handlers handlers);
 
-  // Lists are pushed: calls for ever. Discovery is asked: calls until a call has failed, and
-  // on_refused tells so.
+  // Where lists are pushed, calls until stop(). Where they are polled, calls until one has failed,
+  // which on_rejected reports.
   void start();
   void stop();
-  // From now on the service at `endpoint` is listened to, and no longer the one before.
-  void move(const Endpoint& endpoint);
-  // Where lists are pushed: gives up the call that is out, and asks for the whole list at once.
-  void confirm();
+  // Closes the connection and requests the complete list from the service at `endpoint`.
+  void move_to(const Endpoint& endpoint);
+  // Where lists are pushed: cancels the call in flight and requests the complete list at once.
+  void refetch();
 
  private:
-  // A connection and all that its operations refer to. Their handlers own it: what the system has
-  // already completed when a call is given up must find its buffers in place.
+  // A connection and the buffers of its operations. Their handlers share it: one that has completed
+  // when its call is cancelled still refers to the buffers.
   struct Link {
     explicit Link(boost::asio::io_context& io) : socket(io) {}
     boost::asio::ip::tcp::socket socket;
@@ -67,26 +68,26 @@
   void read(std::uint64_t call);
   void on_read(std::uint64_t call, const boost::system::error_code& error);
   void on_answer(std::uint64_t call);
-  void hang_up();
-  void arm();
+  void disconnect();
+  void arm_timer();
   // Why the body is no list; nothing if it has been applied.
   std::optional<std::string> apply(const std::string& body, std::optional<UnixTime> sent_at);
   void fail(Failure failure);
-  void complain(Cause cause, const std::string& why);
-  void complain_of_size();
+  void log_failure(Cause cause, const std::string& why);
+  void log_body_too_long();
 
   Endpoint endpoint_;
   const SiteSettings& site_;
   const Handlers handlers_;
   const std::size_t max_list_bytes_;
-  const bool asked_;
+  const bool is_polled_;
   std::shared_ptr<Link> link_;
   boost::asio::io_context& io_;
   boost::asio::steady_timer timer_;
   recovery::DiscoveryPollScheduler schedule_;
   simdjson::dom::parser json_;
-  std::uint64_t call_ = 0;  // tells late completions of a call that was given up
-  std::map<Cause, Time> last_met_;
+  std::uint64_t call_ = 0;  // of the call in flight; completions of cancelled calls have others
+  std::map<Cause, Time> last_failures_;
 };
 
 }  // namespace balancer::node
--- a/src/node/discovery_list.cc
+++ b/src/node/discovery_list.cc
@@ -10,16 +10,22 @@
 
 using namespace json;
 
-// Unknown names share the index behind the last.
+// Later times would overflow in nanoseconds.
+constexpr std::int64_t kMaxUnixMilliseconds = 9'000'000'000'000;
+
+// Unknown names have the index after the last.
 int index_of(const std::vector<std::string>& names, std::string_view name) {
   return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
 }
 
-HostState read_state(std::string_view word) {
-  if (word == "ready") return HostState::kServing;
-  return word == "gone" ? HostState::kGone : HostState::kDraining;
+HostState read_state(std::string_view health) {
+  if (health == "ready") return HostState::kServing;
+  return health == "gone" ? HostState::kGone : HostState::kDraining;
 }
 
+// The protocol's field names end here: `dial` is the host's address, `born_ms` the start of its
+// process (ms since the Unix epoch), `class` its kind, `site` its zone, `block` its cell, and
+// `share` its weight.
 ListedHost read_host(object o, const SiteSettings& site) {
   ListedHost host;
   host.id = need<std::string_view>(o, "host");
@@ -28,7 +34,7 @@
   host.dial = parse_endpoint(get_or<std::string_view>(o, "dial", ""));
   if (!host.dial && host.state == HostState::kServing) bad("dial", "is no address");
   const auto born_ms = get_or<std::int64_t>(o, "born_ms", 0);
-  if (born_ms > 0 && born_ms < 9'000'000'000'000)
+  if (born_ms > 0 && born_ms < kMaxUnixMilliseconds)
     host.born = UnixTime(std::chrono::milliseconds(born_ms));
   const auto kind = get_or<std::string_view>(o, "class", "");
   host.origin = kind == "origin" || index_of(site.kinds, kind) == site.origin_kind;
@@ -50,7 +56,7 @@
     try {
       list.hosts.push_back(read_host(as<object>(e, "hosts"), site));
     } catch (const FieldError&) {
-      // One bad entry must not keep the others from being heard.
+      // One bad entry must not hide the others.
     }
   }
   return list;
--- a/src/node/memcache_service.cc
+++ b/src/node/memcache_service.cc
@@ -57,7 +57,7 @@
 void MemcacheService::start_discovery() {
   if (site_.policy.discovery_is_polled) return;
   discovery_.start();
-  pool_.enable_stall_guard([this] { discovery_.confirm(); }, log_);
+  pool_.enable_stall_guard([this] { discovery_.refetch(); }, log_);
 }
 
 void MemcacheService::apply(const HostList& list) {
--- a/src/node/memcache_service.h
+++ b/src/node/memcache_service.h
@@ -36,7 +36,7 @@
   void start_discovery();
   void stop_discovery() { discovery_.stop(); }
   // From now on lists come from the service at `endpoint`.
-  void move_discovery(const Endpoint& endpoint) { discovery_.move(endpoint); }
+  void move_discovery(const Endpoint& endpoint) { discovery_.move_to(endpoint); }
 
   // Applies an endpoint list, or the changes in it.
   void apply(const HostList& list);
--- a/tests/admin_test.cc
+++ b/tests/admin_test.cc
@@ -14,7 +14,7 @@
 
 // ---- calls, without sockets
 
-struct CallsTest : ::testing::Test {
+struct AdminCallsTest : ::testing::Test {
   admin::Answer call(std::string_view method, std::string_view target) {
     return admin::answer(method, target, operations);
   }
@@ -33,7 +33,7 @@
                                      }};
 };
 
-TEST_F(CallsTest, EachCallDoesWhatItSays) {
+TEST_F(AdminCallsTest, CarriesOutEachCall) {
   EXPECT_EQ(call("GET", "/healthcheck").status, 200u);
   serving = false;
   EXPECT_EQ(call("GET", "/healthcheck").status, 503u);
@@ -46,7 +46,7 @@
   EXPECT_EQ(away, (std::vector<bool>{true, false}));
 }
 
-TEST_F(CallsTest, BadCallsAreToldWhy) {
+TEST_F(AdminCallsTest, AnswersBadCallsWithAReason) {
   const struct {
     const char *method, *target;
     unsigned status;
@@ -82,7 +82,7 @@
 }
 
 // An id that is no text must not make the answer unreadable, or end the program.
-TEST_F(CallsTest, AnyBytesInAnIdAreAnswered) {
+TEST_F(AdminCallsTest, AnswersAnyBytesInAnId) {
   const auto a = call("POST", "/cache-hosts/%ff%00%22/maint");
   EXPECT_EQ(a.status, 200u);
   EXPECT_EQ(out.count(std::string("\xff\0\"", 3)), 1u);
@@ -114,7 +114,7 @@
       io, [](const std::string&, const std::string& id) { return FakeCache::value(id, "v"); }};
 };
 
-TEST_F(AdminTest, WhatCannotBeReadIsAnswered) {
+TEST_F(AdminTest, AnswersUnreadableCalls) {
   begin_with(host_entry("s-1", cache.server.dial()));
   EXPECT_EQ(call(healthcheck()), 200);
   EXPECT_EQ(call("HEAD /healthcheck HTTP/1.1\r\nHost: a\r\n\r\n"), 200);
@@ -128,7 +128,7 @@
 // Two hundred callers that say half a call and stay, and clients on every descriptor that clients
 // may have: a whole call is answered all the same. The set-aside
 // and make_room() are what it is meant for; it has not been run without them.
-TEST_F(AdminTest, AWholeCallIsAnsweredBesideHalfMadeOnesAndACrowd) {
+TEST_F(AdminTest, AnswersACallBesideIncompleteOnesAndACrowd) {
   limits =
       std::make_unique<Limits>(config.sockets, config.memory_mb, admin::AdminServer::kDescriptors);
   begin_with(host_entry("s-1", cache.server.dial()));
@@ -146,7 +146,7 @@
 }
 
 // The call out comes while a request waits for its retry to that very host.
-TEST_F(AdminTest, AHostTakenOutGetsNoRetryAndAHostPutBackIsUsed) {
+TEST_F(AdminTest, RetriesNothingAtAHostOutOfServiceAndUsesItOnceBack) {
   int broke = 0;
   std::shared_ptr<Peer> asked;
   Server breaks(io, [&](Peer& p) {
@@ -168,7 +168,7 @@
   EXPECT_EQ(broke, 1);
 }
 
-TEST_F(AdminTest, ClientsAreSentAwayAndTakenIn) {
+TEST_F(AdminTest, DrainsClientsAndAcceptsThemAgain) {
   begin_with(host_entry("s-1", cache.server.dial()));
   const auto noop = [&] {
     auto c = client();
--- a/tests/customer_test.cc
+++ b/tests/customer_test.cc
@@ -194,7 +194,7 @@
 }
 
 // What cannot be read is told by its field.
-TEST(AnotherCustomersSlips, AreToldByTheirField) {
+TEST(AnotherCustomersFilesTest, NamesTheFieldOfEachFault) {
   simdjson::dom::parser parser;
   for (const auto& [text, field] : std::vector<std::pair<std::string, std::string>>{
            {R"({})", "classes"},
--- a/tests/discovery_test.cc
+++ b/tests/discovery_test.cc
@@ -26,16 +26,16 @@
 }
 
 // `asked`: whether lists must be asked for.
-class DiscoveryCrossing : public ::testing::TestWithParam<std::tuple<bool, End>> {};
+class DiscoveryCrossingTest : public ::testing::TestWithParam<std::tuple<bool, End>> {};
 INSTANTIATE_TEST_SUITE_P(
-    Ends, DiscoveryCrossing,
+    Ends, DiscoveryCrossingTest,
     ::testing::Combine(::testing::Bool(),
                        ::testing::Values(End::kBeforeTheHead, End::kInTheHead, End::kInTheBody,
                                          End::kSilentInTheBody, End::kBetweenCalls)));
 
 // The service may be another behind it and count its versions anew: a watch that names the old
 // version would wait for ever. So the next call asks for the whole list, and that counts.
-TEST_P(DiscoveryCrossing, EachEndIsFollowedByAWholeList) {
+TEST_P(DiscoveryCrossingTest, RequestsACompleteListAfterEachEnd) {
   const auto [asked, end] = GetParam();
   asio::io_context io(1);
   std::vector<std::string> calls;
@@ -81,7 +81,7 @@
 
 // A call that is turned away in order says nothing against the version: a whole list for everybody
 // would be the dearer, the fuller the service is.
-TEST_F(DiscoveryCrossing, ACallThatIsTurnedAwayIsRepeatedAsItWas) {
+TEST_F(DiscoveryCrossingTest, RepeatsARejectedCallUnchanged) {
   asio::io_context io(1);
   std::vector<std::string> calls;
   Server server(io, [&](Peer& p) {
@@ -106,7 +106,7 @@
   discovery.stop();
 }
 
-TEST_F(DiscoveryCrossing, AnOlderVersionChangesNothing) {
+TEST_F(DiscoveryCrossingTest, IgnoresAnOlderVersion) {
   asio::io_context io(1);
   int calls = 0;
   const auto changes = [](int seq, const std::string& health) {
@@ -147,7 +147,7 @@
   discovery.stop();
 }
 
-TEST_F(DiscoveryCrossing, OddListsAreHeard) {
+TEST_F(DiscoveryCrossingTest, AppliesOddLists) {
   simdjson::dom::parser parser;
   const std::string text =
       "\n { \"later\" : [ 1, {\"x\":null} ],\t\"seq\" : 41 ,\r\n \"whole\":true, \"hosts\" : [\n"
--- a/tests/hot_restart_state_test.cc
+++ b/tests/hot_restart_state_test.cc
@@ -1,4 +1,4 @@
-// What a process and the one that takes its place tell each other, and who may do what.
+// Messages between a process and its successor, and which of them may do what.
 #include "hot_restart/hot_restart_state.h"
 
 #include <gtest/gtest.h>
@@ -46,12 +46,12 @@
           PassedConnection{"127.0.0.1:11211", std::string("mg k\0", 5), 7}};
 }
 
-TEST(HandoverWire, MessagesComeAsTheyWent) {
+TEST(HotRestartWireTest, DecodesWhatItEncoded) {
   for (const Message& m : examples()) EXPECT_EQ(decode(encode(m)), m);
 }
 
 // Cut at any byte it is another message or none, and never one that says more.
-TEST(HandoverWire, CutAtAnyByte) {
+TEST(HotRestartWireTest, ReadsNoMoreThanWasSentWhenCutAtAnyByte) {
   for (const Message& m : examples()) {
     const std::string whole = encode(m);
     for (std::size_t n = 0; n < whole.size(); ++n) {
@@ -64,7 +64,7 @@
   }
 }
 
-TEST(HandoverWire, WhatMakesNoSenseIsNoMessage) {
+TEST(HotRestartWireTest, RejectsMessagesOutOfBounds) {
   EXPECT_FALSE(decode(""));
   EXPECT_FALSE(decode("\xff nonsense"));
   EXPECT_FALSE(decode(encode(Hello{0, "n0"})));
@@ -88,7 +88,7 @@
 }
 
 // Of a newer version only what every version means alike is taken.
-TEST(HandoverWire, ASnapshotOfANewerVersion) {
+TEST(HotRestartWireTest, ReadsOnlyTheCommonPartOfALaterVersion) {
   Snapshot s = std::get<Snapshot>(examples()[1]);
   s.version = 2;
   const auto m = decode(encode(s));
@@ -100,7 +100,7 @@
   EXPECT_TRUE(got.overrides.empty());
 }
 
-TEST(HandoverWire, ALargeFleetComesInParts) {
+TEST(HotRestartWireTest, SplitsALargeFleetIntoBoundedParts) {
   Snapshot whole = std::get<Snapshot>(examples()[1]);
   whole.hosts.clear();
   for (int i = 0; i < 1000; ++i) whole.hosts.push_back(host("s-" + std::to_string(i)));
@@ -121,9 +121,9 @@
   EXPECT_EQ(taken, kMaxHosts / kEntriesPerPart);
 }
 
-// ---- turns
+// ---- states
 
-TEST(HandoverTurn, OneSuccessorAtATimeAndNoneWhileOneComesOfAge) {
+TEST(HotRestartStateTest, AcceptsOneSuccessorAtATimeAndNoneBesideAPredecessor) {
   HotRestartState t({400, 4000});
   EXPECT_TRUE(t.accepts());
   EXPECT_EQ(t.share(seconds(1), {50, 0}, {}), (ResourceShare{400, 4000}));
@@ -133,10 +133,10 @@
   t.on_predecessor_ended();
   EXPECT_TRUE(t.on_successor(seconds(1)));
   EXPECT_FALSE(t.on_successor(seconds(1)));
-  EXPECT_TRUE(t.accepts()) << "until the other serves";
+  EXPECT_TRUE(t.accepts()) << "until the successor serves";
   t.on_successor_serving();
   EXPECT_FALSE(t.accepts());
-  EXPECT_FALSE(t.passes_connections()) << "not told to end";
+  EXPECT_FALSE(t.passes_connections()) << "no SIGTERM yet";
   t.on_term();
   EXPECT_TRUE(t.passes_connections());
   t.on_successor_lost();
@@ -144,7 +144,7 @@
   EXPECT_FALSE(t.passes_connections());
 }
 
-TEST(HandoverTurn, APredecessorThatCouldNotBeAskedHoldsItsHalfForAWhile) {
+TEST(HotRestartStateTest, PresumesThatAPredecessorThatCouldNotBeQueriedHoldsHalf) {
   HotRestartState t({400, 4000});
   t.on_predecessor_presumed(seconds(10));
   EXPECT_EQ(t.share(seconds(9), {}, {}), (ResourceShare{200, 2000}));
@@ -153,7 +153,7 @@
   EXPECT_TRUE(t.on_successor(seconds(10)));
 }
 
-TEST(HandoverTurn, WhatIsInUseCannotBeCalledBack) {
+TEST(HotRestartStateTest, NeverTakesBackWhatIsInUse) {
   HotRestartState t({400, 4000});
   ASSERT_TRUE(t.on_successor(seconds(1)));
   EXPECT_EQ(t.share(seconds(1), {300, 100}, {}), (ResourceShare{300, 2000}));
@@ -161,10 +161,9 @@
   EXPECT_EQ(t.share(seconds(1), {100, 100}, {}), (ResourceShare{200, 2000}));
 }
 
-// Whatever the two use and say, in whatever order what is told arrives, they never may hold more
-// than all. The ceiling is what it
-// is meant for; it has not been run without.
-TEST(HandoverTurn, TwoNeverMayHoldMoreThanAll) {
+// Whatever the two use, and however late the reports arrive, both together never may hold more than
+// the total: the ceiling of the predecessor's share is there for this.
+TEST(HotRestartStateTest, NeverLetsBothHoldMoreThanTheTotal) {
   const unsigned seed = std::random_device()();
   SCOPED_TRACE("seed " + std::to_string(seed));
   std::mt19937 random(seed);
--- a/tests/hot_restart_test.cc
+++ b/tests/hot_restart_test.cc
@@ -1,4 +1,4 @@
-// A new version beside the old one: the built program, its peers played by the test.
+// Hot restart of the built program; its clients, hosts and discovery are played by the test.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sys/prctl.h>
@@ -28,7 +28,7 @@
 // One start of the program.
 class Process {
  public:
-  // `faults`: of its machine; see rig/faults/fault_plan.h.
+  // `faults`: of its machine; see testbed/faults/fault_plan.h.
   Process(asio::io_context& io, const std::string& dir, const Endpoint& admin_at,
           const std::string& faults)
       : admin(admin_at), err_(io) {
@@ -110,7 +110,7 @@
 class HotRestartTest : public ::testing::Test {
  protected:
   void SetUp() override {
-    char dir[] = "/tmp/balancer-upgrade-XXXXXX";
+    char dir[] = "/tmp/balancer-hot-restart-XXXXXX";
     ASSERT_NE(::mkdtemp(dir), nullptr);
     dir_ = dir;
     listen_ = addresses_.next_endpoint();
@@ -139,13 +139,13 @@
     if (run_until(io_, done)) return ::testing::AssertionSuccess();
     return ::testing::AssertionFailure() << "it never came to that";
   }
-  int call(const Process& p, const std::string& overrides) {
+  int call(const Process& p, const std::string& method_and_path) {
     auto c = std::make_shared<Peer>(tcp::socket(io_));
     boost::system::error_code e;
     c->socket.connect(p.admin, e);
     if (e) return 0;
     c->read();
-    c->send(overrides + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
+    c->send(method_and_path + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
     if (!run_until(io_, [&] { return c->closed; })) return 0;
     return c->in.starts_with("HTTP/1.1 ") ? std::stoi(c->in.substr(9, 3)) : 0;
   }
@@ -155,7 +155,7 @@
     return ::testing::AssertionFailure() << "no yes; its log:\n" << p.log;
   }
   // One more process, and the end of the one before.
-  std::unique_ptr<Process> upgrade(Process& old) {
+  std::unique_ptr<Process> restart(Process& old) {
     auto next = start();
     EXPECT_TRUE(serving(*next));
     ::kill(old.pid, SIGTERM);
@@ -208,7 +208,7 @@
   void stop() { stopped_ = true; }
   bool quiet() const { return open_ == 0; }
 
-  int asked = 0, served = 0, turned_back = 0, odd = 0;
+  int asked = 0, served = 0, rejected = 0, odd = 0;
 
  private:
   struct Client {
@@ -257,7 +257,7 @@
   }
   void end(const Ptr& c, bool answered) {
     --open_;
-    ++(answered ? served : turned_back);
+    ++(answered ? served : rejected);
     if (!c->keeps || stopped_) return;
     if (!answered) c->socket = tcp::socket(io_);
     c->timer.expires_after(milliseconds(100));
@@ -285,8 +285,7 @@
   bool stopped_ = false;
 };
 
-// It has not been run without the passed sockets and connections.
-TEST_F(HotRestartTest, TwentyInARowTurnNobodyBack) {
+TEST_F(HotRestartTest, RejectsNobodyOverTwentyRestartsInARow) {
   auto now = start();
   ASSERT_TRUE(serving(*now));
   Load load(io_, listen_, 20);
@@ -315,18 +314,18 @@
   load.stop();
   ASSERT_TRUE(wait([&] { return load.quiet(); }));
   EXPECT_GT(load.served, 100);
-  EXPECT_EQ(load.turned_back, 0);
+  EXPECT_EQ(load.rejected, 0);
   EXPECT_EQ(load.odd, 0);
   EXPECT_LE(max_descriptors, kSockets);
 #ifndef __SANITIZE_ADDRESS__  // its shadow is most of what is resident
   EXPECT_LE(max_kb, kMemoryMb << 10);
 #endif
-  std::printf("%d requests served over 20 upgrades, both at most %zu descriptors and %zu kB\n",
+  std::printf("%d requests served over 20 restarts, both at most %zu descriptors and %zu kB\n",
               load.served, max_descriptors, max_kb);
 }
 
-// Half a command that was written to the old process is finished at the new one.
-TEST_F(HotRestartTest, AClientThatWritesSlowlyIsPassedOn) {
+// Half a command that was written to the predecessor is finished at the successor.
+TEST_F(HotRestartTest, PassesAConnectionWithHalfACommand) {
   auto old = start();
   ASSERT_TRUE(serving(*old));
   auto slow = Peer::dial(io_, listen_), idle = Peer::dial(io_, listen_);
@@ -334,7 +333,7 @@
   const std::string line = get("slowly");
   slow->send(line.substr(0, 9));
   run_for(io_, milliseconds(50));
-  auto next = upgrade(*old);
+  auto next = restart(*old);
   slow->send(line.substr(9));
   ASSERT_TRUE(wait([&] { return answered(*slow) || slow->closed; }));
   EXPECT_TRUE(slow->in.starts_with("VA 1 ")) << slow->in;
@@ -342,9 +341,9 @@
   EXPECT_FALSE(idle->closed);
 }
 
-// Connections that wait in the accept queue when the old one is told to end: it stands still, so
-// that none is accepted before the signal.
-TEST_F(HotRestartTest, WhoWaitsInTheAcceptQueueIsAnswered) {
+// Connections wait in the accept queue when the predecessor gets SIGTERM: it is stopped before, so
+// that none is accepted earlier.
+TEST_F(HotRestartTest, AnswersClientsThatWaitInTheAcceptQueue) {
   auto old = start();
   ASSERT_TRUE(serving(*old));
   auto next = start();
@@ -367,31 +366,32 @@
   for (const auto& p : waiting) EXPECT_TRUE(p->in.starts_with("VA 1 ")) << p->in;
 }
 
-// Out, gone from the list, two upgrades, back on the list with a new start: out still. Then ready.
-TEST_F(HotRestartTest, OperatorsWordsHoldOverUpgrades) {
+// Out of service, gone from the list, two restarts, listed again with a new start: still out of
+// service. Then `ready`.
+TEST_F(HotRestartTest, KeepsOverridesOverRestarts) {
   auto old = start();
   ASSERT_TRUE(serving(*old));
   const std::string with = discovery_.hosts;
   EXPECT_EQ(call(*old, "POST /cache-hosts/s-1/maint"), 200);
   discovery_.hosts = host_entry("s-2", cache_2_.server.dial());
-  auto next = upgrade(*old);
+  auto next = restart(*old);
   std::string again = host_entry("s-1", cache_.server.dial());
   again.replace(again.find("\"born_ms\":0"), 11, "\"born_ms\":1700000000000");
   discovery_.hosts = again + "," + host_entry("s-2", cache_2_.server.dial());
-  auto last = upgrade(*next);
+  auto last = restart(*next);
   lines_.clear();
   auto c = Peer::dial(io_, listen_);
   for (int i = 0; i < 30; ++i) ask(*c, "k" + std::to_string(i));
   EXPECT_EQ(lines_.size(), 0u) << lines_[0];
   EXPECT_EQ(call(*last, "POST /cache-hosts/s-3/maint"), 404);
   EXPECT_EQ(call(*last, "POST /cache-hosts/s-1/ready"), 200);
-  // The second way, where the old one cannot be asked.
+  // For a start that finds no predecessor.
   EXPECT_TRUE(std::filesystem::exists(dir_ + "/silverpin-n%2f0.words"));
 }
 
-// The folder takes nothing for a while, in which an operator is told yes. Behind it the word is
-// kept: whoever starts next heeds it, though the process that heard it was killed.
-TEST_F(HotRestartTest, AWordIsKeptOnceTheFolderCanBeWritten) {
+// The folder cannot be written for a while, in which an operator's call is answered. Afterwards the
+// override is saved: the next start applies it, though the process that was called was killed.
+TEST_F(HotRestartTest, SavesOverridesOnceTheFolderCanBeWritten) {
   auto first = start("storage_from_ms=0,storage_until_ms=2000");
   ASSERT_TRUE(serving(*first));
   EXPECT_EQ(call(*first, "POST /cache-hosts/s-1/maint"), 200);
@@ -406,8 +406,8 @@
   EXPECT_EQ(lines_.size(), 0u) << "the host that was taken out is asked";
 }
 
-// The same of the socket by which the next version finds this one.
-TEST_F(HotRestartTest, TheNextVersionFindsAProcessWhoseFolderFailedAtItsStart) {
+// The same of the socket by which a successor finds the process.
+TEST_F(HotRestartTest, PublishesItsSocketOnceTheFolderCanBeWritten) {
   auto old = start("storage_from_ms=0,storage_until_ms=2000");
   ASSERT_TRUE(serving(*old));
   ASSERT_TRUE(wait([&] { return std::filesystem::exists(dir_ + "/silverpin-n%2f0.sock"); }));
@@ -416,8 +416,8 @@
   EXPECT_TRUE(next->logged("hot restart: predecessor answered")) << next->log;
 }
 
-// As many words as a process takes are read again by the next.
-TEST_F(HotRestartTest, ManyWordsAreKeptOverAKill) {
+// More overrides than one part of a snapshot holds are read by the next start.
+TEST_F(HotRestartTest, RestoresManyOverridesAfterAKill) {
   constexpr int kHosts = 600;
   discovery_.hosts.clear();
   for (int i = 0; i < kHosts; ++i)
@@ -433,8 +433,8 @@
   EXPECT_TRUE(next->logged("hot restart: 600 overrides restored from their file")) << next->log;
 }
 
-// A word given to either is heard by both, while both are there.
-TEST_F(HotRestartTest, BothProcessesHearAWord) {
+// A call to either process takes effect at both.
+TEST_F(HotRestartTest, AppliesAnOverrideAtBothProcesses) {
   auto old = start();
   ASSERT_TRUE(serving(*old));
   auto kept = Peer::dial(io_, listen_);  // stays the old one's until it is told to end
@@ -456,8 +456,8 @@
   EXPECT_EQ(probe->in, "SERVER_ERROR draining\r\n");
 }
 
-// The new one is killed after it has taken over the new clients: the old one takes them again.
-TEST_F(HotRestartTest, TheNewOneMayDie) {
+// The successor is killed after it has begun to accept: the predecessor accepts again.
+TEST_F(HotRestartTest, AcceptsAgainWhenTheSuccessorIsKilled) {
   auto old = start();
   ASSERT_TRUE(serving(*old));
   for (int i = 0; i < 3; ++i) {
@@ -468,12 +468,12 @@
     auto c = Peer::dial(io_, listen_);
     EXPECT_TRUE(ask(*c, "k").starts_with("VA 1 "));
   }
-  auto next = upgrade(*old);  // and is found by the next
+  auto next = restart(*old);  // and is found by the next
   EXPECT_TRUE(next->logged("hot restart: predecessor answered")) << next->log;
 }
 
-// A version that cannot start says why and ends; the old one goes on untouched.
-TEST_F(HotRestartTest, AVersionWithABadConfigurationChangesNothing) {
+// A version that cannot start logs one line and ends; the predecessor is not touched.
+TEST_F(HotRestartTest, IsUntouchedByASuccessorWithABadConfiguration) {
   auto old = start();
   ASSERT_TRUE(serving(*old));
   write_config("nowhere");
@@ -488,9 +488,9 @@
   EXPECT_TRUE(ask(*c, "k").starts_with("VA 1 "));
 }
 
-// Somebody holds the file and does not answer, answers nonsense, or breaks off in the middle: the
-// new one listens beside, within its time, and is presumed to have half of the limits.
-TEST_F(HotRestartTest, APredecessorThatCannotBeAsked) {
+// The socket's owner does not answer, sends an unreadable message, or closes in the middle: the new
+// process listens beside the old one in time, and presumes that it holds half of the limits.
+TEST_F(HotRestartTest, ListensBesideAPredecessorThatCannotBeQueried) {
   for (const int kind : {0, 1, 2, 3}) {
     auto old = start();
     ASSERT_TRUE(serving(*old));
@@ -511,16 +511,16 @@
       ASSERT_TRUE(peer);
       std::string part = "\xff nonsense";
       if (kind == 3) {
-        hot_restart::Snapshot s;
-        s.has_more = true;
-        part = hot_restart::encode(s);
+        hot_restart::Snapshot first_part;
+        first_part.has_more = true;
+        part = hot_restart::encode(first_part);
       }
       EXPECT_TRUE(send_packet(peer.get(), part, {}));
     }
     ASSERT_TRUE(serving(*next));
     EXPECT_TRUE(next->logged("presumed to hold half")) << kind << next->log;
     EXPECT_TRUE(next->logged("hot restart: 1 overrides restored from their file")) << next->log;
-    // Both listen; the old one ends as if alone.
+    // Both listen; the old process ends as if it were alone.
     ::kill(old->pid, SIGTERM);
     ASSERT_TRUE(wait([&] { return old->exited(); }));
     EXPECT_TRUE(old->ended_well());
@@ -529,11 +529,11 @@
   }
 }
 
-// ---- something else happens while a connection is being passed
+// ---- another event while a connection is being passed
 
-// The new process stands still, so that the client's connection lies between the two for as long as
-// the test wants. The old one is kept by a request that gets no answer.
-class PassingTest : public HotRestartTest {
+// The successor is stopped, so that the client's connection lies between the two for as long as the
+// test wants. A request that gets no answer keeps the predecessor running.
+class ConnectionPassingTest : public HotRestartTest {
  protected:
   void begin() {
     old = start();
@@ -577,19 +577,19 @@
   std::shared_ptr<Peer> holder, c;
 };
 
-TEST_F(PassingTest, AHostDrains) {
+TEST_F(ConnectionPassingTest, DrainsAHostThatDiscoveryListsAsDraining) {
   ASSERT_NO_FATAL_FAILURE(begin());
   discovery_.hosts = host_entry("s-1", cache_.server.dial(), "std", "draining") + "," +
                      host_entry("s-2", cache_2_.server.dial());
   ask_for_many();
-  run_for(io_, milliseconds(1100));  // a standstill, behind which lists are asked for anew
+  run_for(io_, milliseconds(1100));  // a process stall, after which the list is confirmed
   ::kill(next->pid, SIGCONT);
   ASSERT_TRUE(many_answered()) << c->in << next->log;
   EXPECT_EQ(lines_.size(), 0u) << lines_[0];
   end_old();
 }
 
-TEST_F(PassingTest, AnOperatorTakesAHostOut) {
+TEST_F(ConnectionPassingTest, AppliesAnOverrideMadeMeanwhile) {
   ASSERT_NO_FATAL_FAILURE(begin());
   ASSERT_EQ(call(*old, "POST /cache-hosts/s-1/maint"), 200);
   ask_for_many();
@@ -599,8 +599,8 @@
   end_old();
 }
 
-// Its command has come whole, and it has left: nobody waits for it at the new process.
-TEST_F(PassingTest, TheClientLeaves) {
+// Its command is complete, and it has left: nobody waits for the answer at the successor.
+TEST_F(ConnectionPassingTest, ForwardsNothingOfAClientThatLeaves) {
   for (const bool by_reset : {false, true}) {
     ASSERT_NO_FATAL_FAILURE(begin());
     c->send(get("k"));
@@ -616,8 +616,8 @@
   }
 }
 
-// What it asked for in between is answered, and then its connection is given back in order.
-TEST_F(PassingTest, TheNewOneIsToldToEndToo) {
+// What it asked for in between is answered, and then its connection is closed gracefully.
+TEST_F(ConnectionPassingTest, AnswersWhenTheSuccessorIsTerminatedToo) {
   ASSERT_NO_FATAL_FAILURE(begin());
   ask_for_many();
   ::kill(next->pid, SIGTERM);
@@ -630,7 +630,7 @@
   EXPECT_TRUE(next->ended_well()) << next->log;
 }
 
-TEST_F(PassingTest, TheOldOneIsKilled) {
+TEST_F(ConnectionPassingTest, AnswersWhenThePredecessorIsKilled) {
   ASSERT_NO_FATAL_FAILURE(begin());
   ::kill(old->pid, SIGKILL);
   ASSERT_TRUE(wait([&] { return old->exited(); }));
@@ -641,28 +641,28 @@
   EXPECT_TRUE(ask(*other, "k").starts_with("VA 1 "));
 }
 
-// The other direction: what lay between the two is closed with the new one, and comes again.
-TEST_F(PassingTest, TheNewOneIsKilled) {
+// What lay between the two is closed with the successor; the client connects again.
+TEST_F(ConnectionPassingTest, ClosesUnreadWhenTheSuccessorIsKilled) {
   ASSERT_NO_FATAL_FAILURE(begin());
   ::kill(next->pid, SIGKILL);
   ASSERT_TRUE(wait([&] { return c->closed; }));
   EXPECT_EQ(c->in, "");
-  auto again = Peer::dial(io_, listen_);  // the old one hears it, though it is to end
+  auto again = Peer::dial(io_, listen_);  // the predecessor serves it, though it is draining
   EXPECT_TRUE(ask(*again, "k").starts_with("VA 1 "));
   end_old();
 }
 
-// ---- the yes does not come
+// ---- the successor does not come to serve
 
-// The new one stands still between its question and its yes, and the old one is told to end, or
-// killed: who is connected is answered, and who comes then has one of the two.
-TEST_F(HotRestartTest, TheOldOneEndsBeforeTheYes) {
+// The successor is stopped between its query and its first accept, and the predecessor gets SIGTERM
+// or is killed: clients that are connected are answered, and new ones are served by one of the two.
+TEST_F(HotRestartTest, AnswersWhenThePredecessorEndsBeforeTheSuccessorServes) {
   for (const int signal : {SIGTERM, SIGKILL}) {
     auto old = start();
     ASSERT_TRUE(serving(*old));
     auto c = Peer::dial(io_, listen_);
     ASSERT_TRUE(ask(*c, "k").starts_with("VA 1 "));
-    // It may have said yes before it could be stopped: then another one is tried.
+    // It may have begun to serve before it could be stopped: then another one is tried.
     std::unique_ptr<Process> next;
     for (int i = 0; i < 50 && !next; ++i) {
       old->log.clear();
@@ -674,7 +674,7 @@
       next.reset();
       ASSERT_TRUE(wait([&] { return old->logged("hot restart: successor has ended"); }));
     }
-    ASSERT_TRUE(next) << "it always came to its yes";
+    ASSERT_TRUE(next) << "it always served before it was stopped";
     ::kill(old->pid, signal);
     if (signal == SIGTERM) {
       auto fresh = Peer::dial(io_, listen_);
--- a/tests/mass_restart_test.cc
+++ b/tests/mass_restart_test.cc
@@ -58,7 +58,7 @@
                                                    State::kResetting}),
                          [](const auto& i) { return i.param.name; });
 
-TEST_P(MassRestartTest, NineInTenAreReadyInTime) {
+TEST_P(MassRestartTest, NineInTenProcessesServeInTime) {
   FakeCache cache(io, [](const auto&, const auto& id) { return FakeCache::value(id, "v"); });
   discovery.hosts = known = host_entry("h", cache.server.dial());
   const std::string pushed = "\"discovery\":\"pushed\"";
--- a/tests/operator_test.cc
+++ b/tests/operator_test.cc
@@ -19,7 +19,7 @@
   }
 }
 
-TEST(OperatorFile, EveryFaultIsNamed) {
+TEST(OperatorFileTest, NamesEveryFault) {
   const std::vector<std::pair<std::string, std::string>> faults = {
       {"pool = 1\n", "o.toml:1: pool: must be tables: [[pool]]"},
       {"[[pool]\n", "o.toml:1: "},
@@ -68,7 +68,7 @@
   EXPECT_THROW(load_operator("/nonexistent.toml"), FileError);
 }
 
-TEST(OperatorFile, DefaultsAreSafe) {
+TEST(OperatorFileTest, HasSafeDefaults) {
   const auto all = parse_operator(
       kPool + "[[pool.class]]\nname = \"c\"\ncommands = [\"GET\", \"SET\"]\n" + kListener,
       "o.toml");
@@ -81,7 +81,7 @@
   EXPECT_FALSE(all.pools[0].site.policy.hedging);
 }
 
-TEST(OperatorFile, OnlyPasswordsAreTakenOver) {
+TEST(OperatorFileTest, ReloadsOnlyPasswords) {
   const std::string tenant = "[[pool.tenant]]\nname = \"t\"\npassword = \"";
   auto all = parse_operator(kPool + tenant + "a\"\n" + kListener, "o.toml");
   EXPECT_TRUE(
@@ -100,7 +100,7 @@
     "[bgp]\nas = 64512\nid = \"10.0.0.1\"\nnext_hop = \"10.0.0.1\"\n[[bgp.router]]\naddress = "
     "\"10.0.0.2:179\"\nas = 64513\n";
 
-TEST(OperatorFile, AGroupIsReadWhole) {
+TEST(OperatorFileTest, ReadsAllOfAGroup) {
   const Operator all = parse_operator(kGroup + kAddress + "prefer = [\"a\"]\n" + kBgp, "o.toml");
   ASSERT_TRUE(all.group);
   EXPECT_EQ(all.group->name, "silverpin") << "the process's";
@@ -114,7 +114,7 @@
   EXPECT_FALSE(parse_operator(kPool, "o.toml").group);
 }
 
-TEST(OperatorFile, EveryFaultOfAGroupIsNamed) {
+TEST(OperatorFileTest, NamesEveryFaultOfAGroup) {
   const auto group = [](const std::string& line) { return kGroup + line + kAddress + kBgp; };
   const std::vector<std::pair<std::string, std::string>> faults = {
       {kAddress, "o.toml:1: address: has no meaning without [group]"},
@@ -165,7 +165,7 @@
 }
 
 // Lists of balancers and servers: no default and no bound below what the fleets need.
-TEST(OperatorFile, ListsOfBalancersAndServersHoldThousands) {
+TEST(OperatorFileTest, TakesThousandsOfBalancersAndServers) {
   const Operator defaults = parse_operator(kGroup + kAddress + kBgp + kPool, "o.toml");
   EXPECT_GE(defaults.group->membership.max_members, 1024u);
   EXPECT_GE(defaults.pools[0].cluster.max_nodes, 1024u);
--- a/tests/program_test.cc
+++ b/tests/program_test.cc
@@ -99,7 +99,7 @@
 };
 
 // A reload must not end the program, and from then on the new discovery counts.
-TEST_F(ProgramTest, ReloadMovesToTheNewDiscovery) {
+TEST_F(ProgramTest, MovesToTheNewDiscoveryOnReload) {
   FakeDiscovery first(io_), second(io_);
   FakeCache cache(io_, [](const auto&, const auto& id) { return FakeCache::value(id, "v1"); });
   second.hosts = host_entry("h1", cache.server.dial());
@@ -119,7 +119,7 @@
 }
 
 // A slip in the new file leaves the old configuration in force, and a line says so.
-TEST_F(ProgramTest, BadReloadKeepsTheOldConfiguration) {
+TEST_F(ProgramTest, KeepsTheConfigurationOnABadReload) {
   FakeDiscovery discovery(io_);
   write_config(config_text(discovery));
   launch();
@@ -139,7 +139,7 @@
 
 // Stopped for over a second, with requests of its clients and news of discovery waiting for it:
 // what they ask for goes by the news, though they come first.
-TEST_F(ProgramTest, BehindAStandstillNothingGoesByTheOldList) {
+TEST_F(ProgramTest, ForwardsNothingByTheOldListAfterAStall) {
   FakeDiscovery discovery(io_);
   const auto answer = [](const auto&, const auto& id) { return FakeCache::value(id, "v1"); };
   FakeCache old(io_, answer), fresh(io_, answer);
@@ -174,7 +174,7 @@
 
 // A client's time is over before the program goes on: refused, though it could be served. On a busy
 // machine the request may be read too late for that, and is served then; so it has several tries.
-TEST_F(ProgramTest, BehindAStandstillWhatIsTooOldIsRefused) {
+TEST_F(ProgramTest, RejectsExpiredRequestsAfterAStall) {
   FakeDiscovery discovery(io_);
   FakeCache cache(io_, [](const auto&, const auto& id) { return FakeCache::value(id, "v1"); });
   discovery.hosts = host_entry("h1", cache.server.dial());
@@ -198,7 +198,7 @@
 }
 
 // With discovery gone it goes on with what it knew, and each client has its one answer.
-TEST_F(ProgramTest, BehindAStandstillNobodyIsWaitedForForEver) {
+TEST_F(ProgramTest, GoesOnWithTheOldListWithoutDiscoveryAfterAStall) {
   std::optional<FakeDiscovery> discovery(std::in_place, io_);
   FakeCache cache(io_, [](const auto&, const auto& id) { return FakeCache::value(id, "v1"); });
   discovery->hosts = host_entry("h1", cache.server.dial());
@@ -220,7 +220,7 @@
   EXPECT_EQ(cache.ids.size(), 2u);
 }
 
-TEST_F(ProgramTest, BadConfigurationAtTheStartEndsWithOneLine) {
+TEST_F(ProgramTest, EndsWithOneLineOnABadConfiguration) {
   write_config("{\"name\":\"n0\"}");
   launch();
   ASSERT_TRUE(wait([&] { return exited(); }));
@@ -230,7 +230,7 @@
 }
 
 // The operator's file adds a RESP side; what of a changed one waits for a restart is said.
-TEST_F(ProgramTest, TheOperatorsFile) {
+TEST_F(ProgramTest, ServesRespAndReloadsPasswordsWithAnOperatorsFile) {
   FakeDiscovery discovery(io_);
   write_config(config_text(discovery));
   const std::string file = dir_ + "/operator.toml";
@@ -258,7 +258,7 @@
 }
 
 // The operator's file alone starts the RESP side, and takes name, log and limits from it.
-TEST_F(ProgramTest, TheOperatorsFileIsEnough) {
+TEST_F(ProgramTest, RunsWithTheOperatorsFileAlone) {
   const std::string file = dir_ + "/operator.toml", log = dir_ + "/log";
   const std::string text =
       "[process]\nname = \"lane-1\"\nlog = \"" + log +
@@ -290,14 +290,14 @@
   EXPECT_TRUE(WIFEXITED(*status_) && WEXITSTATUS(*status_) == 0);
 }
 
-TEST_F(ProgramTest, WithNeitherFileItSaysSo) {
+TEST_F(ProgramTest, EndsWithOneLineWithoutAnyFile) {
   launch({}, false);
   ASSERT_TRUE(wait([&] { return exited() && log_.ends_with('\n'); }));
   EXPECT_EQ(log_, "balancer: neither ROUTER_CONFIG is set nor --operator given\n");
   EXPECT_EQ(WEXITSTATUS(*status_), 1);
 }
 
-TEST_F(ProgramTest, CheckTellsWhatItWouldDo) {
+TEST_F(ProgramTest, CheckPrintsWhatItWouldListenOn) {
   const std::string file = dir_ + "/operator.toml";
   std::ofstream(file) << "[[pool]]\nname = \"p\"\nseeds = [\"127.0.0.1:7000\"]\nmost_connections "
                          "= 9\n[[listener]]\nname = \"l\"\naddress = \"127.0.0.1:6400\"\npool = "
@@ -317,7 +317,7 @@
   EXPECT_TRUE(output("--version").starts_with("balancer 0."));
 }
 
-TEST_F(ProgramTest, ABadOperatorsFile) {
+TEST_F(ProgramTest, EndsWithOneLineOnABadOperatorsFile) {
   FakeDiscovery discovery(io_);
   write_config(config_text(discovery));
   const std::string file = dir_ + "/operator.toml";
@@ -336,7 +336,7 @@
 }
 
 // A host hangs, the end is asked for twice: what was taken is answered, and the exit is in order.
-TEST_F(ProgramTest, SecondTermWithAHostThatHangs) {
+TEST_F(ProgramTest, AnswersAndExitsOnASecondTermWhileAHostHangs) {
   FakeDiscovery discovery(io_);
   FakeCache cache(io_, [](const auto&, const auto&) { return std::string(); });
   discovery.hosts = host_entry("h1", cache.server.dial());
@@ -358,7 +358,7 @@
 }
 
 // Reloads that go on coming until the process has gone: the last of them must not end it.
-TEST_F(ProgramTest, ReloadsUntilTheVeryEndEndItWell) {
+TEST_F(ProgramTest, ExitsWithZeroWhileReloadsKeepComing) {
   FakeDiscovery discovery(io_);
   write_config(config_text(discovery));
   launch();
@@ -375,7 +375,7 @@
   EXPECT_EQ(*status_, 0);
 }
 
-TEST_F(ProgramTest, TermAnswersAndExits) {
+TEST_F(ProgramTest, AnswersAndExitsOnTerm) {
   FakeDiscovery discovery(io_);
   write_config(config_text(discovery));
   launch();
--- a/tests/wall_clock_test.cc
+++ b/tests/wall_clock_test.cc
@@ -47,18 +47,18 @@
   int last_id = 0;
 };
 
-TEST_F(WallClockTest, AnHourAheadWarmsNoColdHost) {
+TEST_F(WallClockTest, KeepsAColdHostColdWithAClockAnHourAhead) {
   begin(3600, "600000000000");
   EXPECT_LT(part_of_new_host(), 0.2);
 }
 
-TEST_F(WallClockTest, AnHourBehindKeepsNoHostCold) {
+TEST_F(WallClockTest, WarmsAHostWithAClockAnHourBehind) {
   begin(-3600, "1000000000");
   run_for(io, std::chrono::milliseconds(1500));
   EXPECT_GT(part_of_new_host(), 0.3);
 }
 
-TEST_F(WallClockTest, ARightOneTellsTheSame) {
+TEST_F(WallClockTest, BehavesTheSameWithARightClock) {
   begin(0, "600000000000");
   EXPECT_LT(part_of_new_host(), 0.2);
 }
