--- a/src/node/drain_coordinator.cc
+++ b/src/node/drain_coordinator.cc
@@ -72,7 +72,7 @@
   });
   // Requests whose deadline lies beyond the end of the process.
   if (elapsed >= longest_deadline_ + kAnswerGrace) {
-    services_.for_each_pool([](ServerPool& pool) { pool.fail_open(); });
+    services_.for_each_pool([](ServerPool& pool) { pool.fail_open_requests(); });
     services_.for_each_listener([](ClientListener& listener) { listener.reject_unread(); });
   }
   return progress;
--- a/src/node/hot_restart_coordinator.cc
+++ b/src/node/hot_restart_coordinator.cc
@@ -158,7 +158,7 @@
                                                    checkpoint.load_factors.end());
   for (const auto& [id, host] : memcache.hosts()) {
     hot_restart::HostRecord record = to_record(host);
-    if (host.born) record.time_since_start = memcache.pool().age_of(id);
+    if (host.born) record.time_since_start = memcache.pool().host_age(id);
     if (const auto at = load_factors.find(id); at != load_factors.end())
       record.load_factor = at->second;
     snapshot.hosts.push_back(std::move(record));
@@ -172,9 +172,10 @@
 
 hot_restart::ResourceShare HotRestartCoordinator::needs() {
   std::size_t open_requests = 0;
-  services_.for_each_pool([&open_requests](ServerPool& pool) { open_requests += pool.open(); });
+  services_.for_each_pool(
+      [&open_requests](ServerPool& pool) { open_requests += pool.open_requests(); });
   return {open_requests * kDescriptorsPerRequest + kRetryDescriptors,
-          open_requests * kWholeValue + kWholeValue};
+          open_requests * kMaxCollectedValue + kMaxCollectedValue};
 }
 
 std::vector<ClientListener*> HotRestartCoordinator::passed_listeners() {
@@ -198,7 +199,7 @@
       listener.pause();
     }
   });
-  services_.for_each_pool([](ServerPool& pool) { pool.shed(); });
+  services_.for_each_pool([](ServerPool& pool) { pool.close_excess_connections(); });
   apply_passing();
 }
 
--- a/src/node/memcache_service.cc
+++ b/src/node/memcache_service.cc
@@ -45,8 +45,8 @@
       discovery_(
           io, config.discovery, site_, config.known ? config.known->seq : 0, config.seed,
           max_list_bytes(config.memory_mb),
-          {[this](const HostList& list) { apply(list); }, [this] { pool_.on_list_refused(); },
-           [this](Duration took) { pool_.on_confirmed(took); }, log}),
+          {[this](const HostList& list) { apply(list); }, [this] { pool_.on_list_rejected(); },
+           [this](Duration took) { pool_.on_discovery_answer(took); }, log}),
       log_(log) {
   if (config.known) apply(*config.known);
   listener_ = std::make_unique<ClientListener>(
--- a/tests/leaving_load_test.cc
+++ b/tests/leaving_load_test.cc
@@ -8,7 +8,7 @@
 #include <map>
 #include <random>
 
-#include "core_harness.h"
+#include "dispatch_harness.h"
 #include "program_harness.h"
 
 namespace balancer::node {
@@ -196,7 +196,7 @@
   std::map<std::string, std::vector<WallTime>> begins;  // of attempts, by id
 };
 
-TEST_F(LeavingLoadTest, NothingBeginsForThoseWhoHaveLeft) {
+TEST_F(LeavingLoadTest, BeginsNoAttemptForClientsThatHaveClosed) {
   const unsigned seed = std::random_device()();
   std::printf("seed %u\n", seed);
   random.seed(seed);
--- a/tests/policy_test.cc
+++ b/tests/policy_test.cc
@@ -33,7 +33,7 @@
 
 struct PolicyTest : ::testing::Test {
   explicit PolicyTest(const Settings& s = settings()) : policy(s, 1, seconds(1), sink) {
-    policy.on_hosts(seconds(1), ListKind::kWhole, {entry("a"), entry("b"), origin()});
+    policy.on_hosts(seconds(1), ListKind::kComplete, {entry("a"), entry("b"), origin()});
   }
   static HostEntry entry(std::string_view id) {
     HostEntry e;
@@ -60,7 +60,7 @@
 
 // A connection that breaks says little of its host: the key's owner, which has the key, is asked
 // once more. A second break sends the request on, and three in a row eject the host.
-TEST_F(PolicyTest, AResetIsAskedAgainAtTheOwnerOnce) {
+TEST_F(PolicyTest, RetriesOnceAtTheOwnerAfterAReset) {
   policy.on_request(seconds(2), request(1, 0, false));
   const std::string owner = sink.sent.at(0).host;
   policy.on_outcome(seconds(2), {1, 0, Result::kReset, false});
@@ -81,7 +81,7 @@
 
 std::string other(const std::string& host) { return host == "a" ? "b" : "a"; }
 
-TEST_F(PolicyTest, AHostTakenOutGetsNothingNewWhateverListsSay) {
+TEST_F(PolicyTest, SendsNothingNewToAHostOutOfServiceWhateverListsSay) {
   policy.on_request(seconds(2), request(1, 0, false));
   const std::string owner = sink.sent.at(0).host;
   EXPECT_TRUE(policy.on_maintenance(seconds(2), owner, true));
@@ -97,7 +97,7 @@
   back.start = HostStart::exactly(seconds(3));
   policy.on_hosts(seconds(3), ListKind::kChanges, {gone});
   policy.on_hosts(seconds(4), ListKind::kChanges, {back});
-  policy.on_hosts(seconds(5), ListKind::kWhole, {entry("a"), entry("b"), origin()});
+  policy.on_hosts(seconds(5), ListKind::kComplete, {entry("a"), entry("b"), origin()});
   for (RequestId id = 2; id < 40; ++id)
     policy.on_request(seconds(6), request(id, 0, false, "k" + std::to_string(id)));
   for (std::size_t i = 2; i < sink.sent.size(); ++i) EXPECT_NE(sink.sent[i].host, owner);
@@ -110,12 +110,12 @@
                           [&](const auto& s) { return s.host == owner; }));
 }
 
-TEST_F(PolicyTest, OperatorsAreToldOfHostsThatNobodyKnows) {
+TEST_F(PolicyTest, RejectsOverridesOfUnknownHosts) {
   EXPECT_FALSE(policy.on_maintenance(seconds(2), "nobody", true));
   EXPECT_FALSE(policy.on_maintenance(seconds(2), "nobody", false));
   EXPECT_FALSE(policy.on_maintenance(seconds(2), "origin", true)) << "that is no cache host";
   EXPECT_TRUE(policy.on_maintenance(seconds(2), "a", true));
-  policy.on_hosts(seconds(3), ListKind::kWhole, {entry("b"), origin()});
+  policy.on_hosts(seconds(3), ListKind::kComplete, {entry("b"), origin()});
   EXPECT_TRUE(policy.on_maintenance(seconds(4), "a", false)) << "an operator knows it";
   EXPECT_TRUE(policy.overrides().contains("a"));
   // Once it cannot be cold any more nothing of it is kept.
@@ -125,7 +125,7 @@
 
 // On its return it is cold, whatever it was before, and what was learnt of the old process does not
 // keep it unused.
-TEST_F(PolicyTest, AHostPutBackIsColdAndNotEjected) {
+TEST_F(PolicyTest, SlowStartsAHostThatReturnsToServiceAndEndsItsEjection) {
   policy.on_request(seconds(2), request(1, 0, false));
   const std::string owner = sink.sent.at(0).host;
   for (RequestId id = 2; id < 8; ++id) {  // ejected, for as long as it can be
@@ -150,11 +150,11 @@
 }
 
 // A process that takes another's place is told its words before it has a list.
-TEST(PolicyWords, HoldForHostsThatAreListedLater) {
+TEST(PolicyOverridesTest, AppliesToHostsThatAreListedLater) {
   FakeSink sink;
   Policy policy(settings(), 1, seconds(1), sink);
   policy.restore(seconds(1), "a", {true, milliseconds(500)});
-  policy.on_hosts(seconds(2), ListKind::kWhole,
+  policy.on_hosts(seconds(2), ListKind::kComplete,
                   {PolicyTest::entry("a"), PolicyTest::entry("b"), PolicyTest::origin()});
   for (RequestId id = 1; id < 40; ++id)
     policy.on_request(seconds(2), PolicyTest::request(id, 0, false, "k" + std::to_string(id)));
@@ -163,11 +163,11 @@
 }
 
 // Words on hosts are bounded by the hosts that were ever listed, and by a number.
-TEST_F(PolicyTest, OperatorsWordsAreBounded) {
+TEST_F(PolicyTest, BoundsTheNumberOfOverrides) {
   int taken = 0;
   for (int i = 0; i < 6000; ++i) {
     const std::string id = "h" + std::to_string(i);
-    policy.on_hosts(seconds(2), ListKind::kWhole, {entry(id), origin()});
+    policy.on_hosts(seconds(2), ListKind::kComplete, {entry(id), origin()});
     taken += policy.on_maintenance(seconds(2), id, true);
   }
   EXPECT_EQ(policy.overrides().size(), static_cast<std::size_t>(taken));
@@ -176,7 +176,9 @@
 
 // Counts how often it is changed, which costs it as much as it has hosts.
 struct CountingPlacement : Placement {
-  void insert(const std::vector<Member>& members) override { inserts += members.empty() ? 0 : 1; }
+  void insert(const std::vector<PlacedHost>& members) override {
+    inserts += members.empty() ? 0 : 1;
+  }
   void erase(const std::set<Host>& hosts) override {
     ++erases;
     erased += hosts.size();
@@ -188,16 +190,16 @@
 };
 
 // A list that takes many hosts away must not cost the square of their number.
-TEST_F(PolicyTest, AListChangesThePlacementOnce) {
+TEST_F(PolicyTest, ChangesThePlacementOnceForAList) {
   CountingPlacement placement;
   Policy large(settings(), 1, seconds(1), sink, &placement);
   std::vector<std::string> ids;
   for (int i = 0; i < 20'000; ++i) ids.push_back("h" + std::to_string(i));
   std::vector<HostEntry> all;
   for (const auto& id : ids) all.push_back(entry(id));
-  large.on_hosts(seconds(2), ListKind::kWhole, all);
+  large.on_hosts(seconds(2), ListKind::kComplete, all);
   EXPECT_EQ(placement.inserts, 1);
-  large.on_hosts(seconds(3), ListKind::kWhole, {all.begin(), all.begin() + 5000});
+  large.on_hosts(seconds(3), ListKind::kComplete, {all.begin(), all.begin() + 5000});
   EXPECT_EQ(placement.erases, 1);
   EXPECT_EQ(placement.erased, 15'000u);
   // Joined and gone in one list: it never had a place.
@@ -210,11 +212,11 @@
 
 // Hosts that are always new must not make the table of hosts grow; one that a request still names
 // stays until that has ended.
-TEST_F(PolicyTest, GoneHostsAreForgotten) {
+TEST_F(PolicyTest, ForgetsHostsThatAreGone) {
   policy.on_request(seconds(2), request(1, 0, false));
   for (int i = 0; i < 1000; ++i) {
     const std::string id = "new-" + std::to_string(i);
-    policy.on_hosts(seconds(2), ListKind::kWhole, {entry(id), origin()});
+    policy.on_hosts(seconds(2), ListKind::kComplete, {entry(id), origin()});
   }
   EXPECT_LE(policy.host_places(), 6u);
   // The late outcome is still that of the old host: a miss there leads to the origin.
@@ -226,7 +228,7 @@
   EXPECT_EQ(sink.sent.at(2).host, "new-999");
 }
 
-TEST_F(PolicyTest, AMissIsFetchedFromTheOriginAndFollowersAskTheCacheAgain) {
+TEST_F(PolicyTest, FetchesAMissFromTheOriginAndSendsFollowersToTheCacheAgain) {
   policy.on_request(seconds(2), request(1, 0, false));
   policy.on_request(seconds(2), request(2, 0, false));
   const std::string owner = sink.sent[0].host;
@@ -241,37 +243,37 @@
   EXPECT_EQ(sink.sent[3].host, owner);
 }
 
-TEST_F(PolicyTest, AnUnsafeWriteThatMayHaveRunIsNeitherResentNorRefused) {
+TEST_F(PolicyTest, NeitherResendsNorRejectsANonIdempotentWriteThatMayHaveRun) {
   policy.on_request(seconds(2), request(1, 2, true));
   ASSERT_EQ(sink.sent.size(), 1u);
   EXPECT_EQ(sink.sent[0].host, "origin");
   policy.on_outcome(seconds(3), {1, 0, Result::kReset, false});
   EXPECT_EQ(sink.sent.size(), 1u);
-  EXPECT_TRUE(sink.refused.empty());
+  EXPECT_TRUE(sink.rejected.empty());
   EXPECT_EQ(sink.failed.size(), 1u);
 }
 
-TEST_F(PolicyTest, EveryRequestIsAnsweredAtItsDeadlineAndOnlyOnce) {
+TEST_F(PolicyTest, AnswersEveryRequestAtItsDeadlineAndOnlyOnce) {
   policy.on_request(seconds(2), request(1, 0, false));
   for (const auto t : std::vector(sink.timers)) policy.on_timer(t.at, t.tag);
-  EXPECT_EQ(sink.refused.size(), 1u);
+  EXPECT_EQ(sink.rejected.size(), 1u);
   policy.on_outcome(seconds(3), {1, 0, Result::kTimeout, true});
-  EXPECT_EQ(sink.refused.size() + sink.failed.size(), 1u);
+  EXPECT_EQ(sink.rejected.size() + sink.failed.size(), 1u);
 }
 
-TEST_F(PolicyTest, NothingNewGoesToAHostThatDrainsOrIsGone) {
+TEST_F(PolicyTest, SendsNothingNewToAHostThatDrainsOrIsGone) {
   HostEntry a = entry("a");
   a.state = HostState::kDraining;
   policy.on_hosts(seconds(2), ListKind::kChanges, {a});
   for (RequestId id = 1; id < 40; ++id)
     policy.on_request(seconds(2), request(id, 0, false, std::string(id, 'x')));
   for (const auto& s : sink.sent) EXPECT_EQ(s.host, "b");
-  policy.on_hosts(seconds(3), ListKind::kWhole, {});
+  policy.on_hosts(seconds(3), ListKind::kComplete, {});
   const std::size_t before = sink.sent.size();
   policy.on_request(seconds(3), request(99, 0, false));
   EXPECT_EQ(sink.sent.size(), before);
-  ASSERT_EQ(sink.refused.size(), 1u);
-  EXPECT_EQ(sink.refused[0], 99u);
+  ASSERT_EQ(sink.rejected.size(), 1u);
+  EXPECT_EQ(sink.rejected[0], 99u);
 }
 
 // Ten caches, of which each key's owner and the next points are found by asking.
@@ -279,7 +281,7 @@
   FleetTest() {
     std::vector<HostEntry> entries = {origin()};
     for (const std::string& name : ids) entries.push_back(entry(name));
-    policy.on_hosts(seconds(1), ListKind::kWhole, entries);
+    policy.on_hosts(seconds(1), ListKind::kComplete, entries);
   }
   // Sends one request for `key` and returns where it went, or "" where it was refused.
   std::string ask(Time now, std::string_view key) {
@@ -334,7 +336,7 @@
   RequestId id = 1000;
 };
 
-TEST_F(FleetTest, AHotKeyIsSpreadAndOthersStayWithTheirOwner) {
+TEST_F(FleetTest, SpreadsAHotKeyAndLeavesOthersWithTheirOwner) {
   std::set<std::string> hot, cold;
   for (int i = 0; i < 200; ++i) {
     const Time now = seconds(2) + milliseconds(10 * i);
@@ -351,7 +353,7 @@
   EXPECT_EQ(cold.size(), 1u);
 }
 
-TEST_F(FleetTest, AHostWithAStuckAttemptIsPassedOverUntilItEnds) {
+TEST_F(FleetTest, PassesOverAHostWithAStalledAttemptUntilItEnds) {
   const std::string owner = ask(seconds(2), "k");
   const RequestId stuck = id;
   EXPECT_EQ(ask(seconds(2) + milliseconds(100), "k"), owner);
@@ -362,7 +364,7 @@
   EXPECT_EQ(ask(seconds(2) + milliseconds(230), "k"), owner);
 }
 
-TEST_F(FleetTest, ASlowHostHandsOnAShareOfItsKeysAndTakesThemBack) {
+TEST_F(FleetTest, MovesAPartOfASlowHostsKeysAndMovesThemBack) {
   const std::string owner = ask(seconds(2), "k0");
   answer(seconds(2));
   const auto owned = owned_by(owner);
@@ -377,7 +379,7 @@
   EXPECT_EQ(kept(owned, owner, seconds(400)), 40);
 }
 
-TEST_F(FleetTest, AFullHostHandsOnAShareOfItsKeys) {
+TEST_F(FleetTest, MovesAPartOfTheKeysOfAHostThatRejects) {
   const std::string owner = ask(seconds(2), "k0");
   answer(seconds(2));
   const auto owned = owned_by(owner);
@@ -387,14 +389,14 @@
 
 // Every key is on one host, or on it and a replica.
 struct PinnedPlacement : Placement {
-  void insert(const std::vector<Member>& members) override {
-    for (const Member& m : members) hosts.push_back(m.host);
+  void insert(const std::vector<PlacedHost>& members) override {
+    for (const PlacedHost& m : members) hosts.push_back(m.host);
   }
   void erase(const std::set<Host>&) override {}
   std::uint64_t point(std::string_view key) const override {
     return std::hash<std::string_view>()(key);
   }
-  bool pinned() const override { return true; }
+  bool keys_are_sticky() const override { return true; }
   bool walk(std::uint64_t, std::uint64_t, Accept accept) const override {
     for (const Host h : hosts)
       if (accept(h)) return true;
@@ -403,7 +405,7 @@
   std::vector<Host> hosts;
 };
 
-struct PinnedTest : ::testing::Test {
+struct StickyKeysTest : ::testing::Test {
   // Slow answers of the first host, then how often each key was served of so many times asked.
   std::map<std::string, int> served_by_key(int hosts) {
     Settings s = settings();
@@ -413,7 +415,7 @@
     Policy policy(s, 1, seconds(1), sink, &placement);
     std::vector<HostEntry> entries = {PolicyTest::entry("a"), PolicyTest::entry("b")};
     entries.resize(static_cast<std::size_t>(hosts));
-    policy.on_hosts(seconds(1), ListKind::kWhole, entries);
+    policy.on_hosts(seconds(1), ListKind::kComplete, entries);
     RequestId id = 0;
     const auto ask = [&](Time now, const std::string& key, Result result) {
       const std::size_t before = sink.sent.size();
@@ -435,14 +437,14 @@
   }
 };
 
-TEST_F(PinnedTest, ASlowHostsKeysShareWhatItStillTakes) {
+TEST_F(StickyKeysTest, SharesASlowHostsCapacityAmongAllItsKeys) {
   for (const auto& [key, n] : served_by_key(1)) {
     EXPECT_GT(n, 0) << key << " was refused each time";
     EXPECT_LT(n, 50) << key;
   }
 }
 
-TEST_F(PinnedTest, WhereAReplicaMayAnswerNoneIsRefused) {
+TEST_F(StickyKeysTest, RejectsNoneWhereAReplicaMayAnswer) {
   for (const auto& [key, n] : served_by_key(2)) EXPECT_EQ(n, 50) << key;
 }
 
@@ -455,12 +457,12 @@
       entries.push_back(entry(name));
       entries.back().zone = name[0] == 'n';
     }
-    policy.on_hosts(seconds(1), ListKind::kWhole, entries);
+    policy.on_hosts(seconds(1), ListKind::kComplete, entries);
   }
   std::vector<std::string> names;
 };
 
-TEST_F(LargeFleetTest, AZoneThatIsCutOffIsLeftAloneUntilOneOfItsHostsAnswers) {
+TEST_F(LargeFleetTest, EjectsAPartitionedZoneUntilOneOfItsHostsAnswers) {
   const auto north_of_100 = [&](Time now, const std::string& prefix, Result result) {
     int north = 0;
     for (int i = 0; i < 100; ++i) {
@@ -480,7 +482,7 @@
   EXPECT_GT(north_of_100(seconds(2), "m", Result::kOk), 30);
 }
 
-TEST_F(LargeFleetTest, WhereMostAnswersAreSlowThePartThatTheCachesMayGetIsMetered) {
+TEST_F(LargeFleetTest, MetersReadsOfTheCachesWhereMostAnswersAreSlow) {
   Time now = seconds(2);
   // No host is asked often enough to be judged by itself.
   int asked = 0;
@@ -505,7 +507,7 @@
   EXPECT_EQ(past_caches("m"), 0);  // the caches have recovered
 }
 
-TEST_F(LargeFleetTest, IdleConnectionsAreClosedWhileManyAttemptsGetNone) {
+TEST_F(LargeFleetTest, ClosesIdleConnectionsWhileManyAttemptsGetNone) {
   Time now = seconds(2);
   for (int i = 0; i < 20; ++i) {
     ask(now, "k" + std::to_string(i));
@@ -535,7 +537,7 @@
   EXPECT_TRUE(sink.closed.empty());
 }
 
-TEST_F(FleetTest, EachHostOfAHotKeyHandsOnAPartOfItsRequests) {
+TEST_F(FleetTest, MovesAPartOfAHotKeysRequestsFromEachOfItsHosts) {
   Time now = seconds(2);
   for (int i = 0; i < 400; ++i) {
     ask(now += milliseconds(5), "hot");
@@ -558,7 +560,7 @@
   EXPECT_LT(past_caches, 380);
 }
 
-TEST_F(FleetTest, WhereEveryHostIsFullTheOriginServesTheSurplusWhileItsGateIsOpen) {
+TEST_F(FleetTest, FetchesFromTheOriginWhereEveryHostRejectsWhileAllFetchesAreAdmitted) {
   Time now = seconds(2);
   const auto ask_all = [&](const std::string& prefix) {
     std::pair<int, int> refused_and_bypassed;
@@ -591,43 +593,43 @@
 
 // Refused for want of room at the origin: as many are called back within their aim as the gate lets
 // in, the others once it is over; nobody is told to return when it is of no use to him.
-TEST_F(FleetTest, AsManyAreCalledBackSoonAsTheGatesWouldLetIn) {
+TEST_F(FleetTest, CallsBackSoonAsManyAsWouldBeAdmitted) {
   Settings patient = settings();
   patient.max_retry_after = seconds(60);
   Policy lone(patient, 7, seconds(1), sink);
   std::vector<HostEntry> entries = {origin()};
   for (const std::string& name : ids) entries.push_back(entry(name));
-  lone.on_hosts(seconds(1), ListKind::kWhole, entries);
+  lone.on_hosts(seconds(1), ListKind::kComplete, entries);
   for (const double open : {0.1, 0.5, 0.9}) {
     lone.restore(seconds(2), {0, open, 1, {}});
-    sink.waits.clear();
+    sink.retry_afters.clear();
     RequestId fresh = 1000 * static_cast<RequestId>(10 * open);
     for (int i = 0; i < 400; ++i) {
       ++fresh;
       lone.on_request(seconds(2), request(fresh, 0, false, "c" + std::to_string(fresh)));
       lone.on_outcome(seconds(2), {fresh, 0, Result::kMiss, false});
     }
-    const auto soon = std::count_if(sink.waits.begin(), sink.waits.end(),
+    const auto soon = std::count_if(sink.retry_afters.begin(), sink.retry_afters.end(),
                                     [](Duration w) { return w < milliseconds(300); });
-    const auto between = std::count_if(sink.waits.begin(), sink.waits.end(), [](Duration w) {
-      return w >= milliseconds(300) && w < milliseconds(750);
-    });
-    ASSERT_GT(sink.waits.size(), 100u);
-    const double share = static_cast<double>(soon) / static_cast<double>(sink.waits.size());
+    const auto between =
+        std::count_if(sink.retry_afters.begin(), sink.retry_afters.end(),
+                      [](Duration w) { return w >= milliseconds(300) && w < milliseconds(750); });
+    ASSERT_GT(sink.retry_afters.size(), 100u);
+    const double share = static_cast<double>(soon) / static_cast<double>(sink.retry_afters.size());
     EXPECT_NEAR(share, open, 0.1);
     EXPECT_EQ(between, 0) << "too late for the aim, and too soon for the overload";
-    EXPECT_LE(*std::max_element(sink.waits.begin(), sink.waits.end()), seconds(3));
+    EXPECT_LE(*std::max_element(sink.retry_afters.begin(), sink.retry_afters.end()), seconds(3));
   }
 }
 
 // A miss that was heard so late that a fetch at the target's time would miss the aim is not fetched
 // where others wait for their turn; with the gate wide open it is.
-TEST_F(FleetTest, WhereNotAllCanBeFetchedLateOnesGiveWay) {
+TEST_F(FleetTest, RejectsLateFetchesFirstWhereNotAllAreAdmitted) {
   for (const double open : {1.0, 0.6}) {
     Policy lone(settings(), 7, seconds(1), sink);
     std::vector<HostEntry> entries = {origin()};
     for (const std::string& name : ids) entries.push_back(entry(name));
-    lone.on_hosts(seconds(1), ListKind::kWhole, entries);
+    lone.on_hosts(seconds(1), ListKind::kComplete, entries);
     lone.restore(seconds(2), {0, open, 1, {}});
     const auto fetched = [&](RequestId fresh, Duration miss_takes) {
       const auto before = sink.sent.size();
@@ -640,7 +642,7 @@
   }
 }
 
-TEST_F(FleetTest, FurtherAttemptsGoToAnOpenOriginAndElseToCachesForATenthOfTheRequests) {
+TEST_F(FleetTest, RetriesAtAnOriginThatAdmitsAllAndElseAtCachesForATenthOfTheRequests) {
   // Asks for 300 keys at hosts that fail, the origin apart; returns the further attempts by target.
   const auto fail_all = [&](Time from, const std::string& prefix, Duration origin_takes) {
     std::pair<int, int> caches_and_origin;
@@ -668,7 +670,7 @@
   EXPECT_EQ(closed_origin, 0);
 }
 
-TEST_F(FleetTest, AHostThatHasJustStartedGetsAFewOfItsKeysAndLittleWork) {
+TEST_F(FleetTest, SendsAFewKeysAndLittleWorkToAHostThatHasJustStarted) {
   std::vector<std::string> owners;
   Time now = seconds(2);
   for (int i = 0; i < 400; ++i) {
@@ -692,22 +694,22 @@
   EXPECT_EQ(strays, 0);
 }
 
-TEST_F(FleetTest, WhatLiesOverATenantsShareIsRefusedUnderStrainOnly) {
+TEST_F(FleetTest, RejectsWhatExceedsATenantsQuotaUnderOverloadOnly) {
   Settings with_quota = settings();
   with_quota.tenant_quotas = {1, 100};
   Policy strict(with_quota, 1, seconds(1), sink);
   std::vector<HostEntry> entries = {origin()};
   for (const std::string& name : ids) entries.push_back(entry(name));
-  strict.on_hosts(seconds(1), ListKind::kWhole, entries);
+  strict.on_hosts(seconds(1), ListKind::kComplete, entries);
   const auto refused = [&](Time now, int tenant) {
-    const std::size_t before = sink.refused.size();
+    const std::size_t before = sink.rejected.size();
     for (int i = 0; i < 20; ++i) {
       const std::string key(static_cast<std::size_t>(i + 1), 'k');
       Request q = request(++id, 0, false, key);
       q.tenant = tenant;
       strict.on_request(now, q);
     }
-    return sink.refused.size() - before;
+    return sink.rejected.size() - before;
   };
   EXPECT_EQ(refused(seconds(2), 0), 0u);
   int slow = 0;
@@ -719,7 +721,7 @@
 
 // The front gives one balancer of ten five times its even part of all: its part of each tenant's
 // share is as much larger, and a burst of the tenant's own makes it no larger.
-TEST_F(FleetTest, ATenantsShareFollowsWhatTheFrontGivesThisBalancer) {
+TEST_F(FleetTest, ScalesATenantsQuotaWithTheTrafficOfOtherTenantsHere) {
   for (const auto& [others, own, least, most] :
        {std::tuple{500, 4, 0, 6}, std::tuple{50, 4, 20, 40}, std::tuple{50, 40, 300, 400}}) {
     Settings with_quota = settings();
@@ -728,15 +730,15 @@
     Policy strict(with_quota, 1, seconds(1), sink);
     std::vector<HostEntry> entries = {origin()};
     for (const std::string& name : ids) entries.push_back(entry(name));
-    strict.on_hosts(seconds(1), ListKind::kWhole, entries);
+    strict.on_hosts(seconds(1), ListKind::kComplete, entries);
     int refused = 0;
     const auto ask_for = [&](Time now, int tenant, bool slow) {
-      const std::size_t before = sink.refused.size();
+      const std::size_t before = sink.rejected.size();
       const std::string key = "k" + std::to_string(++id);  // the request only names it
       Request q = request(id, 0, false, key);
       q.tenant = tenant;
       strict.on_request(now, q);
-      if (sink.refused.size() > before) return false;
+      if (sink.rejected.size() > before) return false;
       const bool cache = sink.sent.back().host != "origin";
       strict.on_outcome(now, {id, 0, slow && cache ? Result::kRejected : Result::kOk, true});
       return true;
--- a/tests/storm_test.cc
+++ b/tests/storm_test.cc
@@ -9,7 +9,7 @@
 #include <set>
 #include <thread>
 
-#include "core_harness.h"
+#include "dispatch_harness.h"
 
 namespace balancer::node {
 namespace {
@@ -54,15 +54,17 @@
   Time now() const override { return core_.now(); }
   SendPermission may_send(const Attempt& a) const override {
     const SendPermission p = core_.may_send(a);
-    return defect_ == Defect::kGoesOnToDrained && p == SendPermission::kElsewhere
-               ? SendPermission::kGo
+    return defect_ == Defect::kGoesOnToDrained && p == SendPermission::kHostChanged
+               ? SendPermission::kGranted
                : p;
   }
-  void on_begin(const AttemptPtr& a, const StreamPtr& s) override { core_.on_begin(a, s); }
-  void on_end(const AttemptPtr& a, Result result, std::string value) override {
+  void on_stream_started(const AttemptPtr& a, const StreamPtr& s) override {
+    core_.on_stream_started(a, s);
+  }
+  void on_attempt_ended(const AttemptPtr& a, Result result, std::string value) override {
     if (defect_ == Defect::kCallsAResetUnsent && result == Result::kReset)
       result = Result::kNotSent;
-    core_.on_end(a, result, std::move(value));
+    core_.on_attempt_ended(a, result, std::move(value));
   }
 
  private:
@@ -70,7 +72,7 @@
   const Defect defect_;
 };
 
-class Storm : public CoreTest {
+class Storm : public DispatchTest {
  public:
   void TestBody() override {}
 
@@ -165,9 +167,9 @@
     for (auto& [name, c] : caches_) read_now(c.script->server);
     read_now(origin_->server);
   }
-  static void read_now(LateServer& server) {
+  static void read_now(PausableServer& server) {
     server.take_waiting();
-    for (const auto& p : server.peers) LateServer::read_now(*p);
+    for (const auto& p : server.peers) PausableServer::read_now(*p);
   }
 
   // What was written before the list has come when it does, so that all that comes later was
@@ -319,7 +321,7 @@
     } else if (what < 98) {
       change(c);
     } else {
-      c.held ? c.script->server.let() : c.script->server.hold();
+      c.held ? c.script->server.resume_accepting() : c.script->server.pause_accepting();
       c.held = !c.held;
     }
     for (int i = below(6); i > 0; --i) io.poll_one();
@@ -339,7 +341,7 @@
   // Everybody answers, and every request that a client still waits for has its end.
   void heal() {
     for (auto& [name, c] : caches_)
-      if (c.held) c.script->server.let();
+      if (c.held) c.script->server.resume_accepting();
     const bool all = run_until(
         io,
         [this] {
--- a/tests/timing_wheel_test.cc
+++ b/tests/timing_wheel_test.cc
@@ -13,7 +13,7 @@
 
 constexpr Duration kTick = milliseconds(1);
 
-TEST(TimingWheelTest, NothingComesEarlyAndAllComeWithinATick) {
+TEST(TimingWheelTest, FiresEachTimerWithinATickAndNoneEarly) {
   TimingWheel<int> wheel(Time(12'345'678), kTick);
   wheel.set(Time(12'345'679), 1);
   wheel.set(Time(13'000'000), 2);
@@ -32,27 +32,27 @@
   EXPECT_FALSE(wheel.next());
 }
 
-TEST(TimingWheelTest, AHandleOutlivesItsTimer) {
+TEST(TimingWheelTest, CancelsNothingByTheHandleOfAFiredTimer) {
   TimingWheel<int> wheel(Time(0), kTick);
   const auto first = wheel.set(milliseconds(5), 1);
-  EXPECT_EQ(wheel.take_back(first), 1);
+  EXPECT_EQ(wheel.cancel(first), 1);
   const auto second = wheel.set(milliseconds(5), 2);  // in the place of the first
-  EXPECT_FALSE(wheel.take_back(first));
+  EXPECT_FALSE(wheel.cancel(first));
   int due = 0;
   wheel.advance(milliseconds(5), [&](int v) { due = v; });
   EXPECT_EQ(due, 2);
-  EXPECT_FALSE(wheel.take_back(second));
-  EXPECT_FALSE(wheel.take_back({}));
+  EXPECT_FALSE(wheel.cancel(second));
+  EXPECT_FALSE(wheel.cancel({}));
 }
 
-TEST(TimingWheelTest, OneThatComesDueMayTakeBackAnotherOfItsTickAndSetNew) {
+TEST(TimingWheelTest, AllowsCancelAndSetFromInsideAFiringTimer) {
   TimingWheel<int> wheel(Time(0), kTick);
   std::vector<TimingWheel<int>::Handle> handles;
   for (int i = 0; i < 10; ++i) handles.push_back(wheel.set(milliseconds(3), i));
   int fired = 0, later = 0;
   wheel.advance(milliseconds(3), [&](int) {
     ++fired;
-    for (const auto h : handles) wheel.take_back(h);
+    for (const auto h : handles) wheel.cancel(h);
     wheel.set(milliseconds(3), 99);  // due already: at the next tick, not in this turn for ever
   });
   EXPECT_EQ(fired, 1);
@@ -62,9 +62,9 @@
 
 // Against an ordered map: times from a tick to days, half of the timers taken back, steps of any
 // length.
-class RandomWheelTest : public ::testing::TestWithParam<unsigned> {};
+class RandomTimingWheelTest : public ::testing::TestWithParam<unsigned> {};
 
-TEST_P(RandomWheelTest, ComesDueLikeAnOrderedMap) {
+TEST_P(RandomTimingWheelTest, FiresLikeAnOrderedMapOverRandomEvents) {
   SCOPED_TRACE("seed " + std::to_string(GetParam()));
   std::mt19937_64 random(GetParam());
   const auto below = [&](std::uint64_t n) { return random() % n; };
@@ -85,7 +85,7 @@
     }
     if (!pending.empty() && below(2) == 0) {
       const auto it = std::next(pending.begin(), static_cast<int>(below(pending.size())));
-      ASSERT_EQ(wheel.take_back(it->second.handle), it->first);
+      ASSERT_EQ(wheel.cancel(it->second.handle), it->first);
       pending.erase(it);
     }
     now += nanoseconds(static_cast<std::int64_t>(below(std::uint64_t{1} << below(42))));
@@ -107,7 +107,7 @@
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, RandomWheelTest, ::testing::Range(1u, 9u));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomTimingWheelTest, ::testing::Range(1u, 9u));
 
 }  // namespace
 }  // namespace balancer
