--- a/src/group_runtime/bgp_links.cc
+++ b/src/group_runtime/bgp_links.cc
@@ -19,7 +19,7 @@
 using tcp = asio::ip::tcp;
 
 // What a router has not taken yet is looked at again this often.
-constexpr Duration kLook = std::chrono::milliseconds(10);
+constexpr Duration kUnsentInterval = std::chrono::milliseconds(10);
 // More than this unread by a router: it is not written to any further.
 constexpr std::size_t kMaxUnsent = 256u << 10;
 
@@ -35,15 +35,15 @@
 }  // namespace
 
 BgpLinks::BgpLinks(asio::io_context& io, const BgpFile& file, std::uint64_t seed,
-                   std::function<void()> news, Log log)
+                   std::function<void()> on_events, Log log)
     : io_(io),
       file_(file),
-      news_(std::move(news)),
+      on_events_(std::move(on_events)),
       log_(std::move(log)),
       speaker_(file.speaker, sessions_of(file), seed, lease_now()),
       links_(file.routers.size()),
       timer_(io),
-      look_(io) {
+      unsent_timer_(io) {
   for (const BgpRouter& r : file.routers) addresses_.push_back(*parse_endpoint(r.address));
   if (!file.listen.empty()) {
     const auto at = *parse_endpoint(file.listen);
@@ -54,7 +54,7 @@
     acceptor_->listen();
     accept();
   }
-  carry_out();
+  run_actions();
 }
 
 BgpLinks::~BgpLinks() {
@@ -74,13 +74,14 @@
   timer_.async_wait([this](const error_code& e) {
     if (e || stopped_) return;
     speaker_.on_timer(lease_now());
-    carry_out();
-    news_();
+    run_actions();
+    on_events_();
   });
 }
 
-void BgpLinks::carry_out() {
-  if (std::exchange(carrying_, true)) return;  // whoever is at it goes on until nothing is left
+void BgpLinks::run_actions() {
+  if (std::exchange(running_actions_, true))
+    return;  // whoever is at it goes on until nothing is left
   for (auto actions = speaker_.take_actions(); !actions.empty(); actions = speaker_.take_actions())
     for (auto& [router, action] : actions) {
       using Kind = bgp::Session::Action::Kind;
@@ -95,14 +96,14 @@
           close(router, action.way);
           break;
         case Kind::kUp:
-          log_("router " + file_.routers[router].address + ": session up");
+          log_("bgp " + file_.routers[router].address + ": session up");
           break;
         case Kind::kDown:
-          log_("router " + file_.routers[router].address + ": session down: " + action.bytes);
+          log_("bgp " + file_.routers[router].address + ": session down: " + action.bytes);
           break;
       }
     }
-  carrying_ = false;
+  running_actions_ = false;
   arm();
 }
 
@@ -116,17 +117,19 @@
   // Routers know their neighbours by the address that they come from.
   if (!error && !file_.source.empty())
     l.socket->bind({asio::ip::make_address(file_.source), 0}, error);
-  const auto life = l.life;
+  const auto generation = l.generation;
   if (error) {
-    asio::post(io_, [this, router, life, error] {
-      if (life == link(router, Way::kOut).life) broke(router, Way::kOut, error.message());
+    asio::post(io_, [this, router, generation, error] {
+      if (generation == link(router, Way::kOut).generation)
+        on_connection_failed(router, Way::kOut, error.message());
     });
     return;
   }
-  l.socket->async_connect(to, [this, router, life](const error_code& e) {
-    if (e == asio::error::operation_aborted || life != link(router, Way::kOut).life) return;
-    if (e) return broke(router, Way::kOut, "cannot connect: " + e.message());
-    begin(router, Way::kOut);
+  l.socket->async_connect(to, [this, router, generation](const error_code& e) {
+    if (e == asio::error::operation_aborted || generation != link(router, Way::kOut).generation)
+      return;
+    if (e) return on_connection_failed(router, Way::kOut, "cannot connect: " + e.message());
+    on_connected(router, Way::kOut);
   });
 }
 
@@ -141,7 +144,7 @@
       for (std::size_t r = 0; !error && r < addresses_.size(); ++r) {
         if (addresses_[r].address() != from.address() || link(r, Way::kIn).socket) continue;
         link(r, Way::kIn).socket = std::make_unique<tcp::socket>(std::move(s));
-        begin(r, Way::kIn);
+        on_connected(r, Way::kIn);
         break;
       }
     }
@@ -149,104 +152,106 @@
   });
 }
 
-void BgpLinks::begin(std::size_t router, Way way) {
+void BgpLinks::on_connected(std::size_t router, Way way) {
   Link& l = link(router, way);
   error_code error;
   l.socket->non_blocking(true, error);
   if (!error) l.socket->set_option(tcp::no_delay(true), error);
-  const auto life = l.life;
+  const auto generation = l.generation;
   speaker_.on_connected(lease_now(), router, way);
-  carry_out();
-  if (link(router, way).life == life && l.socket) read(router, way);
-  news_();
+  run_actions();
+  if (link(router, way).generation == generation && l.socket) read(router, way);
+  on_events_();
 }
 
 void BgpLinks::read(std::size_t router, Way way) {
   Link& l = link(router, way);
-  l.socket->async_read_some(
-      asio::buffer(l.in), [this, router, way, life = l.life](const error_code& e, std::size_t n) {
-        Link& link_now = link(router, way);
-        if (e == asio::error::operation_aborted || life != link_now.life || !link_now.socket)
-          return;
-        if (e) return broke(router, way, "the connection ended: " + e.message());
-        speaker_.on_bytes(lease_now(), router, way, {link_now.in.data(), n});
-        carry_out();
-        if (life == link(router, way).life && link(router, way).socket) read(router, way);
-        news_();
-      });
+  l.socket->async_read_some(asio::buffer(l.input), [this, router, way, generation = l.generation](
+                                                       const error_code& e, std::size_t n) {
+    Link& link_now = link(router, way);
+    if (e == asio::error::operation_aborted || generation != link_now.generation ||
+        !link_now.socket)
+      return;
+    if (e) return on_connection_failed(router, way, "the connection ended: " + e.message());
+    speaker_.on_bytes(lease_now(), router, way, {link_now.input.data(), n});
+    run_actions();
+    if (generation == link(router, way).generation && link(router, way).socket) read(router, way);
+    on_events_();
+  });
 }
 
 void BgpLinks::send(std::size_t router, Way way, const std::string& bytes) {
   Link& l = link(router, way);
-  if (!l.socket || l.out.size() > kMaxUnsent) return;
-  l.out += bytes;
+  if (!l.socket || l.output.size() > kMaxUnsent) return;
+  l.output += bytes;
   flush(router, way);
 }
 
 void BgpLinks::flush(std::size_t router, Way way) {
   Link& l = link(router, way);
-  while (!l.out.empty()) {
+  while (!l.output.empty()) {
     error_code error;
-    const auto n = l.socket->write_some(asio::buffer(l.out), error);
-    l.out.erase(0, n);
+    const auto n = l.socket->write_some(asio::buffer(l.output), error);
+    l.output.erase(0, n);
     if (error == asio::error::would_block || error == asio::error::try_again) {
       if (!std::exchange(l.writing, true))
         l.socket->async_wait(tcp::socket::wait_write,
-                             [this, router, way, life = l.life](const error_code& e) {
+                             [this, router, way, generation = l.generation](const error_code& e) {
                                Link& link_now = link(router, way);
-                               if (e || life != link_now.life || !link_now.socket) return;
+                               if (e || generation != link_now.generation || !link_now.socket)
+                                 return;
                                link_now.writing = false;
                                flush(router, way);
-                               carry_out();
-                               news_();
+                               run_actions();
+                               on_events_();
                              });
       break;
     }
     if (error) break;  // the read tells why
   }
-  tell_unsent(router, way);
+  report_unsent(router, way);
 }
 
 // The system has what was written until the router's has acknowledged it.
-void BgpLinks::tell_unsent(std::size_t router, Way way) {
+void BgpLinks::report_unsent(std::size_t router, Way way) {
   Link& l = link(router, way);
   int queued = 0;
   if (::ioctl(l.socket->native_handle(), SIOCOUTQ, &queued) != 0 || queued < 0) queued = 0;
-  const std::size_t unsent = l.out.size() + static_cast<std::size_t>(queued);
-  l.untaken = unsent > 0;
+  const std::size_t unsent = l.output.size() + static_cast<std::size_t>(queued);
+  l.has_unsent = unsent > 0;
   speaker_.on_unsent(lease_now(), router, way, unsent);
-  if (l.untaken) look_again();
+  if (l.has_unsent) arm_unsent_timer();
 }
 
-void BgpLinks::look_again() {
-  if (std::exchange(looking_, true)) return;
-  look_.expires_after(kLook);
-  look_.async_wait([this](const error_code& e) {
-    looking_ = false;
+void BgpLinks::arm_unsent_timer() {
+  if (std::exchange(unsent_timer_armed_, true)) return;
+  unsent_timer_.expires_after(kUnsentInterval);
+  unsent_timer_.async_wait([this](const error_code& e) {
+    unsent_timer_armed_ = false;
     if (e || stopped_) return;
     for (std::size_t r = 0; r < links_.size(); ++r)
       for (const Way way : {Way::kOut, Way::kIn})
-        if (link(r, way).socket && link(r, way).untaken) tell_unsent(r, way);
-    carry_out();
-    news_();
+        if (link(r, way).socket && link(r, way).has_unsent) report_unsent(r, way);
+    run_actions();
+    on_events_();
   });
 }
 
 void BgpLinks::close(std::size_t router, Way way) {
   Link& l = link(router, way);
-  ++l.life;
-  l.writing = l.untaken = false;
-  l.out.clear();
+  ++l.generation;
+  l.writing = l.has_unsent = false;
+  l.output.clear();
   if (!l.socket) return;
   error_code ignored;
   l.socket->shutdown(tcp::socket::shutdown_both, ignored);
   l.socket.reset();
 }
 
-void BgpLinks::broke(std::size_t router, Way way, const std::string& why) {
+void BgpLinks::on_connection_failed(std::size_t router, Way way, const std::string& why) {
   speaker_.on_closed(lease_now(), router, way, why);
-  carry_out();
-  news_();
+  run_actions();
+  on_events_();
 }
 
 void BgpLinks::stop(const std::string& why) {
@@ -255,10 +260,10 @@
     acceptor_->close(ignored);
   }
   speaker_.stop(lease_now(), why);
-  carry_out();
+  run_actions();
   stopped_ = true;
   timer_.cancel();
-  look_.cancel();
+  unsent_timer_.cancel();
 }
 
 }  // namespace balancer::group_runtime
--- a/src/group_runtime/command.cc
+++ b/src/group_runtime/command.cc
@@ -28,29 +28,29 @@
   void on_exit() {
     int status = 0;
     if (::waitpid(pid, &status, WNOHANG) != pid) return;
-    // What it has left behind in its group goes with it.
+    // Processes that it has left behind in its group are killed too.
     kill_group();
     pid = 0;
     timer.cancel();
-    if (why.empty() && WIFSIGNALED(status))
-      why = "ended by signal " + std::to_string(WTERMSIG(status));
-    if (why.empty() && WEXITSTATUS(status) != 0)
-      why = "exit code " + std::to_string(WEXITSTATUS(status));
-    if (done) std::exchange(done, nullptr)(why);
+    if (error.empty() && WIFSIGNALED(status))
+      error = "ended by signal " + std::to_string(WTERMSIG(status));
+    if (error.empty() && WEXITSTATUS(status) != 0)
+      error = "exit code " + std::to_string(WEXITSTATUS(status));
+    if (done) std::exchange(done, nullptr)(error);
   }
 
   asio::posix::stream_descriptor ended;  // becomes readable when the process has ended
   asio::steady_timer timer;
   Done done;
   pid_t pid = 0;
-  std::string why;
+  std::string error;
 };
 
-Command::Command(asio::io_context& io, const std::vector<std::string>& words,
+Command::Command(asio::io_context& io, const std::vector<std::string>& arguments,
                  const std::vector<std::string>& environment, Duration limit, Done done)
     : running_(std::make_shared<Running>(io, std::move(done))) {
   std::vector<char*> argv, envp;
-  std::vector<std::string> held = words, held_environment = environment;
+  std::vector<std::string> held = arguments, held_environment = environment;
   for (auto& w : held) argv.push_back(w.data());
   argv.push_back(nullptr);
   for (auto& e : held_environment) envp.push_back(e.data());
@@ -69,7 +69,7 @@
   posix_spawn_file_actions_t files;
   ::posix_spawn_file_actions_init(&files);
   ::posix_spawn_file_actions_addopen(&files, 0, "/dev/null", O_RDONLY, 0);
-  // Our sockets are not its: an address that we give up must not live on with a child.
+  // The child gets none of our sockets: a listener must not outlive its lease in a child.
   ::posix_spawn_file_actions_addclosefrom_np(&files, 3);
   const int error = ::posix_spawn(&running_->pid, held.front().c_str(), &files, &attributes,
                                   argv.data(), envp.data());
@@ -83,9 +83,10 @@
       ::waitpid(running_->pid, nullptr, 0);
       running_->pid = 0;
     }
-    running_->why = std::string("cannot be started: ") + std::strerror(error != 0 ? error : errno);
+    running_->error =
+        std::string("cannot be started: ") + std::strerror(error != 0 ? error : errno);
     asio::post(io, [r = running_] {
-      if (r->done) std::exchange(r->done, nullptr)(r->why);
+      if (r->done) std::exchange(r->done, nullptr)(r->error);
     });
     return;
   }
@@ -97,7 +98,7 @@
   running_->timer.expires_after(limit);
   running_->timer.async_wait([r = running_](const error_code& e) {
     if (e || r->pid <= 0) return;
-    if (r->why.empty()) r->why = "was not done in time";
+    if (r->error.empty()) r->error = "timed out";
     r->kill_group();
   });
 }
@@ -112,9 +113,9 @@
   ::waitpid(std::exchange(running_->pid, 0), nullptr, 0);
 }
 
-void Command::cut(const std::string& why) {
+void Command::abort(const std::string& reason) {
   if (running_->pid <= 0) return;
-  running_->why = why;
+  running_->error = reason;
   running_->kill_group();
 }
 
--- a/src/group_runtime/command.h
+++ b/src/group_runtime/command.h
@@ -10,21 +10,24 @@
 
 namespace balancer::group_runtime {
 
-// One run of an operator's program, in a process group of its own, with an end: at `limit` all of
-// the group is killed. Ends with this object too.
+// One run of an operator's command, in a process group of its own. The whole group is killed at the
+// time limit, once the command itself has exited, and by the destructor.
 class Command {
  public:
-  // `why`: empty if it ended with exit code 0. Called once from the event loop.
-  using Done = std::function<void(const std::string& why)>;
+  // `error` is empty if the exit code was 0. Called once, from the event loop; never by the
+  // destructor.
+  using Done = std::function<void(const std::string& error)>;
 
-  // `words`: the program and its arguments. `environment`: "NAME=value", all that it gets.
-  Command(boost::asio::io_context& io, const std::vector<std::string>& words,
+  // `arguments`: the program's whole path and its arguments. `environment`: "NAME=value" each, all
+  // that it gets. A program that cannot be started is reported to `done`.
+  Command(boost::asio::io_context& io, const std::vector<std::string>& arguments,
           const std::vector<std::string>& environment, Duration limit, Done done);
   ~Command();
   Command(const Command&) = delete;
   Command& operator=(const Command&) = delete;
 
-  void cut(const std::string& why);  // kills it; done() comes all the same
+  // Kills it; `done` is called with `reason`.
+  void abort(const std::string& reason);
 
  private:
   struct Running;
--- a/src/group_runtime/group_runtime.cc
+++ b/src/group_runtime/group_runtime.cc
@@ -19,9 +19,8 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-// What this instance is able to do is looked at this often; the look's own delay is the event
-// loop's lateness.
-constexpr Duration kLook = milliseconds(50);
+// Between two checks of eligibility. How late a check runs is the lateness of the event loop.
+constexpr Duration kEligibilityInterval = milliseconds(50);
 
 DatagramSocket::Endpoint udp(const std::string& text) {
   const auto e = *parse_endpoint(text);
@@ -45,12 +44,12 @@
       keys_(group::read_keys(file.key_file), file.key_change),
       eligibility_(file.eligibility),
       timer_(io),
-      look_timer_(io),
-      began_(lease_now()) {
+      eligibility_timer_(io),
+      started_at_(lease_now()) {
   storage_.open(lease_now());
-  make_instance();
+  make_group_node();
   if (serves)
-    for (const auto& a : file.addresses) carriers_[a.name].spec = &a;
+    for (const auto& a : file.addresses) announcers_[a.name].spec = &a;
   socket_ = std::make_unique<DatagramSocket>(
       io, udp(file.listen), networks_of(file),
       [this](const DatagramSocket::Endpoint& from, std::string_view bytes) {
@@ -58,17 +57,17 @@
       });
   if (serves && file.bgp) {
     bgp_ = std::make_unique<BgpLinks>(
-        io, *file.bgp, life_ + 1, [this] { work(); }, owner_.log);
+        io, *file.bgp, life_ + 1, [this] { run_effects(); }, owner_.log);
     // Until a session is up this instance can announce nothing.
     eligibility_.on_part(lease_now(), lease::Eligibility::Part::kRouters, false);
   }
-  look_at_ = lease_now();
-  look();
+  eligibility_check_at_ = lease_now();
+  check_eligibility();
 }
 
 GroupRuntime::~GroupRuntime() { end(); }
 
-void GroupRuntime::make_instance() {
+void GroupRuntime::make_group_node() {
   life_ = storage_.incarnation();
   group::GroupNodeSettings s;
   s.name = file_.name;
@@ -83,19 +82,19 @@
   group_node_.emplace(s, storage_.remembered(), storage_, seed, lease_now());
 }
 
-// A voter that cannot remember gives no vote; all else goes on. Once its folder can be used it
-// votes like one that has just started: what it reads then is the last that it has promised.
+// A voter without durable storage grants no votes; everything else goes on. Once the folder can be
+// used, the voter resumes from its record: nothing newer was promised in between.
 void GroupRuntime::open_storage() {
   const Time now = lease_now();
   if (!storage_.open(now)) return;
-  // Where the wall clock was set back since, the others hear nothing of this incarnation: it holds
-  // nothing, and begins again as a later one.
-  if (storage_.incarnation() != life_ && group_node_->idle() && !left_) {
-    make_instance();
+  // After the wall clock was set back, the other members ignore this incarnation as outdated. It
+  // holds no lease, so it starts again as a later incarnation.
+  if (storage_.incarnation() != life_ && group_node_->idle() && !on_left_) {
+    make_group_node();
   } else {
     group_node_->restore_voter(now, storage_.remembered());
   }
-  work();
+  run_effects();
 }
 
 // ---- datagrams
@@ -120,16 +119,16 @@
   std::ostringstream endpoint;
   endpoint << from;
   group_node_->on_datagram(lease_now(), endpoint.str(), *datagram);
-  work();
+  run_effects();
 }
 
-void GroupRuntime::send(const group::GroupNode::Send& out) {
-  const auto to = parse_endpoint(out.endpoint);
+void GroupRuntime::send(const group::GroupNode::Send& message) {
+  const auto to = parse_endpoint(message.endpoint);
   if (!to) return;
-  send({to->address(), to->port()}, {file_.name, life_, 0, out.to, out.body});
+  send({to->address(), to->port()}, {file_.name, life_, 0, message.to, message.body});
 }
 
-// What does not fit one datagram goes in two.
+// Gossip that does not fit one datagram is split in two.
 void GroupRuntime::send(const DatagramSocket::Endpoint& to, group::Datagram d) {
   d.sequence = ++sequence_;
   const std::string plain = encode(d);
@@ -150,116 +149,96 @@
   send(to, std::move(rest));
 }
 
-// ---- what the instance wants
+// ---- effects of the group node
 
-// May be called from inside any of what it calls.
-void GroupRuntime::work() {
+// May be called again by what it calls: the call that runs goes on until nothing is left.
+void GroupRuntime::run_effects() {
   if (ended_) return;
-  if (std::exchange(working_, true)) {
-    again_ = true;
+  if (std::exchange(effects_running_, true)) {
+    effects_pending_ = true;
     return;
   }
   do {
-    again_ = false;
-    work_once(lease_now());
-  } while (again_);
-  working_ = false;
-  arm();
+    effects_pending_ = false;
+    run_effects_once(lease_now());
+  } while (effects_pending_);
+  effects_running_ = false;
+  arm_timer();
 }
 
-void GroupRuntime::work_once(Time now) {
+void GroupRuntime::run_effects_once(Time now) {
   for (const auto& s : group_node_->take_sends()) send(s);
-  for (const auto& c : group_node_->take_route_actions()) carry(now, c);
-  for (auto& [address, carrier] : carriers_) {
-    if (!carrier.spec->prefix) carry_commands(now, address, carrier);
-    set_listening(now, address, carrier);
+  for (const auto& action : group_node_->take_route_actions()) apply_route_action(now, action);
+  for (auto& [address, announcer] : announcers_) {
+    if (!announcer.spec->prefix) run_commands(now, address, announcer);
+    set_listening(now, address, announcer);
   }
   if (bgp_) {
-    bgp_->carry_out();
-    take_bgp_events(now);
+    bgp_->run_actions();
+    apply_bgp_events(now);
   }
   for (const auto& line : group_node_->take_lines()) owner_.log(line);
-  if (left_ && (group_node_->idle() || now >= leave_by_)) {
-    asio::post(io_, std::exchange(left_, nullptr));
+  if (on_left_ && (group_node_->idle() || now >= leave_deadline_)) {
+    asio::post(io_, std::exchange(on_left_, nullptr));
   }
 }
 
-void GroupRuntime::carry(Time now, const lease::LeaseManager::RouteAction& what) {
+void GroupRuntime::apply_route_action(Time now, const lease::LeaseManager::RouteAction& action) {
   using Kind = lease::LeaseHolder::RouteAction::Kind;
-  const auto it = carriers_.find(what.address);
-  if (it == carriers_.end()) return;
-  Carrier& c = it->second;
-  if (what.what.kind == Kind::kAnnounce) {
-    // Nobody is led here before somebody listens.
-    set_listening(now, what.address, c);
-    if (!c.listening) {
-      group_node_->on_claim_failed(now, what.address);
-      again_ = true;
+  const auto it = announcers_.find(action.address);
+  if (it == announcers_.end()) return;
+  RouteAnnouncer& announcer = it->second;
+  if (action.what.kind == Kind::kAnnounce) {
+    // Routes must not lead clients here before the listeners are open.
+    set_listening(now, action.address, announcer);
+    if (!announcer.listening) {
+      group_node_->on_claim_failed(now, action.address);
+      effects_pending_ = true;
       return;
     }
-    if (c.spec->prefix) {
-      bgp_->speaker().announce(now, what.address, *c.spec->prefix, what.what.term);
+    if (announcer.spec->prefix) {
+      bgp_->speaker().announce(now, action.address, *announcer.spec->prefix, action.what.term);
     } else {
-      c.commands.claim(now, what.what.term);
+      announcer.commands.claim(now, action.what.term);
     }
-  } else if (what.what.kind == Kind::kFade) {
-    if (c.spec->prefix) bgp_->speaker().fade(now, what.address);
-  } else if (c.spec->prefix) {
-    bgp_->speaker().withdraw(now, what.address);
+  } else if (action.what.kind == Kind::kFade) {
+    if (announcer.spec->prefix) bgp_->speaker().fade(now, action.address);
+  } else if (announcer.spec->prefix) {
+    bgp_->speaker().withdraw(now, action.address);
   } else {
-    c.commands.release(now);
+    announcer.commands.release(now);
   }
 }
 
-void GroupRuntime::take_bgp_events(Time now) {
+void GroupRuntime::apply_bgp_events(Time now) {
   using Kind = bgp::Speaker::Event::Kind;
   for (const auto& e : bgp_->speaker().take_events()) {
-    again_ = true;
+    effects_pending_ = true;
     if (e.kind == Kind::kAnnounced) {
       group_node_->on_announced(now, e.address);
     } else if (e.kind == Kind::kWithdrawn) {
       group_node_->on_withdrawn(now, e.address);
     } else {
-      owner_.log("address " + e.address + ": too few routers have taken it in time");
+      owner_.log("lease " + e.address + ": announcement failed: too few routers took it in time");
       group_node_->on_claim_failed(now, e.address);
     }
   }
 }
 
-void GroupRuntime::carry_commands(Time now, const std::string& address, Carrier& carrier) {
-  using Kind = CommandCarrier::Action::Kind;
-  if (carrier.commands.next() <= now) carrier.commands.on_timer(now);
-  for (const auto& a : carrier.commands.take_actions()) {
-    again_ = true;
-    const auto run = [&](const std::vector<std::string>& words, const char* what) {
-      carrier.running = std::make_unique<Command>(
-          io_, words,
-          std::vector<std::string>{
-              std::string(kAddressVariable) + "=" + address,
-              std::string(kTermVariable) + "=" + std::to_string(carrier.commands.term())},
-          carrier.spec->command_limit, [this, address, what](const std::string& why) {
-            if (!why.empty())
-              owner_.log(std::string("address ")
-                             .append(address)
-                             .append(": ")
-                             .append(what)
-                             .append(" ")
-                             .append(why));
-            Carrier& c = carriers_.at(address);
-            c.running.reset();
-            c.commands.on_end(lease_now(), why);
-            work();
-          });
-    };
-    switch (a.kind) {
+void GroupRuntime::run_commands(Time now, const std::string& address, RouteAnnouncer& announcer) {
+  using Kind = CommandAnnouncer::Action::Kind;
+  if (announcer.commands.next() <= now) announcer.commands.on_timer(now);
+  for (const auto& action : announcer.commands.take_actions()) {
+    effects_pending_ = true;
+    switch (action.kind) {
       case Kind::kClaim:
-        run(carrier.spec->claim, "claim");
+        start_command(address, announcer, announcer.spec->claim, "claim");
         break;
       case Kind::kRelease:
-        run(carrier.spec->release, "release");
+        start_command(address, announcer, announcer.spec->release, "release");
         break;
-      case Kind::kCut:
-        if (carrier.running) carrier.running->cut("was not needed any more");
+      case Kind::kAbort:
+        if (announcer.running) announcer.running->abort("aborted, as it is no longer needed");
         break;
       case Kind::kAnnounced:
         group_node_->on_announced(now, address);
@@ -270,28 +249,50 @@
       case Kind::kFailed:
         group_node_->on_claim_failed(now, address);
         break;
-      case Kind::kGivenUp:
-        owner_.log("address " + address + ": release has failed " +
-                   std::to_string(CommandCarrier::kMaxReleases) +
-                   " times and is not tried again: it may still be claimed here");
+      case Kind::kReleaseAbandoned:
+        owner_.log("lease " + address + ": release command failed " +
+                   std::to_string(CommandAnnouncer::kMaxReleaseAttempts) +
+                   " times and is not retried: the address may still be claimed on this machine");
         group_node_->on_withdrawn(now, address);
         break;
     }
   }
 }
 
-// Listened on from the claim to the withdrawal.
-void GroupRuntime::set_listening(Time now, const std::string& address, Carrier& carrier) {
+void GroupRuntime::start_command(const std::string& address, RouteAnnouncer& announcer,
+                                 const std::vector<std::string>& arguments, const char* name) {
+  const std::vector<std::string> environment{
+      std::string(kAddressVariable) + "=" + address,
+      std::string(kTermVariable) + "=" + std::to_string(announcer.commands.term())};
+  announcer.running =
+      std::make_unique<Command>(io_, arguments, environment, announcer.spec->command_limit,
+                                [this, address, name](const std::string& error) {
+                                  if (!error.empty())
+                                    owner_.log(std::string("lease ")
+                                                   .append(address)
+                                                   .append(": ")
+                                                   .append(name)
+                                                   .append(" command failed: ")
+                                                   .append(error));
+                                  RouteAnnouncer& ended = announcers_.at(address);
+                                  ended.running.reset();
+                                  ended.commands.on_command_ended(lease_now(), error);
+                                  run_effects();
+                                });
+}
+
+// The listeners are open from the claim until the route is withdrawn.
+void GroupRuntime::set_listening(Time now, const std::string& address, RouteAnnouncer& announcer) {
   const auto* lease_holder = group_node_->lease_manager().lease_holder(address);
   const bool wanted =
       lease_holder &&
       (lease_holder->listens() || lease_holder->state() == lease::LeaseHolder::State::kReleasing);
-  if (wanted == carrier.listening) return;
+  if (wanted == announcer.listening) return;
   if (wanted) {
-    carrier.listening = owner_.listen(address);
+    announcer.listening = owner_.listen(address);
     return;
   }
-  carrier.listening = false;
+  announcer.listening = false;
   owner_.unlisten(address, lease_holder && lease_holder->may_serve(now, file_.drain));
 }
 
@@ -300,15 +301,16 @@
   return lease_holder && lease_holder->may_serve(lease_now(), file_.drain);
 }
 
-// ---- time
+// ---- timers
 
-void GroupRuntime::arm() {
+void GroupRuntime::arm_timer() {
   if (ended_) return;
   Time next = group_node_->next();
-  for (const auto& [address, c] : carriers_) next = std::min(next, c.commands.next());
-  if (left_) next = std::min(next, leave_by_);
-  if (next == timer_at_) return;
-  timer_at_ = next;
+  for (const auto& [address, announcer] : announcers_)
+    next = std::min(next, announcer.commands.next());
+  if (on_left_) next = std::min(next, leave_deadline_);
+  if (next == timer_due_) return;
+  timer_due_ = next;
   if (next == Time::max()) {
     timer_.cancel();
     return;
@@ -316,46 +318,46 @@
   timer_.expires_after(std::max(next - lease_now(), Duration{0}));
   timer_.async_wait([this](const error_code& e) {
     if (e || ended_) return;
-    timer_at_ = Time::max();
+    timer_due_ = Time::max();
     group_node_->on_timer(lease_now());
-    work();
+    run_effects();
   });
 }
 
-void GroupRuntime::look() {
+void GroupRuntime::check_eligibility() {
   open_storage();
   const Time now = lease_now();
   using Part = lease::Eligibility::Part;
-  eligibility_.on_lateness(now, now - look_at_);
+  eligibility_.on_lateness(now, now - eligibility_check_at_);
   eligibility_.on_part(now, Part::kHosts, !owner_.hosts_listed || owner_.hosts_listed());
   if (bgp_)
     eligibility_.on_part(now, Part::kRouters,
                          bgp_->speaker().up(now) >= file_.bgp->speaker.routers_needed);
   const bool eligible = eligibility_.eligible(now);
   group_node_->on_eligible(now, eligible, eligibility_.why());
-  work();
-  look_at_ = now + kLook;
-  arm_look();
+  run_effects();
+  eligibility_check_at_ = now + kEligibilityInterval;
+  arm_eligibility_timer();
 }
 
-void GroupRuntime::arm_look() {
-  look_timer_.expires_after(kLook);
-  look_timer_.async_wait([this](const error_code& e) {
-    if (!e && !ended_) look();
+void GroupRuntime::arm_eligibility_timer() {
+  eligibility_timer_.expires_after(kEligibilityInterval);
+  eligibility_timer_.async_wait([this](const error_code& e) {
+    if (!e && !ended_) check_eligibility();
   });
 }
 
-// ---- ends
+// ---- shutdown
 
 void GroupRuntime::reload() { keys_.reload(lease_now(), group::read_keys(file_.key_file)); }
 
 void GroupRuntime::leave(std::function<void()> done) {
   const auto& times = file_.lease_manager.times;
-  leave_by_ = lease_now() + times.lease + times.overlap;
-  left_ = std::move(done);
+  leave_deadline_ = lease_now() + times.lease + times.overlap;
+  on_left_ = std::move(done);
   eligibility_.on_part(lease_now(), lease::Eligibility::Part::kStays, false);
   group_node_->leave(lease_now());
-  work();
+  run_effects();
 }
 
 void GroupRuntime::end() {
@@ -365,12 +367,12 @@
   ended_ = true;
   if (bgp_) bgp_->stop("it ends");
   timer_.cancel();
-  look_timer_.cancel();
-  for (auto& [address, c] : carriers_) c.running.reset();
+  eligibility_timer_.cancel();
+  for (auto& [address, announcer] : announcers_) announcer.running.reset();
   socket_->close();
 }
 
-// ---- what operators see
+// ---- operator commands and status
 
 void GroupRuntime::command(const std::string& line,
                            const std::function<void(const std::string&)>& answer) {
@@ -384,14 +386,14 @@
     group_node_->change_voters(
         lease_now(), name, add,
         [answer](bool done, const std::string& outcome) { answer(outcome_json(done, outcome)); });
-    return work();
+    return run_effects();
   }
   if (verb == "move" && (words >> what)) {
     words >> name;
     if (!(words >> more)) {
       const std::string why = group_node_->move(lease_now(), what, name);
       answer(outcome_json(why.empty(), why.empty() ? "it is being handed over" : why));
-      return work();
+      return run_effects();
     }
   }
   answer(
@@ -404,7 +406,7 @@
   f.life = life_;
   f.serves = serves_;
   f.eligible = eligibility_.why();
-  f.up_for = lease_now() - began_;
+  f.up_for = lease_now() - started_at_;
   f.datagrams = socket_->counters();
   f.unsealed = unsealed_;
   f.replayed = replayed_;
--- a/src/group_runtime/group_runtime.h
+++ b/src/group_runtime/group_runtime.h
@@ -16,70 +16,75 @@
 #include "lease/eligibility.h"
 #include "net/datagram_socket.h"
 #include "proto/seal.h"
-#include "route_announcement/command_carrier.h"
+#include "route_announcement/command_announcer.h"
 #include "settings/group_file.h"
 
 namespace balancer::group_runtime {
 
-// This process as one of a group of balancers: carries the datagrams of a group::Instance, keeps
-// its voter's record, carries addresses to routers or by commands, and tells whoever owns it when
-// one is to be listened on. Runs on lease_now().
+// One member of a group of balancers, or a voter: runs a group::GroupNode on sockets, timers and
+// files. It sends and receives the group's datagrams, stores the voter's record, announces service
+// addresses over BGP or by command, and has its owner open and close the listeners of each address.
+// All calls come from the event loop's thread; times are those of lease_now().
 class GroupRuntime {
  public:
   struct Owner {
-    // Opens the listeners of an address that this instance has just been given. False: it cannot.
+    // Opens the listeners of an address that this member is about to announce. Returns false where
+    // they cannot be opened; the claim has failed then.
     std::function<bool(const std::string& address)> listen;
-    // Closes them: the address has been given up. `in_order`: what came while it was held may go on
-    // for the drain's time; otherwise nothing more that comes is let through.
-    std::function<void(const std::string& address, bool in_order)> unlisten;
-    std::function<bool()> hosts_listed;  // whether there is anybody to send requests to
+    // Closes them. `graceful`: connections that were accepted before may go on for the drain time;
+    // otherwise nothing more that they send reaches a host.
+    std::function<void(const std::string& address, bool graceful)> unlisten;
+    std::function<bool()> hosts_listed;  // whether there is a host to forward requests to
     std::function<void(const std::string& line)> log;
   };
 
-  // `file` outlives it. `serves`: false for a voter that holds nothing. Throws std::runtime_error
-  // (FileError, boost's system_error) with one line where it cannot begin.
+  // `file` must outlive this. `serves`: false for a process that only votes. Throws
+  // std::runtime_error (FileError, boost's system_error), one line, where a key file, socket or
+  // folder cannot be used.
   GroupRuntime(boost::asio::io_context& io, const GroupFile& file, bool serves, Owner owner);
   ~GroupRuntime();
 
-  // Whether a request that came to this address may still go out to a host. Asked before each
-  // attempt, by the clock and not by what the event loop has got to: a process that was stopped
-  // finds out before it acts.
+  // Whether an attempt for a request that came to this address may still be sent to a host. By the
+  // clock, not by what the event loop has processed: a process that was stopped (SIGSTOP, a stall)
+  // finds its lease expired before it acts.
   bool may_serve(const std::string& address) const;
-  // Reads the key file again. Throws FileError; then the old keys go on.
+  // Reads the key file again. Throws FileError; the previous keys stay in use then.
   void reload();
-  // Hands all addresses over; `done` comes once none is held, at the latest after a lease and an
-  // overlap. It votes on until end().
+  // Transfers all addresses to other members. `done` is posted once none is held, at the latest
+  // after a lease and an overlap. The voter goes on voting until end().
   void leave(std::function<void()> done);
-  // Tells the others and the routers that it goes; nothing is sent after that.
+  // Tells members and routers that this process leaves; sends nothing afterwards.
   void end();
 
-  // One command of the status socket; the answer is JSON, one line.
+  // Runs one command of the status socket; `answer` gets one line of JSON.
   void command(const std::string& line, const std::function<void(const std::string& json)>& answer);
   const group::GroupNode& group_node() const { return *group_node_; }
 
  private:
-  // What carries one address.
-  struct Carrier {
+  // How one address is announced: over BGP where it has a prefix, else by commands.
+  struct RouteAnnouncer {
     const ServiceAddress* spec = nullptr;
     bool listening = false;
-    CommandCarrier commands;
+    CommandAnnouncer commands;
     std::unique_ptr<Command> running;
   };
 
-  void make_instance();
+  void make_group_node();
   void open_storage();
   void on_datagram(const DatagramSocket::Endpoint& from, std::string_view bytes);
-  void send(const group::GroupNode::Send& out);
+  void send(const group::GroupNode::Send& message);
   void send(const DatagramSocket::Endpoint& to, group::Datagram datagram);
-  void work();
-  void work_once(Time now);
-  void carry(Time now, const lease::LeaseManager::RouteAction& what);
-  void carry_commands(Time now, const std::string& address, Carrier& carrier);
-  void take_bgp_events(Time now);
-  void set_listening(Time now, const std::string& address, Carrier& carrier);
-  void look();
-  void arm();
-  void arm_look();
+  void run_effects();
+  void run_effects_once(Time now);
+  void apply_route_action(Time now, const lease::LeaseManager::RouteAction& action);
+  void start_command(const std::string& address, RouteAnnouncer& announcer,
+                     const std::vector<std::string>& arguments, const char* name);
+  void run_commands(Time now, const std::string& address, RouteAnnouncer& announcer);
+  void apply_bgp_events(Time now);
+  void set_listening(Time now, const std::string& address, RouteAnnouncer& announcer);
+  void check_eligibility();
+  void arm_timer();
+  void arm_eligibility_timer();
   std::string status() const;
 
   boost::asio::io_context& io_;
@@ -92,16 +97,16 @@
   group::ReplayGuard replays_;
   std::optional<group::GroupNode> group_node_;
   lease::Eligibility eligibility_;
-  std::map<std::string, Carrier> carriers_;
+  std::map<std::string, RouteAnnouncer> announcers_;
   std::unique_ptr<BgpLinks> bgp_;
   std::unique_ptr<DatagramSocket> socket_;
-  boost::asio::steady_timer timer_, look_timer_;
-  Time timer_at_ = Time::max(), look_at_{0};
-  bool working_ = false, again_ = false, ended_ = false;
-  std::function<void()> left_;
-  Time leave_by_{0};
+  boost::asio::steady_timer timer_, eligibility_timer_;
+  Time timer_due_ = Time::max(), eligibility_check_at_{0};
+  bool effects_running_ = false, effects_pending_ = false, ended_ = false;
+  std::function<void()> on_left_;
+  Time leave_deadline_{0};
   std::uint64_t unsealed_ = 0, replayed_ = 0, unreadable_ = 0;
-  const Time began_;
+  const Time started_at_;
 };
 
 }  // namespace balancer::group_runtime
--- a/tests/carrier_test.cc
+++ b/tests/command_announcer_test.cc
@@ -1,4 +1,6 @@
-// What carries and allows addresses: claims by command, and whether an instance can do the work.
+// Announcing by command, and whether an instance is eligible to hold addresses.
+#include "route_announcement/command_announcer.h"
+
 #include <gtest/gtest.h>
 
 #include <random>
@@ -6,20 +8,19 @@
 #include <tuple>
 
 #include "lease/eligibility.h"
-#include "route_announcement/command_carrier.h"
 
 namespace balancer {
 namespace {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using Kind = CommandCarrier::Action::Kind;
-using State = CommandCarrier::State;
+using Kind = CommandAnnouncer::Action::Kind;
+using State = CommandAnnouncer::State;
 
 // Carries actions out and holds them to what must never be: two commands at once, a claim beside a
 // release that is not done, an announcement without a claim that did well.
 struct Machine {
-  CommandCarrier carrier;
+  CommandAnnouncer announcer;
   Time now{seconds(1)};
   enum { kNothing, kClaim, kRelease } running = kNothing;
   bool claimed = false;  // a claim has run, whole or not, and no release has done well since
@@ -27,7 +28,7 @@
   std::vector<Kind> told;
 
   void carry() {
-    for (const auto& a : carrier.take_actions()) {
+    for (const auto& a : announcer.take_actions()) {
       switch (a.kind) {
         case Kind::kClaim:
           ASSERT_EQ(running, kNothing);
@@ -40,7 +41,7 @@
           ASSERT_EQ(running, kNothing);
           running = kRelease;
           break;
-        case Kind::kCut:
+        case Kind::kAbort:
           ASSERT_EQ(running, kClaim);
           break;
         case Kind::kAnnounced:
@@ -54,7 +55,7 @@
         case Kind::kFailed:
           told.push_back(a.kind);
           break;
-        case Kind::kGivenUp:
+        case Kind::kReleaseAbandoned:
           claimed = false;  // it cannot be helped, and it was said
           told.push_back(a.kind);
           break;
@@ -66,44 +67,44 @@
     if (running == kClaim) claim_good = good;
     if (running == kRelease && good) claimed = false;
     running = kNothing;
-    carrier.on_end(now, good ? "" : "exit code 1");
+    announcer.on_command_ended(now, good ? "" : "exit code 1");
     carry();
   }
 };
 
-TEST(CommandCarrier, ClaimsAndReleases) {
+TEST(CommandAnnouncerTest, ClaimsAndReleases) {
   Machine m;
-  m.carrier.claim(m.now, 3);
+  m.announcer.claim(m.now, 3);
   m.carry();
   EXPECT_EQ(m.running, Machine::kClaim);
   m.end(true);
   EXPECT_EQ(m.told, std::vector{Kind::kAnnounced});
-  m.carrier.release(m.now);
+  m.announcer.release(m.now);
   m.carry();
   m.end(true);
   EXPECT_EQ(m.told, (std::vector{Kind::kAnnounced, Kind::kWithdrawn}));
-  EXPECT_EQ(m.carrier.state(), State::kIdle);
+  EXPECT_EQ(m.announcer.state(), State::kIdle);
 }
 
-TEST(CommandCarrier, AReleaseThatNeverDoesWellIsGivenUpAndSaidSo) {
+TEST(CommandAnnouncerTest, AbandonsAReleaseThatKeepsFailingAndReportsIt) {
   Machine m;
-  m.carrier.claim(m.now, 1);
+  m.announcer.claim(m.now, 1);
   m.carry();
   m.end(true);
-  m.carrier.release(m.now);
+  m.announcer.release(m.now);
   m.carry();
-  for (int i = 0; i < 30 && m.carrier.state() != State::kIdle; ++i) {
+  for (int i = 0; i < 30 && m.announcer.state() != State::kIdle; ++i) {
     m.end(false);
-    if (m.carrier.next() != Time::max()) m.now = m.carrier.next();
-    m.carrier.on_timer(m.now);
+    if (m.announcer.next() != Time::max()) m.now = m.announcer.next();
+    m.announcer.on_timer(m.now);
     m.carry();
   }
-  EXPECT_EQ(m.told.back(), Kind::kGivenUp);
-  EXPECT_EQ(m.carrier.state(), State::kIdle);
+  EXPECT_EQ(m.told.back(), Kind::kReleaseAbandoned);
+  EXPECT_EQ(m.announcer.state(), State::kIdle);
 }
 
 // Every sequence of seven events.
-TEST(CommandCarrier, EverySequence) {
+TEST(CommandAnnouncerTest, EndsIdleAfterEverySequenceOfSevenEvents) {
   constexpr int kEvents = 5, kDepth = 7;
   int all = 1;
   for (int i = 0; i < kDepth; ++i) all *= kEvents;
@@ -114,10 +115,10 @@
       m.now += milliseconds(700);
       switch (c % kEvents) {
         case 0:
-          m.carrier.claim(m.now, static_cast<std::uint64_t>(i));
+          m.announcer.claim(m.now, static_cast<std::uint64_t>(i));
           break;
         case 1:
-          m.carrier.release(m.now);
+          m.announcer.release(m.now);
           break;
         case 2:
           m.end(true);
@@ -126,22 +127,22 @@
           m.end(false);
           break;
         default:
-          if (m.carrier.next() <= m.now) m.carrier.on_timer(m.now);
+          if (m.announcer.next() <= m.now) m.announcer.on_timer(m.now);
       }
       story += std::to_string(c % kEvents);
       m.carry();
       ASSERT_FALSE(::testing::Test::HasFatalFailure()) << story;
     }
     // Told to release it comes to rest, whatever was before.
-    m.carrier.release(m.now);
+    m.announcer.release(m.now);
     m.carry();
-    for (int i = 0; i < 8 && m.carrier.state() != State::kIdle; ++i) {
+    for (int i = 0; i < 8 && m.announcer.state() != State::kIdle; ++i) {
       m.now += seconds(1);
-      m.carrier.on_timer(m.now);
+      m.announcer.on_timer(m.now);
       m.carry();
       m.end(true);
     }
-    ASSERT_EQ(m.carrier.state(), State::kIdle) << story;
+    ASSERT_EQ(m.announcer.state(), State::kIdle) << story;
     ASSERT_FALSE(m.claimed) << story;
     ASSERT_EQ(m.running, Machine::kNothing) << story;
   }
--- a/tests/group_runtime_test.cc
+++ b/tests/group_runtime_test.cc
@@ -152,7 +152,7 @@
 
 TEST_F(MemberTest, AClaimThatFailsIsNoTenure) {
   begin_member("exit 3", "echo released >> " + std::string("$SILVERPIN_ADDRESS.done; true"));
-  ASSERT_TRUE(wait([this] { return logged("claim exit code 3"); }));
+  ASSERT_TRUE(wait([this] { return logged("claim command failed: exit code 3"); }));
   ASSERT_TRUE(
       wait([this] { return lease_holder().state() != lease::LeaseHolder::State::kHolder; }));
   std::filesystem::remove("svc.done");
@@ -162,8 +162,8 @@
   begin_member("sleep 30", "true", "");
   // command_limit_ms is a second unless given; the lease's end comes first or behind it.
   ASSERT_TRUE(wait([this] {
-    return logged("claim was not done in time") || logged("claim was not needed any more") ||
-           logged("claim ended by signal");
+    return logged("claim command failed: timed out") || logged("claim command failed: aborted, as it is no longer needed") ||
+           logged("claim command failed: ended by signal");
   }));
 }
 
