--- a/src/group_runtime/group_runtime.cc
+++ b/src/group_runtime/group_runtime.cc
@@ -40,7 +40,7 @@
       file_(file),
       serves_(serves),
       owner_(std::move(owner)),
-      storage_(file.folder, file.lease_manager.times.lease, owner_.log),
+      storage_(file.folder, file.lease_manager.times.duration, owner_.log),
       keys_(group::read_keys(file.key_file), file.key_change),
       eligibility_(file.eligibility),
       timer_(io),
@@ -59,7 +59,7 @@
     bgp_ = std::make_unique<BgpLinks>(
         io, *file.bgp, life_ + 1, [this] { run_effects(); }, owner_.log);
     // Until a session is up this instance can announce nothing.
-    eligibility_.on_part(lease_now(), lease::Eligibility::Part::kRouters, false);
+    eligibility_.on_condition(lease_now(), lease::Eligibility::Condition::kRoutersConnected, false);
   }
   eligibility_check_at_ = lease_now();
   check_eligibility();
@@ -72,12 +72,12 @@
   group::GroupNodeSettings s;
   s.name = file_.name;
   s.endpoint = file_.announce;
-  s.life = life_;
-  s.group = file_.membership;
+  s.incarnation = life_;
+  s.membership = file_.membership;
   s.lease_manager = file_.lease_manager;
   if (!serves_) s.lease_manager.addresses.clear();
-  s.founding = file_.founding;
-  s.serves = serves_;
+  s.initial_voters = file_.founding;
+  s.may_hold_leases = serves_;
   const std::uint64_t seed = life_ ^ std::hash<std::string>()(file_.name);
   group_node_.emplace(s, storage_.remembered(), storage_, seed, lease_now());
 }
@@ -89,7 +89,7 @@
   if (!storage_.open(now)) return;
   // After the wall clock was set back, the other members ignore this incarnation as outdated. It
   // holds no lease, so it starts again as a later incarnation.
-  if (storage_.incarnation() != life_ && group_node_->idle() && !on_left_) {
+  if (storage_.incarnation() != life_ && group_node_->is_idle() && !on_left_) {
     make_group_node();
   } else {
     group_node_->restore_voter(now, storage_.remembered());
@@ -112,7 +112,7 @@
     ++unreadable_;
     return;
   }
-  if (!replays_.accept(datagram->sender, datagram->life, datagram->sequence)) {
+  if (!replays_.accept(datagram->sender, datagram->incarnation, datagram->sequence)) {
     ++replayed_;
     return;
   }
@@ -122,7 +122,7 @@
   run_effects();
 }
 
-void GroupRuntime::send(const group::GroupNode::Send& message) {
+void GroupRuntime::send(const group::GroupNode::OutgoingDatagram& message) {
   const auto to = parse_endpoint(message.endpoint);
   if (!to) return;
   send({to->address(), to->port()}, {file_.name, life_, 0, message.to, message.body});
@@ -134,13 +134,13 @@
   const std::string plain = encode(d);
   if (plain.size() + group::kSealedOverhead <= group::kMaxDatagram)
     return socket_->send(to, keys_.seal(lease_now(), plain));
-  auto* const gossip = std::get_if<membership::Message>(&d.body);
+  auto* const gossip = std::get_if<membership::GossipMessage>(&d.body);
   if (!gossip || gossip->updates.size() < 2) return;
   const auto half =
       gossip->updates.begin() + static_cast<std::ptrdiff_t>(gossip->updates.size() / 2);
   group::Datagram rest = d;
-  rest.body = membership::Message{
-      membership::Message::Kind::kTold,
+  rest.body = membership::GossipMessage{
+      membership::GossipMessage::Kind::kGossip,
       0,
       {},
       {std::make_move_iterator(half), std::make_move_iterator(gossip->updates.end())}};
@@ -167,7 +167,7 @@
 }
 
 void GroupRuntime::run_effects_once(Time now) {
-  for (const auto& s : group_node_->take_sends()) send(s);
+  for (const auto& s : group_node_->take_datagrams()) send(s);
   for (const auto& action : group_node_->take_route_actions()) apply_route_action(now, action);
   for (auto& [address, announcer] : announcers_) {
     if (!announcer.spec->prefix) run_commands(now, address, announcer);
@@ -177,18 +177,18 @@
     bgp_->run_actions();
     apply_bgp_events(now);
   }
-  for (const auto& line : group_node_->take_lines()) owner_.log(line);
-  if (on_left_ && (group_node_->idle() || now >= leave_deadline_)) {
+  for (const auto& line : group_node_->take_log_lines()) owner_.log(line);
+  if (on_left_ && (group_node_->is_idle() || now >= leave_deadline_)) {
     asio::post(io_, std::exchange(on_left_, nullptr));
   }
 }
 
-void GroupRuntime::apply_route_action(Time now, const lease::LeaseManager::RouteAction& action) {
-  using Kind = lease::LeaseHolder::RouteAction::Kind;
+void GroupRuntime::apply_route_action(Time now, const lease::RouteAction& action) {
+  using Kind = lease::RouteAction::Kind;
   const auto it = announcers_.find(action.address);
   if (it == announcers_.end()) return;
   RouteAnnouncer& announcer = it->second;
-  if (action.what.kind == Kind::kAnnounce) {
+  if (action.kind == Kind::kAnnounce) {
     // Routes must not lead clients here before the listeners are open.
     set_listening(now, action.address, announcer);
     if (!announcer.listening) {
@@ -197,11 +197,11 @@
       return;
     }
     if (announcer.spec->prefix) {
-      bgp_->speaker().announce(now, action.address, *announcer.spec->prefix, action.what.term);
+      bgp_->speaker().announce(now, action.address, *announcer.spec->prefix, action.term);
     } else {
-      announcer.commands.claim(now, action.what.term);
+      announcer.commands.claim(now, action.term);
     }
-  } else if (action.what.kind == Kind::kFade) {
+  } else if (action.kind == Kind::kDeprefer) {
     if (announcer.spec->prefix) bgp_->speaker().fade(now, action.address);
   } else if (announcer.spec->prefix) {
     bgp_->speaker().withdraw(now, action.address);
@@ -285,8 +285,8 @@
 void GroupRuntime::set_listening(Time now, const std::string& address, RouteAnnouncer& announcer) {
   const auto* lease_holder = group_node_->lease_manager().lease_holder(address);
   const bool wanted =
-      lease_holder &&
-      (lease_holder->listens() || lease_holder->state() == lease::LeaseHolder::State::kReleasing);
+      lease_holder && (lease_holder->should_listen() ||
+                       lease_holder->state() == lease::LeaseHolder::State::kReleasing);
   if (wanted == announcer.listening) return;
   if (wanted) {
     announcer.listening = owner_.listen(address);
@@ -327,14 +327,15 @@
 void GroupRuntime::check_eligibility() {
   open_storage();
   const Time now = lease_now();
-  using Part = lease::Eligibility::Part;
+  using Condition = lease::Eligibility::Condition;
   eligibility_.on_lateness(now, now - eligibility_check_at_);
-  eligibility_.on_part(now, Part::kHosts, !owner_.hosts_listed || owner_.hosts_listed());
+  eligibility_.on_condition(now, Condition::kHostsListed,
+                            !owner_.hosts_listed || owner_.hosts_listed());
   if (bgp_)
-    eligibility_.on_part(now, Part::kRouters,
-                         bgp_->speaker().up(now) >= file_.bgp->speaker.routers_needed);
+    eligibility_.on_condition(now, Condition::kRoutersConnected,
+                              bgp_->speaker().up(now) >= file_.bgp->speaker.routers_needed);
   const bool eligible = eligibility_.eligible(now);
-  group_node_->on_eligible(now, eligible, eligibility_.why());
+  group_node_->on_eligible(now, eligible, eligibility_.reason());
   run_effects();
   eligibility_check_at_ = now + kEligibilityInterval;
   arm_eligibility_timer();
@@ -353,17 +354,17 @@
 
 void GroupRuntime::leave(std::function<void()> done) {
   const auto& times = file_.lease_manager.times;
-  leave_deadline_ = lease_now() + times.lease + times.overlap;
+  leave_deadline_ = lease_now() + times.duration + times.overlap;
   on_left_ = std::move(done);
-  eligibility_.on_part(lease_now(), lease::Eligibility::Part::kStays, false);
+  eligibility_.on_condition(lease_now(), lease::Eligibility::Condition::kNotDraining, false);
   group_node_->leave(lease_now());
   run_effects();
 }
 
 void GroupRuntime::end() {
   if (ended_) return;
-  group_node_->end(lease_now());
-  for (const auto& s : group_node_->take_sends()) send(s);
+  group_node_->announce_departure(lease_now());
+  for (const auto& s : group_node_->take_datagrams()) send(s);
   ended_ = true;
   if (bgp_) bgp_->stop("it ends");
   timer_.cancel();
@@ -405,7 +406,7 @@
   f.name = file_.name;
   f.life = life_;
   f.serves = serves_;
-  f.eligible = eligibility_.why();
+  f.eligible = eligibility_.reason();
   f.up_for = lease_now() - started_at_;
   f.datagrams = socket_->counters();
   f.unsealed = unsealed_;
--- a/src/group_runtime/group_runtime.h
+++ b/src/group_runtime/group_runtime.h
@@ -72,11 +72,11 @@
   void make_group_node();
   void open_storage();
   void on_datagram(const DatagramSocket::Endpoint& from, std::string_view bytes);
-  void send(const group::GroupNode::Send& message);
+  void send(const group::GroupNode::OutgoingDatagram& message);
   void send(const DatagramSocket::Endpoint& to, group::Datagram datagram);
   void run_effects();
   void run_effects_once(Time now);
-  void apply_route_action(Time now, const lease::LeaseManager::RouteAction& action);
+  void apply_route_action(Time now, const lease::RouteAction& action);
   void start_command(const std::string& address, RouteAnnouncer& announcer,
                      const std::vector<std::string>& arguments, const char* name);
   void run_commands(Time now, const std::string& address, RouteAnnouncer& announcer);
--- a/tests/previous_version_test.cc
+++ b/tests/previous_version_test.cc
@@ -8,7 +8,7 @@
 #include <sstream>
 
 #include "group_runtime/voter_storage.h"
-#include "hot_restart/hot_restart.h"
+#include "hot_restart/override_store.h"
 #include "proto/group_wire.h"
 #include "proto/hot_restart_wire.h"
 #include "proto/seal.h"
@@ -20,9 +20,9 @@
 using namespace std::chrono_literals;
 
 const std::string kFolder = BALANCER_TEST_DATA "/previous_version/";
-const lease::Voters kVoters{7, {"a/0", "b/0", "c/0"}};
-const lease::Voters kNextVoters{8, {"a/0", "b/0", "c/0", "d/0"}};
-const lease::Holder kHolder{"a/0", 1764750000001};
+const lease::VoterSet kVoters{7, {"a/0", "b/0", "c/0"}};
+const lease::VoterSet kNextVoters{8, {"a/0", "b/0", "c/0", "d/0"}};
+const lease::InstanceId kHolder{"a/0", 1764750000001};
 
 std::string read_file(const std::string& name) {
   std::ifstream in(kFolder + name, std::ios::binary);
@@ -55,14 +55,14 @@
     ASSERT_TRUE(storage.remembered());
     const lease::VoterRecord& record = *storage.remembered();
     EXPECT_EQ(record.voters, kVoters);
-    ASSERT_EQ(record.promises.size(), 2u);
-    EXPECT_EQ(record.promises.at("192.0.2.10"), (lease::VoterRecord::Promise{41, kHolder}));
-    EXPECT_EQ(record.promises.at("2001:db8::10"),
-              (lease::VoterRecord::Promise{3, {"b/0", 1764750000002}}));
-    EXPECT_EQ(record.promised, (lease::Ballot{9, "b/0"}));
-    EXPECT_EQ(record.accepted_at, (lease::Ballot{8, "a/0"}));
-    EXPECT_EQ(record.accepted, kNextVoters);
-    EXPECT_TRUE(record.forgot);
+    ASSERT_EQ(record.grants.size(), 2u);
+    EXPECT_EQ(record.grants.at("192.0.2.10"), (lease::VoterRecord::Grant{41, kHolder}));
+    EXPECT_EQ(record.grants.at("2001:db8::10"),
+              (lease::VoterRecord::Grant{3, {"b/0", 1764750000002}}));
+    EXPECT_EQ(record.promised_ballot, (lease::Ballot{9, "b/0"}));
+    EXPECT_EQ(record.accepted_ballot, (lease::Ballot{8, "a/0"}));
+    EXPECT_EQ(record.accepted_voters, kNextVoters);
+    EXPECT_TRUE(record.record_lost);
     EXPECT_TRUE(log.empty()) << log.front();
   }
 
@@ -91,11 +91,11 @@
 
 TEST_F(PreviousVersionStorageTest, OperatorOverridesAreRead) {
   copy("silverpin-127%2e0%2e0%2e1%3a11211.words");
-  const auto read = node::HotRestart::read_overrides(folder_, "127.0.0.1:11211");
+  const auto read = hot_restart::OverrideStore::read(folder_, "127.0.0.1:11211");
   ASSERT_TRUE(read);
-  ASSERT_EQ(read->overrides.size(), 300u);
+  ASSERT_EQ(read->size(), 300u);
   for (int i = 0; i < 300; ++i)
-    EXPECT_EQ(read->overrides[static_cast<std::size_t>(i)],
+    EXPECT_EQ((*read)[static_cast<std::size_t>(i)],
               (hot_restart::OperatorOverride{"host-" + std::to_string(i), i % 3 == 0,
                                              std::chrono::seconds(1000 + i)}));
 }
@@ -104,9 +104,9 @@
 TEST_F(PreviousVersionStorageTest, OperatorOverridesOfOneMessageAreRead) {
   std::filesystem::copy_file(kFolder + "operator-overrides-one-message",
                              folder_ + "/silverpin-n.words");
-  const auto read = node::HotRestart::read_overrides(folder_, "n");
+  const auto read = hot_restart::OverrideStore::read(folder_, "n");
   ASSERT_TRUE(read);
-  EXPECT_EQ(read->overrides, (std::vector<hot_restart::OperatorOverride>{{"s-1", true, 90s},
+  EXPECT_EQ((*read), (std::vector<hot_restart::OperatorOverride>{{"s-1", true, 90s},
                                                                          {"s-2", false, 1500ms}}));
 }
 
@@ -123,7 +123,7 @@
   const auto datagram = group::decode(*plain);
   if (!datagram) return std::nullopt;
   EXPECT_EQ(datagram->sender, "a/0");
-  EXPECT_EQ(datagram->life, 1764750000001u);
+  EXPECT_EQ(datagram->incarnation, 1764750000001u);
   EXPECT_EQ(datagram->sequence, sequence);
   EXPECT_EQ(datagram->to, to);
   EXPECT_EQ(encode(*datagram), *plain) << "the same message has other bytes now";
@@ -132,8 +132,8 @@
 }
 
 TEST(PreviousVersionDatagramTest, GossipWithUpdatesIsRead) {
-  using membership::State;
-  const auto gossip = open_datagram<membership::Message>("gossip", 1, "");
+  using membership::MemberState;
+  const auto gossip = open_datagram<membership::GossipMessage>("gossip", 1, "");
   ASSERT_TRUE(gossip);
   EXPECT_EQ(static_cast<int>(gossip->kind), 2);
   EXPECT_EQ(gossip->number, 77u);
@@ -141,13 +141,14 @@
   ASSERT_EQ(gossip->updates.size(), 4u);
   const std::string endpoints[] = {"127.0.0.1:7946", "127.0.0.2:7946", "[::1]:7946",
                                    "127.0.0.4:7946"};
-  const State states[] = {State::kAlive, State::kSuspect, State::kDead, State::kLeft};
+  const MemberState states[] = {MemberState::kAlive, MemberState::kSuspect, MemberState::kDead,
+                                MemberState::kLeft};
   for (std::size_t i = 0; i < 4; ++i) {
-    const membership::Update& update = gossip->updates[i];
+    const membership::MemberUpdate& update = gossip->updates[i];
     EXPECT_EQ(update.name, std::string(1, static_cast<char>('a' + i)) + "/0");
     EXPECT_EQ(update.endpoint, endpoints[i]);
-    EXPECT_EQ(update.life, 1764750000001u + i);
-    EXPECT_EQ(update.version, 5 + i);
+    EXPECT_EQ(update.incarnation, 1764750000001u + i);
+    EXPECT_EQ(update.sequence, 5 + i);
     EXPECT_EQ(update.state, states[i]);
     EXPECT_EQ(update.meta, i == 0 ? read_file("member-meta") : "");
   }
@@ -156,7 +157,8 @@
 TEST(PreviousVersionDatagramTest, EveryKindOfGossipIsRead) {
   const int kinds[] = {0, 1, 3, 4};  // a ping, its acknowledgement, a join, updates alone
   for (std::size_t i = 0; i < 4; ++i) {
-    const auto gossip = open_datagram<membership::Message>("gossip-" + std::to_string(i), 2 + i);
+    const auto gossip =
+        open_datagram<membership::GossipMessage>("gossip-" + std::to_string(i), 2 + i);
     ASSERT_TRUE(gossip) << i;
     EXPECT_EQ(static_cast<int>(gossip->kind), kinds[i]);
     EXPECT_EQ(gossip->number, 100 + i);
@@ -170,9 +172,9 @@
   const auto meta = group::decode_meta(bytes);
   ASSERT_TRUE(meta);
   EXPECT_TRUE(meta->eligible);
-  EXPECT_TRUE(meta->voter);
-  EXPECT_EQ(meta->voters, 7u);
-  EXPECT_EQ(meta->holds,
+  EXPECT_TRUE(meta->is_voter);
+  EXPECT_EQ(meta->voter_set_version, 7u);
+  EXPECT_EQ(meta->held_terms,
             (std::map<std::string, lease::Term>{{"192.0.2.10", 41}, {"2001:db8::10", 3}}));
   EXPECT_EQ(encode(*meta), bytes);
 }
@@ -187,7 +189,7 @@
     EXPECT_EQ(request->term, 41u);
     EXPECT_EQ(request->holder, kHolder);
     EXPECT_EQ(request->number, 1234u);
-    EXPECT_EQ(request->voters, 7u);
+    EXPECT_EQ(request->voter_set_version, 7u);
     EXPECT_EQ(request->successor, kind == 2 ? "c/0" : "");
   }
 }
@@ -202,7 +204,7 @@
     EXPECT_EQ(reply->number, 1234u);
     EXPECT_EQ(reply->term, 41u);
     EXPECT_EQ(reply->holder, kHolder);
-    EXPECT_EQ(reply->left, 350ms);
+    EXPECT_EQ(reply->remaining, 350ms);
     EXPECT_EQ(reply->voters, kVoters);
   }
 }
@@ -220,32 +222,32 @@
 
 TEST(PreviousVersionDatagramTest, VoterChangesAreRead) {
   for (std::size_t kind = 0; kind < 3; ++kind) {
-    const auto change =
-        open_datagram<lease::Change>("voter-change-" + std::to_string(kind), 17 + kind);
+    const auto change = open_datagram<lease::ReconfigurationRequest>(
+        "voter-change-" + std::to_string(kind), 17 + kind);
     ASSERT_TRUE(change) << kind;
     EXPECT_EQ(static_cast<std::size_t>(change->kind), kind);
     EXPECT_EQ(change->number, 55u);
     EXPECT_EQ(change->ballot, (lease::Ballot{9, "b/0"}));
-    EXPECT_EQ(change->present, kVoters);
-    EXPECT_EQ(change->next, kind == 0 ? lease::Voters{} : kNextVoters);
-    EXPECT_EQ(change->by_all, kind == 2);
+    EXPECT_EQ(change->current, kVoters);
+    EXPECT_EQ(change->next, kind == 0 ? lease::VoterSet{} : kNextVoters);
+    EXPECT_EQ(change->accepted_by_all, kind == 2);
   }
 }
 
 TEST(PreviousVersionDatagramTest, AnswersToVoterChangesAreRead) {
   for (std::size_t kind = 0; kind < 3; ++kind) {
-    const auto answer =
-        open_datagram<lease::Changed>("voter-changed-" + std::to_string(kind), 20 + kind);
+    const auto answer = open_datagram<lease::ReconfigurationReply>(
+        "voter-changed-" + std::to_string(kind), 20 + kind);
     ASSERT_TRUE(answer) << kind;
     EXPECT_EQ(static_cast<std::size_t>(answer->kind), kind);
     EXPECT_EQ(answer->number, 55u);
-    EXPECT_EQ(answer->good, kind != 1);
-    EXPECT_EQ(answer->forgot, kind == 0);
+    EXPECT_EQ(answer->ok, kind != 1);
+    EXPECT_EQ(answer->record_lost, kind == 0);
     EXPECT_EQ(answer->voters, kVoters);
-    EXPECT_EQ(answer->promised, (lease::Ballot{9, "b/0"}));
-    EXPECT_EQ(answer->accepted_at, (lease::Ballot{8, "a/0"}));
-    EXPECT_EQ(answer->accepted, kNextVoters);
-    EXPECT_EQ(answer->why_not, kind == 1 ? "a newer ballot" : "");
+    EXPECT_EQ(answer->promised_ballot, (lease::Ballot{9, "b/0"}));
+    EXPECT_EQ(answer->accepted_ballot, (lease::Ballot{8, "a/0"}));
+    EXPECT_EQ(answer->accepted_voters, kNextVoters);
+    EXPECT_EQ(answer->rejection_reason, kind == 1 ? "a newer ballot" : "");
   }
 }
 
@@ -269,10 +271,10 @@
   expect_message("serving", hot_restart::Serving{});
   expect_message("override-out", OperatorOverride{"s-1", true, 90s});
   expect_message("override-in", OperatorOverride{"s-2", false, 1500ms});
-  expect_message("away", hot_restart::Away{true});
-  expect_message("back", hot_restart::Away{false});
+  expect_message("away", hot_restart::ClientDrain{true});
+  expect_message("back", hot_restart::ClientDrain{false});
   expect_message("held", hot_restart::ResourceShare{200, 30u << 20});
-  expect_message("connection", hot_restart::Connection{"127.0.0.1:11211", "mg half\r", 17});
+  expect_message("connection", hot_restart::PassedConnection{"127.0.0.1:11211", "mg half\r", 17});
 }
 
 TEST(PreviousVersionHotRestartTest, SnapshotIsRead) {
@@ -282,53 +284,53 @@
   ASSERT_TRUE(std::holds_alternative<hot_restart::Snapshot>(*message));
   const auto& snapshot = std::get<hot_restart::Snapshot>(*message);
   EXPECT_EQ(snapshot.version, 1u);
-  EXPECT_FALSE(snapshot.more);
+  EXPECT_FALSE(snapshot.has_more);
   ASSERT_EQ(snapshot.hosts.size(), 3u);
   const auto& first = snapshot.hosts[0];
   EXPECT_EQ(first.id, "s-1");
   EXPECT_EQ(first.address, std::string("\x7f\0\0\1", 4));
   EXPECT_EQ(first.port, 11311);
-  EXPECT_EQ(first.born, UnixTime(1764750000123456789ns));
-  EXPECT_EQ(first.age, 3661s);
-  EXPECT_FALSE(first.origin);
+  EXPECT_EQ(first.started_at, UnixTime(1764750000123456789ns));
+  EXPECT_EQ(first.time_since_start, 3661s);
+  EXPECT_FALSE(first.is_origin);
   EXPECT_EQ(first.zone, 2);
   EXPECT_EQ(first.cell, 5);
   EXPECT_EQ(first.state, 0);
   EXPECT_EQ(first.weight, 1.5);
-  EXPECT_EQ(first.share, 0.25);
+  EXPECT_EQ(first.load_factor, 0.25);
   const auto& second = snapshot.hosts[1];
   EXPECT_EQ(second.id, "s-2");
   EXPECT_EQ(second.address, std::string("\x20\x01\x0d\xb8\0\0\0\0\0\0\0\0\0\0\0\1", 16));
   EXPECT_EQ(second.port, 11312);
-  EXPECT_EQ(second.born, UnixTime(1764750007000000000ns));
-  EXPECT_EQ(second.age, std::nullopt);
-  EXPECT_FALSE(second.origin);
+  EXPECT_EQ(second.started_at, UnixTime(1764750007000000000ns));
+  EXPECT_EQ(second.time_since_start, std::nullopt);
+  EXPECT_FALSE(second.is_origin);
   EXPECT_EQ(second.zone, 3);
   EXPECT_EQ(second.cell, 6);
   EXPECT_EQ(second.state, 1);
   EXPECT_EQ(second.weight, 1.0);
-  EXPECT_EQ(second.share, 1.0);
+  EXPECT_EQ(second.load_factor, 1.0);
   const auto& origin = snapshot.hosts[2];
   EXPECT_EQ(origin.id, "origin");
   EXPECT_EQ(origin.address, "");
   EXPECT_EQ(origin.port, 8080);
-  EXPECT_EQ(origin.born, std::nullopt);
-  EXPECT_EQ(origin.age, std::nullopt);
-  EXPECT_TRUE(origin.origin);
+  EXPECT_EQ(origin.started_at, std::nullopt);
+  EXPECT_EQ(origin.time_since_start, std::nullopt);
+  EXPECT_TRUE(origin.is_origin);
   EXPECT_EQ(origin.zone, 0);
   EXPECT_EQ(origin.cell, 0);
   EXPECT_EQ(origin.state, 2);
   EXPECT_EQ(origin.weight, 2.0);
-  EXPECT_EQ(origin.share, 0.0);
+  EXPECT_EQ(origin.load_factor, 0.0);
   EXPECT_EQ(snapshot.overrides, (std::vector<hot_restart::OperatorOverride>{
                                     {"s-1", true, 90s}, {"s-2", false, 1500ms}}));
-  EXPECT_EQ(snapshot.seq, 4711u);
-  EXPECT_TRUE(snapshot.listed);
-  EXPECT_TRUE(snapshot.away);
-  EXPECT_EQ(snapshot.held, (hot_restart::ResourceShare{200, 30u << 20}));
+  EXPECT_EQ(snapshot.list_sequence, 4711u);
+  EXPECT_TRUE(snapshot.has_list);
+  EXPECT_TRUE(snapshot.client_drain);
+  EXPECT_EQ(snapshot.resources_held, (hot_restart::ResourceShare{200, 30u << 20}));
   EXPECT_EQ(snapshot.work_rate, 12.5);
-  EXPECT_EQ(snapshot.origin_open, 0.375);
-  EXPECT_EQ(snapshot.caches_open, 0.5);
+  EXPECT_EQ(snapshot.origin_admit_fraction, 0.375);
+  EXPECT_EQ(snapshot.caches_admit_fraction, 0.5);
   EXPECT_EQ(snapshot.listeners, (std::vector<std::string>{"127.0.0.1:11211", "[::1]:11211"}));
   EXPECT_EQ(hot_restart::encode(snapshot), bytes);
 }
--- a/tests/program_test.cc
+++ b/tests/program_test.cc
@@ -129,7 +129,8 @@
     log_.clear();
     write_config(text);
     ::kill(pid_, SIGHUP);
-    ASSERT_TRUE(wait([&] { return logged("not reloaded: "); })) << text;
+    ASSERT_TRUE(wait([&] { return logged("reload: rejected, the settings in force stay: "); }))
+        << text;
   }
   const int before = discovery.calls;
   ASSERT_TRUE(wait([&] { return discovery.calls > before + 2; }));
@@ -168,7 +169,7 @@
   }
   EXPECT_EQ(old.ids.size(), before);
   EXPECT_EQ(fresh.ids.size(), clients.size());
-  ASSERT_TRUE(wait([&] { return logged("the list is confirmed after "); }));
+  ASSERT_TRUE(wait([&] { return logged("endpoint list confirmed after "); }));
 }
 
 // A client's time is over before the program goes on: refused, though it could be served. On a busy
@@ -215,7 +216,8 @@
   ::kill(pid_, SIGCONT);
   ASSERT_TRUE(wait([&] { return c->in.ends_with("VA 2 O2\r\nv1\r\n"); }));
   EXPECT_EQ(c->in, "VA 2 O1\r\nv1\r\nVA 2 O2\r\nv1\r\n");
-  ASSERT_TRUE(wait([&] { return logged("no list came; what was known goes on"); }));
+  ASSERT_TRUE(
+      wait([&] { return logged("no endpoint list in time, continuing with the last known one"); }));
   EXPECT_EQ(cache.ids.size(), 2u);
 }
 
@@ -244,7 +246,10 @@
   ASSERT_TRUE(wait([&] { return c->in == "+PONG\r\n"; }));
   std::ofstream(file) << text << "frob = 1\n";
   ::kill(pid_, SIGHUP);
-  ASSERT_TRUE(wait([&] { return logged("not reloaded: " + file + ":8: frob: is not known"); }));
+  ASSERT_TRUE(wait([&] {
+    return logged("reload: rejected, the settings in force stay: " + file +
+                  ":8: frob: is not known");
+  }));
   std::ofstream(file) << text << "most_bulk_kb = 7\n";
   ::kill(pid_, SIGHUP);
   ASSERT_TRUE(wait([&] { return logged("listener l has changed, and waits for a restart"); }));
@@ -279,7 +284,7 @@
   ::kill(pid_, SIGHUP);
   ASSERT_TRUE(wait([&] {
     read_log();
-    return logged("balancer lane-1: reloaded");
+    return logged("balancer lane-1: reload: done");
   }));
   ::kill(pid_, SIGTERM);
   ASSERT_TRUE(wait([&] { return exited(); }));
@@ -343,7 +348,7 @@
   c->send("mg k v O1 Pc=read,t=acme,d=5000\r\n");
   ASSERT_TRUE(wait([&] { return cache.ids.size() == 1; }));
   ::kill(pid_, SIGTERM);
-  ASSERT_TRUE(wait([&] { return logged("draining"); }));
+  ASSERT_TRUE(wait([&] { return logged("drain: begins on signal 15"); }));
   ::kill(pid_, SIGTERM);
   // On a connection that stays open it goes on asking.
   c->send("mg k v O2 Pc=read,t=acme,d=5000\r\n");
