--- a/tests/previous_version_test.cc
+++ b/tests/previous_version_test.cc
@@ -8,7 +8,7 @@
 #include <sstream>
 
 #include "group_runtime/voter_storage.h"
-#include "hot_restart/hot_restart.h"
+#include "hot_restart/override_store.h"
 #include "proto/group_wire.h"
 #include "proto/hot_restart_wire.h"
 #include "proto/seal.h"
@@ -91,11 +91,11 @@
 
 TEST_F(PreviousVersionStorageTest, OperatorOverridesAreRead) {
   copy("silverpin-127%2e0%2e0%2e1%3a11211.words");
-  const auto read = node::HotRestart::read_overrides(folder_, "127.0.0.1:11211");
+  const auto read = hot_restart::OverrideStore::read(folder_, "127.0.0.1:11211");
   ASSERT_TRUE(read);
-  ASSERT_EQ(read->overrides.size(), 300u);
+  ASSERT_EQ(read->size(), 300u);
   for (int i = 0; i < 300; ++i)
-    EXPECT_EQ(read->overrides[static_cast<std::size_t>(i)],
+    EXPECT_EQ((*read)[static_cast<std::size_t>(i)],
               (hot_restart::OperatorOverride{"host-" + std::to_string(i), i % 3 == 0,
                                              std::chrono::seconds(1000 + i)}));
 }
@@ -104,9 +104,9 @@
 TEST_F(PreviousVersionStorageTest, OperatorOverridesOfOneMessageAreRead) {
   std::filesystem::copy_file(kFolder + "operator-overrides-one-message",
                              folder_ + "/silverpin-n.words");
-  const auto read = node::HotRestart::read_overrides(folder_, "n");
+  const auto read = hot_restart::OverrideStore::read(folder_, "n");
   ASSERT_TRUE(read);
-  EXPECT_EQ(read->overrides, (std::vector<hot_restart::OperatorOverride>{{"s-1", true, 90s},
+  EXPECT_EQ((*read), (std::vector<hot_restart::OperatorOverride>{{"s-1", true, 90s},
                                                                          {"s-2", false, 1500ms}}));
 }
 
@@ -271,10 +271,10 @@
   expect_message("serving", hot_restart::Serving{});
   expect_message("override-out", OperatorOverride{"s-1", true, 90s});
   expect_message("override-in", OperatorOverride{"s-2", false, 1500ms});
-  expect_message("away", hot_restart::Away{true});
-  expect_message("back", hot_restart::Away{false});
+  expect_message("away", hot_restart::ClientDrain{true});
+  expect_message("back", hot_restart::ClientDrain{false});
   expect_message("held", hot_restart::ResourceShare{200, 30u << 20});
-  expect_message("connection", hot_restart::Connection{"127.0.0.1:11211", "mg half\r", 17});
+  expect_message("connection", hot_restart::PassedConnection{"127.0.0.1:11211", "mg half\r", 17});
 }
 
 TEST(PreviousVersionHotRestartTest, SnapshotIsRead) {
@@ -284,53 +284,53 @@
   ASSERT_TRUE(std::holds_alternative<hot_restart::Snapshot>(*message));
   const auto& snapshot = std::get<hot_restart::Snapshot>(*message);
   EXPECT_EQ(snapshot.version, 1u);
-  EXPECT_FALSE(snapshot.more);
+  EXPECT_FALSE(snapshot.has_more);
   ASSERT_EQ(snapshot.hosts.size(), 3u);
   const auto& first = snapshot.hosts[0];
   EXPECT_EQ(first.id, "s-1");
   EXPECT_EQ(first.address, std::string("\x7f\0\0\1", 4));
   EXPECT_EQ(first.port, 11311);
-  EXPECT_EQ(first.born, UnixTime(1764750000123456789ns));
-  EXPECT_EQ(first.age, 3661s);
-  EXPECT_FALSE(first.origin);
+  EXPECT_EQ(first.started_at, UnixTime(1764750000123456789ns));
+  EXPECT_EQ(first.time_since_start, 3661s);
+  EXPECT_FALSE(first.is_origin);
   EXPECT_EQ(first.zone, 2);
   EXPECT_EQ(first.cell, 5);
   EXPECT_EQ(first.state, 0);
   EXPECT_EQ(first.weight, 1.5);
-  EXPECT_EQ(first.share, 0.25);
+  EXPECT_EQ(first.load_factor, 0.25);
   const auto& second = snapshot.hosts[1];
   EXPECT_EQ(second.id, "s-2");
   EXPECT_EQ(second.address, std::string("\x20\x01\x0d\xb8\0\0\0\0\0\0\0\0\0\0\0\1", 16));
   EXPECT_EQ(second.port, 11312);
-  EXPECT_EQ(second.born, UnixTime(1764750007000000000ns));
-  EXPECT_EQ(second.age, std::nullopt);
-  EXPECT_FALSE(second.origin);
+  EXPECT_EQ(second.started_at, UnixTime(1764750007000000000ns));
+  EXPECT_EQ(second.time_since_start, std::nullopt);
+  EXPECT_FALSE(second.is_origin);
   EXPECT_EQ(second.zone, 3);
   EXPECT_EQ(second.cell, 6);
   EXPECT_EQ(second.state, 1);
   EXPECT_EQ(second.weight, 1.0);
-  EXPECT_EQ(second.share, 1.0);
+  EXPECT_EQ(second.load_factor, 1.0);
   const auto& origin = snapshot.hosts[2];
   EXPECT_EQ(origin.id, "origin");
   EXPECT_EQ(origin.address, "");
   EXPECT_EQ(origin.port, 8080);
-  EXPECT_EQ(origin.born, std::nullopt);
-  EXPECT_EQ(origin.age, std::nullopt);
-  EXPECT_TRUE(origin.origin);
+  EXPECT_EQ(origin.started_at, std::nullopt);
+  EXPECT_EQ(origin.time_since_start, std::nullopt);
+  EXPECT_TRUE(origin.is_origin);
   EXPECT_EQ(origin.zone, 0);
   EXPECT_EQ(origin.cell, 0);
   EXPECT_EQ(origin.state, 2);
   EXPECT_EQ(origin.weight, 2.0);
-  EXPECT_EQ(origin.share, 0.0);
+  EXPECT_EQ(origin.load_factor, 0.0);
   EXPECT_EQ(snapshot.overrides, (std::vector<hot_restart::OperatorOverride>{
                                     {"s-1", true, 90s}, {"s-2", false, 1500ms}}));
-  EXPECT_EQ(snapshot.seq, 4711u);
-  EXPECT_TRUE(snapshot.listed);
-  EXPECT_TRUE(snapshot.away);
-  EXPECT_EQ(snapshot.held, (hot_restart::ResourceShare{200, 30u << 20}));
+  EXPECT_EQ(snapshot.list_sequence, 4711u);
+  EXPECT_TRUE(snapshot.has_list);
+  EXPECT_TRUE(snapshot.client_drain);
+  EXPECT_EQ(snapshot.resources_held, (hot_restart::ResourceShare{200, 30u << 20}));
   EXPECT_EQ(snapshot.work_rate, 12.5);
-  EXPECT_EQ(snapshot.origin_open, 0.375);
-  EXPECT_EQ(snapshot.caches_open, 0.5);
+  EXPECT_EQ(snapshot.origin_admit_fraction, 0.375);
+  EXPECT_EQ(snapshot.caches_admit_fraction, 0.5);
   EXPECT_EQ(snapshot.listeners, (std::vector<std::string>{"127.0.0.1:11211", "[::1]:11211"}));
   EXPECT_EQ(hot_restart::encode(snapshot), bytes);
 }
