--- a/src/connection_pool/connection_selector.h
+++ b/src/connection_pool/connection_selector.h
@@ -86,7 +86,7 @@
   void on_assigned(ConnectionId id, Time now, const AttemptTraits& traits);
   // The front attempt has been answered. `reusable`: the connection stays open for further answers.
   void on_answered(ConnectionId id, Time now, bool reusable);
-  // The attempt at this place in the queue was withdrawn before a byte of it was written.
+  // The attempt at this place in the queue was withdrawn before it was written whole.
   void on_withdrawn(ConnectionId id, std::size_t place, Time now);
   void on_retired(ConnectionId id);  // takes nothing more, and closes once nothing is in flight
   void on_closed(ConnectionId id);
--- a/src/dispatch/server_pool.h
+++ b/src/dispatch/server_pool.h
@@ -42,7 +42,7 @@
   // ---- hosts
 
   void on_list(const HostList& list);
-  // Discovery rejected the call.
+  // The call to polled discovery was rejected or broke.
   void on_list_rejected();
   // Discovery has answered a call that took so long, and its answer has been applied.
   void on_discovery_answer(Duration took);
--- a/src/group_runtime/status.cc
+++ b/src/group_runtime/status.cc
@@ -53,71 +53,97 @@
   return std::find(kErrors.begin(), kErrors.end(), error.value()) != kErrors.end();
 }
 
+// The member that is known to hold an address at the newest term; this one if `holds`.
+std::string known_holder(const std::string& address, const std::string& self, bool holds,
+                         lease::Term own_term, const group::GroupNode& node) {
+  std::string holder = holds ? self : "";
+  lease::Term newest = holds ? own_term : 0;
+  for (const auto& [name, member] : node.membership().members()) {
+    if (member.state == membership::MemberState::kDead ||
+        member.state == membership::MemberState::kLeft)
+      continue;
+    const auto meta = group::decode_meta(member.meta);
+    if (!meta) continue;
+    const auto held = meta->held_terms.find(address);
+    if (held == meta->held_terms.end() || held->second <= newest) continue;
+    holder = name;
+    newest = held->second;
+  }
+  return holder;
+}
+
+json voter_json(const StatusFigures& figures, const group::GroupNode& node, Time now) {
+  json voter;
+  voter["votes"] = node.voter()->record().voters.has(figures.name);
+  voter["remembers"] = figures.remembers;
+  voter["waits_ms"] = ms(node.voter()->remaining_recovery(now));
+  voter["writes"] = figures.writes;
+  voter["longest_write_ms"] = 1e3 * seconds(figures.longest_write);
+  return voter;
+}
+
+json address_json(const std::string& address, const lease::LeaseHolder& lease_holder,
+                  const std::string& self, const group::GroupNode& node, Time now) {
+  const bool holds = lease_holder.holds(now);
+  json entry;
+  entry["address"] = address;
+  entry["state"] = lease::status_name(lease_holder.state());
+  entry["since_ms"] = ms(now - lease_holder.since());
+  entry["term"] = lease_holder.term();
+  entry["newest_term"] = lease_holder.newest_term();
+  entry["lease_left_ms"] = holds ? ms(lease_holder.valid_until() - now) : 0;
+  entry["voters_reached"] = lease_holder.voters_reached();
+  entry["voters"] = lease_holder.voters().names.size();
+  entry["why"] = lease_holder.reason();
+  entry["holder"] = known_holder(address, self, holds, lease_holder.term(), node);
+  entry["tenures"] = lease_holder.elections_won();
+  return entry;
+}
+
+json members_json(const group::GroupNode& node, Time now) {
+  json members = json::array();
+  for (const auto& [name, member] : node.membership().members()) {
+    const auto meta = group::decode_meta(member.meta);
+    members.push_back({{"name", name},
+                       {"endpoint", member.endpoint},
+                       {"state", name_of(member.state)},
+                       {"since_ms", ms(now - member.since)},
+                       {"able", meta && meta->eligible},
+                       {"votes", node.voters().has(name)}});
+  }
+  return members;
+}
+
+json routers_json(const GroupFile& file, const bgp::Speaker* speaker) {
+  json routers = json::array();
+  for (std::size_t r = 0; speaker && r < speaker->routers(); ++r) {
+    const auto& session = speaker->session(r);
+    routers.push_back({{"address", file.bgp->routers[r].address},
+                       {"state", bgp::name_of(session.state())},
+                       {"settled", session.settled()},
+                       {"last_end", session.last_end()}});
+  }
+  return routers;
+}
+
 }  // namespace
 
-std::string status_json(const StatusFigures& f, const group::GroupNode& instance,
-                        const GroupFile& file, const bgp::Speaker* speaker, Time now) {
+// Keys and values are what operators' scripts read: "able" is "ready" or the reason why not for
+// this member, and a yes or no for others; "life" is the incarnation.
+std::string status_json(const StatusFigures& f, const group::GroupNode& node, const GroupFile& file,
+                        const bgp::Speaker* speaker, Time now) {
   json out;
   out["name"] = f.name;
   out["life"] = f.life;
   out["up_ms"] = ms(f.up_for);
   out["able"] = f.serves ? f.eligible : "a voter that serves nothing";
-  json& voter = out["voter"];
-  const auto& record = instance.voter()->record();
-  voter["votes"] = record.voters.has(f.name);
-  voter["remembers"] = f.remembers;
-  voter["waits_ms"] = ms(instance.voter()->remaining_recovery(now));
-  voter["writes"] = f.writes;
-  voter["longest_write_ms"] = 1e3 * seconds(f.longest_write);
-  out["voters"] = {{"version", instance.voters().version}, {"names", instance.voters().names}};
+  out["voter"] = voter_json(f, node, now);
+  out["voters"] = {{"version", node.voters().version}, {"names", node.voters().names}};
   out["addresses"] = json::array();
-  for (const auto& [name, t] : instance.lease_manager().lease_holders()) {
-    const bool holds = t.holds(now);
-    json a;
-    a["address"] = name;
-    a["state"] = lease::status_name(t.state());
-    a["since_ms"] = ms(now - t.since());
-    a["term"] = t.term();
-    a["newest_term"] = t.newest_term();
-    a["lease_left_ms"] = holds ? ms(t.valid_until() - now) : 0;
-    a["voters_reached"] = t.voters_reached();
-    a["voters"] = t.voters().names.size();
-    a["why"] = t.reason();
-    std::string holder = holds ? f.name : "";
-    lease::Term newest = holds ? t.term() : 0;
-    for (const auto& [other, m] : instance.membership().members()) {
-      if (m.state == membership::MemberState::kDead || m.state == membership::MemberState::kLeft)
-        continue;
-      const auto meta = group::decode_meta(m.meta);
-      const auto held =
-          meta ? meta->held_terms.find(name) : decltype(meta->held_terms.find(name)){};
-      if (meta && held != meta->held_terms.end() && held->second > newest) {
-        holder = other;
-        newest = held->second;
-      }
-    }
-    a["holder"] = holder;
-    a["tenures"] = t.elections_won();
-    out["addresses"].push_back(std::move(a));
-  }
-  out["members"] = json::array();
-  for (const auto& [name, m] : instance.membership().members()) {
-    const auto meta = group::decode_meta(m.meta);
-    out["members"].push_back({{"name", name},
-                              {"endpoint", m.endpoint},
-                              {"state", name_of(m.state)},
-                              {"since_ms", ms(now - m.since)},
-                              {"able", meta && meta->eligible},
-                              {"votes", instance.voters().has(name)}});
-  }
-  out["routers"] = json::array();
-  for (std::size_t r = 0; speaker && r < speaker->routers(); ++r) {
-    const auto& s = speaker->session(r);
-    out["routers"].push_back({{"address", file.bgp->routers[r].address},
-                              {"state", bgp::name_of(s.state())},
-                              {"settled", s.settled()},
-                              {"last_end", s.last_end()}});
-  }
+  for (const auto& [address, lease_holder] : node.lease_manager().lease_holders())
+    out["addresses"].push_back(address_json(address, lease_holder, f.name, node, now));
+  out["members"] = members_json(node, now);
+  out["routers"] = routers_json(file, speaker);
   out["datagrams"] = {{"heard", f.datagrams.received},        {"sent", f.datagrams.sent},
                       {"bytes_sent", f.datagrams.bytes_sent}, {"not_sent", f.datagrams.not_sent},
                       {"turned_away", f.datagrams.rejected},  {"under_no_key", f.unsealed},
@@ -252,7 +278,7 @@
     return;
   }
   if (!is_transient(error)) throw std::runtime_error(path + ": " + error.message());
-  log_(path + ": " + error.message() + "; nobody can ask this member until the folder works");
+  log_("status socket " + path + ": " + error.message() + "; retried until its folder can be used");
   retry_listen();
 }
 
@@ -274,7 +300,7 @@
   retry_timer_.async_wait([this](const error_code& e) {
     if (e) return;
     if (listen()) return retry_listen();
-    log_(path_ + ": answers now");
+    log_("status socket " + path_ + ": listening again");
     accept();
   });
 }
--- a/src/group_runtime/voter_storage.cc
+++ b/src/group_runtime/voter_storage.cc
@@ -46,17 +46,16 @@
     return false;
   }
   next_attempt_ = Time::max();
-  if (!last_cause_.empty()) log_("voter: " + store_->file() + " can be used now");
+  if (!last_cause_.empty()) log_("voter: " + store_->file() + " can be used again");
   last_cause_.clear();
   return true;
 }
 
 void VoterStorage::read() {
   if (!store_->aside().empty())
-    log_("voter: its record could not be read and is now " + store_->aside() +
-         "; it votes again in " +
+    log_("voter: record corrupt, moved to " + store_->aside() + "; votes again in " +
          std::to_string(std::chrono::duration_cast<milliseconds>(lease_).count()) +
-         " ms, when all it may have promised has run out");
+         " ms, once every lease that it may have granted has expired");
   // A clock that was set back must not make this process an earlier incarnation of itself.
   const auto last = store_->get(kIncarnationKey);
   if (last && last->size() <= kMaxIncarnationDigits)
@@ -65,8 +64,7 @@
   store_->put(kIncarnationKey, std::to_string(incarnation_));
   const auto bytes = store_->get(kVoterKey);
   remembered_ = bytes ? group::decode_record(*bytes) : std::nullopt;
-  if (bytes && !remembered_)
-    log_("voter: " + store_->file() + ": its record makes no sense and is not used");
+  if (bytes && !remembered_) log_("voter: " + store_->file() + ": record corrupt, not used");
 }
 
 bool VoterStorage::save(const lease::VoterRecord& record) {
@@ -75,7 +73,7 @@
   try {
     store_->put(kVoterKey, group::encode(record));
   } catch (const store::StoreError& e) {
-    log_(std::string("voter: ") + e.what());
+    log_(std::string("voter: record not written: ") + e.what());
     return false;
   }
   ++writes_;
--- a/src/hot_restart/hot_restart.cc
+++ b/src/hot_restart/hot_restart.cc
@@ -16,7 +16,7 @@
 constexpr milliseconds kHelloTimeout{1000};
 constexpr std::size_t kMaxCandidates = 4;
 // A predecessor that could not be queried is presumed to run for so long: it receives SIGTERM once
-// this process serves, and ends at most 3.7 s later.
+// this process serves, and is killed by the platform 3.7 s later at the latest.
 constexpr milliseconds kPresumedFor{10000};
 // Between two reports of this process's share.
 constexpr milliseconds kTick{50};
--- a/src/lease/lease_holder.cc
+++ b/src/lease/lease_holder.cc
@@ -319,7 +319,7 @@
   route_actions_.push_back({RouteAction::Kind::kWithdraw, address_, term_});
 }
 
-void LeaseHolder::end_without_release(Time now, std::string_view reason) {
+void LeaseHolder::end_ungracefully(Time now, std::string_view reason) {
   graceful_since_.reset();
   is_release_confirmed_ = false;
   may_serve_until_ = valid_until_;
@@ -329,7 +329,7 @@
 
 void LeaseHolder::lose_lease(Time now, std::string_view reason) {
   partitioned_after_withdrawal_ = true;
-  end_without_release(now, reason);
+  end_ungracefully(now, reason);
 }
 
 void LeaseHolder::check_lease(Time now) {
@@ -338,7 +338,7 @@
 }
 
 void LeaseHolder::on_claim_failed(Time now) {
-  if (state_ == State::kHolder) end_without_release(now, "the claim could not be carried out");
+  if (state_ == State::kHolder) end_ungracefully(now, "the claim could not be carried out");
 }
 
 void LeaseHolder::on_withdrawn(Time now) {
--- a/src/lease/lease_holder.h
+++ b/src/lease/lease_holder.h
@@ -102,7 +102,7 @@
   bool may_serve(Time now, Duration drain) const;
   // When it began to give the address up gracefully, while it may still be listening on it.
   std::optional<Time> graceful_release_since() const;
-  // Whether to listen on the address: from the election to the withdrawal of the routes.
+  // Whether it has or hands over the lease. Its owner listens on while the routes are withdrawn.
   bool should_listen() const { return state_ == State::kHolder || state_ == State::kHandingOver; }
   Term term() const { return term_; }    // of the present or last lease
   Time since() const { return since_; }  // when it entered the present state
@@ -152,7 +152,8 @@
   void check_lease(Time now);
   // The lease may be another's: it is withdrawn, and not released.
   void lose_lease(Time now, std::string_view reason);
-  void end_without_release(Time now, std::string_view reason);
+  // Withdraws at once, without waiting for a successor.
+  void end_ungracefully(Time now, std::string_view reason);
   void withdraw_routes(Time now, std::string_view reason);
   void send_release(const std::string& successor);
 
@@ -211,7 +212,7 @@
   std::vector<RouteAction> route_actions_;
 };
 
-// For logs: "lease ADDRESS: STATE".
+// For logs: "lease ADDRESS: STATE"; "partitioned" where status_name() says "cut off".
 const char* name_of(LeaseHolder::State state);
 // As the status JSON has it.
 const char* status_name(LeaseHolder::State state);
--- a/src/lease/lease_manager.cc
+++ b/src/lease/lease_manager.cc
@@ -206,7 +206,7 @@
     } else if (is_leaving_) {
       lease_holder.release(now, ineligible_reason_);
     }
-    // Without a successor it keeps the address: one that nobody answers for is no better.
+    // Not eligible, not leaving, no successor: it keeps the address, as a poor holder beats none.
     return;
   }
   if (ranking.empty() || ranking.front() == self_.name) return;
--- a/src/net/attempt.h
+++ b/src/net/attempt.h
@@ -50,7 +50,7 @@
 // Whether the next byte of an attempt may go out.
 enum class SendPermission {
   kGranted,
-  kRequestFinished,  // nobody waits for the answer, or its time is over: not one byte more
+  kRequestFinished,  // client gone, time or deduplication window over, or the lease lost: no byte
   kHostChanged,      // its host takes nothing new, or is another process: not a first byte
 };
 
--- a/src/net/upstream_pool.h
+++ b/src/net/upstream_pool.h
@@ -39,7 +39,8 @@
 
   void set_host(const ListedHost& host);
   // Puts the attempt on a connection, or queues it for one. An attempt that finds none within the
-  // connect timeout ends as kConnectFailed, or as kNotSent where the host is connected.
+  // connect timeout ends as kConnectFailed; as kNotSent only where the pool shares connections and
+  // the host is connected.
   void start(AttemptPtr attempt);
   void close_idle();
   // The host has left the endpoint list: no connection takes anything more.
--- a/src/node/balancer.h
+++ b/src/node/balancer.h
@@ -31,7 +31,7 @@
   // Listens when it returns, but for service addresses, and for memcache where a predecessor still
   // serves and no endpoint list is known. Throws std::runtime_error with one line if it cannot.
   // `config`: the platform's; without it there is no memcache service.
-  // `limits` outlives the event loop, whose last handlers hold leases.
+  // `limits` outlives the event loop, whose last handlers hold reservations.
   Balancer(
       boost::asio::io_context& io, const std::optional<Config>& config, Limits& limits,
       Operator operator_settings = {}, const Log& log = [](const std::string&) {});
--- a/src/node/drain_coordinator.cc
+++ b/src/node/drain_coordinator.cc
@@ -14,6 +14,8 @@
 
 // The platform sends new connections for up to 400 ms after the signal, and kills the process no
 // sooner than 700 ms after the longest deadline, which is 3 s at most.
+// The drain's clock starts after GroupRuntime::leave(), which with a group takes up to a lease and
+// an overlap behind the signal.
 constexpr milliseconds kAcceptTime{600};
 constexpr milliseconds kMaxDeadline{3000};
 // After the longest deadline: until open requests fail, and until the process ends.
@@ -66,7 +68,7 @@
 DrainCoordinator::Progress DrainCoordinator::advance(Duration elapsed) {
   Progress progress;
   services_.for_each_listener([&](ClientListener& listener) {
-    if (elapsed >= kAcceptTime && !is_succeeded())
+    if (elapsed >= kAcceptTime && !has_serving_successor())
       progress.has_unaccepted = !listener.stop() || progress.has_unaccepted;
     progress.sessions += listener.sessions();
   });
@@ -80,7 +82,7 @@
 
 bool DrainCoordinator::is_finished(Duration elapsed, const Progress& progress) const {
   if (elapsed >= longest_deadline_ + kExitGrace) return true;
-  const bool accepts_no_more = elapsed >= kAcceptTime || is_succeeded();
+  const bool accepts_no_more = elapsed >= kAcceptTime || has_serving_successor();
   return accepts_no_more && progress.sessions == 0 && !progress.has_unaccepted &&
          (!hot_restart_ || hot_restart_->is_flushed());
 }
--- a/src/node/drain_coordinator.h
+++ b/src/node/drain_coordinator.h
@@ -12,7 +12,7 @@
 namespace balancer::node {
 
 // The graceful end of the process: answers the requests in flight, closes or passes on the clients'
-// connections, and reports when none is left, or the longest deadline is over.
+// connections, and reports when none is left, or 0.55 s after the longest deadline.
 class DrainCoordinator {
  public:
   // `hot_restart`: null without one. `on_drained` is called once, from the event loop.
@@ -32,7 +32,7 @@
   Progress advance(Duration elapsed);
   bool is_finished(Duration elapsed, const Progress& progress) const;
   // Whether a successor takes the new clients and the connections.
-  bool is_succeeded() const { return hot_restart_ && hot_restart_->passes_connections(); }
+  bool has_serving_successor() const { return hot_restart_ && hot_restart_->passes_connections(); }
 
   boost::asio::io_context& io_;
   const Clock& clock_;
--- a/src/node/main.cc
+++ b/src/node/main.cc
@@ -58,7 +58,7 @@
 
 // Balances until SIGTERM or SIGINT has been received and the drain is over.
 void serve(const std::string& operator_file) {
-  std::optional<Limits> limits;  // outlives the event loop, whose last handlers hold leases
+  std::optional<Limits> limits;  // outlives the event loop, whose last handlers hold reservations
   boost::asio::io_context io(1);
   ProcessSignals signals(io);  // first: before its handler is set, a signal would end the process
   ProgramSettings settings = load_settings(operator_file);
--- a/src/policy/fleet_slow_start.h
+++ b/src/policy/fleet_slow_start.h
@@ -29,7 +29,8 @@
   }
   void on_earlier_start(HostIndex host, Time started) { starts_[host].on_earlier_start(started); }
   double weight(HostIndex host, Time now) const { return starts_[host].weight(now, rule_); }
-  // Whether `work` seconds may be sent to the host now. The origin has no slow start.
+  // Refills the host's budget up to `now`; whether `work` seconds may be sent there then. The
+  // origin has no slow start.
   bool has_budget(HostIndex host, Time now, double work);
   void spend(HostIndex host, double work) { starts_[host].spend(work); }
 
--- a/src/policy/host_selector.h
+++ b/src/policy/host_selector.h
@@ -38,7 +38,8 @@
 };
 
 // Chooses the cache host of an attempt: the key's owner, or the next candidate where the owner is
-// away, ejected, warming up, overloaded, or has failed this request before.
+// away, ejected, warming up, overloaded, or has failed this request before. If all others are out,
+// the first ejected one is chosen.
 class HostSelector {
  public:
   // What a selection reads. All are referred to and outlive the selector.
--- a/src/policy/policy.cc
+++ b/src/policy/policy.cc
@@ -13,9 +13,9 @@
 // Half of the shortest latency objective is left for the cache's answer and the network.
 constexpr double kOriginTargetShare = 0.5;
 constexpr double kMaxOriginObjectiveSeconds = 3600;
-// Beyond this share of slow answers, as seconds of the controller, it is not single hosts that are
-// slow but the caches.
-constexpr Duration kMaxSlowAnswers = std::chrono::milliseconds(300);
+// Target of the caches' admission: 0.3 of the answers slow, written as 300 ms since the controller
+// takes a time. Beyond it not single hosts are slow but the caches.
+constexpr Duration kSlowAnswerTarget = std::chrono::milliseconds(300);
 // Admission controllers that sample in step across the fleet would all close and reopen together.
 constexpr double kSamplingJitterSeconds = 0.5;
 constexpr double kOverloadedSlowAnswerRatio = 0.25;
@@ -41,7 +41,7 @@
       random_(seed),
       now_(now),
       origin_admission_(origin_target(settings), jittered_start(now, random_)),
-      cache_admission_(kMaxSlowAnswers, jittered_start(now, random_)),
+      cache_admission_(kSlowAnswerTarget, jittered_start(now, random_)),
       placement_(placement ? *placement : ring_),
       host_registry_(settings.static_weights, settings.slow_start.warm_up_time),
       slow_start_(settings.slow_start, host_registry_, now),
@@ -315,7 +315,7 @@
   const OutcomeRule& rule = outcome_rule(outcome.result);
   if (!attempt.is_answering) outliers_[attempt.host].on_ended(attempt.sent_at);
   attempt.state = rule.state;
-  attempt.connection_failed = outcome.result == Result::kReset;
+  attempt.was_reset = outcome.result == Result::kReset;
   attempt.host_did_no_work = rule.next == NextStep::kSendElsewhere;
   request.withdrawn_attempts += outcome.result == Result::kWithdrawn;
   attempt_observer_.on_outcome(now, attempt, rule, outcome.result);
--- a/src/policy/request.h
+++ b/src/policy/request.h
@@ -45,9 +45,9 @@
   kError,          // an answer that reports a failure, or that cannot be read
   kRejected,       // the host answered that it takes no more
   kTimeout,        // no answer in the attempt's time
-  kConnectFailed,  // no connection was established
+  kConnectFailed,  // not written whole: no connection in time, or it broke before
   kReset,          // the connection ended before the answer was complete
-  kCancelled,      // ended by this balancer after it was sent
+  kCancelled,      // reported by the simulator only
   kNotSent,        // ended by this balancer before it was sent
   kMiss,           // the cache does not hold the key
   kRedirected,     // a complete answer that names another host, and proves that nothing ran
--- a/src/policy/request_state.h
+++ b/src/policy/request_state.h
@@ -17,10 +17,10 @@
   Placement::Host host;
   Time sent_at;
   AttemptState state = AttemptState::kInFlight;
-  bool counted_slow = false;       // its host has been charged with a slow answer for it
-  bool connection_failed = false;  // its connection ended before the answer was complete
-  bool is_answering = false;       // the first byte of its answer has come
-  bool host_did_no_work = false;   // redirected or withdrawn
+  bool counted_slow = false;      // its host has been charged with a slow answer for it
+  bool was_reset = false;         // its connection ended before the answer was complete
+  bool is_answering = false;      // the first byte of its answer has come
+  bool host_did_no_work = false;  // redirected or withdrawn
 };
 
 // A request from its arrival until its last attempt has ended.
--- a/src/policy/retry_policy.cc
+++ b/src/policy/retry_policy.cc
@@ -6,7 +6,8 @@
 namespace balancer {
 namespace {
 
-// Retries at caches may come to a tenth of the requests, with a few in hand for a quiet balancer.
+// Retries at caches, hedged requests and repeated fetches together may come to a tenth of the
+// requests, with a few in hand for a quiet balancer.
 constexpr double kRetriesPerRequest = 0.1;
 constexpr double kMaxRetryBudget = 5;
 constexpr Duration kResendBackoff = std::chrono::milliseconds(50);
@@ -58,7 +59,7 @@
 }
 
 bool RetryPolicy::retries_same_host(const RequestState& request) const {
-  return request.attempts.size() == 1 && request.attempts.back().connection_failed;
+  return request.attempts.size() == 1 && request.attempts.back().was_reset;
 }
 
 bool RetryPolicy::may_hedge(const RequestState& request, Time now) const {
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -38,8 +38,8 @@
   // Whether the request may be rejected in place of failed: a rejection tells the client that a
   // retry does no harm.
   bool may_reject(const RequestState& request) const;
-  // Time until a write that never ran is sent again: 50 ms, doubled with each attempt, times 0.5 to
-  // 1.5. `jitter`: random, in [0, 1).
+  // Time until a write that never ran is sent again: 100 ms after the first attempt, doubled with
+  // each further one, times 0.5 to 1.5. `jitter`: random, in [0, 1).
   static Duration resend_backoff(const RequestState& request, double jitter);
 
  private:
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -27,8 +27,9 @@
 
   // Share of its full capacity, 0 to 1; 1 once it is warm or where its start is not known.
   double weight(Time now, const SlowStartRule& rule) const;
-  // Whether `work` seconds may be sent now. `normal_rate`: the work (seconds per second) that this
-  // balancer sends to a warm host of the same size; the budget fills at that rate times the weight.
+  // Refills the budget up to `now`; whether `work` seconds may be sent then. `normal_rate`: the
+  // work (seconds per second) that this balancer sends to a warm host of the same size; the budget
+  // fills at that rate times the weight.
   bool has_budget(Time now, const SlowStartRule& rule, double work, double normal_rate);
   // Takes the work of an attempt, in seconds, from the budget.
   void spend(double work) { budget_ -= work; }
--- a/tests/decision_modules_test.cc
+++ b/tests/decision_modules_test.cc
@@ -215,7 +215,7 @@
   EXPECT_FALSE(policy.is_retry(attempted(AttemptState::kMissed)));
   EXPECT_TRUE(policy.is_retry(attempted(AttemptState::kMayHaveRun)));
   RequestState request = attempted(AttemptState::kMayHaveRun);
-  request.attempts[0].connection_failed = true;
+  request.attempts[0].was_reset = true;
   EXPECT_TRUE(policy.retries_same_host(request));
   EXPECT_FALSE(policy.is_retry(request));
   request.attempts.push_back(request.attempts[0]);
--- a/tests/previous_version_test.cc
+++ b/tests/previous_version_test.cc
@@ -107,7 +107,7 @@
   const auto read = hot_restart::OverrideStore::read(folder_, "n");
   ASSERT_TRUE(read);
   EXPECT_EQ((*read), (std::vector<hot_restart::OperatorOverride>{{"s-1", true, 90s},
-                                                                         {"s-2", false, 1500ms}}));
+                                                                 {"s-2", false, 1500ms}}));
 }
 
 // ---- datagrams of a group
