--- a/src/testbed/servers/resp_store.cc
+++ b/src/testbed/servers/resp_store.cc
@@ -175,6 +175,7 @@
   return integer(sum);
 }
 
+// NOLINTNEXTLINE(readability-function-size): one branch for each command.
 std::optional<std::string> RespStore::run(Time now, const Command& c, int version) {
   if (same_word(c[0], "SCAN")) return scan(c);
   if (same_word(c[0], "DBSIZE")) return ":" + std::to_string(entries_.size()) + "\r\n";
