--- a/src/hosts/host_registry.cc
+++ b/src/hosts/host_registry.cc
@@ -56,7 +56,7 @@
       host.state = HostState::kGone;
     }
     if (host.is_placed()) total_weight_ += host.weight;
-    if (forget_if_gone(i)) changes.push_back({HostChange::Kind::kForgotten, i});
+    if (remove_if_unreferenced(i)) changes.push_back({HostChange::Kind::kForgotten, i});
   }
 }
 
@@ -69,14 +69,15 @@
     if (start) changes.push_back({HostChange::Kind::kStarted, i, start->at});
   } else if (start && start->at < host.start->at) {
     host.start = start;
-    // One that was returned to service has started since, whatever its list still says.
+    // A host that was returned to service has been restarted since, even if its list still has the
+    // old start.
     if (!overrides_.contains(host.id))
       changes.push_back({HostChange::Kind::kStartedEarlier, i, start->at});
   }
 }
 
-// Overrides stand beside the lists: a host is used only where both allow it, and leaving a list or
-// returning to one changes nothing.
+// Overrides are independent of the host lists: a host is used only if both allow it, and an
+// override remains in force when its host leaves a list or returns to one.
 std::vector<HostRegistry::HostChange> HostRegistry::restore(std::string_view id,
                                                             OperatorOverride operator_override) {
   std::vector<HostChange> changes;
@@ -101,8 +102,8 @@
   return out_of_service != (known != overrides_.end() && known->second.out_of_service);
 }
 
-// A host that returns to service was restarted meanwhile, also where no list has said so: it is in
-// slow start, and what was learnt of the old process must not keep it unused.
+// A host that returns to service counts as restarted, even if no list has reported a new start. It
+// goes through slow start, and what was recorded about the old process must not keep it unused.
 void HostRegistry::apply_override(Index i, const OperatorOverride& operator_override,
                                   std::vector<HostChange>& changes) {
   Host& host = hosts_[i];
@@ -116,14 +117,14 @@
   }
 }
 
-bool HostRegistry::release(Index i) {
+bool HostRegistry::release_reference(Index i) {
   --hosts_[i].references;
-  return forget_if_gone(i);
+  return remove_if_unreferenced(i);
 }
 
-// In a fleet whose hosts are always new the table would grow for as long as the balancer runs. A
-// host that returns under its id is known from its start like any other.
-bool HostRegistry::forget_if_gone(Index i) {
+// Without this removal the table would grow without bound in a fleet whose hosts are replaced all
+// the time. A host that returns under the same id is treated like a new one.
+bool HostRegistry::remove_if_unreferenced(Index i) {
   const Host& host = hosts_[i];
   if (host.state != HostState::kGone || host.references > 0 || host.id.empty()) return false;
   hosts_.erase(std::string(host.id));
--- a/src/hosts/host_registry.h
+++ b/src/hosts/host_registry.h
@@ -17,19 +17,20 @@
 
 // One start of a cache host.
 struct HostStart {
-  // As the list says it. Another value is another start.
+  // Start time as given by the host list. A different value means a different start.
   UnixTime born;
-  // On this process's clock, as far as is known; the host is no younger.
+  // Start time on this process's clock, as far as it is known. The host may have started earlier,
+  // but not later.
   Time at{0};
 
-  // Where host and process share one clock, as in a simulation.
+  // For hosts that share a clock with this process, as in a simulation.
   static HostStart exactly(Time at) { return {UnixTime(at), at}; }
 };
 
-// What a list says of one host.
+// Entry of one host in a host list.
 struct HostEntry {
   std::string_view id;
-  std::optional<HostStart> start;  // none: long ago
+  std::optional<HostStart> start;  // not set: the host started long ago
   bool origin = false;
   int zone = 0;
   int cell = 0;  // within the zone
@@ -37,22 +38,23 @@
   double weight = 1;  // relative size
 };
 
-// kChanges: hosts that are not in the list stay as they are. kComplete: they are gone. kRejected:
-// discovery rejected the poll, and says nothing of hosts.
+// kChanges: hosts that are not in the list are unchanged. kComplete: hosts that are not in the list
+// are gone. kRejected: discovery rejected the poll, so there is no information about hosts.
 enum class ListKind { kChanges, kComplete, kRejected };
 
-// Which hosts there are: what endpoint lists and operators have said of each, who joined and who
-// left. Facts alone; what follows from them the policy decides. No I/O, no clock, no randomness.
+// The known hosts with their state from endpoint lists and operators' overrides. Reports which
+// hosts joined, left or started; the policy decides what to do about it. Uses no I/O, no clock and
+// no randomness.
 class HostRegistry {
  public:
-  // Overrides that are kept at a time. A hot restart passes on as many.
+  // Maximum number of overrides. A hot restart can transfer this many.
   static constexpr std::size_t kMaxOverrides = 4096;
 
   using Index = NamedSlots<int>::Index;
 
   struct Host {
     std::string id;
-    std::uint64_t last_list = 0;  // number of the last list that had it
+    std::uint64_t last_list = 0;  // number of the last list that contained it
     bool origin = false;
     int zone = 0;
     int cell = 0;
@@ -60,17 +62,17 @@
     bool out_of_service = false;  // by an operator's override
     double weight = 1;
     std::optional<HostStart> start;
-    int references = 0;  // it is not forgotten while there are any
+    int references = 0;  // the host is not removed while there are any
     std::optional<UnixTime> born() const {
       return start ? std::optional(start->born) : std::nullopt;
     }
-    // Whether new attempts may be sent to it.
+    // Returns whether new attempts may be sent to the host.
     bool takes_new() const { return state == HostState::kServing && !out_of_service; }
-    // Whether keys may be placed on it: it is a cache host and listed.
+    // Returns whether keys may be placed on the host: it is a listed cache host.
     bool is_placed() const { return !origin && state != HostState::kGone; }
   };
 
-  // An operator's word on a cache host.
+  // An operator's override of the service state of a cache host.
   struct OperatorOverride {
     bool out_of_service;
     Time since;
@@ -78,51 +80,52 @@
 
   struct HostChange {
     enum class Kind {
-      kStarted,            // a list tells of another start, at `at`
-      kStartedEarlier,     // the start that is known was earlier than was known, at `at`
+      kStarted,            // a list reports a new start, at `at`
+      kStartedEarlier,     // the known start is now known to have been earlier, at `at`
       kTakenOutOfService,  // by an override
       kReturnedToService,  // by an override; its process started at `at` or later
-      kJoined,             // is placed from now on
-      kLeft,               // is not placed any more
-      kForgotten           // its index is free and will stand for another host
+      kJoined,             // keys may be placed on it from now on
+      kLeft,               // keys may no longer be placed on it
+      kForgotten           // removed; its index may be reused for another host
     } kind;
     Index host;
     Time at{0};
   };
 
-  // `use_weights`: take the lists' weights; without, all hosts weigh 1. `override_retention`: how
-  // long an override is kept after the host was returned to service.
+  // `use_weights`: use the weights in host lists; otherwise all hosts have weight 1.
+  // `override_retention`: how long an override is kept after its host has returned to service.
   HostRegistry(bool use_weights, Duration override_retention)
       : use_weights_(use_weights), override_retention_(override_retention) {}
 
-  // Applies a list. Returns what it changed, in the order of the list.
+  // Applies a host list. Returns the changes in the order of the list.
   std::vector<HostChange> on_list(ListKind kind, const std::vector<HostEntry>& entries);
-  // Applies an override, of whatever host. Returns what it changed; nothing if there are
-  // kMaxOverrides of other hosts.
+  // Applies an override; the host need not be listed. Returns the changes. Ignores the override if
+  // there are already kMaxOverrides overrides of other hosts.
   std::vector<HostChange> restore(std::string_view id, OperatorOverride operator_override);
-  // Whether an override of the host would be kept: lists or operators know it as a cache host, and
-  // there are not too many. Drops overrides that are not needed any more.
+  // Removes overrides whose retention has expired, then returns whether an override of the host can
+  // be stored: the host already has one, or it is a listed cache host and there are fewer than
+  // kMaxOverrides.
   bool accepts_override(Time now, std::string_view id);
-  // Whether `out_of_service` differs from the override in force.
+  // Returns whether `out_of_service` differs from the current override of the host.
   bool differs_from_override(std::string_view id, bool out_of_service) const;
-  // Overrides in force, and those of hosts that were returned to service within the retention. At
-  // most kMaxOverrides.
+  // Returns the current overrides, including those of hosts that returned to service within the
+  // retention time. At most kMaxOverrides.
   const std::map<std::string, OperatorOverride, std::less<>>& overrides() const {
     return overrides_;
   }
 
-  // A host with references keeps its index.
-  void hold(Index i) { ++hosts_[i].references; }
-  // True if the host is forgotten with that.
-  bool release(Index i);
+  // Adds a reference. A host keeps its index while it has references.
+  void add_reference(Index i) { ++hosts_[i].references; }
+  // Removes a reference. Returns whether the host was removed as a result.
+  bool release_reference(Index i);
 
   const Host& operator[](Index i) const { return hosts_[i]; }
   std::optional<Index> find(std::string_view id) const { return hosts_.find(id); }
-  // The first origin that serves.
+  // Returns the first origin in state kServing.
   std::optional<Index> origin() const;
-  // Indices, free ones included.
+  // Returns the number of indices, including free ones.
   std::size_t size() const { return hosts_.size(); }
-  // Of all hosts that are placed.
+  // Returns the total weight of all hosts on which keys may be placed.
   double total_weight() const { return total_weight_; }
 
  private:
@@ -132,17 +135,18 @@
   void apply_override(Index i, const OperatorOverride& operator_override,
                       std::vector<HostChange>& changes);
   void remove_unlisted(ListKind kind, std::vector<HostChange>& changes);
-  bool forget_if_gone(Index i);
+  bool remove_if_unreferenced(Index i);
 
   const bool use_weights_;
   const Duration override_retention_;
   NamedSlots<Host> hosts_;
   double total_weight_ = 0;
-  std::uint64_t lists_ = 0;  // applied so far
+  std::uint64_t lists_ = 0;  // number of applied lists
   std::map<std::string, OperatorOverride, std::less<>> overrides_;
 };
 
-// Within 0.1 to 16: odd weights must neither drop a host from a placement nor let it flood it.
+// Clamps a weight to 0.1 to 16, so that an implausible weight neither removes a host from the
+// placement nor assigns it nearly all keys. A weight that is not finite becomes 0.1.
 double bounded_weight(double weight);
 
 }  // namespace balancer
--- a/src/policy/admission_controller.h
+++ b/src/policy/admission_controller.h
@@ -2,46 +2,48 @@
 
 #include <algorithm>
 
+#include "structures/in_flight_times.h"
 #include "structures/time.h"
-#include "structures/times_out.h"
 
 namespace balancer {
 
 // Admission control by the load-adaptive PI controller of Amani et al., section V. It keeps the
-// mean time of fetches from the origin at a target by admitting a fraction of what could arrive:
-// for fetches after a cache miss the rate of reads, since each might miss. The same controller
-// meters reads of the caches, with the share of slow answers in place of a time. `now` never goes
-// back. docs/design/loops.md says what is measured, and why the low point is what it is.
+// mean duration of fetches from the origin at a target by admitting a fraction of the possible
+// arrivals. For fetches after a cache miss these are all reads, since each read might miss. The
+// same controller also limits reads of the caches; its samples are then the share of slow answers
+// instead of durations. `now` never decreases between calls. docs/design/loops.md describes the
+// measurement and the choice of the low point.
 class AdmissionController {
  public:
-  // `target`: 1 ms at least.
+  // A `target` below 1 ms is raised to 1 ms.
   AdmissionController(Duration target, Time now);
 
-  // A read arrived that may come to need a fetch.
+  // Records the arrival of a read that may need a fetch.
   void on_read(Time now);
-  // Whether a fetch may be sent now; true takes a token.
+  // Returns whether a fetch may be sent now, and takes a token if so.
   bool admit(Time now);
-  // A fetch was sent.
+  // Records that a fetch was sent.
   void on_sent(Time now);
-  // A fetch that was sent at `sent_at` has ended.
+  // Records the end of a fetch that was sent at `sent_at`.
   void on_done(Time sent_at, Time now, bool failed);
-  // A fetch has ended in a way that says nothing of the origin.
+  // Records the end of a fetch whose outcome says nothing about the origin's load.
   void on_dropped(Time sent_at, Time now);
-  // In place of the three above, where the controlled value is not a time: a sample in seconds of
-  // the target's scale; below the target is good.
+  // Records one sample of a controlled value that is not a duration; used instead of on_sent(),
+  // on_done() and on_dropped(). `value` is on the target's scale, in seconds; values below the
+  // target count as good.
   void on_sample(Time now, double value);
-  // Ends the sampling periods that have passed.
+  // Completes all sampling periods that end at or before `now`.
   void advance(Time now);
 
-  // 0.05 to 1.
+  // Returns the admitted fraction of arrivals, 0.05 to 1.
   double admit_fraction() const { return admit_fraction_; }
-  // Takes the fraction of a process whose place this one takes; clamped to its bounds.
+  // Restores the admit fraction of the predecessor process, clamped to 0.05 to 1.
   void restore(double admit_fraction) { admit_fraction_ = std::clamp(admit_fraction, 0.05, 1.0); }
   bool admits_all() const { return admit_fraction_ >= 1; }
   Duration target() const { return from_seconds(target_); }
 
  private:
-  // A point of the paper's line from admitted rate to time.
+  // A point on the paper's line that maps the admitted rate to the fetch duration.
   struct Point {
     double rate;  // admit fraction
     double time;  // seconds
@@ -49,7 +51,8 @@
 
   void accumulate_in_flight(Time now);
   void end_period(Time now);
-  // One step of the controller. `mean`: of the samples, `since`: since the last step; in seconds.
+  // Runs one controller step. `mean`: mean of the samples, in seconds. `since`: time since the last
+  // step, in seconds.
   void control(double mean, double since);
 
   const double target_;  // seconds
@@ -64,18 +67,18 @@
   int periods_ = 0;
   int reads_ = 0;              // in this period
   double read_rate_ = 0;       // per second, smoothed
-  bool has_rejected_ = false;  // in the time since the last step
+  bool has_rejected_ = false;  // since the last step
   double tokens_;
   Time tokens_at_;
 
-  TimesOut in_flight_;
+  InFlightTimes in_flight_;
   Time accumulated_at_;
-  // Since the last step: time in flight of all fetches, in seconds, or the sum of the samples.
+  // Total time in flight of all fetches since the last step, in seconds, or the sum of the samples.
   double sample_sum_ = 0;
-  int samples_ = 0;       // that ended since then
-  int good_samples_ = 0;  // of these
+  int samples_ = 0;       // ended since the last step
+  int good_samples_ = 0;  // good ones among `samples_`
   double good_rate_ = 0;  // per second, smoothed
-  double max_good_ = 0;   // its recent maximum
+  double max_good_ = 0;   // recent maximum of `good_rate_`, per second
 };
 
 }  // namespace balancer
--- a/src/policy/attempt_observer.cc
+++ b/src/policy/attempt_observer.cc
@@ -3,7 +3,7 @@
 namespace balancer {
 namespace {
 
-// The ratios span about as many of the last answers.
+// Number of recent answers that the ratios are averaged over, approximately.
 constexpr double kRatioSamples = 32;
 constexpr double kScarceConnectFailureRatio = 0.05;
 
@@ -25,7 +25,7 @@
   observe_host(now, attempt, HostSignal::kOverloaded);
 }
 
-// What the first byte has told is not taken from the end of the answer again.
+// An answer that was already counted at its first byte is not counted again at its end.
 void AttemptObserver::on_outcome(Time now, const AttemptRecord& attempt, const OutcomeRule& rule,
                                  Result result) {
   const HostRegistry::Host& host = targets_.hosts[attempt.host];
@@ -72,7 +72,7 @@
   }
 }
 
-// An attempt that was found to be slow while in flight is not counted a second time at its end.
+// An attempt that was already counted as slow while in flight is not counted again at its end.
 void AttemptObserver::record_latency(Time now, const AttemptRecord& attempt, bool slow) {
   if (attempt.counted_slow) return;
   targets_.outliers[attempt.host].on_answer(now, slow);
--- a/src/policy/attempt_observer.h
+++ b/src/policy/attempt_observer.h
@@ -14,11 +14,12 @@
 
 namespace balancer {
 
-// Passes on what an attempt tells of its host, of the host's zone, of the origin and of the fleet.
-// Each attempt is observed at its first byte or at its end, and once before that if it is slow.
+// Updates the detectors and controllers from the results of attempts: the outlier detector of the
+// host, the failure detector of its zone, the admission controllers, and the fleet-wide ratios.
+// Each attempt is reported at its first byte or at its end, and once before that if it is slow.
 class AttemptObserver {
  public:
-  // Who learns from attempts. All are referred to and outlive the observer.
+  // The objects that are updated. They are held by reference and must outlive the observer.
   struct Targets {
     const HostRegistry& hosts;
     std::vector<OutlierDetector>& outliers;  // by index in the registry
@@ -30,16 +31,17 @@
 
   explicit AttemptObserver(const Targets& targets);
 
-  // The attempt's answer has begun.
+  // Records that the first byte of the attempt's answer was received.
   void on_first_byte(Time now, const AttemptRecord& attempt);
-  // The attempt is in flight for longer than its slow threshold. Its `counted_slow` is set after.
+  // Records that the attempt has been in flight for longer than its slow threshold. The caller sets
+  // its `counted_slow` afterwards.
   void on_slow(Time now, const AttemptRecord& attempt);
-  // The attempt has ended. Its `is_answering` tells whether its first byte was observed.
+  // Records the end of the attempt. Its `is_answering` is set if on_first_byte() was called for it.
   void on_outcome(Time now, const AttemptRecord& attempt, const OutcomeRule& rule, Result result);
 
-  // The share of slow answers among the last ones of all cache hosts, 0 to 1.
+  // Returns the share of slow answers among recent answers of all cache hosts, 0 to 1.
   double slow_answer_ratio() const { return slow_answer_ratio_.value(); }
-  // So many attempts get no connection that it is not a few hosts that are away.
+  // Returns whether more recent attempts got no connection than a few unavailable hosts explain.
   bool connections_are_scarce() const;
 
  private:
--- a/src/policy/client_retry_after.cc
+++ b/src/policy/client_retry_after.cc
@@ -5,7 +5,7 @@
 namespace balancer {
 namespace {
 
-// Longer than most clients' time for one answer.
+// Longer than most clients' timeout for one answer.
 constexpr Duration kRetryAfterOverload = std::chrono::milliseconds(2000);
 
 }  // namespace
--- a/src/policy/fetch_coalescer.h
+++ b/src/policy/fetch_coalescer.h
@@ -8,18 +8,18 @@
 
 namespace balancer {
 
-// One fetch of a key from the origin at a time: the request that fetches is the leader, others that
-// miss the key meanwhile follow it.
+// Limits fetches of a key from the origin to one at a time. The request that fetches the key is the
+// leader; other requests that miss the key meanwhile are its followers.
 class FetchCoalescer {
  public:
-  // Whether a request other than `id` fetches the key now.
+  // Returns whether a request other than `id` is fetching the key.
   bool has_other_leader(std::uint64_t key, RequestId id) const;
-  // The key is being fetched by another request; `id` waits for it.
+  // Registers `id` as a follower of the request that is fetching the key; there must be one.
   void follow(std::uint64_t key, RequestId id) { fetches_.at(key).followers.push_back(id); }
-  // `id` fetches the key from now on.
+  // Registers `id` as the leader for the key, unless the key already has a leader.
   void lead(std::uint64_t key, RequestId id) { fetches_.try_emplace(key, Fetch{id, {}}); }
-  // The leader's fetch has ended. Returns its followers in the order in which they came; none if
-  // `id` does not lead a fetch of the key.
+  // Ends the leader's fetch. Returns its followers in the order of their registration; empty if
+  // `id` is not the leader for the key.
   std::vector<RequestId> complete(std::uint64_t key, RequestId id);
 
  private:
--- a/src/policy/fleet_slow_start.cc
+++ b/src/policy/fleet_slow_start.cc
@@ -3,7 +3,7 @@
 namespace balancer {
 namespace {
 
-// Only needs to span a few requests per host.
+// Averaging time of the work rate; a few requests per host are enough.
 constexpr double kWorkMemorySeconds = 10;
 
 }  // namespace
--- a/src/policy/hash_ring.cc
+++ b/src/policy/hash_ring.cc
@@ -7,8 +7,8 @@
 namespace balancer {
 namespace {
 
-// Virtual nodes of a host of weight 1. Hosts' parts of the keys vary by about 1/sqrt(nodes) around
-// the mean.
+// Virtual nodes of a host of weight 1. The hosts' shares of the keys vary by about 1/sqrt(nodes)
+// around the mean.
 constexpr double kVirtualNodes = 100;
 
 }  // namespace
--- a/src/policy/hash_ring.h
+++ b/src/policy/hash_ring.h
@@ -10,15 +10,15 @@
 
 namespace balancer {
 
-// A consistent hash ring with virtual nodes. The nodes follow from host ids and static weights
-// alone: balancers that know the same hosts build the same ring, and a host that joins or leaves
-// moves only its own keys.
+// A consistent hash ring with virtual nodes. The nodes are computed from host ids and static
+// weights alone: balancers that know the same hosts build the same ring, and only the keys of a
+// host that joins or leaves move.
 class HashRing : public Placement {
  public:
   void insert(const std::vector<PlacedHost>& members) override;
   void erase(const std::set<Host>& hosts) override;
   std::uint64_t point(std::string_view key) const override { return stable_hash(key); }
-  // In ring order from the point, the same for every request.
+  // Offers the hosts in ring order starting at the point; the order is the same for every request.
   bool walk(std::uint64_t point, std::uint64_t request, Accept accept) const override;
 
  private:
--- a/src/policy/host_selector.h
+++ b/src/policy/host_selector.h
@@ -16,33 +16,33 @@
 
 namespace balancer {
 
-// One question to the HostSelector.
+// Parameters of one host selection.
 struct HostQuery {
   Time now{0};
-  // Over how many hosts the key's requests are spread; at least 1.
+  // Number of hosts that the key's requests are spread over; at least 1.
   std::size_t spread = 1;
-  // A retry takes the first candidate; other requests are spread.
+  // A retry uses the first suitable candidate; other requests are spread over `spread` hosts.
   bool is_retry = false;
-  // Hosts where this request has failed may be chosen again.
+  // Whether hosts where this request has failed may be chosen again.
   bool retries_same_host = false;
   // The host that has just stored the key, if the request waited for a fetch of it.
   std::optional<Placement::Host> stored_at;
-  // An attempt that is in flight for longer marks its host as stalled.
+  // A host with an attempt that has been in flight for longer than this counts as stalled.
   Duration stall_threshold{0};
 };
 
 struct HostSelection {
   std::optional<Placement::Host> host;
-  // No host was chosen, since one candidate after another is overloaded.
+  // No host was chosen because several candidates in a row are overloaded.
   bool is_overloaded = false;
 };
 
-// Chooses the cache host of an attempt: the key's owner, or the next candidate where the owner is
-// away, ejected, warming up, overloaded, or has failed this request before. If all others are out,
-// the first ejected one is chosen.
+// Chooses the cache host for an attempt: the key's owner, or the next candidate if the owner is
+// unavailable, ejected, warming up, overloaded, or has already failed this request. If no other
+// candidate is usable, the first ejected host is chosen.
 class HostSelector {
  public:
-  // What a selection reads. All are referred to and outlive the selector.
+  // The objects that a selection uses. They are held by reference and must outlive the selector.
   struct Sources {
     const Placement& placement;
     const HostRegistry& hosts;
--- a/src/policy/hot_key_spread.h
+++ b/src/policy/hot_key_spread.h
@@ -8,15 +8,15 @@
 
 namespace balancer {
 
-// Over how many hosts the requests of a key are spread. A hot key would overload a single owner
-// however many hosts there are.
+// Computes the number of hosts that the requests for a key are spread over. A hot key would
+// overload a single owner regardless of the number of hosts.
 class HotKeySpread {
  public:
   explicit HotKeySpread(Time now);
 
   void on_read(std::uint64_t key, Time now) { reads_.add(key, now); }
-  // At least 1; as many as bring each host's part of the key down to an ordinary share.
-  // `hosts`: the number of hosts that are known.
+  // Returns the number of hosts, at least 1, that is needed to reduce each host's part of the key's
+  // requests to an ordinary share of its load. `hosts`: number of known hosts.
   std::size_t spread(std::uint64_t key, std::size_t hosts) const;
 
  private:
--- a/src/policy/outcome_table.cc
+++ b/src/policy/outcome_table.cc
@@ -16,15 +16,15 @@
   OutcomeRule rule;
 };
 
-// kError and kReset are kError for the host, not kFailure: one now and then is the connection's or
-// the request's, and a host that is away refuses the next connection. But a host that answers
-// little else, and at once, would attract and fail all its keys: no time-out and no queue ever
-// shows it.
+// Results kError and kReset are HostSignal::kError, not kFailure: an occasional one may be caused
+// by the connection or the request, and a host that is unavailable refuses the next connection.
+// Several in a row still eject the host, because a host that quickly answers with errors would keep
+// failing all its keys without ever showing a time-out or a queue.
 constexpr Row kRows[] = {
     {Result::kOk,
      {State::kMayHaveRun, Host::kInTime, Zone::kReachable, Origin::kServed, Next::kAnswered}},
     {Result::kError,
-     {State::kMayHaveRun, Host::kError, Zone::kNone, Origin::kFailed, Next::kRetryFetchToo}},
+     {State::kMayHaveRun, Host::kError, Zone::kNone, Origin::kFailed, Next::kRetryOrRefetch}},
     {Result::kRejected,
      {State::kNeverRan, Host::kOverloaded, Zone::kReachable, Origin::kFailed, Next::kRetry}},
     {Result::kTimeout,
@@ -32,7 +32,8 @@
     {Result::kConnectFailed,
      {State::kNeverRan, Host::kFailure, Zone::kUnreachable, Origin::kFailed, Next::kRetry}},
     {Result::kReset,
-     {State::kMayHaveRun, Host::kError, Zone::kUnreachable, Origin::kFailed, Next::kRetryFetchToo}},
+     {State::kMayHaveRun, Host::kError, Zone::kUnreachable, Origin::kFailed,
+      Next::kRetryOrRefetch}},
     {Result::kCancelled,
      {State::kMayHaveRun, Host::kNone, Zone::kNone, Origin::kNone, Next::kRetry}},
     {Result::kNotSent,
@@ -40,9 +41,9 @@
     {Result::kMiss,
      {State::kMissed, Host::kInTime, Zone::kReachable, Origin::kFailed, Next::kFetch}},
     {Result::kRedirected,
-     {State::kNeverRan, Host::kInTime, Zone::kReachable, Origin::kNone, Next::kSendElsewhere}},
+     {State::kNeverRan, Host::kInTime, Zone::kReachable, Origin::kNone, Next::kResendUnbudgeted}},
     {Result::kWithdrawn,
-     {State::kNeverRan, Host::kNone, Zone::kNone, Origin::kNone, Next::kSendElsewhere}},
+     {State::kNeverRan, Host::kNone, Zone::kNone, Origin::kNone, Next::kResendUnbudgeted}},
 };
 
 constexpr bool is_in_order() {
--- a/src/policy/outcome_table.h
+++ b/src/policy/outcome_table.h
@@ -3,38 +3,38 @@
 #include "policy/request.h"
 #include "policy/request_state.h"
 
-// What the outcome of an attempt says: whether the request may have been executed, what it tells of
-// the host, its zone or the origin, and what the request does next.
+// Maps the result of an attempt to its consequences: whether the request may have been executed,
+// the signals for the host, its zone and the origin, and the next step of the request.
 namespace balancer {
 
-// What an outcome tells of the cache host.
+// Signal for the outlier detector of the cache host.
 enum class HostSignal {
   kNone,
-  kInTime,      // an answer in time
-  kOverloaded,  // counts as a slow answer: load
-  kError,       // some in a row eject the host
-  kFailure      // ejects the host
+  kInTime,      // answered in time
+  kOverloaded,  // counts as a slow answer
+  kError,       // ejects the host after several in a row
+  kFailure      // ejects the host immediately
 };
 
-// What it tells of the cache host's zone.
+// Signal for the failure detector of the cache host's zone.
 enum class ZoneSignal { kNone, kReachable, kUnreachable };
 
-// What it tells of the origin, where that was asked.
+// Signal for the admission controller of the origin, for attempts at the origin.
 enum class OriginSignal {
-  kNone,    // the time it took says nothing
-  kServed,  // a sample of the time that a fetch takes
-  kFailed   // a sample that counts as a slow one
+  kNone,    // the duration is not a sample
+  kServed,  // the duration is a sample
+  kFailed   // a sample that counts as slow
 };
 
-// What a request without its final answer does next. Writes to the origin are sent again wherever
+// Next step of a request that has no final answer yet. Writes to the origin are sent again whenever
 // the request's idempotency allows it, unless the step is kRejectOrFail.
 enum class NextStep {
-  kAnswered,       // nothing: it has its answer
-  kFetch,          // fetch the key from the origin
-  kRejectOrFail,   // no further attempt
-  kRetry,          // retry at a cache; not at the origin
-  kRetryFetchToo,  // retry at a cache; at the origin within the retry budget
-  kSendElsewhere   // send again, at no cost to the retry budget: no host has done any work
+  kAnswered,         // none: the request has its answer
+  kFetch,            // fetch the key from the origin
+  kRejectOrFail,     // no further attempt
+  kRetry,            // retry at a cache; not at the origin
+  kRetryOrRefetch,   // retry at a cache; at the origin within the retry budget
+  kResendUnbudgeted  // send again without using the retry budget: no host has done any work
 };
 
 struct OutcomeRule {
@@ -47,7 +47,7 @@
 
 const OutcomeRule& outcome_rule(Result result);
 
-// The request was not executed, and that is proven. A miss does not count: it did run.
+// Returns whether the request was provably not executed. False for a miss, which was executed.
 inline bool never_ran(Result result) {
   return outcome_rule(result).state == AttemptState::kNeverRan;
 }
--- a/src/policy/outlier_detector.cc
+++ b/src/policy/outlier_detector.cc
@@ -8,23 +8,23 @@
 constexpr Duration kBaseEjectionTime = std::chrono::seconds(1);
 constexpr Duration kMaxEjectionTime = std::chrono::seconds(8);
 constexpr int kMaxCountedFailures = 8;
-// With one answer in ten failing by chance, so many in a row come once in a thousand.
+// If one answer in ten fails at random, a given run of three errors has probability 1 in 1000.
 constexpr int kConsecutiveErrors = 3;
 
-// The load factor halves with each slow answer. It rises with each fast one, and with time, since a
-// host that is sent nothing could not show that it has recovered.
+// The load factor halves with each slow answer. It rises with each fast answer, and with time,
+// since a host that receives no requests could not show that it has recovered.
 constexpr double kSlowAnswerFactor = 0.5;
 constexpr double kFastAnswerStep = 0.1;
 constexpr double kRecoveryPerSecond = 0.005;
 constexpr double kMinLoadFactor = 0.1;
-// Answers that are so far apart count twice.
+// A slow answer counts twice if the previous answer is at least this old.
 constexpr double kRareAnswerSeconds = 2;
 
 }  // namespace
 
 void OutlierDetector::on_answer(Time now, bool slow) {
-  // The rarer this balancer's answers from the host, the more each must count: among hundreds of
-  // balancers, halving alone would take longer than the overload lasts.
+  // The fewer answers this balancer gets from the host, the more each one has to count: with
+  // hundreds of balancers, halving alone would take longer than the overload lasts.
   const double weight = 1 + std::min(1.0, seconds(now - load_factor_at_) / kRareAnswerSeconds);
   load_factor_ =
       slow ? std::max(kMinLoadFactor, load_factor(now) * std::pow(kSlowAnswerFactor, weight))
@@ -52,7 +52,7 @@
 }
 
 void OutlierDetector::on_failure(Time now, double jitter) {
-  if (is_ejected(now)) return;  // of an attempt from before the ejection
+  if (is_ejected(now)) return;  // an attempt sent before the ejection
   consecutive_failures_ = std::min(consecutive_failures_ + 1, kMaxCountedFailures);
   const Duration base =
       std::min(kBaseEjectionTime * (1 << (consecutive_failures_ - 1)), kMaxEjectionTime);
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -8,8 +8,7 @@
 
 namespace balancer {
 
-// Offers the cache hosts that may hold a key, in order of preference. The policy chooses among
-// them.
+// Lists the cache hosts that may hold a key, in order of preference. The policy chooses among them.
 class Placement {
  public:
   using Host = std::uint32_t;  // index in the host registry
@@ -19,11 +18,12 @@
     double weight;  // relative size
   };
 
-  // A reference to the caller's function, which is given a candidate and returns whether to stop
-  // there. Valid only during the call that it is passed to.
+  // A non-owning reference to the caller's function. The function receives a candidate and returns
+  // whether to stop. Valid only during the call that it is passed to.
   class Accept {
    public:
-    // The constraint keeps it from hiding the copy constructor, which clang-tidy 14 does not see.
+    // The constraint keeps this constructor from hiding the copy constructor; clang-tidy 14 does
+    // not recognize that.
     template <typename F>
     // NOLINTNEXTLINE(bugprone-forwarding-reference-overload)
     requires(!std::is_same_v<std::remove_cvref_t<F>, Accept>) Accept(F&& f)
@@ -39,15 +39,15 @@
 
   virtual ~Placement() = default;
   virtual void insert(const std::vector<PlacedHost>& joined) = 0;
-  // All of them were inserted.
+  // Removes the hosts, all of which must have been inserted.
   virtual void erase(const std::set<Host>& hosts) = 0;
-  // The position of a key; the same at every balancer.
+  // Returns the position of a key; the same at every balancer.
   virtual std::uint64_t point(std::string_view key) const = 0;
-  // Whether only the hosts that are offered for a key can serve it. Else any host could after a
-  // miss, and an overloaded host always hands on the same keys.
+  // Returns whether only the hosts that walk() offers for a key can serve it. Otherwise any host
+  // can serve it after a miss, and an overloaded host always sheds the same keys.
   virtual bool keys_are_sticky() const { return false; }
-  // Offers each host at most once until `accept` returns true; false if it never does. `request`:
-  // the id of the request, for placements that distribute requests of one key.
+  // Offers each host at most once until `accept` returns true. Returns whether it did. `request`:
+  // the id of the request, for placements that distribute the requests for one key.
   virtual bool walk(std::uint64_t point, std::uint64_t request, Accept accept) const = 0;
 };
 
--- a/src/policy/policy.cc
+++ b/src/policy/policy.cc
@@ -10,13 +10,16 @@
 namespace balancer {
 namespace {
 
-// Half of the shortest latency objective is left for the cache's answer and the network.
+// Share of the shortest latency objective used as the fetch target; the rest is left for the
+// cache's answer and the network.
 constexpr double kOriginTargetShare = 0.5;
 constexpr double kMaxOriginObjectiveSeconds = 3600;
-// Target of the caches' admission: 0.3 of the answers slow, written as 300 ms since the controller
-// takes a time. Beyond it not single hosts are slow but the caches.
+// Target of the admission to the caches: a share of 0.3 slow answers, expressed as 300 ms because
+// the controller takes a duration. A larger share means that the caches as a whole are slow, and
+// not only single hosts.
 constexpr Duration kSlowAnswerTarget = std::chrono::milliseconds(300);
-// Admission controllers that sample in step across the fleet would all close and reopen together.
+// If the admission controllers of a fleet sampled at the same times, they would all close and
+// reopen together.
 constexpr double kSamplingJitterSeconds = 0.5;
 constexpr double kOverloadedSlowAnswerRatio = 0.25;
 constexpr double kInitialMeanWorkSeconds = 0.05;
@@ -81,8 +84,8 @@
   apply(host_registry_.on_list(kind, entries));
 }
 
-// The placement changes once for all changes. A host that joined and left again within them never
-// was in it.
+// Updates the placement once for all changes. A host that joined and left again within them is
+// never inserted.
 void Policy::apply(const std::vector<HostRegistry::HostChange>& changes) {
   using Kind = HostRegistry::HostChange::Kind;
   outliers_.resize(host_registry_.size());
@@ -119,7 +122,7 @@
       break;
     case Kind::kForgotten:
       outliers_[change.host] = {};
-      slow_start_.forget(change.host);
+      slow_start_.reset(change.host);
       break;
     case Kind::kJoined:
     case Kind::kLeft:
@@ -149,8 +152,8 @@
   return checkpoint;
 }
 
-// Without it the process would send nothing to hosts in slow start at first, and too much to slow
-// ones and to the origin.
+// Without this state the process would initially send nothing to hosts in slow start, and too much
+// to slow hosts and to the origin.
 void Policy::restore(Time now, const PolicyCheckpoint& from) {
   slow_start_.restore_work_rate(now, from.work_rate);
   origin_admission_.restore(from.origin);
@@ -160,7 +163,7 @@
       outliers_[*listed].restore_load_factor(now, factor);
 }
 
-// ---- the only places where attempts and final answers leave
+// ---- the only functions that send attempts and final answers
 
 bool Policy::send(RequestState& request, HostIndex index, Time until) {
   const Host& host = host_registry_[index];
@@ -169,7 +172,7 @@
   if (!host.takes_new()) return false;
   if (!retry_policy_.may_attempt(request, host, now_)) return false;
   if (!slow_start_.has_budget(index, now_, request.work)) return false;
-  host_registry_.hold(index);
+  host_registry_.add_reference(index);
   slow_start_.spend(index, request.work);
   outliers_[index].on_sent(now_);
   request.attempts.push_back({index, now_});
@@ -194,12 +197,12 @@
                                               admit_draw, jitter, settings_.max_retry_after));
 }
 
-// An attempt that is still in flight may yet answer.
+// Does nothing while an attempt is in flight, since that attempt may still succeed.
 void Policy::reject_or_fail_if_idle(RequestState& request) {
   if (request.in_flight() == 0) reject_or_fail(request);
 }
 
-// ---- where a request goes
+// ---- routing of requests
 
 void Policy::on_request(Time now, const Request& arrived) {
   now_ = now;
@@ -219,7 +222,8 @@
 }
 
 void Policy::route(RequestState& request, int tenant) {
-  // One tenant's burst would overload the hosts for all. Where there is capacity it is served.
+  // A burst of one tenant must not overload the hosts for all others. Requests beyond the quota are
+  // only rejected under overload; otherwise they are served.
   const bool within_quota = tenant_quota_.admit(tenant, now_);
   request.exceeds_quota =
       !within_quota && attempt_observer_.slow_answer_ratio() > kOverloadedSlowAnswerRatio;
@@ -232,8 +236,9 @@
   }
 }
 
-// Among hundreds of balancers each sees too little of any one host to judge it. Where most answers
-// of all are slow, what none of the overloaded hosts can answer in time must not reach them.
+// With hundreds of balancers, each one sees too few answers of any single host to assess it. When a
+// large share of all answers is slow, the requests that the overloaded hosts cannot answer in time
+// must not reach them.
 void Policy::route_read(RequestState& request) {
   origin_admission_.on_read(now_);
   hot_keys_.on_read(request.key, now_);
@@ -241,7 +246,7 @@
   if (cache_admission_.admit(now_)) {
     send_to_cache(request);
   } else {
-    fetch_past_caches(request);
+    fetch_bypassing_caches(request);
   }
 }
 
@@ -250,7 +255,8 @@
   if (!origin || !send(request, *origin, request.deadline)) reject_or_fail_if_idle(request);
 }
 
-// The ordinary path. `stored_at`: where a fetch of the key has just been stored, if one has.
+// Sends the request to a cache host, the regular path. `stored_at`: the host that has just stored
+// the fetched key, if any.
 void Policy::send_to_cache(RequestState& request, std::optional<HostIndex> stored_at) {
   HostQuery query;
   query.now = now_;
@@ -259,13 +265,13 @@
   query.retries_same_host = retry_policy_.retries_same_host(request);
   query.stored_at = stored_at;
   query.stall_threshold = origin_admission_.target();
-  // The next candidate of a key that is not hot would most likely miss, so an origin that admits
-  // all is asked at once.
+  // The next candidate most likely misses for a key that is not hot, so the key is fetched directly
+  // if the origin admits everything.
   const bool next_would_miss = query.spread == 1 && origin_admission_.admits_all();
   if (query.is_retry && (!retry_policy_.has_budget() || next_would_miss))
-    return fetch_past_caches(request);
+    return fetch_bypassing_caches(request);
   const HostSelection selection = host_selector_.select(request, query);
-  if (selection.is_overloaded) return fetch_past_caches(request);
+  if (selection.is_overloaded) return fetch_bypassing_caches(request);
   if (!selection.host) {
     if (settings_.cache_aside && !request.write) return fetch_after_miss(request);
     return reject_or_fail_if_idle(request);
@@ -276,7 +282,8 @@
   request.slow_timer = add_timer(now_ + slow_threshold(request), TimerKind::kSlow, request.id);
 }
 
-// One fetch of a key is in flight at a time; other requests wait for it and ask the cache again.
+// Only one fetch of a key is in flight at a time; other requests wait for it and then query the
+// cache again.
 void Policy::fetch_after_miss(RequestState& request) {
   if (fetches_.has_other_leader(request.key, request.id)) {
     if (!request.awaits_fetch) fetches_.follow(request.key, request.id);
@@ -287,22 +294,24 @@
   fetches_.lead(request.key, request.id);
 }
 
-// A request for which the caches have no capacity. As long as the origin admits all it has some,
-// and to reject would waste it. Such a fetch is stored nowhere, so nothing waits for it.
-void Policy::fetch_past_caches(RequestState& request) {
+// Handles a request for which the caches have no capacity. While the origin admits everything it
+// has spare capacity, which a rejection would waste. The result of such a fetch is not stored in a
+// cache, so no other request waits for it.
+void Policy::fetch_bypassing_caches(RequestState& request) {
   const bool may_fetch = settings_.cache_aside && !request.write && origin_admission_.admits_all();
   if (!may_fetch || !send_admitted_fetch(request)) reject_or_fail_if_idle(request);
 }
 
 bool Policy::send_admitted_fetch(RequestState& request) {
   const auto origin = host_registry_.origin();
-  // Where not all can be fetched, a fetch is for a request whose answer may yet meet its objective.
+  // When not everything is admitted, only requests that can still meet their latency objective are
+  // fetched.
   const bool would_be_late = now_ + origin_admission_.target() >= request.objective_at;
   if (!origin_admission_.admits_all() && would_be_late) return false;
   return origin && origin_admission_.admit(now_) && send(request, *origin, request.deadline);
 }
 
-// ---- after an attempt
+// ---- handling of ended and slow attempts
 
 void Policy::on_outcome(Time now, const Outcome& outcome) {
   now_ = now;
@@ -316,27 +325,28 @@
   if (!attempt.is_answering) outliers_[attempt.host].on_ended(attempt.sent_at);
   attempt.state = rule.state;
   attempt.was_reset = outcome.result == Result::kReset;
-  attempt.host_did_no_work = rule.next == NextStep::kSendElsewhere;
+  attempt.host_did_no_work = rule.next == NextStep::kResendUnbudgeted;
   request.withdrawn_attempts += outcome.result == Result::kWithdrawn;
   attempt_observer_.on_outcome(now, attempt, rule, outcome.result);
   close_idle_if_scarce(attempt.host);
   const bool from_origin = host_registry_[attempt.host].origin;
   const bool served = rule.next == NextStep::kAnswered;
   if (outcome.finished || served) request.finished = true;
-  const AttemptRecord ended = attempt;  // a further attempt may move the list
+  const AttemptRecord ended = attempt;  // a copy: a further attempt may reallocate the list
   const bool refetches = !request.finished && continue_request(request, ended, rule.next);
   if (from_origin && !refetches) complete_fetch(request, served);
   erase_if_done(outcome.id);
 }
 
-// Hosts accept so many connections: idle ones of a large fleet's balancers would keep others out.
+// Hosts accept a limited number of connections. Idle connections of the many balancers of a large
+// fleet would use them up.
 void Policy::close_idle_if_scarce(HostIndex index) {
   const Host& host = host_registry_[index];
   if (attempt_observer_.connections_are_scarce() && !host.origin && outliers_[index].is_idle())
     sink_.close_idle(host.id);
 }
 
-// Returns whether the origin is asked again for the key that this request fetches.
+// Returns whether the key that this request fetches was requested from the origin again.
 bool Policy::continue_request(RequestState& request, const AttemptRecord& attempt, NextStep step) {
   const bool from_origin = host_registry_[attempt.host].origin;
   if (step == NextStep::kFetch && settings_.cache_aside && !request.write) {
@@ -361,20 +371,20 @@
   add_timer(now_ + backoff, TimerKind::kResend, request.id);
 }
 
-// An answer that could not be read or broke off says nothing against a further fetch, within the
-// retry budget, and admitted like every other.
+// An unreadable or incomplete answer does not rule out another fetch. It counts against the retry
+// budget and needs admission like any other fetch.
 bool Policy::refetch(RequestState& request, NextStep step) {
-  if (step == NextStep::kRetryFetchToo) {
+  if (step == NextStep::kRetryOrRefetch) {
     if (!retry_policy_.has_budget()) return false;
     retry_policy_.spend_budget();
-  } else if (step != NextStep::kSendElsewhere) {
+  } else if (step != NextStep::kResendUnbudgeted) {
     return false;
   }
   return send_admitted_fetch(request);
 }
 
-// Followers ask the cache that has stored the key; after a failed fetch the first of them leads the
-// next one.
+// After a successful fetch the followers query the cache host that has stored the key. After a
+// failed fetch the first follower becomes the leader of the next one.
 void Policy::complete_fetch(const RequestState& leader, bool stored) {
   const auto missed =
       std::find_if(leader.attempts.begin(), leader.attempts.end(),
@@ -450,7 +460,8 @@
   if (retry_policy_.may_hedge(request, now_)) send_to_cache(request);
 }
 
-// A request stays known until its last attempt has ended: late outcomes still tell of the hosts.
+// A request is kept until its last attempt has ended, because late outcomes still provide
+// information about the hosts.
 void Policy::erase_if_done(RequestId id) {
   const auto it = requests_.find(id);
   if (it == requests_.end() || !it->second.finished || it->second.in_flight() > 0) return;
@@ -459,14 +470,14 @@
     if (timers_.take(tag)) sink_.drop_timer(tag);
   requests_.erase(it);
   for (const AttemptRecord& attempt : attempts) {
-    if (!host_registry_.release(attempt.host)) continue;
+    if (!host_registry_.release_reference(attempt.host)) continue;
     outliers_[attempt.host] = {};
-    slow_start_.forget(attempt.host);
+    slow_start_.reset(attempt.host);
   }
 }
 
-// How long a cache may take before it counts as slow: the origin's target, and the work of the
-// request on a host of half the usual speed.
+// Returns the time after which an attempt at a cache counts as slow: the origin's target plus the
+// time that the request takes on a host of half the usual speed.
 Duration Policy::slow_threshold(const RequestState& request) const {
   return origin_admission_.target() + from_seconds(2 * request.work);
 }
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -31,61 +31,64 @@
 
 namespace balancer {
 
-// What the policy wants done. Calls come from within the policy's event functions; none of them may
-// call back into the policy.
+// Receives the actions of the policy. The functions are called from within the policy's event
+// functions and must not call back into the policy.
 class ActionSink {
  public:
   virtual ~ActionSink() = default;
-  // Starts an attempt, which ends by `until`. Attempts of a request are numbered from 0.
+  // Starts an attempt that must end by `until`. The attempts of a request are numbered from 0.
   virtual void send(RequestId id, std::string_view host, Time until) = 0;
-  // The final answer: nothing ran that a retry could repeat to harm. `retry_after`: 0 for none.
+  // Sends a rejection as the final answer: the client can safely retry. `retry_after`: 0 for none.
   virtual void reject(RequestId id, Duration retry_after) = 0;
-  // The final answer where the request may have run.
+  // Sends a failure as the final answer: the request may have been executed.
   virtual void fail(RequestId id) = 0;
-  // Calls Policy::on_timer with the tag at that time.
+  // Requests a call of Policy::on_timer() with `tag` at time `at`.
   virtual void set_timer(Time at, std::uint64_t tag) = 0;
-  // The timer is not needed any more, and does no harm if it fires.
+  // Reports that a timer is no longer needed. It may still fire without effect.
   virtual void drop_timer(std::uint64_t) {}
-  // Polls the host list.
+  // Requests a poll of the host list.
   virtual void subscribe() = 0;
   // Closes the idle connections to a host.
   virtual void close_idle(std::string_view host) = 0;
 };
 
-// The decisions of one balancer. Events go in, actions come out through the sink; nothing here
-// does I/O, reads a clock, starts a thread or shares state with another instance. `now` never goes
-// back from one call to the next. Each decision has a module of its own in this folder; this class
-// calls them in the order of a request's life.
+// Makes the decisions of one balancer. It receives events and emits actions through the sink. It
+// does no I/O, reads no clock, starts no threads and shares no state with other instances. `now`
+// must not decrease from one call to the next. Each decision is implemented by a module of its own
+// in this folder; this class calls the modules in the order of a request's life cycle.
 class Policy {
  public:
-  // `placement`, which outlives the policy, offers the hosts of a key; without one a hash ring
-  // does.
+  // `placement` lists the candidate hosts of a key and must outlive the policy; a hash ring is used
+  // if it is null.
   Policy(const Settings& settings, std::uint64_t seed, Time now, ActionSink& sink,
          Placement* placement = nullptr);
 
-  // The host list was answered, or its poll rejected.
+  // Handles a host list, or the rejection of a poll (ListKind::kRejected).
   void on_hosts(Time now, ListKind kind, const std::vector<HostEntry>& entries);
   void on_request(Time now, const Request& request);
-  // An attempt has ended. Outcomes of unknown requests and attempts are ignored.
+  // Handles the end of an attempt. Outcomes of unknown requests and attempts are ignored.
   void on_outcome(Time now, const Outcome& outcome);
-  // The request's answer has begun. `attempt`: whose byte it is, where that is known; the rest of
-  // that attempt's time is the reader's and tells nothing of its host.
+  // Handles the first byte of the request's answer. `attempt`: the attempt that received it, if
+  // known. The remaining duration of that attempt depends on how fast the client reads and is not
+  // counted for its host.
   void on_first_byte(Time now, RequestId id, std::optional<int> attempt = std::nullopt);
-  // The client has gone.
+  // Handles the cancellation of the request by its client.
   void on_withdrawn(Time now, RequestId id);
   void on_timer(Time now, std::uint64_t tag);
 
   using OperatorOverride = HostRegistry::OperatorOverride;
-  // An operator takes a cache host out of service, or puts it back. It gets nothing new while it is
-  // out, whatever lists say. False if neither lists nor operators know the host.
+  // Takes a cache host out of service or returns it to service on an operator's request. No new
+  // attempts are sent to the host while it is out of service, regardless of host lists. Returns
+  // false if HostRegistry does not accept the override: the host is neither a listed cache host nor
+  // overridden already, or there are too many overrides.
   bool on_maintenance(Time now, std::string_view host, bool out);
   const std::map<std::string, OperatorOverride, std::less<>>& overrides() const {
     return host_registry_.overrides();
   }
-  // An override that was given to the process whose place this one takes, on whatever host.
+  // Restores an override of the predecessor process. The host need not be listed.
   void restore(Time now, std::string_view host, OperatorOverride operator_override);
 
-  // What a process that takes this one's place would have to learn anew.
+  // State that a successor process would otherwise have to learn again.
   struct PolicyCheckpoint {
     double work_rate;  // work sent to cache hosts, in seconds per second
     double origin;     // admit fraction of fetches, 0 to 1
@@ -95,9 +98,9 @@
   PolicyCheckpoint checkpoint(Time now) const;
   void restore(Time now, const PolicyCheckpoint& from);
 
-  // Indices of the registry, free ones included.
-  std::size_t host_places() const { return host_registry_.size(); }
-  // The host as it is known now; null if it is not listed.
+  // Returns the number of indices in the host registry, including free ones.
+  std::size_t host_slot_count() const { return host_registry_.size(); }
+  // Returns the current state of the host, or null if it is not in the registry.
   const HostRegistry::Host* host(std::string_view id) const;
 
  private:
@@ -114,21 +117,21 @@
   void apply(const std::vector<HostRegistry::HostChange>& changes);
   void apply(const HostRegistry::HostChange& change);
 
-  // ---- the only places where attempts and final answers leave
+  // ---- the only functions that send attempts and final answers
   bool send(RequestState& request, HostIndex host, Time until);
   void reject_or_fail(RequestState& request);
   void reject_or_fail_if_idle(RequestState& request);
 
-  // ---- where a request goes
+  // ---- routing of requests
   void route(RequestState& request, int tenant);
   void route_read(RequestState& request);
   void send_write(RequestState& request);
   void send_to_cache(RequestState& request, std::optional<HostIndex> stored_at = std::nullopt);
   void fetch_after_miss(RequestState& request);
-  void fetch_past_caches(RequestState& request);
+  void fetch_bypassing_caches(RequestState& request);
   bool send_admitted_fetch(RequestState& request);
 
-  // ---- after an attempt
+  // ---- handling of ended and slow attempts
   bool continue_request(RequestState& request, const AttemptRecord& attempt, NextStep step);
   void continue_write(RequestState& request, const AttemptRecord& attempt);
   bool refetch(RequestState& request, NextStep step);
@@ -145,8 +148,8 @@
   ActionSink& sink_;
   UniformRandom random_;
   Time now_;
-  AdmissionController origin_admission_;  // fetches, by the time they take
-  AdmissionController cache_admission_;   // reads, by the share of slow answers
+  AdmissionController origin_admission_;  // fetches, controlled by their duration
+  AdmissionController cache_admission_;   // reads, controlled by the share of slow answers
   HashRing ring_;
   Placement& placement_;
   HostRegistry host_registry_;
--- a/src/policy/poll_backoff.cc
+++ b/src/policy/poll_backoff.cc
@@ -9,7 +9,7 @@
 using std::chrono::milliseconds;
 
 constexpr Duration kBaseBackoff = milliseconds(250);
-constexpr Duration kMaxBackoff = milliseconds(2000);  // a change must be known within 6 s
+constexpr Duration kMaxBackoff = milliseconds(2000);  // changes have to be received within 6 s
 constexpr int kMaxDoublings = 10;
 
 }  // namespace
--- a/src/policy/poll_backoff.h
+++ b/src/policy/poll_backoff.h
@@ -4,17 +4,18 @@
 
 namespace balancer {
 
-// When the host list is polled where it has to be polled, and how polls back off while discovery
-// rejects them. Polling again at once, and in step with others, would keep it overloaded.
+// Computes the delays between polls of the host list: a random one before the first poll, and an
+// exponential backoff while discovery rejects polls. Immediate or simultaneous polls of many
+// balancers would keep discovery overloaded.
 class PollBackoff {
  public:
   explicit PollBackoff(Duration max_poll_interval) : max_poll_interval_(max_poll_interval) {}
 
-  // Time until the first poll; spread, so that balancers that start together do not poll together.
-  // `jitter`, here and below: random, in [0, 1).
+  // Returns the time until the first poll, spread so that balancers that start at the same time do
+  // not poll at the same time. `jitter`, here and below: random, in [0, 1).
   Duration initial_delay(double jitter) const;
   void on_list() { consecutive_rejections_ = 0; }
-  // Time until the next poll after one that was rejected: exponential, 2 s at most.
+  // Returns the time until the next poll after a rejected one: exponential backoff, at most 2 s.
   Duration after_rejection(double jitter);
 
  private:
--- a/src/policy/recent_ratio.h
+++ b/src/policy/recent_ratio.h
@@ -2,7 +2,8 @@
 
 namespace balancer {
 
-// The share of recent samples that were true, each sample weighing 1/`samples` of the whole.
+// Exponential moving average of boolean samples: the share of recent samples that were true. Each
+// new sample has weight 1/`samples`.
 class RecentRatio {
  public:
   explicit RecentRatio(double samples) : samples_(samples) {}
--- a/src/policy/request.h
+++ b/src/policy/request.h
@@ -6,60 +6,60 @@
 
 #include "structures/time.h"
 
-// What the policy is told of requests and their attempts.
+// Descriptions of requests and of the outcomes of their attempts, as the policy receives them.
 namespace balancer {
 
 using RequestId = std::uint64_t;
 
-// Whether a second execution of a request does harm.
+// Whether a request may safely be executed twice.
 enum class Idempotency {
-  kIdempotent,      // never
-  kIdempotencyKey,  // not where a host remembers the first one by its key
-  kNone             // always
+  kIdempotent,      // always
+  kIdempotencyKey,  // only on hosts that recognize the repetition by its idempotency key
+  kNone             // never
 };
 
-// The hosts that discard repeats of a request with an idempotency key.
+// The set of hosts that discard repetitions of a request with an idempotency key.
 enum class DeduplicationScope { kAll, kZone, kCell };
 
 struct RequestClass {
-  Duration latency_objective{0};  // an answer has its full value until then
-  Duration deadline{0};           // the client's time for all its attempts
+  Duration latency_objective{0};  // answers within this time have their full value
+  Duration deadline{0};           // time that the client allows for all its attempts
   Idempotency idempotency = Idempotency::kNone;
   DeduplicationScope scope = DeduplicationScope::kAll;
-  Duration deduplication_window{0};  // how long repeats of a keyed request are discarded
+  Duration deduplication_window{0};  // how long repetitions of a keyed request are discarded
 };
 
 struct Request {
   RequestId id = 0;
   int request_class = 0;  // index into Settings::classes
-  int tenant = 0;         // index into Settings::tenant_quotas; outside of it: no quota
+  int tenant = 0;         // index into Settings::tenant_quotas; no quota if out of range
   std::optional<std::string_view> key;
   bool write = false;
-  std::optional<Duration> work;  // time on an idle host, a rough hint
+  std::optional<Duration> work;  // execution time on an idle host, an approximate hint
   Duration time_left{0};         // until the client abandons this request
 };
 
-// How an attempt ended. outcome_table.h says what follows from each.
+// How an attempt ended. outcome_table.h defines the consequences of each result.
 enum class Result {
   kOk,
-  kError,          // an answer that reports a failure, or that cannot be read
-  kRejected,       // the host answered that it takes no more
-  kTimeout,        // no answer in the attempt's time
-  kConnectFailed,  // not written whole: no connection in time, or it broke before
+  kError,          // the answer reports a failure or cannot be parsed
+  kRejected,       // the host answered that it is overloaded
+  kTimeout,        // no answer before the end of the attempt
+  kConnectFailed,  // not completely written: no connection in time, or it broke before
   kReset,          // the connection ended before the answer was complete
   kCancelled,      // reported by the simulator only
   kNotSent,        // ended by this balancer before it was sent
   kMiss,           // the cache does not hold the key
-  kRedirected,     // a complete answer that names another host, and proves that nothing ran
-  kWithdrawn       // before its first byte, as the host takes nothing new by now, or is another
+  kRedirected,     // a complete answer that names another host and proves that nothing was executed
+  kWithdrawn       // never sent: the host accepts no new attempts or was replaced
 };
 
 // The end of one attempt.
 struct Outcome {
   RequestId id = 0;
-  int attempt = 0;  // counts from 0 in the order of the request's sends
+  int attempt = 0;  // number of the attempt, from 0 in sending order
   Result result = Result::kOk;
-  bool finished = false;  // the request has had its final answer
+  bool finished = false;  // the request has received its final answer
 };
 
 }  // namespace balancer
--- a/src/policy/request_state.h
+++ b/src/policy/request_state.h
@@ -17,27 +17,27 @@
   Placement::Host host;
   Time sent_at;
   AttemptState state = AttemptState::kInFlight;
-  bool counted_slow = false;      // its host has been charged with a slow answer for it
+  bool counted_slow = false;      // was counted as a slow answer of its host
   bool was_reset = false;         // its connection ended before the answer was complete
-  bool is_answering = false;      // the first byte of its answer has come
+  bool is_answering = false;      // the first byte of its answer was received
   bool host_did_no_work = false;  // redirected or withdrawn
 };
 
-// A request from its arrival until its last attempt has ended.
+// State of a request from its arrival until its last attempt has ended.
 struct RequestState {
   RequestId id = 0;
   int request_class = 0;
-  std::uint64_t key = 0;  // its point in the placement
+  std::uint64_t key = 0;  // position of the key in the placement
   bool write = false;
   double work = 0;  // expected, in seconds on an idle host
   Time objective_at{0}, deadline{0};
   std::vector<AttemptRecord> attempts;
   int withdrawn_attempts = 0;
   bool exceeds_quota = false;                        // rejected because of its tenant's quota
-  bool finished = false;                             // had its final answer
-  bool is_streaming = false;                         // its answer has begun
-  bool awaits_fetch = false;                         // of its key, by another request here
-  std::uint64_t deadline_timer = 0, slow_timer = 0;  // tags
+  bool finished = false;                             // has received its final answer
+  bool is_streaming = false;                         // the first byte of its answer was received
+  bool awaits_fetch = false;                         // waits for another request to fetch its key
+  std::uint64_t deadline_timer = 0, slow_timer = 0;  // timer tags
 
   int count(AttemptState state) const {
     return static_cast<int>(
--- a/src/policy/retry_policy.cc
+++ b/src/policy/retry_policy.cc
@@ -6,8 +6,8 @@
 namespace balancer {
 namespace {
 
-// Retries at caches, hedged requests and repeated fetches together may come to a tenth of the
-// requests, with a few in hand for a quiet balancer.
+// Retries at caches, hedged requests and repeated fetches together are limited to a tenth of the
+// requests, plus a small reserve for balancers with little traffic.
 constexpr double kRetriesPerRequest = 0.1;
 constexpr double kMaxRetryBudget = 5;
 constexpr Duration kResendBackoff = std::chrono::milliseconds(50);
@@ -40,7 +40,7 @@
   return true;
 }
 
-// Whether `host` discards a repeat of what `earlier` may have run.
+// Returns whether `host` discards a repetition of a request that `earlier` may have executed.
 bool RetryPolicy::is_deduplicated(const AttemptRecord& earlier, const RequestClass& request_class,
                                   const HostRegistry::Host& host, Time now) const {
   const HostRegistry::Host& first = hosts_[earlier.host];
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -7,39 +7,42 @@
 
 namespace balancer {
 
-// When a request may have a further attempt or a hedged one, and when a rejection may be promised.
+// Decides whether a request may be retried or hedged, and whether it may be rejected as safe to
+// retry.
 class RetryPolicy {
  public:
-  // Both are referred to and outlive it.
+  // Both are held by reference and must outlive this object.
   RetryPolicy(const Settings& settings, const HostRegistry& hosts);
 
-  // A request arrived: it adds its part to the retry budget.
+  // Adds the share of an arrived request to the retry budget.
   void on_request();
-  // Whether the retry budget allows one more retry. Time-outs and full queues that each bring
-  // another attempt multiply the load that caused them.
+  // Returns whether the retry budget allows one more retry. If every time-out and every full queue
+  // led to another attempt, retries would multiply the load that caused them.
   bool has_budget() const { return budget_ >= 1; }
   void spend_budget() { budget_ -= 1; }
 
-  // Whether the request has attempts left.
+  // Returns whether the request has attempts left.
   bool has_attempts_left(const RequestState& request) const;
-  // Whether an attempt at `host` cannot have an effect that an earlier one may have had: a second
-  // run of a request that is not idempotent, or of a keyed one where no host remembers the first,
-  // would book or charge again.
+  // Returns whether an attempt at `host` cannot repeat an effect of an earlier attempt. A second
+  // execution of a request that is not idempotent, or of a keyed request on a host that does not
+  // know the first execution, could for example book or charge twice.
   bool may_attempt(const RequestState& request, const HostRegistry::Host& host, Time now) const;
-  // Whether the next attempt at a cache counts against the retry budget. A follower that asks again
-  // after a fetch is no retry, nor is an attempt after one that cost no host any work.
+  // Returns whether the next attempt at a cache counts against the retry budget. The attempt of a
+  // follower after a fetch does not count, nor does an attempt after one that cost no host any
+  // work.
   bool is_retry(const RequestState& request) const;
-  // Whether the host of the first attempt may be asked once more. Where its connection broke, the
-  // host and its copy of the key are still there, as long as it is not ejected. That is no sign of
-  // load and comes once a request, so it needs no retry budget.
+  // Returns whether the host of the first attempt may be tried once more. If only the connection
+  // broke, the host still has its copy of the key, as long as it is not ejected. A broken
+  // connection is no sign of load, and this happens at most once per request, so it needs no retry
+  // budget.
   bool retries_same_host(const RequestState& request) const;
-  // Whether a slow attempt may get a hedged request beside it.
+  // Returns whether a hedged request may be sent in addition to the slow attempt.
   bool may_hedge(const RequestState& request, Time now) const;
-  // Whether the request may be rejected in place of failed: a rejection tells the client that a
-  // retry does no harm.
+  // Returns whether the request may be rejected rather than failed. A rejection tells the client
+  // that a retry is safe.
   bool may_reject(const RequestState& request) const;
-  // Time until a write that never ran is sent again: 100 ms after the first attempt, doubled with
-  // each further one, times 0.5 to 1.5. `jitter`: random, in [0, 1).
+  // Returns the time until a write that was not executed is sent again: 100 ms after the first
+  // attempt, doubled with each further attempt, times 0.5 to 1.5. `jitter`: random, in [0, 1).
   static Duration resend_backoff(const RequestState& request, double jitter);
 
  private:
--- a/src/policy/tenant_quota.cc
+++ b/src/policy/tenant_quota.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kArrivalMemorySeconds = 10;
-// Unused quota is kept for so long, so that an uneven stream is not taken for a surplus.
+// Time for which unused quota is kept, so that uneven traffic within the quota is not rejected.
 constexpr double kBurstSeconds = 5;
 constexpr double kMinBurst = 3;  // requests
 
@@ -29,15 +29,16 @@
   return buckets_[tenant].take(now, rate, std::max(kMinBurst, kBurstSeconds * rate));
 }
 
-// This balancer's part of the tenant's quota, in requests per second: an even one, or larger where
-// more than an even part of all other tenants' requests arrives here. Among hundreds of balancers
-// some see several times the mean and would reject what lies within the quota. A burst of the
-// tenant's own does not raise it.
+// Returns this balancer's share of the tenant's quota, in requests per second. It is an equal
+// share, scaled up if more than an equal share of all other tenants' requests arrives here: among
+// hundreds of balancers some receive several times the mean and would otherwise reject requests
+// that are within the quota. The tenant's own requests are not counted, so its own burst does not
+// increase its share.
 double TenantQuota::local_rate(int tenant, Time now) const {
-  const double even = quotas_[tenant] / balancers_;
+  const double equal_share = quotas_[tenant] / balancers_;
   const double others = arrivals_.rate(now) - arrivals_by_tenant_[tenant].rate(now);
-  const double others_even = quota_sum_ / balancers_ - even;
-  return even * (others_even > 0 ? std::max(1.0, others / others_even) : 1);
+  const double others_equal_share = quota_sum_ / balancers_ - equal_share;
+  return equal_share * (others_equal_share > 0 ? std::max(1.0, others / others_equal_share) : 1);
 }
 
 }  // namespace balancer
--- a/src/policy/tenant_quota.h
+++ b/src/policy/tenant_quota.h
@@ -8,14 +8,14 @@
 
 namespace balancer {
 
-// Which requests lie within their tenants' quotas.
+// Checks requests against the quotas of their tenants.
 class TenantQuota {
  public:
-  // `quotas`: requests per second over all of the `balancers`, by tenant.
+  // `quotas`: requests per second by tenant, summed over all `balancers`.
   TenantQuota(const std::vector<double>& quotas, int balancers, Time now);
 
-  // Counts a request of the tenant; whether it lies within the quota. Tenants without one always
-  // do.
+  // Counts a request of the tenant and returns whether it is within the quota; always true for
+  // tenants without a quota.
   bool admit(int tenant, Time now);
 
  private:
--- a/src/policy/uniform_random.h
+++ b/src/policy/uniform_random.h
@@ -5,13 +5,13 @@
 
 namespace balancer {
 
-// The policy's only source of chance: a seed and a sequence of events give one sequence of
-// decisions.
+// The policy's only source of randomness: a given seed and sequence of events always lead to the
+// same sequence of decisions.
 class UniformRandom {
  public:
   explicit UniformRandom(std::uint64_t seed) : engine_(seed) {}
 
-  // In [0, 1).
+  // Returns a random number in [0, 1).
   double next() { return static_cast<double>(engine_() >> 11) * 0x1p-53; }
 
  private:
--- a/src/policy/zone_failure_detector.cc
+++ b/src/policy/zone_failure_detector.cc
@@ -3,7 +3,7 @@
 namespace balancer {
 namespace {
 
-// With every second attempt failing for other reasons, one run of so many failures in 256.
+// If every second attempt fails for other reasons, a given run of 8 failures has probability 1/256.
 constexpr int kConsecutiveZoneFailures = 8;
 
 }  // namespace
--- a/src/policy/zone_failure_detector.h
+++ b/src/policy/zone_failure_detector.h
@@ -9,11 +9,11 @@
 
 namespace balancer {
 
-// Ejects whole zones. Where a zone is cut off, finding that out host by host would cost each
-// balancer an attempt per host.
+// Ejects whole zones. If a zone is unreachable, ejecting its hosts one by one would cost each
+// balancer a failed attempt per host.
 class ZoneFailureDetector {
  public:
-  // The end of an attempt at a cache host of `zone`.
+  // Records the end of an attempt at a cache host in `zone`.
   void on_outcome(Time now, int zone, ZoneSignal signal, UniformRandom& random);
   bool is_ejected(Time now, int zone) const;
 
--- a/src/recovery/discovery_poll_scheduler.cc
+++ b/src/recovery/discovery_poll_scheduler.cc
@@ -8,30 +8,33 @@
 
 using std::chrono::milliseconds;
 
-// A watch whose connection hangs looks like one without changes until its wait is over. Where a
-// call costs nothing the wait is short, so that a drain is known well within its grace period.
+// A watch on a hung connection looks like a watch without changes until its wait has passed. In
+// pushed mode, where calls cost nothing, the wait is short, so that a drain is received well within
+// its grace period.
 constexpr milliseconds kPushedWait{1000};
 constexpr milliseconds kRequestWait{5000};
-// Of a watch after a rejected one: the service that is back may have restarted its versions, and
-// says so only at the end of the wait.
+// Wait of a watch after a rejected one. The recovered service may have restarted its version
+// numbers, which shows only at the end of the wait.
 constexpr milliseconds kWaitAfterRejection{2000};
-// Time without a byte from the service, beyond the wait, after which a call is cancelled. A service
-// that serves calls in turn may take its time-out of 2 s for a complete list; the answer to a watch
-// costs it little, and there must be time for a call after a cancelled one.
+// Time without a byte from the service, in addition to the wait, after which a call is cancelled. A
+// service that serves calls one at a time may take up to 2 s, its own time-out, for a complete
+// list. The answer to a watch costs the service little, and after a cancelled call there must be
+// time for another one.
 constexpr milliseconds kPushedTimeout{500};
 constexpr milliseconds kCompleteListTimeout{2000};
 constexpr milliseconds kWatchTimeout{1000};
-// An answer that comes slowly is read for so long: a list of megabytes passes, and one that never
-// ends leaves time for another call.
+// Maximum time for reading a slow answer: enough for a list of megabytes, and short enough that an
+// answer that never ends leaves time for another call.
 constexpr milliseconds kMaxAnswerTime{3000};
-// A watch of a polled service ends so long after its wait in any case.
+// Maximum time that a watch of a polled service may take beyond its wait.
 constexpr milliseconds kMaxWatchOverrun{1500};
-// A watch calls once a second where nothing happens. While discovery is away the fleet calls twice
-// as often as that, and evenly: what failed for one balancer has most likely failed for all.
+// A watch without changes makes one call per second. While discovery is unavailable the fleet calls
+// twice as often, spread evenly over time, since a failure most likely affects all balancers at
+// once.
 constexpr milliseconds kMinRetryInterval{250};
 constexpr milliseconds kMaxRetryInterval{750};
-// Answers that come at once and hold nothing new must not become a busy loop. The next call of a
-// watch has 200 ms.
+// Minimum interval between calls, so that immediate answers without changes do not cause a busy
+// loop. The next call of a watch has 200 ms.
 constexpr milliseconds kMinCallInterval{50};
 
 }  // namespace
@@ -109,8 +112,8 @@
 
 bool DiscoveryPollScheduler::on_list(std::uint64_t seq, bool whole) {
   const bool applies = whole || seq > seq_;
-  // A service whose version is behind what it sent before has restarted its versions. A watch on
-  // the old version would never receive a change.
+  // A version lower than an earlier one means that the service has restarted its version numbers. A
+  // watch on the old version would never receive a change.
   complete_list_next_ = !whole && seq < seq_;
   if (applies) seq_ = seq;
   has_changes_ = applies;
@@ -128,8 +131,8 @@
 bool DiscoveryPollScheduler::on_failure(Time now, Failure failure) {
   const bool was_hung_watch = phase_ != Phase::kIdle && !call_.whole && now >= cancel_at_;
   if (mode_ == Mode::kPushed) {
-    // The service may take the changes of the failed call for sent: the complete list leaves no
-    // doubt.
+    // The service may assume that the changes of the failed call were delivered, so the complete
+    // list is requested.
     complete_list_next_ = true;
     std::uniform_real_distribution<double> chance(0, 1);
     const double first = chance(random_), second = chance(random_);
@@ -137,10 +140,12 @@
     return true;
   }
   was_rejected_ = failure == Failure::kRejected;
-  // A service that has restarted its versions would keep a watch on the old one waiting forever.
-  // The complete list costs it more than changes do, so not where it only rejected the call.
+  // If the service has restarted its version numbers, a watch on the old version would wait
+  // forever, so the complete list is requested. It costs the service more than changes do, so it is
+  // not requested if the service only rejected the call.
   complete_list_next_ = complete_list_next_ || failure == Failure::kBroken;
-  // Watches begin at different times, so that those which hang together do not end together.
+  // Watches of different balancers start at different times, so watches that hang at the same time
+  // do not end at the same time, and a hung watch can be repeated without a delay.
   running_ = was_hung_watch;
   call_at(running_ ? now : Time::max());
   return running_;
--- a/src/recovery/discovery_poll_scheduler.h
+++ b/src/recovery/discovery_poll_scheduler.h
@@ -8,23 +8,24 @@
 
 namespace balancer::recovery {
 
-// When discovery is called, what it is asked for, and when a call in flight is cancelled. The bound
-// that it keeps: a change is received within 6 s from when the service has it and can be reached,
-// whatever became of the calls before, and, for a watch that hangs, 2 s after its wait if that is
-// later; after discovery has moved to another address within 4 s. No I/O, no clock: times come with
-// each call.
+// Decides when discovery is called, what is requested, and when a call in flight is cancelled. It
+// guarantees that a change is received within 6 s after the service has it and is reachable,
+// regardless of the outcome of earlier calls; for a hung watch, within 2 s after the end of its
+// wait if that is later; and within 4 s after discovery has moved to another address. Uses no I/O
+// and no clock: the time is passed with each call.
 class DiscoveryPollScheduler {
  public:
-  // kPushed: an agent nearby that answers at once, at no cost; this class calls it again after
-  // failures. kOnRequest: one service for all that has to be polled; after a failure the owner says
-  // when to call again.
+  // kPushed: a local agent that answers immediately and at no cost; this class schedules the call
+  // after a failure. kOnRequest: one service for all balancers that has to be polled; after a
+  // failure the owner decides when to call again.
   enum class Mode { kPushed, kOnRequest };
-  // kBroken: the call ended without an answer. kRejected: it was answered with a rejection.
+  // kBroken: the call ended without an answer. kRejected: the service rejected the call.
   enum class Failure { kBroken, kRejected };
   enum class Step { kNothing, kCall, kCancelCall };
 
   struct Call {
-    // The complete list; else a watch for what is newer than `index`, for as long as `wait`.
+    // Requests the complete list; otherwise watches for changes newer than `index`, for up to
+    // `wait`.
     bool whole = true;
     std::uint64_t index = 0;
     Duration wait{0};
@@ -32,29 +33,32 @@
 
   DiscoveryPollScheduler(Mode mode, std::uint64_t known_seq, std::uint64_t seed);
 
-  // Starts calling. False if it was running.
+  // Starts calling. Returns false if it was already running.
   bool start(Time now);
   void stop();
   bool running() const { return running_; }
-  // Cancels the call in flight, and asks for the complete list at once: the service has moved, or
-  // what is known may be stale.
+  // Cancels the call in flight and requests the complete list immediately, because the service has
+  // moved or the known list may be stale.
   void restart(Time now);
 
-  // What is due now, and when something is due next; Time::max() if nothing is.
+  // Returns the step that is due now.
   Step due(Time now) const;
+  // Returns the time at which the next step is due; Time::max() if there is none.
   Time next() const;
 
-  // A call is sent, on an established connection or on one that has to be established first.
+  // Starts a call and returns what to request. `connected`: whether the connection is already
+  // established; otherwise on_connected() follows.
   Call begin(Time now, bool connected);
   void on_connected(Time now);
-  // Bytes of its answer were received.
+  // Records that bytes of the answer were received.
   void on_answer_bytes(Time now);
-  // The answer holds this version. True if its entries are to be applied: versions are applied in
-  // order, and a complete list always is.
+  // Records the version of the received answer. Returns whether its entries should be applied:
+  // changes only if their version is newer, a complete list always.
   bool on_list(std::uint64_t seq, bool whole);
-  // The answer to the call has been applied. Returns the call's duration.
+  // Records that the answer has been applied. Returns the duration of the call.
   Duration on_answered(Time now);
-  // The call has failed, or was cancelled. False where the owner has to call start() again.
+  // Records that the call has failed or was cancelled. Returns false if the owner has to call
+  // start() again.
   bool on_failure(Time now, Failure failure);
 
  private:
@@ -69,16 +73,16 @@
   RetrySchedule retries_;
   std::mt19937_64 random_;
   std::uint64_t seq_;
-  bool complete_list_next_ = true;  // the next call asks for the complete list
+  bool complete_list_next_ = true;  // the next call requests the complete list
   bool running_ = false;
-  bool was_rejected_ = false;   // the last call
-  bool has_changes_ = false;    // the last answer was applied
-  Phase phase_ = Phase::kIdle;  // of the call in flight
+  bool was_rejected_ = false;   // whether the last call was rejected
+  bool has_changes_ = false;    // whether the last answer was applied
+  Phase phase_ = Phase::kIdle;  // phase of the call in flight
   Call call_;
   Time call_began_at_{0};
   Time answer_began_at_{0};
-  Time call_at_ = Time::max();    // of the next call, while none is in flight
-  Time cancel_at_ = Time::max();  // of the call in flight
+  Time call_at_ = Time::max();    // time of the next call, while none is in flight
+  Time cancel_at_ = Time::max();  // when the call in flight is cancelled
 };
 
 }  // namespace balancer::recovery
--- a/src/recovery/host_age_estimator.h
+++ b/src/recovery/host_age_estimator.h
@@ -6,31 +6,33 @@
 
 namespace balancer::recovery {
 
-// Turns the Unix times at which cache hosts say they started into times of this process's monotonic
-// clock, without trusting the wall clock of this machine, which may be wrong by any amount.
+// Converts the start times that cache hosts report in Unix time into times of this process's
+// monotonic clock, without relying on this machine's wall clock, which may be wrong by any amount.
 //
-// What is certain is one-sided: no host has started in the future, so each listed start proves that
-// the true Unix time is that much or more. The greatest such lower bound makes a host at most as
-// old as it is. Too young is the safe side: it costs a host at most one slow start, where too old
-// overloads a host that is warming up. A host is never younger than the time since it was first
-// listed, so that each warms up in time, however wrong the clocks are. docs/design/recovery.md
+// Only a lower bound is certain: no host has started in the future, so each listed start proves
+// that the true Unix time is at least that value. With the greatest such bound a host is never
+// estimated to be older than it is. Underestimating the age is the safe side: it costs a host at
+// most one slow start, whereas overestimating it overloads a host that is warming up. A host is
+// never estimated to be younger than the time since it was first listed, so every host finishes its
+// warm-up in time, however wrong the clocks are. docs/design/recovery.md
 //
-// No I/O, no clock: times come with each call.
+// Uses no I/O and no clock: the time is passed with each call.
 class HostAgeEstimator {
  public:
-  // `wall_offset`: what the wall clock showed less what the monotonic clock showed, read once. It
-  // only limits what a host whose own clock is ahead may make others look older by.
+  // `wall_offset`: wall clock time minus monotonic time, read once. It only limits by how much a
+  // host whose own clock is ahead can make other hosts look older.
   explicit HostAgeEstimator(Duration wall_offset) : wall_offset_(wall_offset) {}
 
-  // It was `unix_time` or later at `now`: a host had started by then, or a service's clock said so.
+  // Records that the Unix time at `now` is `unix_time` or later, because a host had started at that
+  // time or a service reported it.
   void on_unix_time(Time now, UnixTime unix_time);
-  // When a host that says it was born at `born` started, as far as is known; not after `now`.
-  // Without any Unix time known, `now`.
+  // Returns the estimated start time of a host that reports the start time `born`; at most `now`.
+  // Returns `now` if no Unix time is known yet.
   Time started(Time now, UnixTime born) const;
 
  private:
   const Duration wall_offset_;
-  std::optional<Duration> min_offset_;  // of Unix time from the monotonic clock: it is no less
+  std::optional<Duration> min_offset_;  // lower bound of Unix time minus monotonic time
 };
 
 }  // namespace balancer::recovery
--- a/src/recovery/retry_schedule.cc
+++ b/src/recovery/retry_schedule.cc
@@ -8,7 +8,8 @@
 Duration RetrySchedule::after_failure(double draw, double second_draw) {
   const double min = seconds(min_), max = seconds(max_);
   if (std::exchange(is_failing_, true)) return from_seconds(min + draw * (max - min));
-  // The interval at a random moment is length-biased, and the moment is uniform within it.
+  // The interval that contains a random instant is length-biased, and the instant is uniformly
+  // distributed within it.
   const double interval = std::sqrt(min * min + draw * (max * max - min * min));
   return from_seconds(second_draw * interval);
 }
--- a/src/recovery/retry_schedule.h
+++ b/src/recovery/retry_schedule.h
@@ -4,19 +4,20 @@
 
 namespace balancer::recovery {
 
-// When to retry a service that a whole fleet calls and that has failed for all at once. With plain
-// random backoff, calls that failed in step return as a wave. Here retries form a stationary
-// renewal process: the first wait after a failure is drawn from the residual life of the intervals,
-// and the later ones are the intervals themselves. So N callers that fail in the same instant retry
-// N / mean times a second from that instant on, evenly, however long the failure lasts. No I/O, no
+// Computes retry delays for a service that is called by a whole fleet and fails for all callers at
+// once. With plain random backoff, calls that failed at the same time are retried in a wave. Here
+// the retries of a caller form a stationary renewal process: the first delay after a failure is
+// drawn from the residual lifetime distribution of the intervals, and later delays are the
+// intervals themselves. N callers that fail at the same instant then retry N / mean times per
+// second from that instant on, spread evenly, however long the failure lasts. Uses no I/O and no
 // clock.
 class RetrySchedule {
  public:
-  // Intervals are uniform between the two.
+  // Intervals are uniformly distributed between `min` and `max`.
   RetrySchedule(Duration min, Duration max) : min_(min), max_(max) {}
 
-  // The wait before the next call after one that failed. Both draws are random, in [0, 1), and new
-  // for each call.
+  // Returns the delay before the next call after a failed one. Both draws must be new random
+  // numbers in [0, 1) for each call.
   Duration after_failure(double draw, double second_draw);
   void on_success() { is_failing_ = false; }
 
--- a/src/recovery/stall_guard.cc
+++ b/src/recovery/stall_guard.cc
@@ -9,8 +9,8 @@
   const Time before = std::exchange(observed_at_, std::max(observed_at_, now));
   const Duration gap = now - before;
   if (gap < bounds_.stall_threshold) return false;
-  // A process that gets to run for moments only would hold forever if each stall allowed a whole
-  // hold, so it goes on with the rest of the last one.
+  // If each stall started a full hold, a process that only runs for short moments between stalls
+  // would hold forever, so a stall during a hold continues with the rest of that hold.
   const Duration hold_left =
       is_holding() ? std::max(Duration{0}, hold_until_ - before) : bounds_.max_hold;
   last_stall_ = gap;
@@ -22,7 +22,7 @@
 }
 
 bool StallGuard::on_discovery_answer(Time called_at) {
-  // A call from before the stall may have been answered then, too.
+  // A call from before the stall may also have been answered before it.
   if (stage_ == Stage::kFresh || called_at < resumed_at_) return false;
   const bool was_holding = is_holding();
   stage_ = Stage::kFresh;
--- a/src/recovery/stall_guard.h
+++ b/src/recovery/stall_guard.h
@@ -4,50 +4,52 @@
 
 namespace balancer::recovery {
 
-// Whether what a process knows of its surroundings may still be acted on. A process that was
-// stopped, or whose machine was suspended (a stall), goes on with the host list that it had and
-// with requests that came meanwhile: its first decisions would rest on facts that are as old as the
-// stall. The guard detects a stall by the gap between two observations, holds what the process
-// would send until discovery has answered a call that was made since, and lets it go on with what
-// it has where no answer comes in time. No I/O, no threads, no clock of its own.
+// Keeps a process from acting on stale information after a stall. When a process was stopped or its
+// machine was suspended, it resumes with its old host list and with requests that arrived in the
+// meantime, so its first decisions would be based on information as old as the stall. The guard
+// detects a stall by the gap between two observations. It then holds new sends until discovery has
+// answered a call that was made after the stall, or, if no answer arrives in time, lets the process
+// continue with the old list. Uses no I/O, no threads and no clock of its own.
 // docs/design/recovery.md
 class StallGuard {
  public:
   struct Bounds {
-    // A gap between two observations from which on it is a stall. Default: 1 s.
+    // Minimum gap between two observations that counts as a stall. Default: 1 s.
     Duration stall_threshold = std::chrono::seconds(1);
-    // Longest hold, in time in which the process runs. Default: 250 ms.
+    // Longest hold, not counting further stalls. Default: 250 ms.
     Duration max_hold = std::chrono::milliseconds(250);
-    // What is read for so long after a stall may have been waiting during all of it. Default: 50
-    // ms.
+    // Data that is read within this time after a stall may have been waiting during the entire
+    // stall. Default: 50 ms.
     Duration settle_time = std::chrono::milliseconds(50);
   };
   enum class Stage {
-    kFresh,            // what is known is not in doubt
-    kAwaitingRefresh,  // after a stall, until discovery has answered: holds
-    kStale             // no answer came in time: goes on with what is known
+    kFresh,            // the host list is up to date
+    kAwaitingRefresh,  // holding after a stall until discovery answers
+    kStale             // discovery did not answer in time; continues with the old list
   };
 
   StallGuard(Time now, const Bounds& bounds) : bounds_(bounds), observed_at_(now) {}
   explicit StallGuard(Time now) : StallGuard(now, Bounds()) {}
 
-  // To be called wherever the event loop comes in, and far more often than `stall_threshold` where
-  // nothing happens. True, once for each stall: discovery has to be called anew.
+  // Must be called at every entry point from the event loop, and much more often than
+  // `stall_threshold` even without events. Returns true once per stall; the caller then has to call
+  // discovery again.
   bool observe(Time now);
-  // Discovery has answered a call that was made at `called_at`. True: what was held may be sent.
-  // observe() has to be called before this and on_hold_expired(): the stall may be detected there.
+  // Records that discovery has answered a call that was made at `called_at`. Returns true if the
+  // held sends may proceed. observe() must be called before this function and before
+  // on_hold_expired(), since it may detect a stall.
   bool on_discovery_answer(Time called_at);
-  // The time of hold_until() has come. True: what was held may be sent.
+  // Called when hold_until() has passed. Returns true if the held sends may proceed.
   bool on_hold_expired(Time now);
 
-  // How much older than it looks a request may be that is read now.
+  // Returns by how much a request that is read now may be older than it appears.
   Duration unnoticed_age(Time now) const {
     return stalls_ > 0 && now < resumed_at_ + bounds_.settle_time ? last_stall_ : Duration{0};
   }
 
   Stage stage() const { return stage_; }
   bool is_holding() const { return stage_ == Stage::kAwaitingRefresh; }
-  Time hold_until() const { return hold_until_; }      // while it holds: its end at the latest
+  Time hold_until() const { return hold_until_; }      // latest end of the current hold
   Duration last_stall() const { return last_stall_; }  // length of the last stall; 0 before any
   Time resumed_at() const { return resumed_at_; }      // end of the last stall
   int stalls() const { return stalls_; }               // since the process started
--- a/src/simulator_adapter/wire.cc
+++ b/src/simulator_adapter/wire.cc
@@ -17,7 +17,7 @@
 
 using namespace json;
 
-// ---- reading
+// ---- parsing
 
 RequestId read_id(object o) {
   const auto text = need<std::string_view>(o, "handle");
@@ -47,7 +47,7 @@
   out += '"';
 }
 
-// Writes the policy's actions as the wire's decisions.
+// Serializes the policy's actions as decisions of the wire format.
 class DecisionWriter : public ActionSink {
  public:
   void send(RequestId id, std::string_view host, Time until) override {
@@ -123,7 +123,7 @@
     case 521:
       return Result::kConnectFailed;
     default:
-      return Result::kError;  // the one that promises least
+      return Result::kError;  // the most conservative result
   }
 }
 
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -9,19 +9,19 @@
 
 namespace balancer::simulator_adapter {
 
-// Input that does not follow the wire; what() says which field, where and why.
+// Input that violates the wire format. what() names the field, its location and the reason.
 using WireError = FieldError;
 
-// Runs one Policy per simulated balancer and translates between it and the simulator's JSON lines.
-// The wire's field names are mapped to the policy's terms here and nowhere else. It decides
-// nothing.
+// Runs one Policy per simulated balancer and translates between the policies and the simulator's
+// JSON lines. The wire's field names are mapped to the policy's terms only here. This class makes
+// no decisions of its own.
 class Wire {
  public:
   Wire();
   ~Wire();
 
-  // Takes one batch of events, returns the reply without its newline. Throws WireError; instances
-  // may then have taken a part of the batch.
+  // Processes one batch of events and returns the reply without its newline. Throws WireError;
+  // instances may have processed a part of the batch by then.
   std::string handle(std::string_view line);
 
  private:
--- a/src/structures/decaying_sum.h
+++ b/src/structures/decaying_sum.h
@@ -5,7 +5,7 @@
 
 namespace balancer {
 
-// A sum whose parts count less and less: by a factor e for each `memory` that has passed.
+// A sum whose terms decay exponentially, by a factor of e per `memory_seconds`.
 class DecayingSum {
  public:
   using Time = std::chrono::nanoseconds;
@@ -19,7 +19,7 @@
   double at(Time now) const {
     return sum_ * std::exp(-std::chrono::duration<double>(now - at_).count() / memory_);
   }
-  // What came in a second lately.
+  // Returns the recent rate, per second.
   double rate(Time now) const { return at(now) / memory_; }
 
  private:
--- a/src/structures/times_out.h
+++ b/src/structures/in_flight_times.h
@@ -7,8 +7,8 @@
 
 namespace balancer {
 
-// When what is still out was sent, oldest first.
-class TimesOut {
+// Send times of the attempts or fetches in flight, oldest first.
+class InFlightTimes {
  public:
   void add(Time sent) { times_.push_back(sent); }
   void remove(Time sent) {
@@ -17,8 +17,8 @@
   }
   bool empty() const { return times_.empty(); }
   std::size_t size() const { return times_.size(); }
-  // The oldest has been out for longer.
-  bool any_beyond(Time now, Duration age) const {
+  // Returns whether the oldest one has been in flight for longer than `age`.
+  bool oldest_exceeds(Time now, Duration age) const {
     return !times_.empty() && now - times_.front() > age;
   }
   auto begin() const { return times_.begin(); }
--- a/src/structures/named_slots.h
+++ b/src/structures/named_slots.h
@@ -11,17 +11,18 @@
 
 namespace balancer {
 
-// A table whose rows have a name and a number. Numbers are small, stay with their row, and are used
-// again for new ones once it is erased; rows do not move. An erased row reads as a new one.
+// A table whose rows have a name and an index. Indices are small, do not change while their row
+// exists, and are reused after it is erased. Rows do not move in memory. An erased row has the
+// default value of T.
 template <typename T>
 class NamedSlots {
  public:
   using Index = std::uint32_t;
 
-  // The row's number, and whether it is new.
+  // Returns the index of the row, and whether the row was inserted.
   std::pair<Index, bool> insert(std::string_view name) {
-    const auto place = free_.empty() ? static_cast<Index>(rows_.size()) : free_.back();
-    const auto [at, is_new] = by_name_.try_emplace(std::string(name), place);
+    const auto index = free_.empty() ? static_cast<Index>(rows_.size()) : free_.back();
+    const auto [at, is_new] = by_name_.try_emplace(std::string(name), index);
     if (is_new && free_.empty()) {
       rows_.emplace_back();
     } else if (is_new) {
@@ -43,7 +44,7 @@
   }
   T& operator[](Index i) { return rows_[i]; }
   const T& operator[](Index i) const { return rows_[i]; }
-  // Rows in use, and free ones between them.
+  // Returns the number of rows, including free ones.
   std::size_t size() const { return rows_.size(); }
   auto begin() const { return rows_.begin(); }
   auto end() const { return rows_.end(); }
--- a/src/structures/numbered_queue.h
+++ b/src/structures/numbered_queue.h
@@ -7,27 +7,28 @@
 
 namespace balancer {
 
-// Values named by numbers that follow one another from 1, each taken at most once, in any order. A
-// place is kept until all before it are gone: the memory is that of the span from the oldest value
-// still here to the newest.
+// Stores values under consecutive numbers that start at 1. Each value can be taken once, in any
+// order. A slot is kept until all slots before it are empty, so the memory is proportional to the
+// span from the oldest stored value to the newest one.
 template <typename T>
 class NumberedQueue {
  public:
   std::uint64_t push(T value) {
-    places_.push_back(std::move(value));
-    return first_ + places_.size() - 1;
+    slots_.push_back(std::move(value));
+    return first_ + slots_.size() - 1;
   }
-  // Nothing for a number that was never given, or whose value was taken.
+  // Removes and returns a value; nullopt if the number was never assigned or its value was already
+  // taken.
   std::optional<T> take(std::uint64_t number) {
-    if (number < first_ || number - first_ >= places_.size()) return std::nullopt;
-    std::optional<T> value = std::exchange(places_[number - first_], std::nullopt);
-    for (; !places_.empty() && !places_.front(); ++first_) places_.pop_front();
+    if (number < first_ || number - first_ >= slots_.size()) return std::nullopt;
+    std::optional<T> value = std::exchange(slots_[number - first_], std::nullopt);
+    for (; !slots_.empty() && !slots_.front(); ++first_) slots_.pop_front();
     return value;
   }
-  std::size_t span() const { return places_.size(); }
+  std::size_t span() const { return slots_.size(); }
 
  private:
-  std::deque<std::optional<T>> places_;
+  std::deque<std::optional<T>> slots_;
   std::uint64_t first_ = 1;
 };
 
--- a/src/structures/persisted_names.h
+++ b/src/structures/persisted_names.h
@@ -2,16 +2,16 @@
 
 #include <string_view>
 
-// Names that files, peers and operators' commands of earlier versions know.
+// Names used by files, peers and operators' commands of earlier versions.
 namespace balancer {
 
-// The program's first name. Files of the hot restart are called by it, and a group member without a
-// name of its own is known to its peers by it, so that versions find each other's files and
-// members.
+// The program's original name. The names of hot restart files contain it, and it is the default
+// name of a group member, so that different versions find each other's files and members.
 inline constexpr std::string_view kPersistedProgramName = "silverpin";
 
-// Variables that operators' commands for announcing an address read: the address, and the term of
-// its lease. The commands are the operators' own, and outlive versions of this program.
+// Environment variables for the operators' commands that announce an address: the address, and the
+// term of its lease. The operators maintain these commands, so the names must not change between
+// versions of this program.
 inline constexpr std::string_view kAddressVariable = "SILVERPIN_ADDRESS";
 inline constexpr std::string_view kTermVariable = "SILVERPIN_TERM";
 
--- a/src/structures/recent_counts.h
+++ b/src/structures/recent_counts.h
@@ -7,9 +7,9 @@
 
 namespace balancer {
 
-// How often each key was seen in this period and the one before. Two generations in place of a
-// sliding window: a count covers between one and two periods, at the cost of one increment; what
-// was not seen for two periods is gone.
+// Counts how often each key was seen in the current period and the previous one. Two generations
+// are used instead of a sliding window: a count covers between one and two periods and costs one
+// increment. Keys that were not seen for two periods are removed.
 class RecentCounts {
  public:
   using Time = std::chrono::nanoseconds;
--- a/src/structures/time.h
+++ b/src/structures/time.h
@@ -2,12 +2,13 @@
 
 #include <chrono>
 
-// Time as all modules without I/O have it: given with each call, never read from a clock.
+// Time types of the modules without I/O, which receive the time with each call and never read a
+// clock.
 namespace balancer {
 
 using Duration = std::chrono::nanoseconds;
-using Time = std::chrono::nanoseconds;  // since an epoch of the caller's choosing
-// What a wall clock shows, here or on another machine. Never compared with a Time.
+using Time = std::chrono::nanoseconds;  // since an epoch chosen by the caller
+// Wall clock time, of this machine or another one. Must not be compared with a Time.
 using UnixTime = std::chrono::sys_time<std::chrono::nanoseconds>;
 
 inline double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
--- a/src/structures/token_bucket.h
+++ b/src/structures/token_bucket.h
@@ -6,15 +6,15 @@
 
 namespace balancer {
 
-// Tokens that come at a rate and are kept up to a depth, both given anew with each call. Full at
-// first, whatever the depth.
+// Token bucket whose rate and depth are passed with each call. It is full initially, whatever the
+// depth.
 class TokenBucket {
  public:
   using Time = std::chrono::nanoseconds;
 
   explicit TokenBucket(Time now) : at_(now) {}
 
-  // One token; false if there is none. `rate`: tokens a second.
+  // Takes one token. Returns false if none is available. `rate`: tokens per second.
   bool take(Time now, double rate, double depth) {
     const double since = std::chrono::duration<double>(now - at_).count();
     tokens_ = std::min(tokens_ + rate * since, depth);
--- a/tests/decision_modules_test.cc
+++ b/tests/decision_modules_test.cc
@@ -43,7 +43,7 @@
 
 TEST(OutcomeTableTest, SendsElsewhereAtNoCostWhatNoHostHasWorkedOn) {
   for (const Result result : {Result::kRedirected, Result::kWithdrawn}) {
-    EXPECT_EQ(outcome_rule(result).next, NextStep::kSendElsewhere);
+    EXPECT_EQ(outcome_rule(result).next, NextStep::kResendUnbudgeted);
     EXPECT_TRUE(never_ran(result));
   }
   EXPECT_EQ(outcome_rule(Result::kNotSent).next, NextStep::kRejectOrFail);
--- a/tests/host_registry_test.cc
+++ b/tests/host_registry_test.cc
@@ -46,10 +46,10 @@
   HostRegistry registry(false, seconds(10));
   registry.on_list(ListKind::kComplete, {entry("a")});
   const auto a = *registry.find("a");
-  registry.hold(a);
+  registry.add_reference(a);
   EXPECT_EQ(kinds(registry.on_list(ListKind::kComplete, {})), std::vector{Kind::kLeft});
   EXPECT_TRUE(registry.find("a"));
-  EXPECT_TRUE(registry.release(a));
+  EXPECT_TRUE(registry.release_reference(a));
   EXPECT_FALSE(registry.find("a"));
 }
 
@@ -144,12 +144,12 @@
       ASSERT_DOUBLE_EQ(weight, registry.total_weight());
       if (!here.empty() && random() % 2 == 0) {
         held.push_back(*here.begin());
-        registry.hold(held.back());
+        registry.add_reference(held.back());
       } else if (!held.empty()) {
         const auto i = held.back();
         held.pop_back();
         const bool gone = !registry[i].is_placed();
-        if (registry.release(i)) {
+        if (registry.release_reference(i)) {
           ASSERT_TRUE(gone);
         }
       }
--- a/tests/policy_test.cc
+++ b/tests/policy_test.cc
@@ -218,7 +218,7 @@
     const std::string id = "new-" + std::to_string(i);
     policy.on_hosts(seconds(2), ListKind::kComplete, {entry(id), origin()});
   }
-  EXPECT_LE(policy.host_places(), 6u);
+  EXPECT_LE(policy.host_slot_count(), 6u);
   // The late outcome is still that of the old host: a miss there leads to the origin.
   policy.on_outcome(seconds(2), {1, 0, Result::kMiss, false});
   ASSERT_EQ(sink.sent.size(), 2u);
