--- a/src/policy/host_selector.cc
+++ b/src/policy/host_selector.cc
@@ -37,8 +37,8 @@
     return query_.stored_at ? index == *query_.stored_at : to_skip_-- == 0;
   }
 
-  // Several overloaded candidates in a row indicate that the whole fleet is overloaded. Further
-  // candidates would miss and load the origin as well; an early rejection costs the least.
+  // Several overloaded candidates indicate that the whole fleet is overloaded. Further candidates
+  // would miss and load the origin as well; an early rejection costs the least.
   HostSelection result() const {
     if (choice_) return {choice_, false};
     if (overloaded_ == kMaxOverloadedCandidates) return {std::nullopt, true};
--- a/src/policy/host_selector.h
+++ b/src/policy/host_selector.h
@@ -33,7 +33,7 @@
 
 struct HostSelection {
   std::optional<Placement::Host> host;
-  // No host was chosen because several candidates in a row are overloaded.
+  // No host was chosen because several candidates are overloaded.
   bool is_overloaded = false;
 };
 
--- a/tests/decision_modules_test.cc
+++ b/tests/decision_modules_test.cc
@@ -1,5 +1,5 @@
-// The small decision modules, each by itself. How the policy puts them together is in
-// policy_test.cc and rules_test.cc.
+// Unit tests of the small decision modules. policy_test.cc and rules_test.cc test their combination
+// in the policy.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -21,7 +21,7 @@
 
 // ---- outcome table
 
-TEST(OutcomeTableTest, ClaimsThatARequestNeverRanOnlyWhereThatIsProven) {
+TEST(OutcomeTableTest, ReportsNeverRanOnlyForResultsThatProveIt) {
   for (const Result result : {Result::kRejected, Result::kConnectFailed, Result::kNotSent,
                               Result::kRedirected, Result::kWithdrawn})
     EXPECT_TRUE(never_ran(result));
@@ -31,7 +31,7 @@
   EXPECT_EQ(outcome_rule(Result::kMiss).state, AttemptState::kMissed);
 }
 
-TEST(OutcomeTableTest, ChargesAHostOnlyWithWhatItDid) {
+TEST(OutcomeTableTest, SignalsTheHostOnlyForResultsItCaused) {
   for (const Result result :
        {Result::kTimeout, Result::kCancelled, Result::kNotSent, Result::kWithdrawn})
     EXPECT_EQ(outcome_rule(result).host, HostSignal::kNone);
@@ -41,7 +41,7 @@
   EXPECT_EQ(outcome_rule(Result::kRedirected).host, HostSignal::kInTime);
 }
 
-TEST(OutcomeTableTest, SendsElsewhereAtNoCostWhatNoHostHasWorkedOn) {
+TEST(OutcomeTableTest, ResendsOutsideTheRetryBudgetIfNoHostDidWork) {
   for (const Result result : {Result::kRedirected, Result::kWithdrawn}) {
     EXPECT_EQ(outcome_rule(result).next, NextStep::kResendUnbudgeted);
     EXPECT_TRUE(never_ran(result));
@@ -51,7 +51,7 @@
 
 // ---- Retry-After
 
-TEST(ClientRetryAfterTest, CallsBackSoonAsManyAsWouldBeAdmitted) {
+TEST(ClientRetryAfterTest, ReturnsAShortDelayForTheShareThatWouldBeAdmitted) {
   EXPECT_EQ(client_retry_after(0.3, milliseconds(100), 0.29, 0.5, seconds(10)), milliseconds(100));
   EXPECT_EQ(client_retry_after(0.3, milliseconds(100), 0.31, 0.5, seconds(10)), seconds(2));
   EXPECT_EQ(client_retry_after(0, milliseconds(100), 0, 0, seconds(10)), seconds(1));
@@ -60,7 +60,7 @@
 
 // ---- polls of the host list
 
-TEST(PollBackoffTest, DoublesUpToItsBoundAndStartsAnewAfterAList) {
+TEST(PollBackoffTest, DoublesUpToItsMaximumAndResetsAfterAList) {
   PollBackoff backoff(seconds(20));
   EXPECT_EQ(backoff.initial_delay(0.5), seconds(1));
   EXPECT_EQ(backoff.after_rejection(0), milliseconds(125));
@@ -73,15 +73,15 @@
 
 // ---- fetches of one key
 
-TEST(FetchCoalescerTest, LetsOneRequestFetchAndReturnsThoseThatWaitInOrder) {
+TEST(FetchCoalescerTest, AllowsOneFetchPerKeyAndReturnsFollowersInOrder) {
   FetchCoalescer fetches;
   EXPECT_FALSE(fetches.has_other_leader(7, 1));
   fetches.lead(7, 1);
-  EXPECT_FALSE(fetches.has_other_leader(7, 1)) << "it leads itself";
+  EXPECT_FALSE(fetches.has_other_leader(7, 1)) << "the request is itself the leader";
   EXPECT_TRUE(fetches.has_other_leader(7, 2));
   fetches.follow(7, 2);
   fetches.follow(7, 3);
-  EXPECT_TRUE(fetches.complete(7, 2).empty()) << "a follower completes nothing";
+  EXPECT_TRUE(fetches.complete(7, 2).empty()) << "a follower cannot complete the fetch";
   EXPECT_EQ(fetches.complete(7, 1), (std::vector<RequestId>{2, 3}));
   EXPECT_FALSE(fetches.has_other_leader(7, 2));
   EXPECT_TRUE(fetches.complete(7, 1).empty());
@@ -89,7 +89,7 @@
 
 // ---- hot keys
 
-TEST(HotKeySpreadTest, SpreadsOnlyAKeyThatMakesUpMoreThanAnOrdinaryShare) {
+TEST(HotKeySpreadTest, SpreadsOnlyKeysWithMoreThanAnOrdinaryShareOfReads) {
   HotKeySpread keys{Time{0}};
   EXPECT_EQ(keys.spread(1, 10), 1u);
   for (std::uint64_t key = 100; key < 600; ++key) keys.on_read(key, Time{0});
@@ -101,21 +101,21 @@
 
 // ---- quotas
 
-TEST(TenantQuotaTest, AdmitsABurstAndThenThisBalancersPartOfTheRate) {
-  TenantQuota quota({20, 20}, 2, Time{0});  // 10 a second here, 50 in a burst
+TEST(TenantQuotaTest, AdmitsABurstAndThenThisBalancersShareOfTheQuota) {
+  TenantQuota quota({20, 20}, 2, Time{0});  // 10 per second at this balancer, 50 in a burst
   int admitted = 0;
   for (int i = 0; i < 100; ++i) admitted += quota.admit(0, Time{0});
   EXPECT_EQ(admitted, 50);
   for (int i = 0; i < 100; ++i) admitted += quota.admit(0, seconds(1));
   EXPECT_EQ(admitted, 60);
-  EXPECT_TRUE(quota.admit(1, seconds(1))) << "another tenant's";
-  EXPECT_TRUE(quota.admit(-1, seconds(1))) << "no quota";
-  EXPECT_TRUE(quota.admit(2, seconds(1))) << "no quota";
+  EXPECT_TRUE(quota.admit(1, seconds(1))) << "the other tenant has a quota of its own";
+  EXPECT_TRUE(quota.admit(-1, seconds(1))) << "a tenant without a quota";
+  EXPECT_TRUE(quota.admit(2, seconds(1))) << "a tenant without a quota";
 }
 
 // ---- zones
 
-TEST(ZoneFailureDetectorTest, EjectsAZoneAfterEightFailuresInARow) {
+TEST(ZoneFailureDetectorTest, EjectsAZoneAfterEightConsecutiveFailures) {
   UniformRandom random(1);
   ZoneFailureDetector zones;
   const Time t = seconds(10);
@@ -146,7 +146,7 @@
   void set_class(Idempotency idempotency, DeduplicationScope scope) {
     settings.classes = {{milliseconds(300), seconds(1), idempotency, scope, seconds(10)}};
   }
-  // A request whose one attempt, at host a, ended so.
+  // Returns a request with one attempt, at host a, in the given state.
   RequestState attempted(AttemptState state) const {
     RequestState request;
     request.attempts.push_back({*hosts.find("a"), seconds(1), state});
@@ -161,13 +161,13 @@
   RetryPolicy policy;
 };
 
-TEST_F(RetryPolicyTest, RepeatsAKeyedRequestOnlyWhereItsFirstRunIsRemembered) {
+TEST_F(RetryPolicyTest, RepeatsAKeyedRequestOnlyWithinItsDeduplicationScopeAndWindow) {
   set_class(Idempotency::kIdempotencyKey, DeduplicationScope::kZone);
   const RequestState ran = attempted(AttemptState::kMayHaveRun);
   EXPECT_TRUE(may_attempt(ran, "a", seconds(2)));
   EXPECT_TRUE(may_attempt(ran, "b", seconds(2)));
   EXPECT_FALSE(may_attempt(ran, "c", seconds(2))) << "another zone";
-  EXPECT_FALSE(may_attempt(ran, "a", seconds(11))) << "the window has passed";
+  EXPECT_FALSE(may_attempt(ran, "a", seconds(11))) << "the deduplication window has passed";
   EXPECT_TRUE(may_attempt(attempted(AttemptState::kNeverRan), "c", seconds(20)));
   EXPECT_FALSE(policy.may_reject(ran));
   set_class(Idempotency::kIdempotencyKey, DeduplicationScope::kCell);
@@ -177,7 +177,7 @@
   EXPECT_TRUE(policy.may_reject(ran));
 }
 
-TEST_F(RetryPolicyTest, NeverRepeatsWhatMayHaveRunWithoutIdempotency) {
+TEST_F(RetryPolicyTest, NeverRepeatsANonIdempotentRequestThatMayHaveRun) {
   set_class(Idempotency::kNone, DeduplicationScope::kAll);
   EXPECT_FALSE(may_attempt(attempted(AttemptState::kMayHaveRun), "a", seconds(2)));
   EXPECT_FALSE(policy.may_reject(attempted(AttemptState::kMayHaveRun)));
@@ -186,7 +186,7 @@
   EXPECT_TRUE(policy.may_reject(attempted(AttemptState::kNeverRan)));
 }
 
-TEST_F(RetryPolicyTest, HedgesOnlyWhereTheSettingsAllowASecondAttemptInFlight) {
+TEST_F(RetryPolicyTest, HedgesOnlyIfTheSettingsAllowASecondAttemptInFlight) {
   set_class(Idempotency::kIdempotent, DeduplicationScope::kAll);
   RequestState request = attempted(AttemptState::kInFlight);
   request.objective_at = seconds(3);
@@ -195,10 +195,10 @@
   settings.hedging = true;
   EXPECT_TRUE(may_attempt(request, "b", seconds(2)));
   EXPECT_TRUE(policy.may_hedge(request, seconds(2)));
-  EXPECT_FALSE(policy.may_hedge(request, seconds(3))) << "too late to be worth it";
+  EXPECT_FALSE(policy.may_hedge(request, seconds(3))) << "the latency objective has passed";
 }
 
-TEST_F(RetryPolicyTest, GivesATenthOfTheRequestsARetryWithFiveInHand) {
+TEST_F(RetryPolicyTest, LimitsRetriesToATenthOfTheRequestsPlusAReserveOfFive) {
   for (int i = 0; i < 5; ++i) {
     EXPECT_TRUE(policy.has_budget());
     policy.spend_budget();
@@ -210,7 +210,7 @@
   EXPECT_TRUE(policy.has_budget());
 }
 
-TEST_F(RetryPolicyTest, CountsAsARetryOnlyAnAttemptAfterOneThatCostAHostWork) {
+TEST_F(RetryPolicyTest, CountsAnAttemptAsARetryOnlyAfterOneThatCostAHostWork) {
   EXPECT_FALSE(policy.is_retry(RequestState{}));
   EXPECT_FALSE(policy.is_retry(attempted(AttemptState::kMissed)));
   EXPECT_TRUE(policy.is_retry(attempted(AttemptState::kMayHaveRun)));
@@ -219,7 +219,7 @@
   EXPECT_TRUE(policy.retries_same_host(request));
   EXPECT_FALSE(policy.is_retry(request));
   request.attempts.push_back(request.attempts[0]);
-  EXPECT_FALSE(policy.retries_same_host(request)) << "once a request";
+  EXPECT_FALSE(policy.retries_same_host(request)) << "at most once per request";
   EXPECT_TRUE(policy.is_retry(request));
   request = attempted(AttemptState::kNeverRan);
   request.attempts[0].host_did_no_work = true;
--- a/tests/discovery_poll_scheduler_test.cc
+++ b/tests/discovery_poll_scheduler_test.cc
@@ -1,5 +1,6 @@
-// The bound on how late a change of the host list is heard of, on a clock that the test moves: the
-// client's schedule, the policy's pauses after refused calls, and a service that fails in each way.
+// Tests the upper bound on the time until a change of the host list is received, on a simulated
+// clock: the scheduler, the policy's backoff after rejected calls, and a service with each kind of
+// fault.
 #include "recovery/discovery_poll_scheduler.h"
 
 #include <gtest/gtest.h>
@@ -22,32 +23,32 @@
 using Mode = DiscoveryPollScheduler::Mode;
 using Failure = DiscoveryPollScheduler::Failure;
 
-constexpr Duration kToldAfter = seconds(6);
-constexpr Duration kToldAfterWait = seconds(2);  // behind the wait of a watch
-constexpr Duration kToldAfterMove = seconds(4);
+constexpr Duration kMaxDelay = seconds(6);
+constexpr Duration kMaxDelayAfterWait = seconds(2);  // after the end of the wait of a watch
+constexpr Duration kMaxDelayAfterMove = seconds(4);
 
-// What becomes of calls that are out, and of new ones, while the service is in trouble.
-enum class Trouble {
+// Effect of a fault of the service on the calls in flight and on new calls.
+enum class Fault {
   kNone,
   kSilent,       // never answers
-  kUnreachable,  // connections never come up
-  kReset,        // breaks connections under calls
-  kRejected,     // refuses connections
-  kTurnedAway,   // answers 503
+  kUnreachable,  // connections are never established
+  kReset,        // resets connections during calls
+  kRefused,      // refuses connections
+  kUnavailable,  // answers 503
   kHangsInHead,
   kHangsInBody,
-  kDrips,  // a few bytes at a time, for ever
+  kDrips,  // sends a few bytes at a time and never finishes
   kCount
 };
-const char* const kTroubleNames[] = {"none",          "silent",        "unreachable",
-                                     "reset",         "refused",       "turned away",
-                                     "hangs in head", "hangs in body", "drips"};
+const char* const kFaultNames[] = {"none",          "silent",        "unreachable",
+                                   "reset",         "refused",       "unavailable",
+                                   "hangs in head", "hangs in body", "drips"};
 
-// The version behind the trouble.
+// Version of the host list after the fault.
 enum class Versions {
-  kChanges,  // higher, told as changes
-  kWhole,    // higher, told as a whole list
-  kLower,    // counted anew by another service
+  kChanges,  // higher, sent as changes
+  kWhole,    // higher, sent as a complete list
+  kLower,    // lower, since another service numbers its versions independently
   kCount
 };
 const char* const kVersionNames[] = {"changes", "whole", "lower"};
@@ -55,42 +56,45 @@
 struct Scenario {
   Mode mode = Mode::kPushed;
   Versions versions = Versions::kChanges;
-  Duration latency = milliseconds(10);  // of an answer
+  Duration latency = milliseconds(10);  // until an answer
   Duration max_poll_interval = seconds(10);
 };
 
-// One balancer and its service under one clock.
+// Simulates one balancer and its discovery service on one clock.
 class Simulation : private FakeSink {
  public:
   Simulation(const Scenario& scenario, std::uint64_t seed)
       : scenario_(scenario),
-        schedule_(scenario.mode, 0, seed),
+        scheduler_(scenario.mode, 0, seed),
         policy_(settings(scenario), seed, Time{0}, *this) {
-    if (scenario.mode == Mode::kPushed) schedule_.start(now_);
+    if (scenario.mode == Mode::kPushed) scheduler_.start(now_);
   }
 
   Time now() const { return now_; }
   std::uint64_t calls() const { return calls_; }
-  std::uint64_t heard_seq() const { return heard_seq_; }
-  Time heard_at() const { return heard_at_; }
-  // Of the watch that is out; 0 if none is.
-  Time watch_over() const { return is_out_ && !call_.whole ? begun_ + call_.wait : Time{0}; }
-
-  void set_trouble(Trouble trouble) {
-    trouble_ = trouble;
-    if (trouble == Trouble::kNone || !is_out_) return;
+  std::uint64_t received_seq() const { return received_seq_; }
+  Time received_at() const { return received_at_; }
+  // Returns the end of the wait of the watch in flight; 0 if there is none.
+  Time watch_end() const {
+    return is_in_flight_ && !call_.whole ? call_began_at_ + call_.wait : Time{0};
+  }
+
+  void set_fault(Fault fault) {
+    fault_ = fault;
+    if (fault == Fault::kNone || !is_in_flight_) return;
     answers_.clear();
-    spoil();
+    apply_fault();
   }
   void change(std::uint64_t seq) {
     seq_ = seq;
-    if (is_out_ && !call_.whole && trouble_ == Trouble::kNone && !is_spoilt_ && seq_ > call_.index)
+    if (is_in_flight_ && !call_.whole && fault_ == Fault::kNone && !is_affected_ &&
+        seq_ > call_.index)
       answer_at(now_ + scenario_.latency);
   }
-  // The service is at another address from now on.
+  // Moves the service to another address.
   void move() {
-    hang_up();
-    schedule_.restart(now_);
+    disconnect();
+    scheduler_.restart(now_);
   }
   void run_until(Time end) {
     while (next() <= end) {
@@ -113,10 +117,10 @@
   }
 
   void set_timer(Time at, std::uint64_t tag) override { policy_timers_.emplace(at, tag); }
-  void subscribe() override { schedule_.start(now_); }
+  void subscribe() override { scheduler_.start(now_); }
 
   Time next() const {
-    Time first = schedule_.next();
+    Time first = scheduler_.next();
     if (!answers_.empty()) first = std::min(first, answers_.begin()->first);
     if (!policy_timers_.empty()) first = std::min(first, policy_timers_.begin()->first);
     return first;
@@ -132,7 +136,7 @@
       answers_.erase(answers_.begin());
       return on_event(event);
     }
-    switch (schedule_.due(now_)) {
+    switch (scheduler_.due(now_)) {
       case DiscoveryPollScheduler::Step::kCall:
         return begin();
       case DiscoveryPollScheduler::Step::kCancelCall:
@@ -144,12 +148,12 @@
 
   void begin() {
     ++calls_;
-    call_ = schedule_.begin(now_, is_connected_);
-    begun_ = now_;
-    is_out_ = true;
-    is_spoilt_ = false;
+    call_ = scheduler_.begin(now_, is_connected_);
+    call_began_at_ = now_;
+    is_in_flight_ = true;
+    is_affected_ = false;
     answers_.clear();
-    if (trouble_ != Trouble::kNone) return spoil();
+    if (fault_ != Fault::kNone) return apply_fault();
     if (!is_connected_) answers_.emplace(now_, Event::kConnected);
     is_connected_ = true;
     const bool has_answer = call_.whole || seq_ > call_.index;
@@ -159,28 +163,28 @@
     std::erase_if(answers_, [](const auto& a) { return a.second == Event::kAnswer; });
     answers_.emplace(at, Event::kAnswer);
   }
-  // What the trouble does to the call that is out. It stays so when the trouble is over.
-  void spoil() {
-    is_spoilt_ = true;
-    const bool comes_up = trouble_ != Trouble::kUnreachable && trouble_ != Trouble::kRejected;
-    if (!is_connected_ && comes_up) answers_.emplace(now_, Event::kConnected);
-    is_connected_ = is_connected_ || comes_up;
-    switch (trouble_) {
-      case Trouble::kReset:
-      case Trouble::kRejected:
+  // Applies the fault to the call in flight. The call remains affected after the fault has ended.
+  void apply_fault() {
+    is_affected_ = true;
+    const bool connects = fault_ != Fault::kUnreachable && fault_ != Fault::kRefused;
+    if (!is_connected_ && connects) answers_.emplace(now_, Event::kConnected);
+    is_connected_ = is_connected_ || connects;
+    switch (fault_) {
+      case Fault::kReset:
+      case Fault::kRefused:
         answers_.emplace(now_ + milliseconds(1), Event::kBroken);
         break;
-      case Trouble::kTurnedAway:
+      case Fault::kUnavailable:
         answers_.emplace(now_ + scenario_.latency, Event::kRejected);
         break;
-      case Trouble::kHangsInHead:
+      case Fault::kHangsInHead:
         answers_.emplace(now_ + milliseconds(1), Event::kBytes);
         break;
-      case Trouble::kHangsInBody:
+      case Fault::kHangsInBody:
         answers_.emplace(now_ + milliseconds(1), Event::kBytes);
         answers_.emplace(now_ + milliseconds(200), Event::kBytes);
         break;
-      case Trouble::kDrips:
+      case Fault::kDrips:
         for (int i = 1; i < 600; ++i) answers_.emplace(now_ + i * milliseconds(100), Event::kBytes);
         break;
       default:
@@ -191,9 +195,9 @@
   void on_event(Event event) {
     switch (event) {
       case Event::kConnected:
-        return schedule_.on_connected(now_);
+        return scheduler_.on_connected(now_);
       case Event::kBytes:
-        return schedule_.on_answer_bytes(now_);
+        return scheduler_.on_answer_bytes(now_);
       case Event::kBroken:
         return fail(Failure::kBroken);
       case Event::kRejected:
@@ -205,88 +209,88 @@
   void on_answer() {
     const bool whole =
         call_.whole || (scenario_.versions == Versions::kWhole && seq_ > call_.index);
-    is_out_ = false;
-    if (schedule_.on_list(seq_, whole)) {
-      if (seq_ != heard_seq_) heard_at_ = now_;
-      heard_seq_ = seq_;
+    is_in_flight_ = false;
+    if (scheduler_.on_list(seq_, whole)) {
+      if (seq_ != received_seq_) received_at_ = now_;
+      received_seq_ = seq_;
     }
-    // As the node does: an asked service's answer always reaches the policy.
+    // As in the node, every answer is passed to the policy.
     policy_.on_hosts(now_, whole ? ListKind::kComplete : ListKind::kChanges, {});
-    schedule_.on_answered(now_);
+    scheduler_.on_answered(now_);
   }
-  void hang_up() {
+  void disconnect() {
     answers_.clear();
-    is_out_ = is_connected_ = false;
+    is_in_flight_ = is_connected_ = false;
   }
   void fail(Failure failure) {
-    hang_up();
-    if (!schedule_.on_failure(now_, failure)) policy_.on_hosts(now_, ListKind::kRejected, {});
+    disconnect();
+    if (!scheduler_.on_failure(now_, failure)) policy_.on_hosts(now_, ListKind::kRejected, {});
   }
 
   const Scenario scenario_;
   Time now_{0};
-  DiscoveryPollScheduler schedule_;
+  DiscoveryPollScheduler scheduler_;
   std::multimap<Time, std::uint64_t> policy_timers_;
   Policy policy_;
-  Trouble trouble_ = Trouble::kNone;
+  Fault fault_ = Fault::kNone;
   std::uint64_t seq_ = 41;
   std::multimap<Time, Event> answers_;
   DiscoveryPollScheduler::Call call_;
-  Time begun_{0}, heard_at_{0};
-  bool is_out_ = false, is_connected_ = false, is_spoilt_ = false;
-  std::uint64_t heard_seq_ = 0, calls_ = 0;
+  Time call_began_at_{0}, received_at_{0};
+  bool is_in_flight_ = false, is_connected_ = false, is_affected_ = false;
+  std::uint64_t received_seq_ = 0, calls_ = 0;
 };
 
 std::uint64_t version_after(const Scenario& scenario) {
   return scenario.versions == Versions::kLower ? 3 : 42;
 }
 
-// How late the change was heard of beyond the bound: not positive if it holds. The trouble is over
-// and the change is there from now on.
-Duration lateness_behind(Simulation& simulation, const Scenario& scenario) {
+// Ends the fault, publishes a change, and returns by how much the change was received later than
+// the bound allows; at most 0 if the bound is kept.
+Duration lateness_after_fault(Simulation& simulation, const Scenario& scenario) {
   const Time reachable = simulation.now();
-  const Time watch_over = simulation.watch_over();
-  simulation.set_trouble(Trouble::kNone);
+  const Time watch_end = simulation.watch_end();
+  simulation.set_fault(Fault::kNone);
   simulation.change(version_after(scenario));
   simulation.run_until(reachable + seconds(60));
-  if (simulation.heard_seq() != version_after(scenario)) return Duration::max();
-  Time bound = reachable + kToldAfter;
-  if (watch_over > Time{0}) bound = std::max(bound, watch_over + kToldAfterWait);
-  return simulation.heard_at() - bound;
+  if (simulation.received_seq() != version_after(scenario)) return Duration::max();
+  Time bound = reachable + kMaxDelay;
+  if (watch_end > Time{0}) bound = std::max(bound, watch_end + kMaxDelayAfterWait);
+  return simulation.received_at() - bound;
 }
 
 double in_seconds(Duration d) { return d == Duration::max() ? 1e9 : balancer::seconds(d); }
 
-using Case = std::tuple<Mode, Trouble, Versions>;
+using Case = std::tuple<Mode, Fault, Versions>;
 
-class DiscoveryBound : public ::testing::TestWithParam<Case> {};
+class DiscoveryPollBoundTest : public ::testing::TestWithParam<Case> {};
 
 std::string name_of(const ::testing::TestParamInfo<Case>& info) {
-  const auto [mode, trouble, versions] = info.param;
-  std::string name = std::string(mode == Mode::kPushed ? "pushed " : "asked ") +
-                     kTroubleNames[static_cast<int>(trouble)] + " " +
+  const auto [mode, fault, versions] = info.param;
+  std::string name = std::string(mode == Mode::kPushed ? "pushed " : "polled ") +
+                     kFaultNames[static_cast<int>(fault)] + " " +
                      kVersionNames[static_cast<int>(versions)];
   std::erase(name, ' ');
   return name;
 }
 
-std::vector<Trouble> all_troubles() {
-  std::vector<Trouble> all;
-  for (int i = 0; i < static_cast<int>(Trouble::kCount); ++i) all.push_back(Trouble(i));
+std::vector<Fault> all_faults() {
+  std::vector<Fault> all;
+  for (int i = 0; i < static_cast<int>(Fault::kCount); ++i) all.push_back(Fault(i));
   return all;
 }
 
-INSTANTIATE_TEST_SUITE_P(Orders, DiscoveryBound,
+INSTANTIATE_TEST_SUITE_P(Faults, DiscoveryPollBoundTest,
                          ::testing::Combine(::testing::Values(Mode::kPushed, Mode::kOnRequest),
-                                            ::testing::ValuesIn(all_troubles()),
+                                            ::testing::ValuesIn(all_faults()),
                                             ::testing::Values(Versions::kChanges, Versions::kWhole,
                                                               Versions::kLower)),
                          name_of);
 
-// The trouble begins at each moment of a watch's wait and lasts from nothing (calls that are out
-// are spoilt, new ones are not) to long enough for every pause to have grown to its longest.
-TEST_P(DiscoveryBound, ReceivesAChangeWithinSixSecondsOfTheServicesReturn) {
-  const auto [mode, trouble, versions] = GetParam();
+// The fault starts at various instants of a watch's wait. It lasts from 0 ms, which affects only
+// the call in flight, to long enough for every backoff to reach its maximum.
+TEST_P(DiscoveryPollBoundTest, ReceivesAChangeWithinSixSecondsOfTheServicesRecovery) {
+  const auto [mode, fault, versions] = GetParam();
   Duration worst = Duration::min();
   for (const Duration max_poll_interval :
        {Duration(seconds(10)), Duration(seconds(60)), Duration(0)}) {
@@ -298,38 +302,38 @@
       for (const int lasts_ms : {0, 300, 1700, 2900, 5600, 11'000, 40'000}) {
         Simulation simulation(scenario, ++seed);
         simulation.run_until(from);
-        simulation.set_trouble(trouble);
+        simulation.set_fault(fault);
         simulation.run_until(from + milliseconds(lasts_ms));
-        const Duration late = lateness_behind(simulation, scenario);
+        const Duration late = lateness_after_fault(simulation, scenario);
         worst = std::max(worst, late);
         ASSERT_LE(in_seconds(late), 0)
-            << "trouble from " << in_seconds(from) << " s for " << lasts_ms << " ms, ask_within "
-            << in_seconds(max_poll_interval) << " s, seed " << seed;
+            << "fault from " << in_seconds(from) << " s for " << lasts_ms
+            << " ms, max_poll_interval " << in_seconds(max_poll_interval) << " s, seed " << seed;
       }
     }
   }
   RecordProperty("left_of_the_bound_ms", std::to_string(-worst / milliseconds(1)));
 }
 
-class DiscoveryMode : public ::testing::TestWithParam<Mode> {};
+class DiscoveryPollModeTest : public ::testing::TestWithParam<Mode> {};
 std::string name_of_mode(const ::testing::TestParamInfo<Mode>& info) {
-  return info.param == Mode::kPushed ? "pushed" : "asked";
+  return info.param == Mode::kPushed ? "pushed" : "polled";
 }
-INSTANTIATE_TEST_SUITE_P(Both, DiscoveryMode, ::testing::Values(Mode::kPushed, Mode::kOnRequest),
-                         name_of_mode);
+INSTANTIATE_TEST_SUITE_P(Modes, DiscoveryPollModeTest,
+                         ::testing::Values(Mode::kPushed, Mode::kOnRequest), name_of_mode);
 
-// A scenario and its troubles, drawn from a seed.
-class Draw {
+// Draws a scenario and its faults at random.
+class RandomScenario {
  public:
-  Draw(Mode mode, std::uint64_t seed) : random_(seed) {
+  RandomScenario(Mode mode, std::uint64_t seed) : random_(seed) {
     scenario.mode = mode;
     scenario.versions = Versions(up_to(static_cast<int>(Versions::kCount) - 1));
     scenario.latency = milliseconds(up_to(mode == Mode::kPushed ? 100 : 700));
     scenario.max_poll_interval = seconds(up_to(120));
   }
-  int up_to(int most) { return static_cast<int>(random_() % (most + 1)); }
-  Trouble trouble() { return Trouble(up_to(static_cast<int>(Trouble::kCount) - 1)); }
-  // Of a service that has worked so far.
+  int up_to(int max) { return static_cast<int>(random_() % (max + 1)); }
+  Fault fault() { return Fault(up_to(static_cast<int>(Fault::kCount) - 1)); }
+  // Returns the start time of the first fault; the service works until then.
   Time begin() { return seconds(14) + milliseconds(up_to(6000)); }
 
   Scenario scenario;
@@ -338,70 +342,72 @@
   std::mt19937_64 random_;
 };
 
-// Troubles of all kinds one behind the other, of any length.
-TEST_P(DiscoveryMode, KeepsTheBoundUnderAnyOrderOfFaults) {
+// Several random faults in sequence, of random lengths.
+TEST_P(DiscoveryPollModeTest, KeepsTheBoundUnderRandomSequencesOfFaults) {
   for (std::uint64_t seed = 1; seed <= 3000; ++seed) {
-    Draw draw(GetParam(), seed);
+    RandomScenario draw(GetParam(), seed);
     Simulation simulation(draw.scenario, seed);
     simulation.run_until(draw.begin());
     for (int n = 1 + draw.up_to(4); n > 0; --n) {
-      simulation.set_trouble(draw.trouble());
+      simulation.set_fault(draw.fault());
       simulation.run_until(simulation.now() + milliseconds(draw.up_to(draw.up_to(12'000))));
     }
-    ASSERT_LE(in_seconds(lateness_behind(simulation, draw.scenario)), 0) << "seed " << seed;
+    ASSERT_LE(in_seconds(lateness_after_fault(simulation, draw.scenario)), 0) << "seed " << seed;
   }
 }
 
-// A new configuration names another address: whatever became of calls to the old one, and whatever
-// its versions were, the new one's list is heard within 4 s.
-TEST_P(DiscoveryMode, ReceivesFromAServiceThatMovedWithinFourSeconds) {
+// A new configuration names another address. The list of the new service must be received within 4
+// s, regardless of the state of calls to the old service and of its versions.
+TEST_P(DiscoveryPollModeTest, ReceivesTheListOfAMovedServiceWithinFourSeconds) {
   for (std::uint64_t seed = 1; seed <= 3000; ++seed) {
-    Draw draw(GetParam(), seed);
+    RandomScenario draw(GetParam(), seed);
     Simulation simulation(draw.scenario, seed);
     simulation.run_until(draw.begin());
-    simulation.set_trouble(draw.trouble());
+    simulation.set_fault(draw.fault());
     simulation.run_until(simulation.now() + milliseconds(draw.up_to(20'000)));
     const Time moved = simulation.now();
-    simulation.set_trouble(Trouble::kNone);
+    simulation.set_fault(Fault::kNone);
     simulation.change(version_after(draw.scenario));
     simulation.move();
     simulation.run_until(moved + seconds(30));
-    ASSERT_EQ(simulation.heard_seq(), version_after(draw.scenario)) << "seed " << seed;
-    ASSERT_LE(in_seconds(simulation.heard_at() - moved), in_seconds(kToldAfterMove))
+    ASSERT_EQ(simulation.received_seq(), version_after(draw.scenario)) << "seed " << seed;
+    ASSERT_LE(in_seconds(simulation.received_at() - moved), in_seconds(kMaxDelayAfterMove))
         << "seed " << seed;
   }
 }
 
-// A list of megabytes over a slow link takes longer than silence is borne, and is heard all the
-// same.
-TEST_P(DiscoveryMode, DoesNotCancelAListThatComesSlowlyButSteadily) {
-  DiscoveryPollScheduler schedule(GetParam(), 0, 1);
-  schedule.start(Time{0});
-  schedule.begin(Time{0}, false);
-  schedule.on_connected(milliseconds(5));
+// Receiving a list of megabytes over a slow link takes longer than the time-out for silence. The
+// call must not be cancelled while bytes arrive.
+TEST_P(DiscoveryPollModeTest, DoesNotCancelAListThatArrivesSlowlyButSteadily) {
+  DiscoveryPollScheduler scheduler(GetParam(), 0, 1);
+  scheduler.start(Time{0});
+  scheduler.begin(Time{0}, false);
+  scheduler.on_connected(milliseconds(5));
   for (Time at = milliseconds(100); at <= milliseconds(2900); at += milliseconds(400)) {
-    ASSERT_EQ(schedule.due(at), DiscoveryPollScheduler::Step::kNothing) << in_seconds(at);
-    schedule.on_answer_bytes(at);
+    ASSERT_EQ(scheduler.due(at), DiscoveryPollScheduler::Step::kNothing) << in_seconds(at);
+    scheduler.on_answer_bytes(at);
   }
-  EXPECT_TRUE(schedule.on_list(41, true));
-  EXPECT_EQ(schedule.on_answered(milliseconds(2900)), milliseconds(2900));
+  EXPECT_TRUE(scheduler.on_list(41, true));
+  EXPECT_EQ(scheduler.on_answered(milliseconds(2900)), milliseconds(2900));
 }
 
-// What the bound costs: a service that is away is not called in a busy loop, whatever the settings.
-TEST_P(DiscoveryMode, CallsAServiceThatIsAwayAtABoundedRate) {
+// An unavailable service must not be called in a busy loop, whatever the settings are.
+TEST_P(DiscoveryPollModeTest, CallsAnUnavailableServiceAtABoundedRate) {
   for (const int max_poll_interval : {0, 10, 60}) {
     Scenario scenario;
     scenario.mode = GetParam();
     scenario.max_poll_interval = seconds(max_poll_interval);
     Simulation simulation(scenario, 1);
     simulation.run_until(seconds(20));
-    simulation.set_trouble(Trouble::kRejected);
+    simulation.set_fault(Fault::kRefused);
     const auto before = simulation.calls();
     simulation.run_until(seconds(120));
     const double rate = static_cast<double>(simulation.calls() - before) / 100;
-    const double most = scenario.mode == Mode::kPushed ? 2.2 : max_poll_interval == 0 ? 1.5 : 0.8;
-    EXPECT_LE(rate, most) << "calls a second, ask_within " << max_poll_interval;
-    EXPECT_GE(rate, 0.5) << "calls a second, ask_within " << max_poll_interval;
+    const double max_rate = scenario.mode == Mode::kPushed ? 2.2
+                            : max_poll_interval == 0       ? 1.5
+                                                           : 0.8;
+    EXPECT_LE(rate, max_rate) << "calls per second, max_poll_interval " << max_poll_interval;
+    EXPECT_GE(rate, 0.5) << "calls per second, max_poll_interval " << max_poll_interval;
   }
 }
 
--- a/tests/fake_sink.h
+++ b/tests/fake_sink.h
@@ -7,7 +7,7 @@
 
 namespace balancer {
 
-// Records what a Policy does.
+// An ActionSink that records the actions of a Policy.
 struct FakeSink : ActionSink {
   struct Sent {
     RequestId id;
--- a/tests/hash_ring_test.cc
+++ b/tests/hash_ring_test.cc
@@ -30,7 +30,7 @@
   return ring;
 }
 
-TEST(HashRingTest, SharesKeysEvenly) {
+TEST(HashRingTest, DistributesKeysEvenly) {
   const HashRing ring = ring_of({0, 1, 2, 3, 4, 5, 6, 7, 8, 9});
   std::map<HashRing::Host, int> keys;
   for (int k = 0; k < kKeys; ++k) ++keys[owner(ring, k)];
@@ -41,7 +41,7 @@
   }
 }
 
-TEST(HashRingTest, IsTheSameInWhateverOrderHostsWereInserted) {
+TEST(HashRingTest, IsIndependentOfTheInsertionOrder) {
   const HashRing a = ring_of({0, 1, 2, 3, 4});
   const HashRing b = ring_of({4, 2, 0, 3, 1});
   for (int k = 0; k < kKeys; ++k) ASSERT_EQ(owner(a, k), owner(b, k));
@@ -63,7 +63,7 @@
   for (int k = 0; k < kKeys; ++k) ASSERT_EQ(owner(ring, k), before[k]);
 }
 
-TEST(HashRingTest, ScalesAHostsPartByItsWeightAndBoundsOddWeights) {
+TEST(HashRingTest, ScalesAHostsShareByItsWeightAndClampsImplausibleWeights) {
   HashRing ring;
   ring.insert({{0, "a:1", 1.0}, {1, "b:1", 3.0}, {2, "c:1", 0.0}, {3, "d:1", std::stod("nan")}});
   std::map<HashRing::Host, int> keys;
@@ -73,7 +73,7 @@
   EXPECT_GT(keys[3], 0);
 }
 
-TEST(HashRingTest, OffersEveryHostOnce) {
+TEST(HashRingTest, OffersEachHostExactlyOnce) {
   const HashRing ring = ring_of({0, 1, 2, 3, 4});
   std::map<HashRing::Host, int> offered;
   EXPECT_FALSE(ring.walk(7, 0, [&](HashRing::Host h) {
--- a/tests/host_registry_test.cc
+++ b/tests/host_registry_test.cc
@@ -11,9 +11,9 @@
 using std::chrono::seconds;
 using Kind = HostRegistry::HostChange::Kind;
 
-std::vector<Kind> kinds(const std::vector<HostRegistry::HostChange>& news) {
+std::vector<Kind> kinds(const std::vector<HostRegistry::HostChange>& changes) {
   std::vector<Kind> all;
-  for (const auto& n : news) all.push_back(n.kind);
+  for (const auto& n : changes) all.push_back(n.kind);
   return all;
 }
 
@@ -24,14 +24,14 @@
   return e;
 }
 
-TEST(HostRegistryTest, ReturnsWhoJoinedLeftAndStartedInTheOrderOfTheList) {
+TEST(HostRegistryTest, ReturnsChangesInTheOrderOfTheList) {
   HostRegistry registry(false, seconds(10));
   HostEntry b = entry("b");
   b.start = HostStart::exactly(seconds(4));
   EXPECT_EQ(kinds(registry.on_list(ListKind::kComplete, {entry("a"), b})),
             (std::vector{Kind::kJoined, Kind::kStarted, Kind::kJoined}));
   EXPECT_EQ(registry.total_weight(), 2);
-  // The same again is no news; another start of one that stays is.
+  // An unchanged entry is no change; a new start of a known host is.
   EXPECT_TRUE(registry.on_list(ListKind::kChanges, {b}).empty());
   b.start = HostStart::exactly(seconds(5));
   EXPECT_EQ(kinds(registry.on_list(ListKind::kChanges, {b})), std::vector{Kind::kStarted});
@@ -53,7 +53,7 @@
   EXPECT_FALSE(registry.find("a"));
 }
 
-// A list that names a host twice, last as gone, must not leave it with a place.
+// A list that contains a host twice, the second time as gone, must not leave it placed.
 TEST(HostRegistryTest, DoesNotPlaceAHostThatJoinsAndLeavesInOneList) {
   HostRegistry registry(false, seconds(10));
   EXPECT_EQ(kinds(registry.on_list(ListKind::kChanges, {entry("a"), entry("a", HostState::kGone)})),
@@ -61,7 +61,7 @@
   EXPECT_EQ(registry.total_weight(), 0);
 }
 
-TEST(HostRegistryTest, KeepsAnOverrideAfterItsHostIsForgotten) {
+TEST(HostRegistryTest, KeepsAnOverrideAfterItsHostIsRemoved) {
   HostRegistry registry(false, seconds(10));
   EXPECT_FALSE(registry.accepts_override(seconds(0), "a"));
   registry.on_list(ListKind::kComplete, {entry("a")});
@@ -76,13 +76,13 @@
   EXPECT_FALSE(registry[*registry.find("a")].takes_new());
   registry.restore("a", {false, seconds(5)});
   EXPECT_TRUE(registry[*registry.find("a")].takes_new());
-  // Given up once it can no longer matter.
+  // The override is removed after the retention time.
   EXPECT_EQ(registry.overrides().size(), 1u);
   EXPECT_TRUE(registry.accepts_override(seconds(16), "a"));
   EXPECT_TRUE(registry.overrides().empty());
 }
 
-TEST(HostRegistryTest, AcceptsOverridesOfAThousandHosts) {
+TEST(HostRegistryTest, AcceptsOverridesOfThousandsOfHosts) {
   HostRegistry registry(false, seconds(10));
   std::vector<std::string> ids;
   for (int i = 0; i < 2048; ++i) ids.push_back("h" + std::to_string(i));
@@ -98,14 +98,15 @@
   EXPECT_EQ(registry.overrides().size(), ids.size());
 }
 
-// Whatever lists say, replaying the news gives the same set of places as the roster itself has.
-TEST(HostRegistryTest, ReturnsChangesThatAddUpToTheRegistry) {
+// For random lists and overrides, applying the returned changes yields the same set of placed hosts
+// as the registry itself has.
+TEST(HostRegistryTest, ReturnsChangesThatReproduceTheSetOfPlacedHosts) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(seed);
     HostRegistry registry(true, seconds(10));
     std::set<HostRegistry::Index> placed;
-    std::vector<HostRegistry::Index> held;
+    std::vector<HostRegistry::Index> referenced;
     for (int step = 0; step < 300; ++step) {
       std::vector<std::string> names;
       for (std::uint64_t i = random() % 8; i > 0; --i)
@@ -117,12 +118,12 @@
         list.back().weight = static_cast<double>(random() % 40) - 2;
         if (random() % 3 == 0) list.back().start = HostStart::exactly(seconds(step));
       }
-      const auto news =
+      const auto changes =
           random() % 4 == 0 && !names.empty()
               ? registry.restore(names[0], {random() % 2 == 0, seconds(step)})
               : registry.on_list(random() % 3 == 0 ? ListKind::kComplete : ListKind::kChanges,
                                  list);
-      for (const auto& n : news) {
+      for (const auto& n : changes) {
         if (n.kind == Kind::kJoined) {
           ASSERT_TRUE(placed.insert(n.host).second);
         } else if (n.kind == Kind::kLeft) {
@@ -132,28 +133,28 @@
         }
       }
       double weight = 0;
-      std::set<HostRegistry::Index> here;
+      std::set<HostRegistry::Index> placed_now;
       for (HostRegistry::Index i = 0; i < registry.size(); ++i) {
         if (!registry[i].is_placed()) continue;
-        here.insert(i);
+        placed_now.insert(i);
         weight += registry[i].weight;
         ASSERT_GE(registry[i].weight, 0.1);
       }
-      ASSERT_EQ(here, placed);
-      // Words change no weight, and lists add them all up.
+      ASSERT_EQ(placed_now, placed);
+      // Overrides do not change the total weight, and lists compute it from all placed hosts.
       ASSERT_DOUBLE_EQ(weight, registry.total_weight());
-      if (!here.empty() && random() % 2 == 0) {
-        held.push_back(*here.begin());
-        registry.add_reference(held.back());
-      } else if (!held.empty()) {
-        const auto i = held.back();
-        held.pop_back();
+      if (!placed_now.empty() && random() % 2 == 0) {
+        referenced.push_back(*placed_now.begin());
+        registry.add_reference(referenced.back());
+      } else if (!referenced.empty()) {
+        const auto i = referenced.back();
+        referenced.pop_back();
         const bool gone = !registry[i].is_placed();
         if (registry.release_reference(i)) {
           ASSERT_TRUE(gone);
         }
       }
-      for (const auto i : held) ASSERT_FALSE(registry[i].id.empty());
+      for (const auto i : referenced) ASSERT_FALSE(registry[i].id.empty());
     }
   }
 }
--- a/tests/outlier_detector_test.cc
+++ b/tests/outlier_detector_test.cc
@@ -7,7 +7,7 @@
 
 using std::chrono::seconds;
 
-TEST(OutlierDetectorTest, EjectsLongerAfterEachFailureAndForgivesOnSuccess) {
+TEST(OutlierDetectorTest, LengthensEjectionsWithEachFailureAndResetsOnSuccess) {
   OutlierDetector detector;
   const Time t = seconds(100);
   EXPECT_FALSE(detector.is_ejected(t));
@@ -22,7 +22,7 @@
   EXPECT_FALSE(detector.is_ejected(t + from_seconds(11.1)));
 }
 
-TEST(OutlierDetectorTest, EjectsAfterErrorsInARowUnlessAGoodAnswerComesBetween) {
+TEST(OutlierDetectorTest, EjectsAfterConsecutiveErrorsWithoutASuccessBetween) {
   OutlierDetector detector;
   const Time t = seconds(100);
   for (int i = 0; i < 20; ++i) {
@@ -39,12 +39,13 @@
   const Time t = seconds(100);
   EXPECT_DOUBLE_EQ(detector.load_factor(t), 1);
   for (int i = 0; i < 10; ++i) detector.on_answer(t, true);
-  EXPECT_DOUBLE_EQ(detector.load_factor(t), 0.1) << "a host keeps a tenth of its keys";
+  EXPECT_DOUBLE_EQ(detector.load_factor(t), 0.1) << "a host keeps at least a tenth of its keys";
   EXPECT_DOUBLE_EQ(detector.load_factor(t + seconds(20)), 0.2);
   detector.on_answer(t + seconds(20), false);
   EXPECT_DOUBLE_EQ(detector.load_factor(t + seconds(20)), 0.3);
   detector.on_restart();
-  EXPECT_DOUBLE_EQ(detector.load_factor(t + seconds(20)), 1) << "another process";
+  EXPECT_DOUBLE_EQ(detector.load_factor(t + seconds(20)), 1)
+      << "a new process starts with the full load factor";
 }
 
 TEST(OutlierDetectorTest, HasStalledAttemptsWhileTheOldestIsInFlightBeyondTheThreshold) {
--- a/tests/rules_test.cc
+++ b/tests/rules_test.cc
@@ -1,5 +1,5 @@
-// The four rules over random sequences of events. The checker keeps books of its own from what it
-// sees going in and out, and knows nothing of how the module keeps the rules.
+// Checks the policy's four rules over random sequences of events. The checker keeps its own
+// records of the events and actions it sees, independent of how the policy implements the rules.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -14,66 +14,67 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-struct Book {
-  struct Try {
+struct RequestRecord {
+  struct SentAttempt {
     std::string host;
     Time at;
     Result result = Result::kOk;
-    bool out = true;
+    bool in_flight = true;
     bool may_have_run() const {
-      return out || !(result == Result::kRejected || result == Result::kConnectFailed ||
-                      result == Result::kNotSent || result == Result::kMiss);
+      return in_flight || !(result == Result::kRejected || result == Result::kConnectFailed ||
+                            result == Result::kNotSent || result == Result::kMiss);
     }
   };
   Request q;
   Time deadline{0};
-  std::vector<Try> tries;
-  bool over = false;
+  std::vector<SentAttempt> attempts;
+  bool finished = false;
 };
 
-struct Place {
+struct HostInfo {
   int zone, cell;
   HostState state = HostState::kServing;
 };
 
-class Checker : public ActionSink {
+class RuleChecker : public ActionSink {
  public:
-  explicit Checker(const Settings& s) : settings(s) {}
+  explicit RuleChecker(const Settings& s) : settings(s) {}
 
   void send(RequestId id, std::string_view host, Time until) override {
-    ASSERT_TRUE(books.count(id));
-    Book& b = books[id];
+    ASSERT_TRUE(records.count(id));
+    RequestRecord& b = records[id];
     const RequestClass& c = settings.classes[b.q.request_class];
-    const Place& place = places.at(std::string(host));
-    EXPECT_FALSE(b.over) << "sent after its end";
+    const HostInfo& info = hosts.at(std::string(host));
+    EXPECT_FALSE(b.finished) << "attempt sent after the final answer";
     EXPECT_LE(until, b.deadline);
-    EXPECT_EQ(place.state, HostState::kServing) << "sent to a host that drains or is gone";
-    EXPECT_LT(static_cast<int>(b.tries.size()), settings.max_attempts);
-    for (const auto& t : b.tries) {
+    EXPECT_EQ(info.state, HostState::kServing) << "attempt sent to a host that is draining or gone";
+    EXPECT_LT(static_cast<int>(b.attempts.size()), settings.max_attempts);
+    for (const auto& t : b.attempts) {
       if (!settings.hedging) {
-        EXPECT_FALSE(t.out) << "two attempts out";
+        EXPECT_FALSE(t.in_flight) << "two attempts in flight without hedging";
       }
       if (c.idempotency == Idempotency::kIdempotent || !t.may_have_run()) continue;
-      EXPECT_NE(c.idempotency, Idempotency::kNone) << "an unsafe request sent twice";
-      const Place& first = places.at(t.host);
+      EXPECT_NE(c.idempotency, Idempotency::kNone) << "non-idempotent request sent twice";
+      const HostInfo& first = hosts.at(t.host);
       if (c.scope != DeduplicationScope::kAll) {
-        EXPECT_EQ(first.zone, place.zone);
+        EXPECT_EQ(first.zone, info.zone);
       }
       if (c.scope == DeduplicationScope::kCell) {
-        EXPECT_EQ(first.cell, place.cell);
+        EXPECT_EQ(first.cell, info.cell);
       }
       EXPECT_LE(now - t.at, c.deduplication_window);
     }
-    b.tries.push_back({std::string(host), now});
-    out.push_back({id, static_cast<int>(b.tries.size()) - 1});
+    b.attempts.push_back({std::string(host), now});
+    attempts_in_flight.push_back({id, static_cast<int>(b.attempts.size()) - 1});
   }
   void reject(RequestId id, Duration) override {
-    const Book& b = books[id];
+    const RequestRecord& b = records[id];
     const RequestClass& c = settings.classes[b.q.request_class];
-    const bool harmless =
+    const bool safe_to_retry =
         c.idempotency == Idempotency::kIdempotent ||
         (c.idempotency == Idempotency::kIdempotencyKey && c.scope == DeduplicationScope::kAll);
-    for (const auto& t : b.tries) EXPECT_TRUE(harmless || !t.may_have_run()) << "false promise";
+    for (const auto& t : b.attempts)
+      EXPECT_TRUE(safe_to_retry || !t.may_have_run()) << "rejected although a retry is not safe";
     end(id);
   }
   void fail(RequestId id) override { end(id); }
@@ -82,20 +83,20 @@
   void close_idle(std::string_view) override {}
 
   void end(RequestId id) {
-    EXPECT_FALSE(books[id].over) << "answered twice";
-    books[id].over = true;
+    EXPECT_FALSE(records[id].finished) << "two final answers";
+    records[id].finished = true;
   }
 
   const Settings settings;
   Time now{0};
-  std::map<std::string, Place> places;
-  std::map<RequestId, Book> books;
-  std::vector<std::pair<RequestId, int>> out;
+  std::map<std::string, HostInfo> hosts;
+  std::map<RequestId, RequestRecord> records;
+  std::vector<std::pair<RequestId, int>> attempts_in_flight;
   std::set<std::pair<Time, std::uint64_t>> timers;
 };
 
-void play(std::uint32_t seed, Idempotency idempotency, DeduplicationScope scope, bool copies,
-          bool aside) {
+void run_random_events(std::uint32_t seed, Idempotency idempotency, DeduplicationScope scope,
+                       bool hedging, bool cache_aside) {
   std::mt19937 random(seed);
   const auto pick = [&](unsigned n) { return static_cast<int>(random() % n); };
   Settings s;
@@ -106,28 +107,28 @@
   c.scope = scope;
   c.deduplication_window = milliseconds(400);
   s.classes = {c};
-  s.cache_aside = aside;
-  s.hedging = copies;
+  s.cache_aside = cache_aside;
+  s.hedging = hedging;
   s.max_attempts = 4;
   s.slow_start = {0.2, seconds(5)};
-  Checker check(s);
+  RuleChecker check(s);
   Policy policy(s, seed, check.now, check);
   const auto list = [&](bool whole) {
     std::vector<HostEntry> entries;
-    for (const auto& [id, place] : check.places) {
+    for (const auto& [id, info] : check.hosts) {
       HostEntry e;
       e.id = id;
       e.origin = id[0] == 'o';
-      e.zone = place.zone;
-      e.cell = place.cell;
-      e.state = place.state;
+      e.zone = info.zone;
+      e.cell = info.cell;
+      e.state = info.state;
       if (pick(4) == 0) e.start = HostStart::exactly(check.now);
-      if (!whole || place.state != HostState::kGone) entries.push_back(e);
+      if (!whole || info.state != HostState::kGone) entries.push_back(e);
     }
     policy.on_hosts(check.now, whole ? ListKind::kComplete : ListKind::kChanges, entries);
   };
-  for (int i = 0; i < 8; ++i) check.places["h" + std::to_string(i)] = {i % 2, i / 2};
-  check.places["o"] = {0, 9};
+  for (int i = 0; i < 8; ++i) check.hosts["h" + std::to_string(i)] = {i % 2, i / 2};
+  check.hosts["o"] = {0, 9};
   list(true);
   RequestId next = 1;
   for (int step = 0; step < 1500; ++step) {
@@ -137,9 +138,9 @@
       check.timers.erase(check.timers.begin());
       policy.on_timer(check.now, tag);
     }
-    for (const auto& [id, b] : check.books)
-      if (!b.over) {
-        ASSERT_LE(check.now, b.deadline + milliseconds(20)) << "no answer";
+    for (const auto& [id, b] : check.records)
+      if (!b.finished) {
+        ASSERT_LE(check.now, b.deadline + milliseconds(20)) << "no answer by the deadline";
       }
     const int what = pick(10);
     if (what < 4) {
@@ -149,27 +150,28 @@
       q.key = key;
       q.write = pick(3) == 0;
       q.time_left = milliseconds(50 + pick(2000));
-      check.books[q.id] = {q, check.now + q.time_left, {}, false};
+      check.records[q.id] = {q, check.now + q.time_left, {}, false};
       policy.on_request(check.now, q);
-    } else if (what < 8 && !check.out.empty()) {
+    } else if (what < 8 && !check.attempts_in_flight.empty()) {
       const std::size_t at =
-          static_cast<std::size_t>(pick(static_cast<unsigned>(check.out.size())));
-      const auto [id, number] = check.out[at];
-      check.out.erase(check.out.begin() + static_cast<std::ptrdiff_t>(at));
-      Book& b = check.books[id];
-      auto& t = b.tries[static_cast<std::size_t>(number)];
-      t.out = false;
-      t.result = b.over ? Result::kTimeout : static_cast<Result>(pick(9));
-      if (t.result == Result::kOk) b.over = true;
-      policy.on_outcome(check.now, {id, number, t.result, b.over});
+          static_cast<std::size_t>(pick(static_cast<unsigned>(check.attempts_in_flight.size())));
+      const auto [id, number] = check.attempts_in_flight[at];
+      check.attempts_in_flight.erase(check.attempts_in_flight.begin() +
+                                     static_cast<std::ptrdiff_t>(at));
+      RequestRecord& b = check.records[id];
+      auto& t = b.attempts[static_cast<std::size_t>(number)];
+      t.in_flight = false;
+      t.result = b.finished ? Result::kTimeout : static_cast<Result>(pick(9));
+      if (t.result == Result::kOk) b.finished = true;
+      policy.on_outcome(check.now, {id, number, t.result, b.finished});
     } else if (what == 8 && next > 1 && pick(5) == 0) {
       const RequestId id = 1 + static_cast<RequestId>(pick(static_cast<unsigned>(next - 1)));
-      if (!check.books[id].over) {
-        check.books[id].over = true;
+      if (!check.records[id].finished) {
+        check.records[id].finished = true;
         policy.on_withdrawn(check.now, id);
       }
     } else if (what == 9) {
-      auto it = check.places.begin();
+      auto it = check.hosts.begin();
       std::advance(it, pick(9));
       it->second.state = static_cast<HostState>(pick(3));
       list(pick(2) == 0);
@@ -184,9 +186,9 @@
        {Idempotency::kIdempotent, Idempotency::kIdempotencyKey, Idempotency::kNone})
     for (const DeduplicationScope scope :
          {DeduplicationScope::kAll, DeduplicationScope::kZone, DeduplicationScope::kCell})
-      for (const bool copies : {false, true})
-        for (const bool aside : {false, true}) {
-          play(seed++, idempotency, scope, copies, aside);
+      for (const bool hedging : {false, true})
+        for (const bool cache_aside : {false, true}) {
+          run_random_events(seed++, idempotency, scope, hedging, cache_aside);
           if (HasFailure()) return;
         }
 }
--- a/tests/slow_start_test.cc
+++ b/tests/slow_start_test.cc
@@ -7,9 +7,9 @@
 
 using std::chrono::seconds;
 
-TEST(SlowStartTest, SpendsAtMostItsWeightOfTheNormalRateOverAnyWindow) {
+TEST(SlowStartTest, LimitsWorkToTheWeightTimesTheNormalRate) {
   const SlowStartRule rule{0.2, seconds(10)};
-  const double normal = 0.5;  // seconds of work a second
+  const double normal = 0.5;  // seconds of work per second
   SlowStart start;
   start.on_start(seconds(100), 0.9);
   double sent = 0;
@@ -24,7 +24,7 @@
   EXPECT_DOUBLE_EQ(start.weight(seconds(111), rule), 1);
 }
 
-TEST(SlowStartTest, WeighsFullWhereNoStartIsKnownAndByAgeWhereOneIs) {
+TEST(SlowStartTest, HasFullWeightWithoutAStartTimeAndAWeightByAgeWithOne) {
   const SlowStartRule rule{0.2, seconds(10)};
   SlowStart start;
   EXPECT_DOUBLE_EQ(start.weight(seconds(1), rule), 1);
@@ -34,7 +34,8 @@
   start.on_earlier_start(seconds(95));
   EXPECT_DOUBLE_EQ(start.weight(seconds(100), rule), 0.6);
   start.on_earlier_start(seconds(99));
-  EXPECT_DOUBLE_EQ(start.weight(seconds(100), rule), 0.6) << "a later start is no news";
+  EXPECT_DOUBLE_EQ(start.weight(seconds(100), rule), 0.6)
+      << "a later start does not change the weight";
 }
 
 }  // namespace
--- a/tests/stall_guard_test.cc
+++ b/tests/stall_guard_test.cc
@@ -12,15 +12,15 @@
 using std::chrono::seconds;
 using Stage = StallGuard::Stage;
 
-TEST(StallGuardTest, HoldsAfterAGapUntilACallMadeSinceIsAnswered) {
+TEST(StallGuardTest, HoldsAfterAStallUntilALaterCallIsAnswered) {
   StallGuard s(seconds(1));
   EXPECT_FALSE(s.observe(milliseconds(1999)));
   EXPECT_EQ(s.stage(), Stage::kFresh);
   EXPECT_TRUE(s.observe(seconds(9)));
-  EXPECT_FALSE(s.observe(seconds(9))) << "one standstill is one";
+  EXPECT_FALSE(s.observe(seconds(9))) << "a stall is reported once";
   EXPECT_TRUE(s.is_holding());
   EXPECT_EQ(s.last_stall(), milliseconds(7001));
-  // Asked for before, answered behind: may have lain there all the time.
+  // The answer to a call from before the stall may have been received before it as well.
   EXPECT_FALSE(s.on_discovery_answer(milliseconds(1900)));
   EXPECT_TRUE(s.is_holding());
   EXPECT_TRUE(s.on_discovery_answer(milliseconds(9002)));
@@ -29,7 +29,7 @@
   EXPECT_FALSE(s.on_hold_expired(seconds(10)));
 }
 
-TEST(StallGuardTest, IsStaleWhereNoAnswerComesAndFreshWithTheNextOne) {
+TEST(StallGuardTest, BecomesStaleWithoutAnAnswerAndFreshWithTheNextOne) {
   StallGuard s(seconds(1));
   ASSERT_TRUE(s.observe(seconds(5)));
   EXPECT_EQ(s.hold_until(), milliseconds(5250));
@@ -41,7 +41,7 @@
   EXPECT_EQ(s.stage(), Stage::kFresh);
 }
 
-TEST(StallGuardTest, TakesRequestsReadShortlyAfterAStallForAsOldAsTheStall) {
+TEST(StallGuardTest, ReportsTheStallsLengthAsTheAgeOfRequestsReadShortlyAfterIt) {
   StallGuard s(seconds(1));
   s.observe(milliseconds(1800));
   EXPECT_EQ(s.unnoticed_age(milliseconds(1801)), Duration{0});
@@ -49,72 +49,74 @@
   EXPECT_EQ(s.unnoticed_age(seconds(5)), milliseconds(3200));
   s.on_discovery_answer(milliseconds(5001));
   EXPECT_EQ(s.unnoticed_age(milliseconds(5049)), milliseconds(3200))
-      << "sure of the list, not of them";
+      << "the list is fresh, but the requests may still be old";
   EXPECT_EQ(s.unnoticed_age(milliseconds(5050)), Duration{0});
 }
 
-// One that runs for 100 ms in every 2 s holds for three of its turns and not for ever.
-TEST(StallGuardTest, DoesNotHoldForeverWhereTheProcessRunsForMomentsOnly) {
+// A process that runs for 100 ms in every 2 s must stop holding in its third turn, and not hold
+// forever.
+TEST(StallGuardTest, LimitsTheHoldOfAProcessThatRunsOnlyForShortMoments) {
   StallGuard s(Time{0});
-  int held = 0;
+  int turns_held = 0;
   for (int turn = 1; turn <= 10; ++turn) {
-    const Time woken = seconds(2 * turn);
-    s.observe(woken);
-    const Time end = woken + milliseconds(100);
+    const Time resumed_at = seconds(2 * turn);
+    s.observe(resumed_at);
+    const Time end = resumed_at + milliseconds(100);
     s.on_hold_expired(std::min(end, s.hold_until()));
-    held += s.is_holding();
+    turns_held += s.is_holding();
     s.observe(end);
     if (s.is_holding()) continue;
     EXPECT_EQ(turn, 3);
     break;
   }
-  EXPECT_EQ(held, 2);
+  EXPECT_EQ(turns_held, 2);
 }
 
-// Whatever comes in whatever order: it holds only after a gap, never for longer than the bound of
-// the time in which it runs, and no word from before its last standstill makes it sure.
-TEST(StallGuardTest, KeepsItsBoundsUnderRandomObservationsAnswersAndGaps) {
+// Under random sequences of events the guard holds only after a stall, never for longer than
+// max_hold of running time, and an answer to a call from before the last stall does not make it
+// fresh.
+TEST(StallGuardTest, KeepsItsBoundsUnderRandomObservationsAnswersAndStalls) {
   for (int seed = 1; seed <= 300; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(static_cast<std::uint64_t>(seed));
     const auto below = [&random](int n) { return static_cast<int>(random() % n); };
     const StallGuard::Bounds bounds;
-    Time now = seconds(1), looked = now, woken{0};
+    Time now = seconds(1), last_observation = now, resumed_at{0};
     StallGuard s(now, bounds);
-    Duration held_running{0};
-    bool sure = true;
+    Duration held_running_time{0};
+    bool fresh = true;
     for (int i = 0; i < 400; ++i) {
       const Duration step =
           below(20) == 0 ? milliseconds(1000 + below(9000)) : milliseconds(below(120));
-      const bool was_held = s.is_holding();
-      if (was_held && step < bounds.stall_threshold) held_running += step;
+      const bool was_holding = s.is_holding();
+      if (was_holding && step < bounds.stall_threshold) held_running_time += step;
       now += step;
-      const bool still = now - looked >= bounds.stall_threshold;
-      looked = now;
-      if (still) {
-        sure = false;
-        woken = now;
-        if (!was_held) held_running = Duration{0};
+      const bool is_stall = now - last_observation >= bounds.stall_threshold;
+      last_observation = now;
+      if (is_stall) {
+        fresh = false;
+        resumed_at = now;
+        if (!was_holding) held_running_time = Duration{0};
       }
       switch (below(3)) {
         case 0:
-          EXPECT_EQ(s.observe(now), still);
+          EXPECT_EQ(s.observe(now), is_stall);
           break;
         case 1: {
-          const Time asked = now - milliseconds(below(200));
-          EXPECT_EQ(s.observe(now), still);
-          s.on_discovery_answer(asked);
-          sure = sure || asked >= woken;
+          const Time called_at = now - milliseconds(below(200));
+          EXPECT_EQ(s.observe(now), is_stall);
+          s.on_discovery_answer(called_at);
+          fresh = fresh || called_at >= resumed_at;
           break;
         }
         default:
-          EXPECT_EQ(s.observe(now), still);
+          EXPECT_EQ(s.observe(now), is_stall);
       }
-      // The timer comes when it is due, or late where the process stood still.
+      // The timer fires when it is due, or late if the process was stalled.
       s.on_hold_expired(now);
-      EXPECT_EQ(s.stage() == Stage::kFresh, sure);
+      EXPECT_EQ(s.stage() == Stage::kFresh, fresh);
       if (s.is_holding()) {
-        EXPECT_LE(held_running, bounds.max_hold + milliseconds(120));
+        EXPECT_LE(held_running_time, bounds.max_hold + milliseconds(120));
       }
     }
     EXPECT_GT(s.stalls(), 0);
--- a/tests/transcript.sh
+++ b/tests/transcript.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Plays a short wire transcript through the adapter: once whole, once with its instances split over
-# two processes. Each instance must act alike, every request must get its answer, and input that is
-# not the wire's must end the adapter with one plain line and a non-zero exit.
+# Sends a short wire transcript through the adapter: once with both instances in one process, once
+# with one process per instance. Each instance must make the same decisions in both runs, every
+# request must be sent, and malformed input must end the adapter with one line on stderr and a
+# non-zero exit status.
 set -euo pipefail
 adapter=$1
 work=$(mktemp -d)
@@ -19,7 +20,7 @@
   done
   echo "{\"who\":$1,\"events\":[${list:1}]}"
 }
-misses() {  # instance, count: the first attempt of each misses
+misses() {  # instance, count: the first attempt of each request misses
   local list='' i
   for i in $(seq 1 "$2"); do
     list+=$(printf ',{"t":"completed","handle":"%08x%08x","sendNo":0,"host":"h1:1","status":204,"latency":9,"complete":false,"load":null}' "$1" "$i")
@@ -44,14 +45,14 @@
   "$adapter" < "$work/in.$part" > "$work/out.$part"
 done
 
-# One line an instance and batch, so that whole and split replies compare.
+# One line per instance and batch, so that the replies of the two runs can be compared.
 lines() { grep -ho '{"who":[01],"decisions":\[[^]]*\]}' "$@" | sort; }
-lines "$work/out.both" > "$work/whole"
+lines "$work/out.both" > "$work/joint"
 lines "$work/out.0" "$work/out.1" > "$work/split"
-cmp "$work/whole" "$work/split" || { echo "split over two processes the instances act otherwise"; exit 1; }
-[ "$(wc -l < "$work/out.both")" = 4 ] || { echo "not one reply a batch"; exit 1; }
-[ "$(grep -o '"host":"h[12]:1"' "$work/out.both" | wc -l)" = 50 ] || { echo "not every request was sent"; exit 1; }
-grep -q '"host":"o:1"' "$work/out.both" || { echo "no miss was fetched"; exit 1; }
+cmp "$work/joint" "$work/split" || { echo "the decisions differ when the instances run in two processes"; exit 1; }
+[ "$(wc -l < "$work/out.both")" = 4 ] || { echo "the number of replies differs from the number of batches"; exit 1; }
+[ "$(grep -o '"host":"h[12]:1"' "$work/out.both" | wc -l)" = 50 ] || { echo "not every request was sent to a cache host"; exit 1; }
+grep -q '"host":"o:1"' "$work/out.both" || { echo "no miss was fetched from the origin"; exit 1; }
 
 for bad in 'nonsense' '[]' '{"moment":1}' '{"moment":"x","balancers":[]}' \
   '{"moment":1,"balancers":[{"who":9,"events":[{"t":"wakeup","tag":1}]}]}' \
@@ -59,6 +60,6 @@
   if echo "$bad" | "$adapter" > "$work/bad.out" 2> "$work/bad.err"; then
     echo "accepted: $bad"; exit 1
   fi
-  [ "$(wc -l < "$work/bad.err")" = 1 ] && [ ! -s "$work/bad.out" ] || { echo "no plain message for: $bad"; exit 1; }
+  [ "$(wc -l < "$work/bad.err")" = 1 ] && [ ! -s "$work/bad.out" ] || { echo "expected one line on stderr and no output for: $bad"; exit 1; }
 done
 echo "transcript ok"
--- a/tests/wire_test.cc
+++ b/tests/wire_test.cc
@@ -25,7 +25,7 @@
   EXPECT_NE(fetched.find(R"("host":"o:1")"), std::string::npos) << fetched;
 }
 
-TEST(WireTest, SaysWhatIsWrongWithMalformedInput) {
+TEST(WireTest, ReportsTheErrorInMalformedInput) {
   const auto message = [](const std::string& line) -> std::string {
     Wire wire;
     wire.handle(kStart);
@@ -49,7 +49,7 @@
             "instance 5: event 'wakeup': the instance was never provisioned");
 }
 
-TEST(WireTest, IgnoresFinishedRequestsAndForgetsAtExit) {
+TEST(WireTest, IgnoresUnknownRequestsAndRemovesThePolicyAtExit) {
   Wire wire;
   wire.handle(kStart);
   const std::string late =
