--- a/src/hosts/host_registry.cc
+++ b/src/hosts/host_registry.cc
@@ -56,7 +56,7 @@
       host.state = HostState::kGone;
     }
     if (host.is_placed()) total_weight_ += host.weight;
-    if (remove_if_unreferenced(i)) changes.push_back({HostChange::Kind::kForgotten, i});
+    if (remove_if_unreferenced(i)) changes.push_back({HostChange::Kind::kRemoved, i});
   }
 }
 
--- a/src/hosts/host_registry.h
+++ b/src/hosts/host_registry.h
@@ -86,7 +86,7 @@
       kReturnedToService,  // by an override; its process started at `at` or later
       kJoined,             // keys may be placed on it from now on
       kLeft,               // keys may no longer be placed on it
-      kForgotten           // removed; its index may be reused for another host
+      kRemoved             // its index may be reused for another host
     } kind;
     Index host;
     Time at{0};
--- a/src/policy/policy.cc
+++ b/src/policy/policy.cc
@@ -58,7 +58,7 @@
       poll_backoff_(settings.max_poll_interval),
       mean_work_(kInitialMeanWorkSeconds) {
   if (settings_.discovery_is_polled)
-    add_timer(now + poll_backoff_.initial_delay(random_.next()), TimerKind::kSubscribe);
+    add_timer(now + poll_backoff_.initial_delay(random_.next()), TimerKind::kPollHosts);
 }
 
 std::uint64_t Policy::add_timer(Time at, TimerKind kind, RequestId id) {
@@ -77,7 +77,7 @@
 void Policy::on_hosts(Time now, ListKind kind, const std::vector<HostEntry>& entries) {
   now_ = now;
   if (kind == ListKind::kRejected) {
-    add_timer(now + poll_backoff_.after_rejection(random_.next()), TimerKind::kSubscribe);
+    add_timer(now + poll_backoff_.after_rejection(random_.next()), TimerKind::kPollHosts);
     return;
   }
   poll_backoff_.on_list();
@@ -120,7 +120,7 @@
     case Kind::kTakenOutOfService:
       sink_.close_idle(host_registry_[change.host].id);
       break;
-    case Kind::kForgotten:
+    case Kind::kRemoved:
       outliers_[change.host] = {};
       slow_start_.reset(change.host);
       break;
@@ -430,7 +430,7 @@
   now_ = now;
   const auto timer = timers_.take(tag);
   if (!timer) return;
-  if (timer->kind == TimerKind::kSubscribe) return sink_.subscribe();
+  if (timer->kind == TimerKind::kPollHosts) return sink_.subscribe();
   const auto at = requests_.find(timer->id);
   if (at == requests_.end() || at->second.finished) return;
   RequestState& request = at->second;
@@ -444,7 +444,7 @@
     case TimerKind::kResend:
       if (request.in_flight() == 0) send_write(request);
       break;
-    case TimerKind::kSubscribe:
+    case TimerKind::kPollHosts:
       break;
   }
   erase_if_done(timer->id);
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -107,7 +107,7 @@
   using HostIndex = Placement::Host;
   using Host = HostRegistry::Host;
 
-  enum class TimerKind { kDeadline, kSlow, kResend, kSubscribe };
+  enum class TimerKind { kDeadline, kSlow, kResend, kPollHosts };
   struct Timer {
     TimerKind kind;
     RequestId id;
--- a/tests/host_registry_test.cc
+++ b/tests/host_registry_test.cc
@@ -36,7 +36,7 @@
   b.start = HostStart::exactly(seconds(5));
   EXPECT_EQ(kinds(registry.on_list(ListKind::kChanges, {b})), std::vector{Kind::kStarted});
   EXPECT_EQ(kinds(registry.on_list(ListKind::kComplete, {b})),
-            (std::vector{Kind::kLeft, Kind::kForgotten}));
+            (std::vector{Kind::kLeft, Kind::kRemoved}));
   EXPECT_FALSE(registry.find("a"));
   EXPECT_TRUE(registry.on_list(ListKind::kRejected, {}).empty());
   EXPECT_TRUE(registry.find("b"));
@@ -57,7 +57,7 @@
 TEST(HostRegistryTest, DoesNotPlaceAHostThatJoinsAndLeavesInOneList) {
   HostRegistry registry(false, seconds(10));
   EXPECT_EQ(kinds(registry.on_list(ListKind::kChanges, {entry("a"), entry("a", HostState::kGone)})),
-            (std::vector{Kind::kJoined, Kind::kLeft, Kind::kForgotten}));
+            (std::vector{Kind::kJoined, Kind::kLeft, Kind::kRemoved}));
   EXPECT_EQ(registry.total_weight(), 0);
 }
 
@@ -128,7 +128,7 @@
           ASSERT_TRUE(placed.insert(n.host).second);
         } else if (n.kind == Kind::kLeft) {
           ASSERT_EQ(placed.erase(n.host), 1u);
-        } else if (n.kind == Kind::kForgotten) {
+        } else if (n.kind == Kind::kRemoved) {
           ASSERT_EQ(placed.count(n.host), 0u);
         }
       }
