--- a/src/connection_pool/connection_selector.cc
+++ b/src/connection_pool/connection_selector.cc
@@ -8,21 +8,21 @@
 
 using std::chrono::milliseconds;
 
-// A non-idempotent attempt takes no connection that has been idle for longer: the host may have
-// closed it, or may reset it at the first byte.
+// A non-idempotent attempt does not use a connection that has been idle for longer: the host may
+// have closed it, or may reset it at the first byte.
 constexpr Duration kMaxIdleForNonIdempotent = milliseconds(500);
-// A host that closes connections right behind an answer has done so by then.
+// If a host closes connections directly after an answer, the close has arrived within this time.
 constexpr Duration kMinIdleBeforeReuse = milliseconds(20);
-// A connection that has answered so often is known to stay open behind answers.
+// A connection that has carried this many answers is known to stay open after answers.
 constexpr std::size_t kMinAnswersForReuse = 2;
 
-// An answer is slow at so many times the usual latency.
+// An answer is slow if it takes longer than this multiple of the usual latency.
 constexpr int kSlowFactor = 8;
-// Answers over which the averages run.
+// Number of answers over which the moving averages run.
 constexpr double kSlowRatioSamples = 512;
 constexpr double kLatencySamples = 64;
 constexpr double kKindSamples = 16;
-// Keeps the depth finite while no answer has been slow.
+// Keeps shared_depth() finite while no answer has been slow.
 constexpr double kMinSlowRatio = 1e-6;
 
 }  // namespace
@@ -40,31 +40,35 @@
 
 bool ConnectionSelector::is_overdue(const Connection& connection, Time now) const {
   if (!connection.is_connected || connection.in_flight.empty()) return false;
-  const Time turn = std::max(connection.in_flight.front().assigned_at, connection.last_progress);
-  return now - turn > slow_threshold();
+  const Time front_since =
+      std::max(connection.in_flight.front().assigned_at, connection.last_progress);
+  return now - front_since > slow_threshold();
 }
 
-// ---- the choice
+// ---- selection
 
-// Whether the attempt may go behind those in flight on this connection, of which at most
-// `max_foreign` may belong to other clients.
+// Returns whether the attempt may be queued on this connection behind those in flight, of which at
+// most `max_other_clients` may belong to other clients.
 bool ConnectionSelector::accepts(const Connection& connection, Time now,
-                                 const AttemptTraits& traits, std::size_t max_foreign) const {
+                                 const AttemptTraits& traits, std::size_t max_other_clients) const {
   if (!connection.is_open || !connection.is_reusable) return false;
   if (connection.in_flight.size() >= settings_.max_depth) return false;
-  if (traits.non_idempotent && connection.non_idempotent >= settings_.max_non_idempotent)
+  if (traits.non_idempotent && connection.non_idempotent_count >= settings_.max_non_idempotent)
     return false;
   if (is_overdue(connection, now)) return false;
-  std::size_t foreign = connection.in_flight.size();
+  std::size_t other_clients = connection.in_flight.size();
   if (traits.client_id != 0)
     for (const InFlightAttempt& attempt : connection.in_flight)
-      foreign -= attempt.traits.client_id == traits.client_id;
-  if (foreign == 0) return true;
-  return foreign <= max_foreign && connection.slow_kind == 0 && !is_slow_kind(traits.command_kind);
+      other_clients -= attempt.traits.client_id == traits.client_id;
+  if (other_clients == 0) return true;
+  return other_clients <= max_other_clients && connection.slow_kind_count == 0 &&
+         !is_slow_kind(traits.command_kind);
 }
 
-// The connection that carries the attempt's order group, if it is in flight. Attempts of a group
-// lie on several connections only where they are reads; then a write waits for all but one.
+// Selects the connection on which the attempt's order group is in flight, or kWait if the attempt
+// cannot be queued there. Returns nothing if none of the group is in flight. Attempts of a group
+// are on several connections only if they are reads; then a write waits until only one of these
+// connections carries the group.
 std::optional<ConnectionSelector::Choice> ConnectionSelector::follow_group(
     Time now, const AttemptTraits& traits) const {
   const auto is_in_group = [&traits](const InFlightAttempt& attempt) {
@@ -85,10 +89,10 @@
   return Choice{Choice::Kind::kUse, *carrier};
 }
 
-// A connection on which the same client's last attempt is at the end of the queue: there the
-// attempt waits behind nobody else's.
-std::optional<ConnectionId> ConnectionSelector::find_own(Time now,
-                                                         const AttemptTraits& traits) const {
+// Returns a connection whose last queued attempt belongs to the same client. No attempt of another
+// client is queued between the two there.
+std::optional<ConnectionId> ConnectionSelector::find_same_client(
+    Time now, const AttemptTraits& traits) const {
   for (ConnectionId id = 0; id < connections_.size(); ++id) {
     const Connection& connection = connections_[id];
     if (!connection.is_open || connection.in_flight.empty()) continue;
@@ -98,10 +102,11 @@
   return std::nullopt;
 }
 
-// The most recently used idle connection on which the host has had time to close behind an answer:
-// a request that crosses the close may have run. If none has been idle for that long, the most
-// recent one will do, except for an attempt that must not be retried, and for one whose answer
-// could be mistaken for a duplicate of the previous one.
+// Returns the most recently used idle connection that has been idle for kMinIdleBeforeReuse or is
+// known to stay open after answers. The minimum gives the host time to close the connection after
+// an answer: a request that crosses the close may have run. If there is no such connection, returns
+// the most recently used one, except for a non-idempotent attempt, which must not be retried, and
+// for an attempt for whose answer a late duplicate of the previous answer could be mistaken.
 std::optional<ConnectionId> ConnectionSelector::find_idle(Time now,
                                                           const AttemptTraits& traits) const {
   const Duration max_idle = traits.non_idempotent
@@ -119,14 +124,13 @@
   return idle_.back();
 }
 
-std::optional<ConnectionId> ConnectionSelector::find_least_loaded(Time now,
-                                                                  const AttemptTraits& traits,
-                                                                  std::size_t max_foreign) const {
+std::optional<ConnectionId> ConnectionSelector::find_least_loaded(
+    Time now, const AttemptTraits& traits, std::size_t max_other_clients) const {
   std::optional<ConnectionId> least;
   for (ConnectionId id = 0; id < connections_.size(); ++id) {
     const Connection& connection = connections_[id];
     if (!connection.is_open || connection.in_flight.empty()) continue;
-    if (!accepts(connection, now, traits, max_foreign)) continue;
+    if (!accepts(connection, now, traits, max_other_clients)) continue;
     if (!least || depth(id) < depth(*least)) least = id;
   }
   return least;
@@ -138,13 +142,13 @@
   if (traits.must_follow_group)
     if (const auto choice = follow_group(now, traits)) return *choice;
   if (settings_.shared && traits.client_id != 0)
-    if (const auto id = find_own(now, traits)) return {Kind::kUse, *id};
+    if (const auto id = find_same_client(now, traits)) return {Kind::kUse, *id};
   if (const auto id = find_idle(now, traits)) return {Kind::kUse, *id};
   if (settings_.shared && (open_ >= settings_.min_connections_before_sharing || !may_open))
     if (const auto id = find_least_loaded(now, traits, shared_depth() - 1))
       return {Kind::kUse, *id};
   if (may_open) return {Kind::kOpen};
-  // No connection can be opened: an answer that waits behind another client's is better than none.
+  // No connection can be opened: waiting behind another client's attempt is better than no answer.
   if (!is_slow_kind(traits.command_kind))
     if (const auto id = find_least_loaded(now, traits, settings_.max_depth))
       return {Kind::kUse, *id};
@@ -186,19 +190,19 @@
   Connection& connection = connections_[id];
   if (connection.in_flight.empty()) std::erase(idle_, id);
   connection.in_flight.push_back({traits, now});
-  connection.non_idempotent += traits.non_idempotent;
-  connection.slow_kind += is_slow_kind(traits.command_kind);
+  connection.non_idempotent_count += traits.non_idempotent;
+  connection.slow_kind_count += is_slow_kind(traits.command_kind);
 }
 
-void ConnectionSelector::remove_in_flight(Connection& connection, std::size_t place) {
-  const auto at = connection.in_flight.begin() + static_cast<std::ptrdiff_t>(place);
-  connection.non_idempotent -= at->traits.non_idempotent;
+void ConnectionSelector::remove_in_flight(Connection& connection, std::size_t position) {
+  const auto at = connection.in_flight.begin() + static_cast<std::ptrdiff_t>(position);
+  connection.non_idempotent_count -= at->traits.non_idempotent;
   connection.in_flight.erase(at);
-  // Counted anew, as a kind may have become slow, or fast again, while the attempt was in flight.
-  connection.slow_kind = 0;
+  // Recounts, as a kind may have become slow, or fast again, while the attempt was in flight.
+  connection.slow_kind_count = 0;
   if (slow_kinds_ == 0) return;
   for (const InFlightAttempt& attempt : connection.in_flight)
-    connection.slow_kind += is_slow_kind(attempt.traits.command_kind);
+    connection.slow_kind_count += is_slow_kind(attempt.traits.command_kind);
 }
 
 void ConnectionSelector::record_latency(std::uint8_t command_kind, Duration latency) {
@@ -209,7 +213,7 @@
   slow_kinds_ += (kind_ratio > kSlowKindRatio) - was_slow_kind;
   if (was_slow_kind) return;
   slow_ratio_ += (slow - slow_ratio_) / kSlowRatioSamples;
-  // Bounded, so that one slow answer moves the average only a little.
+  // Bounds the sample so that one slow answer changes the average only a little.
   const Duration sample =
       usual_latency_ == Duration{0} ? latency : std::min(latency, 2 * slow_threshold());
   usual_latency_ += Duration(static_cast<Duration::rep>(
@@ -220,8 +224,8 @@
   Connection& connection = connections_[id];
   if (connection.in_flight.empty()) return;
   const InFlightAttempt& front = connection.in_flight.front();
-  const Time turn = std::max(front.assigned_at, connection.last_progress);
-  record_latency(front.traits.command_kind, now - turn);
+  const Time front_since = std::max(front.assigned_at, connection.last_progress);
+  record_latency(front.traits.command_kind, now - front_since);
   ++connection.answered;
   connection.is_reusable = reusable;
   connection.last_progress = now;
@@ -229,9 +233,9 @@
   if (connection.in_flight.empty() && reusable) mark_idle(id, now);
 }
 
-void ConnectionSelector::on_withdrawn(ConnectionId id, std::size_t place, Time now) {
+void ConnectionSelector::on_withdrawn(ConnectionId id, std::size_t position, Time now) {
   Connection& connection = connections_[id];
-  remove_in_flight(connection, place);
+  remove_in_flight(connection, position);
   if (connection.in_flight.empty() && connection.is_connected && connection.is_reusable)
     mark_idle(id, now);
 }
--- a/src/dispatch/attempt_timers.cc
+++ b/src/dispatch/attempt_timers.cc
@@ -7,7 +7,8 @@
 namespace {
 
 constexpr Duration kTick = std::chrono::milliseconds(1);
-// Time-outs come due by the thousand when a host hangs; other events get their turn in between.
+// Bounds the timers handled in one turn of the event loop. Thousands of time-outs expire together
+// when a host hangs, and other events must be handled in between.
 constexpr std::size_t kMaxDuePerTurn = 64;
 
 }  // namespace
@@ -31,7 +32,7 @@
 
 void AttemptTimers::set_policy_timer(Time at, std::uint64_t tag) {
   if (policy_timers_.empty()) first_tag_ = tag;
-  policy_timers_.resize(tag - first_tag_);  // tags that were skipped
+  policy_timers_.resize(tag - first_tag_);  // no timers for skipped tags
   policy_timers_.push_back(wheel_.set(at, {nullptr, tag}));
   arm();
 }
@@ -39,51 +40,51 @@
 void AttemptTimers::cancel_policy_timer(std::uint64_t tag) {
   if (tag - first_tag_ >= policy_timers_.size()) return;
   if (const auto& handle = policy_timers_[tag - first_tag_]) wheel_.cancel(*handle);
-  forget_policy_timer(tag);
+  erase_policy_timer(tag);
 }
 
-void AttemptTimers::forget_policy_timer(std::uint64_t tag) {
+void AttemptTimers::erase_policy_timer(std::uint64_t tag) {
   if (tag - first_tag_ >= policy_timers_.size()) return;
   policy_timers_[tag - first_tag_].reset();
   for (; !policy_timers_.empty() && !policy_timers_.front(); ++first_tag_)
     policy_timers_.pop_front();
 }
 
-// The event loop's timer is moved only to an earlier time.
+// Only moves the event loop's timer to an earlier time; on_wheel_due() sets it again when it fires.
 void AttemptTimers::arm() {
   const auto next = wheel_.next();
-  if (!next || *next >= loop_timer_at_) return;
-  loop_timer_at_ = *next;
-  loop_timer_.expires_at(clock_.steady(loop_timer_at_));
+  if (!next || *next >= loop_timer_due_) return;
+  loop_timer_due_ = *next;
+  loop_timer_.expires_at(clock_.steady(loop_timer_due_));
   loop_timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) on_wheel_due();
   });
 }
 
 void AttemptTimers::on_wheel_due() {
-  loop_timer_at_ = Time::max();
+  loop_timer_due_ = Time::max();
   wheel_.advance(clock_.now(), [this](DueTimer due) { due_.push_back(std::move(due)); });
   arm();
   run_due();
 }
 
 void AttemptTimers::run_due() {
-  if (run_posted_) return;
+  if (is_run_posted_) return;
   for (std::size_t n = 0; n < kMaxDuePerTurn && !due_.empty(); ++n) {
     const DueTimer due = std::move(due_.front());
     due_.pop_front();
     if (due.attempt) {
       handlers_.on_timeout(due.attempt);
     } else {
-      forget_policy_timer(due.tag);
+      erase_policy_timer(due.tag);
       handlers_.on_policy_timer(due.tag);
     }
   }
   handlers_.on_batch_end();
   if (due_.empty()) return;
-  run_posted_ = true;
+  is_run_posted_ = true;
   boost::asio::post(io_, [this] {
-    run_posted_ = false;
+    is_run_posted_ = false;
     run_due();
   });
 }
--- a/src/dispatch/attempt_timers.h
+++ b/src/dispatch/attempt_timers.h
@@ -13,27 +13,28 @@
 
 namespace balancer {
 
-// The time-outs of a pool's attempts and the timers of its policy: one timing wheel behind one
-// timer of the event loop. Resolution 1 ms; nothing fires early.
+// The time-outs of a pool's attempts and the timers of its policy, kept in one timing wheel that is
+// driven by one timer of the event loop. The resolution is 1 ms; no timer fires early. Owned by the
+// server pool.
 class AttemptTimers {
  public:
   struct Handlers {
     std::function<void(const AttemptPtr&)> on_timeout;
     std::function<void(std::uint64_t tag)> on_policy_timer;
-    std::function<void()> on_batch_end;  // after some of the above in one turn of the event loop
+    std::function<void()> on_batch_end;  // after each batch of the above
   };
 
-  // Handlers are called from the event loop only. `io` and `clock` outlive the object.
+  // The handlers are called from the event loop only. `io` and `clock` outlive the object.
   AttemptTimers(boost::asio::io_context& io, const Clock& clock, Handlers handlers);
 
-  // Sets the attempt's time-out at its deadline.
+  // Schedules the attempt's time-out at its deadline.
   void set_timeout(const AttemptPtr& attempt);
-  // Without effect on a time-out that has fired.
+  // Has no effect on a time-out that has fired.
   void cancel_timeout(const Attempt& attempt);
 
-  // A timer of the policy, whose tags ascend.
+  // Schedules a timer of the policy. Tags must ascend from call to call.
   void set_policy_timer(Time at, std::uint64_t tag);
-  // Without effect on a timer that has fired.
+  // Has no effect on a timer that has fired.
   void cancel_policy_timer(std::uint64_t tag);
 
  private:
@@ -47,19 +48,19 @@
   void arm();
   void on_wheel_due();
   void run_due();
-  void forget_policy_timer(std::uint64_t tag);
+  void erase_policy_timer(std::uint64_t tag);
 
   boost::asio::io_context& io_;
   const Clock& clock_;
   const Handlers handlers_;
   Wheel wheel_;
   std::deque<DueTimer> due_;
-  bool run_posted_ = false;
-  // By tag, from first_tag_ on.
+  bool is_run_posted_ = false;
+  // Indexed by tag - first_tag_; empty for timers that have fired or were cancelled.
   std::deque<std::optional<Wheel::Handle>> policy_timers_;
   std::uint64_t first_tag_ = 0;
   boost::asio::steady_timer loop_timer_;
-  Time loop_timer_at_ = Time::max();
+  Time loop_timer_due_ = Time::max();
 };
 
 }  // namespace balancer
--- a/src/dispatch/host_start_times.h
+++ b/src/dispatch/host_start_times.h
@@ -9,15 +9,18 @@
 
 namespace balancer {
 
-// Turns the Unix start times of an endpoint list into times on the monotonic clock.
+// Converts the Unix start times of an endpoint list into times on the monotonic clock. Owned by the
+// server pool.
 class HostStartTimes {
  public:
-  // `wall_offset`: wall clock less monotonic clock at the start of the process; it may be wrong.
+  // `wall_offset`: wall-clock time minus monotonic time at the start of the process. It may be
+  // wrong, as the wall clock may be.
   explicit HostStartTimes(Duration wall_offset) : estimator_(wall_offset) {}
 
-  // Learns the sender's clock from a list that was received at `now`.
+  // Updates the estimate of Unix time from the timestamps in a list that was received at `now`.
   void on_list(Time now, const HostList& list);
-  // None: the host started long ago.
+  // Returns when the host started, or nothing if the list has no start time for it, which means
+  // that it started long ago.
   std::optional<HostStart> start_of(Time now, const ListedHost& host) const;
 
  private:
--- a/src/dispatch/routing_extension.h
+++ b/src/dispatch/routing_extension.h
@@ -8,19 +8,21 @@
 
 namespace balancer {
 
-// State that a server pool keeps beside its policy where servers redirect requests to each other,
-// as RESP cluster nodes do. Called from the event loop only.
+// Extends a server pool whose servers redirect requests to each other, as RESP cluster nodes do:
+// chooses the hosts of a key, prepares attempts and interprets their results. Outlives the pool.
+// Called from the event loop only.
 class RoutingExtension {
  public:
   virtual ~RoutingExtension() = default;
-  // Which hosts serve a key. Outlives the pool.
+  // Returns the mapping from keys to hosts, which outlives the pool.
   virtual Placement& placement() = 0;
+  // A request was submitted; called before the policy routes it.
   virtual void on_request(RequestId id, const RequestPayload& payload) = 0;
-  // The request has its answer, and no attempt of it is in flight.
+  // The request has been answered or withdrawn, and none of its attempts is in flight.
   virtual void on_forgotten(RequestId id) = 0;
-  // Sets what the host must be told with the attempt, before it goes out.
+  // Sets the attempt's redirection flags (`asking`, `replica`) before it is sent.
   virtual void prepare(Attempt& attempt) = 0;
-  // Returns what the result means to the policy; `value` is what came with it.
+  // Returns the result to report to the policy in place of `result`. `value` is the server's reply.
   virtual Result interpret(const Attempt& attempt, Result result, const std::string& value) = 0;
 };
 
--- a/src/dispatch/server_pool.cc
+++ b/src/dispatch/server_pool.cc
@@ -8,10 +8,11 @@
 
 constexpr Duration kDefaultConnectTimeout = std::chrono::seconds(1);
 constexpr Duration kDefaultIdleClose = std::chrono::seconds(15);
-// Connections are closed after this part of the time after which hosts close them.
+// Idle connections are closed after 1/kIdleCloseDivisor of the time after which hosts close them.
 constexpr int kIdleCloseDivisor = 3;
-// How long a client counts as connected once it was known to be: no attempt begins later than this
-// after the close of its connection, even where the process is late to read the close.
+// How long a client is assumed to be connected after a successful check. No attempt begins later
+// than this after the client has closed its connection, even if the process is late to read the
+// close.
 constexpr Duration kConnectedFor = std::chrono::milliseconds(50);
 
 UpstreamSettings upstream_settings(const SiteSettings& site) {
@@ -46,7 +47,7 @@
       policy_(site.policy, seed, clock.now(), *this,
               routing_extension ? &routing_extension->placement() : nullptr),
       upstreams_(io, limits, *this, upstream_settings(site), std::move(dial)),
-      stall_hold_(io, clock, [this](const auto& held) { on_released(held); }) {}
+      stall_hold_(io, clock, [this](const auto& held) { on_hold_released(held); }) {}
 
 Duration ServerPool::longest_deadline(Duration max) const {
   Duration longest{0};
@@ -55,15 +56,15 @@
   return longest > Duration{0} ? std::min(longest, max) : max;
 }
 
-// ---- the policy's actions
+// ---- actions of the policy
 
 void ServerPool::send(RequestId id, std::string_view host, Time until) {
   PendingRequest& request = requests_.at(id);
   AttemptPtr attempt = make_attempt(id, request, host, until);
   ++request.attempts_in_flight;
-  // The policy decided on what was known before a stall, if there was one.
+  // If the process has just stalled, the policy's decision is based on an outdated endpoint list.
   stall_hold_.observe();
-  attempt->held = stall_hold_.is_holding() && host != origin_;
+  attempt->held = stall_hold_.is_holding() && host != origin_id_;
   timers_.set_timeout(attempt);
   if (attempt->held) {
     stall_hold_.hold(std::move(attempt));
@@ -112,7 +113,7 @@
 void ServerPool::submit(const std::shared_ptr<ResponseSink>& sink, ResponseSlot slot,
                         RequestSpec spec) {
   stall_hold_.observe();
-  if (!may_take(*sink, spec)) {
+  if (!may_accept(*sink, spec)) {
     spec.payload->on_released();
     sink->on_response(slot, *spec.payload, {Response::Kind::kRejected, {}, Duration{0}, nullptr});
     return;
@@ -134,9 +135,9 @@
   erase_finished();
 }
 
-// Whether a request may be taken; otherwise it is rejected, as nothing of it has run. After a stall
-// it may have lain unread in the socket until its client's time was over.
-bool ServerPool::may_take(const ResponseSink& sink, const RequestSpec& spec) const {
+// Returns whether a request may be accepted. If not, it is rejected, which is safe as no attempt of
+// it has run. After a stall it may have waited in the socket until the client's deadline was over.
+bool ServerPool::may_accept(const ResponseSink& sink, const RequestSpec& spec) const {
   if (stall_hold_.max_unread_age() >= spec.time_left) return false;
   if (site_.max_held > 0 && open_requests_ >= static_cast<std::size_t>(site_.max_held))
     return false;
@@ -191,7 +192,7 @@
 void ServerPool::mark_finished(RequestId id, PendingRequest& request) {
   request.finished = true;
   --open_requests_;
-  // Removed from its sink's list by moving the last entry to its place.
+  // Removes the request from its sink's list by moving the last entry to its position.
   auto& open = request.sink->open_requests_;
   requests_.at(open.back()).sink_index = request.sink_index;
   open[request.sink_index] = open.back();
@@ -200,7 +201,8 @@
   finished_.push_back(id);
 }
 
-// Requests are erased only here, after the policy has returned: its actions name them until then.
+// Requests are erased only here, after the policy has returned, as its actions refer to them until
+// then.
 void ServerPool::erase_finished() {
   for (const RequestId id : std::exchange(finished_, {})) {
     const auto it = requests_.find(id);
@@ -220,8 +222,8 @@
   return true;
 }
 
-// The time is checked here too: after a stall it may have passed before the time-out fires. The
-// host is looked up in the policy, which is the first to learn of changes.
+// Checks the deadline too, as it may have passed before the time-out fires after a stall. Looks the
+// host up in the policy, which is the first component to receive changes of the endpoint list.
 SendPermission ServerPool::may_send(const Attempt& attempt) const {
   const auto it = requests_.find(attempt.request);
   if (it == requests_.end()) return SendPermission::kRequestFinished;
@@ -236,15 +238,15 @@
                                               : SendPermission::kHostChanged;
 }
 
-// Attempts that were held rested on an old endpoint list: the policy decides on them anew, which
-// charges no host and counts as no retry.
-void ServerPool::on_released(const std::vector<AttemptPtr>& held) {
+// Attempts that were held are based on an old endpoint list. The policy decides on them again,
+// which counts neither as a failure of the host nor as a retry.
+void ServerPool::on_hold_released(const std::vector<AttemptPtr>& held) {
   for (const AttemptPtr& attempt : held)
     on_attempt_ended(attempt, unsent_result(may_send(*attempt)), {});
 }
 
-// The first byte of a long value is the answer: no other attempt may serve from here on, and
-// neither the attempt's nor the request's deadline counts any more.
+// The first byte of a long value answers the request: from here on no other attempt may answer it,
+// and the deadlines of the attempt and of the request no longer apply.
 void ServerPool::on_stream_started(const AttemptPtr& attempt, const StreamPtr& stream) {
   const auto it = requests_.find(attempt->request);
   if (attempt->ended || it == requests_.end() || it->second.finished) return stream->abandon();
@@ -254,7 +256,8 @@
   erase_finished();
 }
 
-// An attempt that was given up has not run if it never had a connection, or was not written whole.
+// Returns kNotSent for an attempt that timed out or was cancelled before it had a connection or
+// before it was written completely, as it has not run; otherwise returns `result`.
 Result ServerPool::correct_unsent(const AttemptPtr& attempt, Result result) {
   if (result != Result::kTimeout && result != Result::kCancelled) return result;
   const auto connection = attempt->connection.lock();
@@ -286,7 +289,7 @@
   host_start_times_.on_list(now(), list);
   std::vector<HostEntry> entries;
   for (const ListedHost& host : list.hosts) {
-    if (host.origin) origin_ = host.id;
+    if (host.origin) origin_id_ = host.id;
     entries.push_back({host.id, host_start_times_.start_of(now(), host), host.origin, host.zone,
                        host.cell, host.state, host.weight});
   }
@@ -300,7 +303,9 @@
   erase_finished();
 }
 
-void ServerPool::on_discovery_answer(Duration took) { stall_hold_.on_discovery_answer(took); }
+void ServerPool::on_discovery_answer(Duration call_duration) {
+  stall_hold_.on_discovery_answer(call_duration);
+}
 
 void ServerPool::enable_stall_guard(std::function<void()> poll_discovery,
                                     std::function<void(const std::string&)> log) {
--- a/src/dispatch/server_pool.h
+++ b/src/dispatch/server_pool.h
@@ -25,39 +25,45 @@
 
 namespace balancer {
 
-// A pool of servers with a policy of its own, and the requests in flight there. Carries out the
-// policy's decisions: turns its actions into attempts, answers and timers, and their outcomes into
-// its events. Knows no dialect.
+// A pool of servers with its own policy, and the requests in flight there. Executes the policy's
+// decisions: turns its actions into attempts, responses and timers, and reports their outcomes to
+// it as events. Independent of the clients' protocol.
 //
-// The policy keeps references across its calls to the action sink. So nothing that is called from
-// an ActionSink function may call the policy: what ends there is posted to the event loop.
+// The policy keeps references across its calls to the action sink. Therefore nothing that is called
+// from an ActionSink function may call the policy; outcomes that arise there are posted to the
+// event loop.
 class ServerPool : public RequestSink, private ActionSink, private AttemptEvents {
  public:
-  // `dial` makes the connections, `subscribe` asks for the endpoint list. `limits` and `site`
-  // outlive the event loop, whose last handlers still use them.
+  // `dial` creates the connections, `subscribe` requests the endpoint list. `limits` and `site`
+  // must outlive the event loop, as handlers use them until it is destroyed.
   ServerPool(boost::asio::io_context& io, const Clock& clock, const SiteSettings& site,
              std::uint64_t seed, Limits& limits, Dial dial, std::function<void()> subscribe,
              RoutingExtension* routing_extension = nullptr);
 
   // ---- hosts
 
+  // Applies a complete endpoint list or the changes to one.
   void on_list(const HostList& list);
-  // The call to polled discovery was rejected or broke.
+  // A poll of discovery was rejected or failed.
   void on_list_rejected();
-  // Discovery has answered a call that took so long, and its answer has been applied.
-  void on_discovery_answer(Duration took);
-  // From now on attempts to hosts other than the origin are held after a stall of the process,
-  // until a list has come that was asked for since; see StallHold for the functions.
+  // Discovery has answered a call that took `call_duration`, and the answer has been applied.
+  void on_discovery_answer(Duration call_duration);
+  // From now on, holds attempts to hosts other than the origin after a stall of the process until
+  // an endpoint list has arrived that was requested after the stall. See StallHold::enable() for
+  // the callbacks.
   void enable_stall_guard(std::function<void()> poll_discovery,
                           std::function<void(const std::string&)> log);
-  // Time since the host's last start; none where it is not listed, or started long ago.
+  // Returns the time since the host's last start, or nothing if it is not listed or started long
+  // ago.
   std::optional<Duration> host_age(std::string_view id) const;
-  // How many attempts of clients one connection to the host carries at once; 0 if it is not listed.
+  // Returns how many attempts of different clients one connection to the host carries at once, or 0
+  // if it is not listed.
   std::size_t shared_depth(std::string_view host) const { return upstreams_.shared_depth(host); }
 
-  // ---- operators' overrides and the state that passes to a successor; see Policy
+  // ---- operators' overrides and the state that is passed to a successor; see Policy
 
-  // False if the host is not known.
+  // Takes the host out of service or returns it to service, on behalf of an operator. Returns false
+  // if the host is not known.
   bool maintain(std::string_view host, bool out_of_service);
   const std::map<std::string, Policy::OperatorOverride, std::less<>>& overrides() const {
     return policy_.overrides();
@@ -73,15 +79,16 @@
               RequestSpec spec) override;
   void withdraw(ResponseSink& sink) override;
 
-  // Requests without an answer.
+  // Returns the number of requests that have not been answered.
   std::size_t open_requests() const { return open_requests_; }
-  // Requests that are taken from now on get their answer by `end`.
+  // Limits the deadlines of requests that are submitted from now on to `end`.
   void drain(Time end) { drain_end_ = end; }
-  // Fails all requests without an answer.
+  // Fails all requests that have not been answered.
   void fail_open_requests();
   // Closes idle connections while more descriptors are in use than the limit allows.
   void close_excess_connections() { upstreams_.close_excess(); }
-  // The longest deadline of its request classes, up to `max`; `max` if none is stated.
+  // Returns the longest deadline of the pool's request classes, at most `max`; `max` if none has a
+  // deadline.
   Duration longest_deadline(Duration max) const;
 
  private:
@@ -100,13 +107,13 @@
   void on_stream_started(const AttemptPtr& attempt, const StreamPtr& stream) override;
   void on_attempt_ended(const AttemptPtr& attempt, Result result, std::string value) override;
 
-  bool may_take(const ResponseSink& sink, const RequestSpec& spec) const;
+  bool may_accept(const ResponseSink& sink, const RequestSpec& spec) const;
   void register_request(RequestId id, const std::shared_ptr<ResponseSink>& sink, ResponseSlot slot,
                         RequestSpec spec);
   AttemptPtr make_attempt(RequestId id, PendingRequest& request, std::string_view host,
                           Time deadline);
   static Result correct_unsent(const AttemptPtr& attempt, Result result);
-  void on_released(const std::vector<AttemptPtr>& held);
+  void on_hold_released(const std::vector<AttemptPtr>& held);
   bool is_connected(const PendingRequest& request) const;
   void answer(RequestId id, Response response);
   void mark_finished(RequestId id, PendingRequest& request);
@@ -118,15 +125,15 @@
   RoutingExtension* const routing_extension_;
   HostStartTimes host_start_times_;
   AttemptTimers timers_;
-  Policy policy_;  // sets timers from its construction on
+  Policy policy_;  // sets timers in its constructor, so it is declared after timers_
   Upstreams upstreams_;
   StallHold stall_hold_;
   std::unordered_map<RequestId, PendingRequest> requests_;
-  std::size_t open_requests_ = 0;    // those that are not finished
-  std::vector<RequestId> finished_;  // to be erased where no attempt is in flight
+  std::size_t open_requests_ = 0;    // requests that are not finished
+  std::vector<RequestId> finished_;  // to be erased once none of their attempts is in flight
   RequestId next_id_ = 1;
   std::optional<Time> drain_end_;
-  std::string origin_;
+  std::string origin_id_;
 };
 
 }  // namespace balancer
--- a/src/dispatch/stall_hold.cc
+++ b/src/dispatch/stall_hold.cc
@@ -7,7 +7,7 @@
 
 using boost::system::error_code;
 
-// Well below the gap between two observations that counts as a stall.
+// Well below the gap between two observations that StallGuard treats as a stall (1 s by default).
 constexpr Duration kObserveInterval = std::chrono::milliseconds(400);
 
 std::string format_ms(Duration duration) {
@@ -52,9 +52,9 @@
   });
 }
 
-void StallHold::on_discovery_answer(Duration took) {
+void StallHold::on_discovery_answer(Duration call_duration) {
   observe();
-  if (guard_ && guard_->on_discovery_answer(clock_.now() - took))
+  if (guard_ && guard_->on_discovery_answer(clock_.now() - call_duration))
     release("endpoint list confirmed");
 }
 
--- a/src/dispatch/timing_wheel.h
+++ b/src/dispatch/timing_wheel.h
@@ -13,19 +13,18 @@
 namespace balancer {
 
 // A hierarchical timing wheel (Varghese and Lauck 1987, scheme 7) of kLevels wheels with kSlots
-// slots each, for many timers most of which are cancelled before they are due. Setting and
-// cancelling cost the same however many are pending. A timer fires at the first multiple of the
-// tick at or after its time, never before it; those of one tick in no order. The furthest time is
-// about kSlots^kLevels ticks away; later timers wait in the last slot and are placed again from
-// there.
+// slots each, for many timers most of which are cancelled before they expire. Setting and
+// cancelling take constant time. A timer fires at the first multiple of the tick at or after its
+// time, never before it; timers of the same tick fire in no particular order. The wheel spans about
+// kSlots^kLevels ticks; later timers wait in the last slot and are placed again from there.
 //
-// No clock and no thread: the owner asks next() and calls advance(). The function that advance() is
-// given may call set() and cancel(), and nothing else.
+// Has no clock and no thread: the owner calls advance() by the time that next() returns. The
+// callback passed to advance() may call set() and cancel(), but no other member function.
 template <typename T>
 class TimingWheel {
  public:
-  // Names a pending timer. After that timer has fired or was cancelled it names nothing, for as
-  // long as the wheel lives.
+  // Identifies a pending timer. Once that timer has fired or was cancelled, the handle stays
+  // invalid for the lifetime of the wheel.
   struct Handle {
     std::uint32_t index = kNone;
     std::uint32_t generation = 0;
@@ -44,7 +43,7 @@
     return {index, node.generation};
   }
 
-  // Returns the timer's value, or nothing if it is not pending any more.
+  // Cancels the timer and returns its value, or nothing if it is no longer pending.
   std::optional<T> cancel(Handle handle) {
     if (handle.index >= nodes_.size()) return std::nullopt;
     const Node& node = nodes_[handle.index];
@@ -53,25 +52,25 @@
     return release(handle.index);
   }
 
-  // The time at which advance() must be called at the latest; nothing is due before it. It may be
-  // earlier than the first timer, where timers have to move to a finer wheel first. None: no timer
-  // is pending.
+  // Returns the time by which advance() must be called, or nothing if no timer is pending. No timer
+  // is due before it. It may be earlier than the first timer, when timers have to move to a finer
+  // wheel first.
   std::optional<Time> next() const {
     std::optional<std::int64_t> first;
     for (std::size_t level = 0; level < kLevels; ++level) {
       if (filled_[level] == 0) continue;
       const auto shift = kBits * level;
       const auto now = now_tick_ >> shift;
-      // The slots ahead of the present one, in turn.
-      const auto turned = std::rotr(filled_[level], static_cast<int>((now + 1) & kMask));
-      const auto tick = (now + 1 + std::countr_zero(turned)) << shift;
+      // Rotates the bitmap so that bit 0 is the slot after the current one.
+      const auto rotated = std::rotr(filled_[level], static_cast<int>((now + 1) & kMask));
+      const auto tick = (now + 1 + std::countr_zero(rotated)) << shift;
       if (!first || tick < *first) first = tick;
     }
     if (!first) return std::nullopt;
     return Time(*first * tick_.count());
   }
 
-  // Hands the value of each timer that is due by `now` to `fire`.
+  // Calls `fire` with the value of each timer that is due by `now`.
   template <typename F>
   void advance(Time now, F&& fire) {
     const auto until = floor(now);
@@ -92,11 +91,12 @@
 
  private:
   static constexpr std::size_t kLevels = 5;
-  static constexpr std::size_t kBits = 6;  // of a slot number
+  static constexpr std::size_t kBits = 6;  // bits of a slot number
   static constexpr std::size_t kSlots = std::size_t{1} << kBits;
   static constexpr std::int64_t kMask = kSlots - 1;
   static constexpr std::uint32_t kNone = UINT32_MAX;
-  static constexpr std::uint32_t kDue = UINT32_MAX - 1;  // in place of a slot: about to fire
+  // Value of Node::slot for a timer that is about to fire.
+  static constexpr std::uint32_t kFiring = UINT32_MAX - 1;
 
   struct Node {
     T value{};
@@ -112,18 +112,19 @@
   std::int64_t ceil(Time t) const { return (t.count() + tick_.count() - 1) / tick_.count(); }
 
   std::uint32_t allocate() {
-    if (free_ == kNone) {
+    if (free_head_ == kNone) {
       nodes_.emplace_back();
       return static_cast<std::uint32_t>(nodes_.size() - 1);
     }
-    return std::exchange(free_, nodes_[free_].next);
+    return std::exchange(free_head_, nodes_[free_head_].next);
   }
 
-  // From the coarsest wheel that has turned: what its current slot holds goes to finer ones.
+  // Moves the timers in the current slot of each wheel that has advanced to finer wheels, starting
+  // with the coarsest.
   void move_to_finer_wheels() {
     for (std::size_t level = kLevels; level-- > 1;) {
       if ((now_tick_ & ((std::int64_t{1} << (kBits * level)) - 1)) != 0) continue;
-      for (auto n = take_slot(level, (now_tick_ >> (kBits * level)) & kMask); n != kNone;) {
+      for (auto n = detach_slot(level, (now_tick_ >> (kBits * level)) & kMask); n != kNone;) {
         const auto following = nodes_[n].next;
         link(n);
         n = following;
@@ -134,19 +135,19 @@
   template <typename F>
   void fire_current_slot(F&& fire) {
     due_.clear();
-    for (auto n = take_slot(0, now_tick_ & kMask); n != kNone; n = nodes_[n].next)
+    for (auto n = detach_slot(0, now_tick_ & kMask); n != kNone; n = nodes_[n].next)
       due_.push_back(n);
-    for (const auto n : due_) nodes_[n].slot = kDue;
+    for (const auto n : due_) nodes_[n].slot = kFiring;
     for (std::size_t i = 0; i < due_.size(); ++i) {
-      // One that was cancelled by the function of an earlier one is not due any more.
-      if (nodes_[due_[i]].slot == kDue) fire(release(due_[i]));
+      // Skips timers that were cancelled by the callback of an earlier one.
+      if (nodes_[due_[i]].slot == kFiring) fire(release(due_[i]));
     }
   }
 
   void link(std::uint32_t n) {
     Node& node = nodes_[n];
-    // A level is fine enough if the time lies within one turn of its wheel. What is due at the
-    // current tick goes to the slot that is being emptied.
+    // Chooses the finest level whose wheel reaches the timer's time within one turn. A timer that
+    // is due at the current tick is placed in the slot that fire_current_slot() empties next.
     std::size_t level = 0;
     while (level + 1 < kLevels &&
            (node.due_tick >> (kBits * level)) - (now_tick_ >> (kBits * level)) >=
@@ -165,7 +166,7 @@
 
   void unlink(std::uint32_t n) {
     Node& node = nodes_[n];
-    if (node.slot == kDue) return;
+    if (node.slot == kFiring) return;
     if (node.next != kNone) nodes_[node.next].previous = node.previous;
     if (node.previous != kNone) {
       nodes_[node.previous].next = node.next;
@@ -182,30 +183,30 @@
     node.is_pending = false;
     node.slot = kNone;
     ++node.generation;
-    node.next = free_;
-    free_ = n;
+    node.next = free_head_;
+    free_head_ = n;
     --size_;
     return value;
   }
 
-  // Empties a slot; returns the first node of its chain.
-  std::uint32_t take_slot(std::size_t level, std::int64_t slot) {
+  // Empties a slot and returns the first node of its list.
+  std::uint32_t detach_slot(std::size_t level, std::int64_t slot) {
     const auto head = level * kSlots + static_cast<std::size_t>(slot);
     filled_[level] &= ~(std::uint64_t{1} << slot);
     return std::exchange(heads_[head], kNone);
   }
 
-  static constexpr std::array<std::uint32_t, kLevels * kSlots> no_heads() {
-    std::array<std::uint32_t, kLevels * kSlots> a{};
-    a.fill(kNone);
-    return a;
+  static constexpr std::array<std::uint32_t, kLevels * kSlots> empty_heads() {
+    std::array<std::uint32_t, kLevels * kSlots> heads{};
+    heads.fill(kNone);
+    return heads;
   }
 
   const Duration tick_;
-  std::int64_t now_tick_;  // timers up to this tick have fired
+  std::int64_t now_tick_;  // timers due up to this tick have fired
   std::vector<Node> nodes_;
-  std::uint32_t free_ = kNone;
-  std::array<std::uint32_t, kLevels* kSlots> heads_ = no_heads();
+  std::uint32_t free_head_ = kNone;
+  std::array<std::uint32_t, kLevels* kSlots> heads_ = empty_heads();
   std::array<std::uint64_t, kLevels> filled_{};
   std::vector<std::uint32_t> due_;
   std::size_t size_ = 0;
--- a/src/frontend/admin/admin_server.cc
+++ b/src/frontend/admin/admin_server.cc
@@ -19,16 +19,17 @@
 using boost::system::error_code;
 
 constexpr std::size_t kMaxHeadBytes = 8u << 10, kMaxBodyBytes = 16u << 10;
-// For a complete call, and for its answer to be read.
+// Time limits for receiving a complete call, and for writing its answer and then for the client to
+// close.
 constexpr std::chrono::seconds kCallTimeout{5}, kAnswerTimeout{1};
-// A caller has at least so long to send its call before it may be closed in favour of others: with
-// kMaxCallers, 750 incomplete calls a second do not keep a complete one out.
-constexpr std::chrono::milliseconds kGrace{20};
-// Accepting is retried after this where no caller may be closed yet, or no descriptor is left.
+// Minimum time that a client has to send its call before its connection may be closed in favour of
+// another. With kMaxConnections, 750 incomplete calls per second do not keep out a complete one.
+constexpr std::chrono::milliseconds kMinCallTime{20};
+// Delay before accepting is retried when no connection may be closed yet or no descriptor is left.
 constexpr std::chrono::milliseconds kAcceptRetry{5};
 constexpr int kBacklog = 1024;
-// Fewer than kMaxCallers, so that no caller is closed before what it sent with its connection has
-// been read.
+// Less than kMaxConnections, so that no connection is closed before the data that arrived with it
+// has been read.
 constexpr int kAcceptBatch = 8;
 
 }  // namespace
@@ -56,10 +57,10 @@
     server.on_ended(*this);
   }
 
-  // Whether a complete call was received.
+  // Returns whether a call was received completely or has been rejected.
   bool has_call() const { return has_call_; }
-  bool may_close() const {
-    return has_call_ || std::chrono::steady_clock::now() - connected_at_ >= kGrace;
+  bool may_evict() const {
+    return has_call_ || std::chrono::steady_clock::now() - connected_at_ >= kMinCallTime;
   }
 
  private:
@@ -67,30 +68,30 @@
     has_call_ = true;
     if (!e) {
       const auto method = parser_.get().method_string(), target = parser_.get().target();
-      return write(answer({method.data(), method.size()}, {target.data(), target.size()},
-                          server_->operations_));
+      return respond(handle_call({method.data(), method.size()}, {target.data(), target.size()},
+                                 server_->operations_));
     }
-    if (e == beast::error::timeout) return end();  // its stream is closed
+    if (e == beast::error::timeout) return end();  // the stream has been closed already
     if (e == http::error::header_limit || e == http::error::buffer_overflow)
-      return write(error(431, "the head is too long"));
-    if (e == http::error::body_limit) return write(error(413, "the body is too long"));
+      return respond(error_response(431, "the head is too long"));
+    if (e == http::error::body_limit) return respond(error_response(413, "the body is too long"));
     if (e.category() == http::make_error_code(http::error::bad_method).category() &&
         e != http::error::end_of_stream)
-      return write(error(400, "not a call that can be read: " + e.message()));
+      return respond(error_response(400, "not a call that can be read: " + e.message()));
     end();
   }
 
-  void write(const Answer& a) {
+  void respond(const HttpResponse& response) {
     response_.version(11);
-    response_.result(a.status);
+    response_.result(response.status);
     response_.set(http::field::content_type, "application/json");
     response_.set(http::field::cache_control, "no-store");
-    if (!a.allow.empty()) response_.set(http::field::allow, a.allow);
+    if (!response.allow.empty()) response_.set(http::field::allow, response.allow);
     response_.keep_alive(false);
-    response_.body() = a.body;
+    response_.body() = response.body;
     response_.prepare_payload();
     if (parser_.is_header_done() && parser_.get().method() == http::verb::head)
-      response_.body().clear();  // its length is still stated
+      response_.body().clear();  // Content-Length is still sent
     stream_.expires_after(kAnswerTimeout);
     http::async_write(stream_, response_,
                       [self = shared_from_this()](const error_code& e, std::size_t) {
@@ -103,7 +104,8 @@
                       });
   }
 
-  // Closing with unread input would reset the connection, and the answer could be lost.
+  // Reads and discards input until the client closes. Closing with unread input would reset the
+  // connection, and the answer could be lost.
   void discard() {
     stream_.async_read_some(asio::buffer(discard_buffer_),
                             [self = shared_from_this()](const error_code& e, std::size_t n) {
@@ -115,7 +117,7 @@
   }
 
   beast::tcp_stream stream_;
-  AdminServer* server_;  // none once ended
+  AdminServer* server_;  // null once ended
   beast::flat_buffer input_{kMaxHeadBytes + kMaxBodyBytes};
   http::request_parser<http::string_body> parser_;
   http::response<http::string_body> response_;
@@ -127,14 +129,15 @@
 
 AdminServer::AdminServer(asio::io_context& io, const asio::ip::tcp::endpoint& listen,
                          Operations operations)
-    : io_(io), acceptor_(io), retry_(io), operations_(std::move(operations)) {
+    : io_(io), acceptor_(io), accept_retry_timer_(io), operations_(std::move(operations)) {
   try {
     acceptor_.open(listen.protocol());
     acceptor_.set_option(asio::socket_base::reuse_address(true));
     acceptor_.bind(listen);
     acceptor_.listen(kBacklog);
     acceptor_.non_blocking(true);
-    // Else accept() waits for the next connection behind one that was reset in the queue.
+    // Without this option, accept() skips a connection that was reset in the backlog and waits for
+    // the next one.
     acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
   } catch (const boost::system::system_error& e) {
     std::ostringstream text;
@@ -152,22 +155,22 @@
   });
 }
 
-void AdminServer::accept_later() {
-  retry_.expires_after(kAcceptRetry);
-  retry_.async_wait([this](const error_code& cancelled) {
+void AdminServer::schedule_accept_retry() {
+  accept_retry_timer_.expires_after(kAcceptRetry);
+  accept_retry_timer_.async_wait([this](const error_code& cancelled) {
     if (!cancelled) on_acceptable();
   });
 }
 
 void AdminServer::on_acceptable() {
   for (int i = 0; i < kAcceptBatch; ++i) {
-    if (sessions_.size() >= kMaxCallers && !make_room()) return accept_later();
+    if (sessions_.size() >= kMaxConnections && !evict_session()) return schedule_accept_retry();
     asio::ip::tcp::socket socket(io_);
     error_code e;
     acceptor_.accept(socket, e);
     if (e == asio::error::connection_aborted || e == asio::error::interrupted) continue;
     if (e == asio::error::would_block || e == asio::error::try_again) break;
-    if (e) return accept_later();  // out of descriptors in spite of the set-aside
+    if (e) return schedule_accept_retry();  // out of descriptors despite the reservation
     const auto session = std::make_shared<Session>(std::move(socket), *this);
     sessions_.push_back(session);
     session->start();
@@ -175,15 +178,16 @@
   arm_accept();
 }
 
-// A caller whose call is answered only waits for its close: it is closed before one that may still
-// be writing.
-bool AdminServer::make_room() {
+// Closes one session to make room for a new one: the oldest whose call has been answered, as it
+// only waits for the client to close, or else the oldest of all. Returns false if that session may
+// not be closed yet.
+bool AdminServer::evict_session() {
   auto oldest =
       std::find_if(sessions_.begin(), sessions_.end(), [](const auto& s) { return s->has_call(); });
   if (oldest == sessions_.end()) oldest = sessions_.begin();
-  const auto going = *oldest;
-  if (!going->may_close()) return false;
-  going->end();
+  const auto evicted = *oldest;
+  if (!evicted->may_evict()) return false;
+  evicted->end();
   return true;
 }
 
@@ -194,7 +198,7 @@
 void AdminServer::close() {
   error_code ignored;
   acceptor_.close(ignored);
-  retry_.cancel();
+  accept_retry_timer_.cancel();
   while (!sessions_.empty()) {
     const auto session = sessions_.front();
     session->end();
--- a/src/frontend/memcache/cache_connection.cc
+++ b/src/frontend/memcache/cache_connection.cc
@@ -17,19 +17,19 @@
   }
 }
 
-// Answers are matched by their order and, where they carry one, by their id: one that belongs to
-// another request must never reach a client.
-bool CacheConnection::on_head(const AnswerHead& head) {
+// Matches an answer to its request by order and, if it carries an id, by the id, as a client must
+// never receive the answer to another request. Returns false if the answer does not match.
+bool CacheConnection::on_answer_head(const AnswerHead& head) {
   if (!expecting()) return false;
   const auto& command = command_of(*current()->payload);
   if (!head.id.empty() && head.id != command.id) return false;
-  const bool set = command.kind == memcache::Command::Kind::kSet;
+  const bool is_set = command.kind == memcache::Command::Kind::kSet;
   if (head.kind == AnswerHead::Kind::kValue) {
-    if (set) return false;
+    if (is_set) return false;
     begin_value(head.length);
     return true;
   }
-  return head.kind != AnswerHead::Kind::kStored || set;
+  return head.kind != AnswerHead::Kind::kStored || is_set;
 }
 
 bool CacheConnection::on_bytes(std::string_view bytes) {
@@ -40,7 +40,7 @@
       case AnswerReader::Event::kMalformed:
         return false;
       case AnswerReader::Event::kHead:
-        if (!on_head(reader_.head())) return false;
+        if (!on_answer_head(reader_.head())) return false;
         break;
       case AnswerReader::Event::kData:
         if (!take_value(reader_.data(), reader_.head().length)) return false;
--- a/src/frontend/memcache/cache_connection.h
+++ b/src/frontend/memcache/cache_connection.h
@@ -5,6 +5,7 @@
 
 namespace balancer {
 
+// A connection to a cache host. Encodes attempts as memcache meta commands and decodes the answers.
 class CacheConnection : public UpstreamConnection {
  public:
   using UpstreamConnection::UpstreamConnection;
@@ -14,7 +15,7 @@
   void encode(Outgoing& out) override;
   bool on_bytes(std::string_view bytes) override;
   bool between_answers() const override { return reader_.between_answers(); }
-  bool on_head(const memcache::AnswerHead& head);
+  bool on_answer_head(const memcache::AnswerHead& head);
 
   memcache::AnswerReader reader_;
 };
--- a/src/frontend/memcache/deadline.h
+++ b/src/frontend/memcache/deadline.h
@@ -6,10 +6,11 @@
 
 namespace balancer {
 
-// What an attempt that is written at `now` tells its server as `d`: how long the balancer will wait
-// for the answer, in whole milliseconds rounded down. Never more than is left of the attempt's
-// time, which ends with the client's at the latest. AttemptEvents::may_send() lets no attempt out
-// with less than kMinAttemptTime left, so that 0 is never told.
+// Returns the value of the `d` property that is sent to the server with an attempt written at
+// `now`: how long the balancer will wait for the answer, in whole milliseconds rounded down. It
+// never exceeds the time left until the attempt's deadline, which is no later than the client's.
+// AttemptEvents::may_send() does not permit an attempt with less than kMinAttemptTime left, so the
+// value is never 0.
 inline std::chrono::milliseconds remaining_deadline(const Attempt& attempt, Time now) {
   return std::chrono::floor<std::chrono::milliseconds>(attempt.deadline - now);
 }
--- a/src/frontend/memcache/memcache_front.h
+++ b/src/frontend/memcache/memcache_front.h
@@ -12,13 +12,14 @@
 
 namespace balancer {
 
-// A request as a memcache client has written it.
+// A request in the form in which a memcache client sent it.
 struct MemcachePayload : RequestPayload {
   MemcachePayload(memcache::Command c, Reservation b) : command(std::move(c)), body(std::move(b)) {}
   void on_released() const override;
 
   memcache::Command command;
-  Reservation body;  // what its body takes of the byte budget
+  Reservation body;  // reservation of the body's bytes
+  // The ids of open requests, from which on_released() removes the id of this request.
   std::unordered_set<std::string_view>* ids = nullptr;
 };
 
@@ -26,28 +27,33 @@
   return static_cast<const MemcachePayload&>(payload).command;
 }
 
-// What meta commands mean: which class, tenant and deadline each has, and what its final answer
-// looks like. One for all its clients; it outlives them and the core's requests.
+// Translates meta commands into requests to the dispatch core, with their class, tenant and
+// deadline, and encodes the final responses. One object serves all memcache clients; it outlives
+// their sessions and the core's requests.
 class MemcacheFront {
  public:
   MemcacheFront(const SiteSettings& site, RequestSink& core) : site_(site), core_(core) {}
   MemcacheFront(const MemcacheFront&) = delete;
   MemcacheFront& operator=(const MemcacheFront&) = delete;
 
+  // Creates the protocol state of one client session.
   std::unique_ptr<Dialect> make();
-  // Whether clients are told to come here: what `mn` answers.
-  void send_away(bool away) { away_ = away; }
+  // Sets whether clients are asked to connect elsewhere: while `draining`, `mn` is answered with
+  // "SERVER_ERROR draining".
+  void send_away(bool draining) { is_draining_ = draining; }
 
  private:
-  class Conversation;
+  class ClientDialect;
 
-  // Hands the command to the core. Returns the reason if it makes no sense.
+  // Submits the command to the core. If the command is invalid, returns the reason; otherwise
+  // returns an empty string.
   std::string_view submit(ClientSession& session, memcache::Command command);
 
   const SiteSettings& site_;
   RequestSink& core_;
-  bool away_ = false;
-  std::unordered_set<std::string_view> ids_;  // the clients' own, of open requests, which hold them
+  bool is_draining_ = false;
+  // The ids that clients assigned to their open requests; the strings are owned by the payloads.
+  std::unordered_set<std::string_view> ids_;
 };
 
 }  // namespace balancer
--- a/src/frontend/memcache/origin_connection.cc
+++ b/src/frontend/memcache/origin_connection.cc
@@ -15,24 +15,24 @@
 using boost::beast::error_code;
 
 constexpr std::uint32_t kMaxHeader = 64u << 10;
-// What the parser has not taken yet: at most a header or a chunk's line.
+// Maximum number of bytes that the parser has not consumed yet: a header or the line of a chunk.
 constexpr std::size_t kMaxUnparsed = kMaxHeader + (64u << 10);
 constexpr std::size_t kMaxReceipt = 250;
 
-// Keys may hold bytes that would end or split the path.
-std::string path_of(std::string_view key) {
+// Returns the path of a key. Percent-encodes bytes that would end or split the path.
+std::string encode_path(std::string_view key) {
   static constexpr char kHex[] = "0123456789ABCDEF";
-  static constexpr std::string_view kPlain = "-._~!$&'()*+,;=:@/";
+  static constexpr std::string_view kUnescaped = "-._~!$&'()*+,;=:@/";
   std::string path = "/";
   for (const char c : key) {
-    const auto u = static_cast<unsigned char>(c);
-    if ((u >= '0' && u <= '9') || (u >= 'a' && u <= 'z') || (u >= 'A' && u <= 'Z') ||
-        kPlain.find(c) != std::string_view::npos) {
+    const auto byte = static_cast<unsigned char>(c);
+    if ((byte >= '0' && byte <= '9') || (byte >= 'a' && byte <= 'z') ||
+        (byte >= 'A' && byte <= 'Z') || kUnescaped.find(c) != std::string_view::npos) {
       path += c;
     } else {
       path += '%';
-      path += kHex[u >> 4];
-      path += kHex[u & 15];
+      path += kHex[byte >> 4];
+      path += kHex[byte & 15];
     }
   }
   return path;
@@ -40,7 +40,8 @@
 
 }  // namespace
 
-// The parser makes its reader before the body's value is set, so that is only referred to.
+// The parser constructs the reader before the body's value is set, so the reader keeps a reference
+// to the value.
 class OriginConnection::PieceBody::reader {
  public:
   template <bool isRequest, class Fields>
@@ -77,54 +78,55 @@
 
 OriginConnection::~OriginConnection() = default;
 
-void OriginConnection::new_parser() {
+void OriginConnection::reset_parser() {
   parser_ = std::make_unique<Parser>();
   parser_->get().body() = this;
   parser_->eager(true);
   parser_->header_limit(kMaxHeader);
   parser_->body_limit(memcache::kMaxValue);
-  served_ = false;
+  is_success_ = false;
   receipt_.clear();
 }
 
 void OriginConnection::encode(Outgoing& out) {
   const auto& command = command_of(*out.attempt->payload);
-  const bool set = command.kind == memcache::Command::Kind::kSet;
-  http::request<http::empty_body> request(set ? http::verb::put : http::verb::get,
-                                          path_of(command.key), 11);
+  const bool is_write = command.kind == memcache::Command::Kind::kSet;
+  http::request<http::empty_body> request(is_write ? http::verb::put : http::verb::get,
+                                          encode_path(command.key), 11);
   request.set(http::field::host, "origin");
   request.set("X-Trace-Id", command.id);
   request.set("X-Props", command.props_with_deadline(remaining_deadline(*out.attempt, now())));
-  if (set) {
+  if (is_write) {
     request.content_length(command.body.size());
     out.body = command.body;
   }
   std::ostringstream head;
   head << request.base();
   out.head = head.str();
-  new_parser();
+  reset_parser();
 }
 
 void OriginConnection::on_header(const boost::optional<std::uint64_t>& length) {
-  served_ = parser_->get().result_int() == 200;
-  length_.reset();
-  if (length) length_ = static_cast<std::size_t>(*length);
-  if (served_ && length_ && mine() &&
+  is_success_ = parser_->get().result_int() == 200;
+  body_length_.reset();
+  if (length) body_length_ = static_cast<std::size_t>(*length);
+  if (is_success_ && body_length_ && matches_request() &&
       command_of(*current()->payload).kind == memcache::Command::Kind::kGet)
-    begin_value(*length_);
+    begin_value(*body_length_);
 }
 
-// Where the origin says whose answer it is, it must be this request's.
-bool OriginConnection::mine() const {
+// Returns whether the response belongs to the current request. A response without an X-Trace-Id
+// header is assumed to.
+bool OriginConnection::matches_request() const {
   const auto id = parser_->get()["X-Trace-Id"];
   return id.empty() || id == command_of(*current()->payload).id;
 }
 
 bool OriginConnection::on_body(std::string_view piece) {
-  if (!served_) return true;  // the text of an error
-  if (!mine()) return false;
+  if (!is_success_) return true;  // ignores the body of an error response
+  if (!matches_request()) return false;
   if (command_of(*current()->payload).kind == memcache::Command::Kind::kGet)
-    return take_value(piece, length_);
+    return take_value(piece, body_length_);
   receipt_ += piece;
   return receipt_.size() <= kMaxReceipt;
 }
@@ -138,7 +140,7 @@
     unparsed_.erase(0, used);
     if (error && error != http::error::need_more) return false;
     if (parser_->is_done()) {
-      if (!finish()) return false;
+      if (!finish_response()) return false;
     } else if (error == http::error::need_more || used == 0) {
       break;
     }
@@ -146,25 +148,26 @@
   return unparsed_.size() <= kMaxUnparsed;
 }
 
-// An answer that states no length ends where the origin ends its sending in order (RFC 9112, 6.3).
-// One that breaks off shows as a reset, and never comes here.
+// A response without a stated length ends when the origin closes its side of the connection
+// gracefully (RFC 9112, 6.3). A response that is cut off is reported as a reset and does not reach
+// this function.
 void OriginConnection::on_end_of_input() {
   if (!parser_ || !parser_->is_header_done() || parser_->is_done() || !unparsed_.empty()) return;
   if (!parser_->get().need_eof()) return;
   error_code error;
   parser_->put_eof(error);
-  if (!error && parser_->is_done()) finish();
+  if (!error && parser_->is_done()) finish_response();
 }
 
 bool OriginConnection::between_answers() const {
   return unparsed_.empty() && (!parser_ || !parser_->got_some() || parser_->is_done());
 }
 
-bool OriginConnection::finish() {
+bool OriginConnection::finish_response() {
   const auto& response = parser_->get();
   const auto status = response.result_int();
-  if (status / 100 == 1) return new_parser(), true;  // the answer proper is still to come
-  if (!mine()) return false;
+  if (status / 100 == 1) return reset_parser(), true;  // the final response follows
+  if (!matches_request()) return false;
   if (!response.keep_alive()) reusable_ = false;
   if (status == 200) {
     if (command_of(*current()->payload).kind == memcache::Command::Kind::kGet)
--- a/src/frontend/memcache/origin_connection.h
+++ b/src/frontend/memcache/origin_connection.h
@@ -7,6 +7,8 @@
 
 namespace balancer {
 
+// An HTTP/1.1 connection to the origin. Encodes reads as GET and writes as PUT, one request at a
+// time, and decodes the responses.
 class OriginConnection : public UpstreamConnection {
  public:
   OriginConnection(boost::asio::io_context& io, Limits& limits, AttemptEvents& events,
@@ -14,7 +16,7 @@
   ~OriginConnection() override;
 
  private:
-  // Hands a body on piece by piece as it is parsed.
+  // A Beast body type that passes the body to the connection piece by piece as it is parsed.
   struct PieceBody {
     using value_type = OriginConnection*;
     class reader;
@@ -26,17 +28,17 @@
   bool on_bytes(std::string_view bytes) override;
   void on_end_of_input() override;
   bool between_answers() const override;
-  void new_parser();
+  void reset_parser();
   void on_header(const boost::optional<std::uint64_t>& length);
   bool on_body(std::string_view piece);
-  bool mine() const;
-  bool finish();
+  bool matches_request() const;
+  bool finish_response();
 
   std::unique_ptr<Parser> parser_;
   std::string unparsed_;
-  std::optional<std::size_t> length_;  // of the body, where it is stated
-  bool served_ = false;                // the status says so
-  std::string receipt_;
+  std::optional<std::size_t> body_length_;  // if the header states it
+  bool is_success_ = false;                 // whether the status is 200
+  std::string receipt_;                     // the body of the response to a write
 };
 
 }  // namespace balancer
--- a/tests/admin_test.cc
+++ b/tests/admin_test.cc
@@ -1,4 +1,5 @@
-// Operators' calls: what each is answered, and that no crowd keeps an answer from them.
+// Operators' HTTP calls: the response to each call, and that calls are answered even when clients
+// and incomplete calls use up all connections.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -15,38 +16,38 @@
 // ---- calls, without sockets
 
 struct AdminCallsTest : ::testing::Test {
-  admin::Answer call(std::string_view method, std::string_view target) {
-    return admin::answer(method, target, operations);
+  admin::HttpResponse call(std::string_view method, std::string_view target) {
+    return admin::handle_call(method, target, operations);
   }
   bool serving = true;
-  std::map<std::string, bool> out;
-  std::vector<bool> away;
+  std::map<std::string, bool> overrides;
+  std::vector<bool> drain_calls;
   const admin::Operations operations{[this] { return serving; },
                                      [this](std::string_view host, bool o) {
                                        if (host == "nobody") return false;
-                                       out[std::string(host)] = o;
+                                       overrides[std::string(host)] = o;
                                        return true;
                                      },
                                      [this](bool a) {
-                                       away.push_back(a);
+                                       drain_calls.push_back(a);
                                        return true;
                                      }};
 };
 
-TEST_F(AdminCallsTest, CarriesOutEachCall) {
+TEST_F(AdminCallsTest, ExecutesEachCall) {
   EXPECT_EQ(call("GET", "/healthcheck").status, 200u);
   serving = false;
   EXPECT_EQ(call("GET", "/healthcheck").status, 503u);
   EXPECT_EQ(call("POST", "/cache-hosts/s-1/maint").status, 200u);
   EXPECT_EQ(call("POST", "/cache-hosts/s%2d1%2F2%20%25/maint?why=disk").status, 200u);
   EXPECT_EQ(call("POST", "/cache-hosts/s-1/ready").status, 200u);
-  EXPECT_EQ(out, (std::map<std::string, bool>{{"s-1", false}, {"s-1/2 %", true}}));
+  EXPECT_EQ(overrides, (std::map<std::string, bool>{{"s-1", false}, {"s-1/2 %", true}}));
   EXPECT_EQ(call("POST", "/healthcheck/fail").status, 200u);
   EXPECT_EQ(call("POST", "/healthcheck/ok").status, 200u);
-  EXPECT_EQ(away, (std::vector<bool>{true, false}));
+  EXPECT_EQ(drain_calls, (std::vector<bool>{true, false}));
 }
 
-TEST_F(AdminCallsTest, AnswersBadCallsWithAReason) {
+TEST_F(AdminCallsTest, RejectsInvalidCalls) {
   const struct {
     const char *method, *target;
     unsigned status;
@@ -77,15 +78,16 @@
     EXPECT_TRUE(a.body.ends_with("\n"));
   }
   EXPECT_EQ(call("POST", "/cache-hosts/" + std::string(257, 'a') + "/maint").status, 400u);
-  EXPECT_TRUE(out.empty());
-  EXPECT_TRUE(away.empty());
+  EXPECT_TRUE(overrides.empty());
+  EXPECT_TRUE(drain_calls.empty());
 }
 
-// An id that is no text must not make the answer unreadable, or end the program.
-TEST_F(AdminCallsTest, AnswersAnyBytesInAnId) {
+// A host id that is not valid UTF-8 must neither make the response unreadable nor terminate the
+// program.
+TEST_F(AdminCallsTest, AcceptsAnyBytesInAHostId) {
   const auto a = call("POST", "/cache-hosts/%ff%00%22/maint");
   EXPECT_EQ(a.status, 200u);
-  EXPECT_EQ(out.count(std::string("\xff\0\"", 3)), 1u);
+  EXPECT_EQ(overrides.count(std::string("\xff\0\"", 3)), 1u);
 }
 
 // ---- over sockets
@@ -97,10 +99,10 @@
     discovery.hosts = hosts;
     begin();
   }
-  std::shared_ptr<Peer> caller() { return Peer::dial(io, balancer->admin()); }
-  // The status of the answer; 0 if there is none.
+  std::shared_ptr<Peer> connect_admin() { return Peer::dial(io, balancer->admin()); }
+  // Sends `text` on a new connection. Returns the status of the response, or 0 if there is none.
   int call(const std::string& text) {
-    auto c = caller();
+    auto c = connect_admin();
     c->send(text);
     if (!wait([&] { return c->closed; })) return 0;
     return c->in.starts_with("HTTP/1.1 ") ? std::stoi(c->in.substr(9, 3)) : 0;
@@ -109,12 +111,12 @@
     return "POST " + path + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n";
   }
   static std::string healthcheck() { return "GET /healthcheck HTTP/1.1\r\nHost: a\r\n\r\n"; }
-  // A cache host that answers all it is asked, and remembers for whom.
+  // A cache host that answers every command.
   FakeCache cache{
       io, [](const std::string&, const std::string& id) { return FakeCache::value(id, "v"); }};
 };
 
-TEST_F(AdminTest, AnswersUnreadableCalls) {
+TEST_F(AdminTest, RejectsMalformedAndOversizedCalls) {
   begin_with(host_entry("s-1", cache.server.dial()));
   EXPECT_EQ(call(healthcheck()), 200);
   EXPECT_EQ(call("HEAD /healthcheck HTTP/1.1\r\nHost: a\r\n\r\n"), 200);
@@ -125,47 +127,48 @@
   EXPECT_EQ(call(post("/cache-hosts/s%2d1/maint")), 200);
 }
 
-// Two hundred callers that say half a call and stay, and clients on every descriptor that clients
-// may have: a whole call is answered all the same. The set-aside
-// and make_room() are what it is meant for; it has not been run without them.
-TEST_F(AdminTest, AnswersACallBesideIncompleteOnesAndACrowd) {
+// A complete call is answered although 200 connections have sent incomplete calls and clients use
+// all descriptors that they may use. Exercises the descriptors reserved for calls and
+// evict_session(); the test has not been run without them.
+TEST_F(AdminTest, AnswersCallsDespiteManyIncompleteCallsAndClients) {
   limits =
       std::make_unique<Limits>(config.sockets, config.memory_mb, admin::AdminServer::kDescriptors);
   begin_with(host_entry("s-1", cache.server.dial()));
-  std::vector<std::shared_ptr<Peer>> crowd, half;
-  for (int i = 0; i < 300; ++i) crowd.push_back(client());
+  std::vector<std::shared_ptr<Peer>> clients, incomplete;
+  for (int i = 0; i < 300; ++i) clients.push_back(client());
   for (int i = 0; i < 200; ++i) {
-    half.push_back(caller());
-    half.back()->send("GET /healthch");
+    incomplete.push_back(connect_admin());
+    incomplete.back()->send("GET /healthch");
   }
   const auto start = std::chrono::steady_clock::now();
   EXPECT_EQ(call(healthcheck()), 200);
   EXPECT_EQ(call(post("/cache-hosts/s-1/maint")), 200);
-  // Half-made ones are given five seconds.
+  // Below the five seconds after which incomplete calls time out.
   EXPECT_LT(std::chrono::steady_clock::now() - start, std::chrono::seconds(4));
 }
 
-// The call out comes while a request waits for its retry to that very host.
-TEST_F(AdminTest, RetriesNothingAtAHostOutOfServiceAndUsesItOnceBack) {
-  int broke = 0;
-  std::shared_ptr<Peer> asked;
-  Server breaks(io, [&](Peer& p) {
-    ++broke;
-    asked = p.shared_from_this();
+// The host is taken out of service while an attempt at it is in flight. When its
+// connection closes, it must not be retried there.
+TEST_F(AdminTest, DoesNotRetryAtAHostTakenOutOfService) {
+  int attempts_at_host = 0;
+  std::shared_ptr<Peer> at_host;
+  Server unanswering(io, [&](Peer& p) {
+    ++attempts_at_host;
+    at_host = p.shared_from_this();
   });
-  begin_with(host_entry("s-1", breaks.dial()) + "," + host_entry("s-2", cache.server.dial()));
+  begin_with(host_entry("s-1", unanswering.dial()) + "," + host_entry("s-2", cache.server.dial()));
   std::shared_ptr<Peer> c = client();
-  for (int i = 1; broke == 0 && i < 100; ++i) {  // a key of that host's
+  for (int i = 1; attempts_at_host == 0 && i < 100; ++i) {  // finds a key of s-1
     c->send(get("k" + std::to_string(i), std::to_string(i)));
-    ASSERT_TRUE(wait([&] { return broke > 0 || !c->in.empty(); }));
+    ASSERT_TRUE(wait([&] { return attempts_at_host > 0 || !c->in.empty(); }));
     run_for(io, milliseconds(5));
     c->in.clear();
   }
   EXPECT_EQ(call(post("/cache-hosts/s-1/maint")), 200);
-  asked->close();  // its owner would be asked once more
+  at_host->close();  // would be retried at s-1 if it were in service
   ASSERT_TRUE(wait([&] { return !c->in.empty(); }));
   EXPECT_TRUE(c->in.starts_with("VA 1 ")) << c->in;
-  EXPECT_EQ(broke, 1);
+  EXPECT_EQ(attempts_at_host, 1);
 }
 
 TEST_F(AdminTest, DrainsClientsAndAcceptsThemAgain) {
@@ -187,16 +190,16 @@
   }));
   EXPECT_EQ(call(post("/healthcheck/fail")), 200);
   EXPECT_EQ(noop(), "SERVER_ERROR draining\r\n");
-  EXPECT_EQ(call(healthcheck()), 200) << "it can serve, and does";
+  EXPECT_EQ(call(healthcheck()), 200) << "stays able to serve";
   auto late = client();
   late->send(get("k", "late"));
   ASSERT_TRUE(wait([&] { return !late->in.empty(); }));
-  EXPECT_TRUE(late->in.starts_with("VA 1 ")) << "those who still come are served";
+  EXPECT_TRUE(late->in.starts_with("VA 1 ")) << "clients that still connect are served";
   ASSERT_TRUE(wait([&] {
     return late->closed &&
            std::all_of(held.begin(), held.end(), [](const auto& p) { return p->closed; });
   }));
-  // Fail, ok, fail, ok in quick turn: the last one holds, and no connection is closed any more.
+  // Several calls in quick succession: the last one applies, and no further connection is closed.
   for (const char* word : {"ok", "fail", "fail", "ok", "ok"})
     EXPECT_EQ(call(post("/healthcheck/" + std::string(word))), 200);
   EXPECT_EQ(noop(), "MN\r\n");
@@ -205,7 +208,8 @@
   ASSERT_TRUE(wait([&] { return !stays->in.empty(); }));
   run_for(io, milliseconds(2500));
   EXPECT_FALSE(stays->closed);
-  // SIGTERM during it: the process ends, and says so to the next call.
+  // The process starts to terminate, as on SIGTERM, while clients are drained: the next call gets
+  // 503.
   EXPECT_EQ(call(post("/healthcheck/fail")), 200);
   balancer->drain();
   EXPECT_EQ(call(post("/healthcheck/ok")), 503);
--- a/tests/connection_selector_test.cc
+++ b/tests/connection_selector_test.cc
@@ -26,7 +26,8 @@
 
 class ConnectionSelectorTest : public ::testing::Test {
  protected:
-  // Assigns an attempt as the selector chooses; returns the connection's id, or -1 for kWait.
+  // Assigns an attempt to the connection that the selector chooses. Returns the id of the
+  // connection, or -1 for kWait.
   int start(ConnectionSelector& s, const AttemptTraits& traits, bool may_open = true) {
     const auto choice = s.choose(now, traits, may_open);
     if (choice.kind == Kind::kWait) return -1;
@@ -38,14 +39,14 @@
     s.on_assigned(id, now, traits);
     return static_cast<int>(id);
   }
-  // `n` answers, each after `took`, on a connection of their own.
-  void learn(ConnectionSelector& s, int n, Duration took = microseconds(100),
-             std::uint8_t kind = 0) {
+  // Records `n` answers with a latency of `latency` each on a separate connection.
+  void record_answers(ConnectionSelector& s, int n, Duration latency = microseconds(100),
+                      std::uint8_t kind = 0) {
     const auto id = s.on_open(now);
     s.on_connected(id, now);
     for (int i = 0; i < n; ++i) {
       s.on_assigned(id, now, {.command_kind = kind});
-      now += took;
+      now += latency;
       s.on_answered(id, now, true);
     }
     s.on_closed(id);
@@ -54,21 +55,21 @@
   Time now{seconds(100)};
 };
 
-TEST_F(ConnectionSelectorTest, OpensAConnectionForEachAttemptWhereNoneIsShared) {
+TEST_F(ConnectionSelectorTest, OpensAConnectionForEachAttemptIfSharingIsDisabled) {
   ConnectionSelectorSettings settings;
   settings.max_depth = 4;
   ConnectionSelector s(settings);
   EXPECT_EQ(start(s, {}), 0);
   EXPECT_EQ(start(s, {}), 1);
   EXPECT_EQ(s.depth(0), 1u);
-  // One goes behind another only where no connection can be opened, up to max_depth.
+  // Attempts are queued behind others, up to max_depth, only if no connection can be opened.
   for (int i = 0; i < 6; ++i) EXPECT_GE(start(s, {}, false), 0);
   EXPECT_EQ(s.depth(0), 4u);
   EXPECT_EQ(s.depth(1), 4u);
   EXPECT_EQ(start(s, {}, false), -1);
 }
 
-TEST_F(ConnectionSelectorTest, TakesNoIdleConnectionThatMayBeClosedForANonIdempotentAttempt) {
+TEST_F(ConnectionSelectorTest, UsesNoPossiblyClosedIdleConnectionForANonIdempotentAttempt) {
   ConnectionSelectorSettings settings;
   ConnectionSelector s(settings);
   start(s, {});
@@ -77,7 +78,7 @@
   EXPECT_EQ(s.choose(now, {.non_idempotent = true}, true).kind, Kind::kOpen) << "idle too briefly";
   EXPECT_EQ(s.choose(now, {.answer_lacks_id = true}, true).kind, Kind::kOpen) << "idle too briefly";
   EXPECT_EQ(s.choose(now, {.answer_lacks_id = true}, false).kind, Kind::kWait)
-      << "nor without another";
+      << "idle too briefly, even if no other connection can be opened";
   EXPECT_EQ(s.choose(now, {}, true).kind, Kind::kUse);
   now += milliseconds(50);
   EXPECT_EQ(s.choose(now, {.answer_lacks_id = true}, true).kind, Kind::kUse);
@@ -85,7 +86,7 @@
   now += milliseconds(600);
   EXPECT_EQ(s.choose(now, {.non_idempotent = true}, true).kind, Kind::kOpen) << "idle for too long";
   now += seconds(6);
-  EXPECT_EQ(s.choose(now, {}, true).kind, Kind::kOpen) << "about to be retired";
+  EXPECT_EQ(s.choose(now, {}, true).kind, Kind::kOpen) << "idle for longer than max_idle";
 }
 
 TEST_F(ConnectionSelectorTest, KeepsAClientsPipelineOnOneConnection) {
@@ -93,13 +94,13 @@
   EXPECT_EQ(start(s, {.client_id = 7}), 0);
   for (int i = 1; i < 64; ++i) EXPECT_EQ(start(s, {.client_id = 7}), 0);
   EXPECT_EQ(s.depth(0), 64u);
-  EXPECT_EQ(start(s, {.client_id = 7}), 1) << "a full one takes no more";
+  EXPECT_EQ(start(s, {.client_id = 7}), 1) << "the connection is full";
 }
 
 TEST_F(ConnectionSelectorTest, SharesConnectionsOnceAnswersAreKnownToBeFast) {
   ConnectionSelector s(shared());
-  EXPECT_EQ(s.shared_depth(), 1u) << "no answers known yet";
-  learn(s, 4000);
+  EXPECT_EQ(s.shared_depth(), 1u) << "no answers recorded yet";
+  record_answers(s, 4000);
   EXPECT_GT(s.shared_depth(), 16u);
   EXPECT_EQ(start(s, {.client_id = 1}), 0);
   EXPECT_EQ(start(s, {.client_id = 2}), 0);
@@ -107,33 +108,34 @@
 
 TEST_F(ConnectionSelectorTest, OpensAMinimumOfConnectionsBeforeItShares) {
   ConnectionSelector s(shared(3));
-  learn(s, 4000);
+  record_answers(s, 4000);
   for (std::uint64_t client = 1; client <= 3; ++client)
     EXPECT_EQ(start(s, {.client_id = client}), static_cast<int>(client - 1));
   EXPECT_LT(start(s, {.client_id = 4}), 3);
   EXPECT_EQ(s.open(), 3u);
 }
 
-// One slow answer in a hundred, whatever the kind: others would wait behind each of them.
-TEST_F(ConnectionSelectorTest, SharesNoConnectionWhereOneAnswerInAHundredIsSlow) {
+// If one answer in a hundred is slow, whatever its kind, too many attempts would wait behind slow
+// ones of other clients.
+TEST_F(ConnectionSelectorTest, SharesNoConnectionIfOneAnswerInAHundredIsSlow) {
   ConnectionSelector s(shared());
   for (int i = 0; i < 100; ++i) {
-    learn(s, 99);
-    learn(s, 1, milliseconds(50));
+    record_answers(s, 99);
+    record_answers(s, 1, milliseconds(50));
   }
   EXPECT_NEAR(s.slow_ratio(), 0.01, 0.006);
   EXPECT_EQ(s.shared_depth(), 1u);
-  learn(s, 5000);
-  EXPECT_GT(s.shared_depth(), 16u) << "a slow phase is never forgotten";
+  record_answers(s, 5000);
+  EXPECT_GT(s.shared_depth(), 16u) << "sharing did not resume after a slow phase";
 }
 
-// Where one kind of command is slow, the others go on sharing.
-TEST_F(ConnectionSelectorTest, KeepsASlowKindApartFromOtherClients) {
+// If one kind of command is slow, the other kinds still share connections.
+TEST_F(ConnectionSelectorTest, SharesNoConnectionBetweenASlowKindAndOtherClients) {
   ConnectionSelector s(shared());
-  learn(s, 4000);
+  record_answers(s, 4000);
   for (int i = 0; i < 40; ++i) {
-    learn(s, 99);
-    learn(s, 1, milliseconds(50), 9);
+    record_answers(s, 99);
+    record_answers(s, 1, milliseconds(50), 9);
   }
   ASSERT_TRUE(s.is_slow_kind(9));
   EXPECT_FALSE(s.is_slow_kind(0));
@@ -141,12 +143,12 @@
   const int alone = start(s, {.client_id = 1, .command_kind = 9});
   EXPECT_NE(start(s, {.client_id = 2}), alone);
   EXPECT_NE(start(s, {.client_id = 3, .command_kind = 9}), alone);
-  EXPECT_EQ(start(s, {.client_id = 1}), alone) << "its own client waits for it in any case";
+  EXPECT_EQ(start(s, {.client_id = 1}), alone) << "its own client waits for the slow answer anyway";
 }
 
 TEST_F(ConnectionSelectorTest, AssignsNothingToAnOverdueConnection) {
   ConnectionSelector s(shared());
-  learn(s, 4000);
+  record_answers(s, 4000);
   ASSERT_EQ(start(s, {.client_id = 1}), 0);
   now += milliseconds(3);
   EXPECT_TRUE(s.is_overdue(0, now));
@@ -159,23 +161,24 @@
 
 TEST_F(ConnectionSelectorTest, BoundsNonIdempotentAttemptsOnAConnection) {
   ConnectionSelector s(shared());
-  learn(s, 4000);
+  record_answers(s, 4000);
   for (int i = 0; i < 4; ++i) EXPECT_EQ(start(s, {.client_id = 1, .non_idempotent = true}), 0);
   EXPECT_EQ(start(s, {.client_id = 1, .non_idempotent = true}), 1);
-  EXPECT_EQ(start(s, {.client_id = 1}), 0) << "others may still go there";
+  EXPECT_EQ(start(s, {.client_id = 1}), 0) << "idempotent attempts are not affected";
   EXPECT_EQ(start(s, {.client_id = 2}, false), 1);
 }
 
 TEST_F(ConnectionSelectorTest, QueuesBehindTheOrderGroupOrWaits) {
   ConnectionSelector s(shared(4));
-  learn(s, 4000);
+  record_answers(s, 4000);
   ASSERT_EQ(start(s, {.client_id = 1, .order_group = 5}), 0);
   EXPECT_EQ(start(s, {.client_id = 1, .order_group = 5, .must_follow_group = true}), 0);
   now += milliseconds(3);
   EXPECT_EQ(start(s, {.client_id = 1, .order_group = 5, .must_follow_group = true}), -1)
-      << "overtook an overdue attempt";
+      << "must not overtake an overdue attempt of its group";
   EXPECT_EQ(start(s, {.client_id = 1, .order_group = 6}), 1);
-  // Reads of one group that lie on two connections: a write waits for one of them.
+  // Reads of one group are in flight on two connections: a write waits until one of these has
+  // answered.
   ASSERT_EQ(start(s, {.client_id = 1, .order_group = 5}), 1);
   s.on_answered(0, now, true);
   EXPECT_EQ(start(s, {.client_id = 1, .order_group = 5, .must_follow_group = true}), -1);
@@ -185,7 +188,7 @@
 
 TEST_F(ConnectionSelectorTest, AssignsNothingToAConnectionThatWillClose) {
   ConnectionSelector s(shared());
-  learn(s, 4000);
+  record_answers(s, 4000);
   ASSERT_EQ(start(s, {.client_id = 1}), 0);
   ASSERT_EQ(start(s, {.client_id = 1}), 0);
   s.on_answered(0, now, false);
@@ -194,11 +197,11 @@
   EXPECT_EQ(s.open(), 1u);
 }
 
-// Over random events the selector agrees with a model that is kept beside it, and each choice keeps
-// every bound.
+// Compares the selector with a reference model over random events, and checks that each choice
+// respects every bound.
 class RandomConnectionSelectorTest : public ::testing::TestWithParam<unsigned> {};
 
-TEST_P(RandomConnectionSelectorTest, KeepsItsBoundsOverRandomEvents) {
+TEST_P(RandomConnectionSelectorTest, RespectsItsBoundsOverRandomEvents) {
   SCOPED_TRACE("seed " + std::to_string(GetParam()));
   std::mt19937_64 random(GetParam());
   const auto below = [&](std::uint64_t n) { return random() % n; };
@@ -238,9 +241,9 @@
           ASSERT_TRUE(may_open);
           id = s.on_open(now);
           ASSERT_TRUE(expected.emplace(id, ExpectedConnection{}).second)
-              << "the id of an open connection";
+              << "id of a connection that is open already";
         }
-        ASSERT_TRUE(expected.count(id)) << "a connection that is not open";
+        ASSERT_TRUE(expected.count(id)) << "connection is not open";
         ExpectedConnection& m = expected[id];
         ASSERT_TRUE(m.reusable);
         ASSERT_LT(m.in_flight.size(), settings.max_depth);
@@ -256,7 +259,7 @@
           if (other == id) continue;
           ASSERT_TRUE(std::none_of(o.in_flight.begin(), o.in_flight.end(), [&](auto& x) {
             return x.order_group == traits.order_group;
-          })) << "one order group on two connections";
+          })) << "order group is in flight on two connections";
         }
         s.on_assigned(id, now, traits);
         m.in_flight.push_back(traits);
@@ -291,11 +294,12 @@
         if (!expected.empty()) {
           const auto it = any();
           if (it->second.in_flight.empty()) break;
-          const auto place = below(it->second.in_flight.size());
-          s.on_withdrawn(it->first, place, now);
+          const auto position = below(it->second.in_flight.size());
+          s.on_withdrawn(it->first, position, now);
           it->second.in_flight.erase(it->second.in_flight.begin() +
-                                     static_cast<std::ptrdiff_t>(place));
-          it->second.number.erase(it->second.number.begin() + static_cast<std::ptrdiff_t>(place));
+                                     static_cast<std::ptrdiff_t>(position));
+          it->second.number.erase(it->second.number.begin() +
+                                  static_cast<std::ptrdiff_t>(position));
         }
         break;
       default:
--- a/tests/crossings_test.cc
+++ b/tests/crossings_test.cc
@@ -1,4 +1,5 @@
-// Two events that meet, each pair in the order that hurts; docs/design/crossings.md names them.
+// Races between two events, each pair in the order that is harder to handle.
+// docs/design/crossings.md lists the pairs.
 #include <algorithm>
 #include <set>
 #include <thread>
@@ -10,16 +11,16 @@
 
 using std::chrono::milliseconds;
 
-// ---- a client leaves while its request waits
+// ---- a client disconnects while its request waits
 
-class LeavingClientTest : public DispatchTest, public ::testing::WithParamInterface<bool> {
+class ClientDisconnectTest : public DispatchTest, public ::testing::WithParamInterface<bool> {
  protected:
   ScriptedCache cache{io};
   ScriptedOrigin origin{io};
 };
-INSTANTIATE_TEST_SUITE_P(ByFinAndReset, LeavingClientTest, ::testing::Bool());
+INSTANTIATE_TEST_SUITE_P(ByFinAndReset, ClientDisconnectTest, ::testing::Bool());
 
-TEST_P(LeavingClientTest, BehindAConnectionThatComesUp) {
+TEST_P(ClientDisconnectTest, DropsRequestWaitingForAConnect) {
   begin();
   list({listed("h", cache.server.local())});
   cache.server.pause_accepting();
@@ -38,8 +39,9 @@
   ASSERT_TRUE(wait([&] { return other->in == FakeCache::value("2", "v"); }));
 }
 
-// The connection is up before the leaving can be read: both come in one turn of the loop.
-TEST_P(LeavingClientTest, InTheTurnInWhichTheConnectionComesUp) {
+// The connection is established before the disconnect can be read: both are handled in one turn of
+// the event loop.
+TEST_P(ClientDisconnectTest, SendsNothingAfterADisconnectInTheTurnOfTheConnect) {
   begin();
   list({listed("h", cache.server.local())});
   auto c = client(), other = client();
@@ -50,12 +52,13 @@
   ASSERT_TRUE(wait([&] { return limits->clients.used() == 1 && pool->open_requests() == 0; }));
   other->send(get("k", "2"));
   ASSERT_TRUE(wait([&] { return cache.saw("2"); }));
-  // It went out with the connection or not at all, and never behind the leaving.
+  // The request was sent as soon as the connection was established or not at all, and never after
+  // the disconnect.
   EXPECT_LE(std::count(cache.ids.begin(), cache.ids.end(), "1"), 1);
   EXPECT_EQ(cache.ids.back(), "2");
 }
 
-TEST_P(LeavingClientTest, BehindAnotherForAPlace) {
+TEST_P(ClientDisconnectTest, DropsRequestQueuedAtTheConnectionLimit) {
   site.max_connections = 1;
   begin();
   list({listed("h", cache.server.local())});
@@ -72,11 +75,12 @@
   EXPECT_EQ(cache.ids, (std::vector<std::string>{"1", "3"}));
 }
 
-// Written whole behind another: it stays as it is, and what comes for it spoils nobody's answer.
-TEST_P(LeavingClientTest, BehindAnotherOnItsConnection) {
+// The request has been written completely behind another one: it stays in flight, and its answer
+// does not affect the answers to other clients.
+TEST_P(ClientDisconnectTest, DiscardsAnswerOfAPipelinedRequest) {
   site.max_connections = 1;
   site.streams_per_connection = 8;
-  site.slow_after = std::chrono::hours(1);  // also on a slow machine the first is not overdue
+  site.slow_after = std::chrono::hours(1);  // not overdue even on a slow machine
   begin();
   list({listed("h", cache.server.local())});
   auto first = client(), c = client(), last = client();
@@ -93,7 +97,7 @@
   EXPECT_EQ(cache.ids.size(), 3u);
 }
 
-TEST_P(LeavingClientTest, BehindAnothersFetch) {
+TEST_P(ClientDisconnectTest, DropsRequestWaitingForACoalescedFetch) {
   cache.on_command = [&](Peer&, const std::string& id) { cache.miss(id); };
   begin();
   list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
@@ -106,14 +110,15 @@
   ASSERT_TRUE(gone(c, GetParam()));
   origin.answer("1", "v");
   ASSERT_TRUE(wait([&] { return leader->in == FakeCache::value("1", "v"); }));
-  leader->send(get("other", "3"));  // what the answer set off has gone out before this
+  leader->send(get("other", "3"));  // sent after anything that the answer triggers
   ASSERT_TRUE(wait([&] { return cache.saw("3"); }));
   EXPECT_EQ(cache.ids, (std::vector<std::string>{"1", "2", "3"}));
   EXPECT_FALSE(origin.saw("2"));
 }
 
-// The fetch that others wait for has not gone out: it is taken back at once, and one of them leads.
-TEST_P(LeavingClientTest, AsTheLeaderOfAFetchThatWaits) {
+// The coalesced fetch has not been sent when its leader disconnects: it is withdrawn immediately,
+// and a follower becomes the leader.
+TEST_P(ClientDisconnectTest, PromotesAFollowerToLeaderOfAnUnsentFetch) {
   cache.on_command = [&](Peer&, const std::string& id) { cache.miss(id); };
   begin();
   list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
@@ -131,7 +136,7 @@
   ASSERT_TRUE(wait([&] { return follower->in == FakeCache::value("2", "v"); }));
 }
 
-TEST_P(LeavingClientTest, DuringABackOff) {
+TEST_P(ClientDisconnectTest, SendsNoRetryAfterABackOff) {
   begin();
   list({listed("o", origin.server.local(), true)});
   auto c = client();
@@ -142,15 +147,17 @@
   if (GetParam()) c->socket.set_option(asio::socket_base::linger(true, 0));
   c->send(put("k", "1"));
   ASSERT_TRUE(wait([&] { return limits->clients.used() == 0 && pool->open_requests() == 0; }));
-  // Another one's third try comes later than the first one's second could.
+  // The third attempt of another client's request is later than a second attempt of the first one
+  // could be.
   auto other = client();
   other->send(put("k", "2"));
   ASSERT_TRUE(wait([&] { return std::count(origin.ids.begin(), origin.ids.end(), "2") == 3; }));
   EXPECT_EQ(std::count(origin.ids.begin(), origin.ids.end(), "1"), 1);
 }
 
-// A write that a slow peer has a part of: its last byte must not follow. The peer sees the end.
-TEST_P(LeavingClientTest, PartlyWrittenToAPeerThatDoesNotRead) {
+// A slow peer has received part of a write: the last byte must not be sent, and the connection must
+// be closed.
+TEST_P(ClientDisconnectTest, ClosesTheConnectionOfAPartlyWrittenRequest) {
   ScriptedOrigin slow(io, 4096);
   slow.server.reads = false;
   begin();
@@ -171,17 +178,17 @@
   EXPECT_EQ(limits->bytes.used(), 0u);
 }
 
-// Not begun, behind a standstill: held back, and never let go.
-TEST_P(LeavingClientTest, HeldAfterAStall) {
+// The attempt is held after a stall when the client disconnects, and is never sent.
+TEST_P(ClientDisconnectTest, DropsRequestHeldAfterAStall) {
   begin();
   list({listed("h", cache.server.local())});
-  bool asked = false;
-  pool->enable_stall_guard([&] { asked = true; }, [](const std::string&) {});
+  bool is_discovery_polled = false;
+  pool->enable_stall_guard([&] { is_discovery_polled = true; }, [](const std::string&) {});
   auto c = client(), other = client();
   ASSERT_TRUE(wait([&] { return limits->clients.used() == 2; }));
   c->send(get("k", "1"));
-  std::this_thread::sleep_for(milliseconds(1100));  // this process stands still
-  ASSERT_TRUE(wait([&] { return asked && pool->open_requests() == 1; }));
+  std::this_thread::sleep_for(milliseconds(1100));  // stalls this process
+  ASSERT_TRUE(wait([&] { return is_discovery_polled && pool->open_requests() == 1; }));
   ASSERT_TRUE(gone(c, GetParam()));
   pool->on_discovery_answer(Duration{0});
   other->send(get("k", "2"));
@@ -189,8 +196,8 @@
   EXPECT_EQ(cache.ids, std::vector<std::string>{"2"});
 }
 
-// Where nothing is read from a client, its leaving is heard all the same.
-enum class Unread { kFullPipeline, kBehindAFault, kShortOfMemory };
+// A disconnect is detected even while no input is read from the client.
+enum class Unread { kFullPipeline, kAfterProtocolError, kMemoryLimit };
 class UnreadClientTest : public DispatchTest,
                          public ::testing::WithParamInterface<std::tuple<Unread, bool>> {
  protected:
@@ -198,11 +205,11 @@
 };
 INSTANTIATE_TEST_SUITE_P(Kinds, UnreadClientTest,
                          ::testing::Combine(::testing::Values(Unread::kFullPipeline,
-                                                              Unread::kBehindAFault,
-                                                              Unread::kShortOfMemory),
+                                                              Unread::kAfterProtocolError,
+                                                              Unread::kMemoryLimit),
                                             ::testing::Bool()));
 
-TEST_P(UnreadClientTest, IsNoticedWhenItDisconnects) {
+TEST_P(UnreadClientTest, DetectsADisconnect) {
   const auto [unread, by_reset] = GetParam();
   site.max_connections = 1;
   begin();
@@ -214,11 +221,11 @@
   std::string text;
   const int commands = unread == Unread::kFullPipeline ? 600 : 2;
   for (int i = 0; i < commands; ++i) text += get("k", "c" + std::to_string(i));
-  if (unread == Unread::kBehindAFault) text += "frob\r\n" + get("k", "behind");
+  if (unread == Unread::kAfterProtocolError) text += "frob\r\n" + get("k", "behind");
   c->send(text);
   const std::size_t taken = unread == Unread::kFullPipeline ? 257 : 3;
   ASSERT_TRUE(wait([&] { return pool->open_requests() == taken; }));
-  if (unread == Unread::kShortOfMemory) {
+  if (unread == Unread::kMemoryLimit) {
     limits->bytes.set_max(1);
     c->send(get("k", "unread"));
     run_for(io, milliseconds(20));
@@ -233,9 +240,10 @@
   EXPECT_EQ(cache.ids, (std::vector<std::string>{"first", "last"}));
 }
 
-// Its command and its end lie in the kernel together: nobody waits for it when it is read. The host
-// has a connection at rest, so that what is taken goes out at once.
-TEST_P(LeavingClientTest, WithItsCommandUnread) {
+// A command and the close of its client are in the kernel's receive buffer together: when the
+// command is read, its client has disconnected already. The host has an idle connection, so that a
+// command that was accepted would be sent immediately.
+TEST_P(ClientDisconnectTest, DropsAnUnreadCommand) {
   begin();
   list({listed("h", cache.server.local())});
   auto other = client(), c = client();
@@ -254,8 +262,9 @@
   EXPECT_EQ(pool->open_requests(), 1u);
 }
 
-// The same where it was never accepted while it was there: another held the last place.
-TEST_P(LeavingClientTest, WhileItWaitsToBeAccepted) {
+// As above, but the client's connection was not accepted before the client closed it, as another
+// client used the last descriptor.
+TEST_P(ClientDisconnectTest, DropsTheCommandOfAnUnacceptedClient) {
   begin();
   list({listed("h", cache.server.local())});
   auto busy = client();
@@ -275,95 +284,98 @@
   EXPECT_EQ(cache.ids, (std::vector<std::string>{"0", "2"}));
 }
 
-// ---- the list changes while an attempt waits
+// ---- the endpoint list changes while an attempt waits
 
-enum class Change { kDrains, kGoes, kRestarts, kMoves, kTakenOut };
-class ListAndAttemptTest : public DispatchTest, public ::testing::WithParamInterface<Change> {
+enum class Change { kDrained, kRemoved, kRestarted, kMoved, kOutOfService };
+class EndpointListChangeTest : public DispatchTest, public ::testing::WithParamInterface<Change> {
  protected:
-  // The list after the change; `to`: the host that is left, or the new process of the old one.
+  // Applies the change. `to` is the address of the host that remains, or of the new process or
+  // address of the original host.
   void change() {
-    const Endpoint to = now.server.local();
-    ListedHost h = listed("h", old.server.local());
+    const Endpoint to = replacement.server.local();
+    ListedHost h = listed("h", original.server.local());
     switch (GetParam()) {
-      case Change::kDrains:
+      case Change::kDrained:
         h.state = HostState::kDraining;
         return list({h, listed("g", to)});
-      case Change::kGoes:
+      case Change::kRemoved:
         return list({listed("g", to)});
-      case Change::kRestarts:
+      case Change::kRestarted:
         h.born = UnixTime(std::chrono::hours(1));
         h.dial = to;
         return list({h});
-      case Change::kMoves:
+      case Change::kMoved:
         h.dial = to;
         return list({h});
-      case Change::kTakenOut:
+      case Change::kOutOfService:
         list({h, listed("g", to)});
         ASSERT_TRUE(pool->maintain("h", true));
     }
   }
-  ScriptedCache old{io}, now{io};
+  ScriptedCache original{io}, replacement{io};
 };
-INSTANTIATE_TEST_SUITE_P(Changes, ListAndAttemptTest,
-                         ::testing::Values(Change::kDrains, Change::kGoes, Change::kRestarts,
-                                           Change::kMoves, Change::kTakenOut));
+INSTANTIATE_TEST_SUITE_P(Changes, EndpointListChangeTest,
+                         ::testing::Values(Change::kDrained, Change::kRemoved, Change::kRestarted,
+                                           Change::kMoved, Change::kOutOfService));
 
-// Decided anew, at once, and at no cost of a retry (here: no second attempt is allowed).
-TEST_P(ListAndAttemptTest, DecidesAnewForAConnectionThatComesUp) {
+// The policy decides on the attempt again immediately, without counting a retry: here, no second
+// attempt is allowed.
+TEST_P(EndpointListChangeTest, ReroutesAnAttemptWaitingForAConnect) {
   site.policy.max_attempts = 1;
   begin();
-  list({listed("h", old.server.local())});
-  old.server.pause_accepting();
+  list({listed("h", original.server.local())});
+  original.server.pause_accepting();
   auto c = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return limits->upstreams.used() == 1; }));
   change();
-  ASSERT_TRUE(wait([&] { return now.saw("1"); }));
-  now.answer("1", "v");
+  ASSERT_TRUE(wait([&] { return replacement.saw("1"); }));
+  replacement.answer("1", "v");
   ASSERT_TRUE(wait([&] { return c->in == FakeCache::value("1", "v"); }));
-  old.server.resume_accepting();
+  original.server.resume_accepting();
   c->send(get("k", "2"));
-  ASSERT_TRUE(wait([&] { return now.saw("2"); }));
-  EXPECT_TRUE(old.ids.empty());
+  ASSERT_TRUE(wait([&] { return replacement.saw("2"); }));
+  EXPECT_TRUE(original.ids.empty());
 }
 
-TEST_P(ListAndAttemptTest, DecidesAnewForAQueuedAttempt) {
+TEST_P(EndpointListChangeTest, ReroutesAQueuedAttempt) {
   site.policy.max_attempts = 1;
   site.max_connections = 1;
   begin();
-  list({listed("h", old.server.local())});
+  list({listed("h", original.server.local())});
   auto first = client(), c = client();
   first->send(get("k", "1"));
-  ASSERT_TRUE(wait([&] { return old.saw("1"); }));
+  ASSERT_TRUE(wait([&] { return original.saw("1"); }));
   c->send(get("k", "2"));
   ASSERT_TRUE(wait([&] { return pool->open_requests() == 2; }));
   change();
-  old.answer("1", "v");  // what is out keeps its answer, and its connection takes nothing more
+  original.answer("1", "v");  // still delivered; the connection carries nothing more
   ASSERT_TRUE(wait([&] { return first->in == FakeCache::value("1", "v"); }));
-  ASSERT_TRUE(wait([&] { return now.saw("2"); }));
-  EXPECT_EQ(old.ids, std::vector<std::string>{"1"});
+  ASSERT_TRUE(wait([&] { return replacement.saw("2"); }));
+  EXPECT_EQ(original.ids, std::vector<std::string>{"1"});
 }
 
-// A connection that was in use at the time of the change leads to the old process or address.
-TEST_P(ListAndAttemptTest, AssignsNothingMoreToAConnectionInUse) {
+// A connection that was in use at the time of the change leads to the original process or address,
+// and must not be used again.
+TEST_P(EndpointListChangeTest, AssignsNoAttemptToAnOldConnection) {
   begin();
-  list({listed("h", old.server.local())});
+  list({listed("h", original.server.local())});
   auto c = client();
   c->send(get("k", "1"));
-  ASSERT_TRUE(wait([&] { return old.saw("1"); }));
+  ASSERT_TRUE(wait([&] { return original.saw("1"); }));
   change();
-  old.answer("1", "v");
+  original.answer("1", "v");
   ASSERT_TRUE(wait([&] { return c->in == FakeCache::value("1", "v"); }));
   c->send(get("k", "2"));
-  ASSERT_TRUE(wait([&] { return now.saw("2"); }));
-  EXPECT_EQ(old.ids, std::vector<std::string>{"1"});
+  ASSERT_TRUE(wait([&] { return replacement.saw("2"); }));
+  EXPECT_EQ(original.ids, std::vector<std::string>{"1"});
 }
 
-// A write waits for an origin that is another by now: it goes there, at once and once.
-// A request is to be written at the end of the turn, the list drops its host, and the tick that
-// sweeps up comes before that end: it is due already, as the loop was late.
+// A request is to be written at the end of the event loop's turn. The list removes its host, and
+// the tick that erases retired hosts runs before the write: it is due already, as the loop was
+// late.
 TEST_F(DispatchTest, ErasesARetiredHostInTheTurnOfAPostedWrite) {
-  ScriptedCache cache(io), left(io);
+  ScriptedCache cache(io), remaining(io);
   site.shared_connections = true;
   site.streams_per_connection = 4;
   begin();
@@ -373,49 +385,51 @@
   c->send(get("k", "1"));
   std::this_thread::sleep_for(milliseconds(60));
   while (limits->upstreams.used() == 0) io.run_one();
-  list({listed("g", left.server.local())});
-  ASSERT_TRUE(wait([&] { return left.saw("1"); }));
-  left.answer("1", "v");
+  list({listed("g", remaining.server.local())});
+  ASSERT_TRUE(wait([&] { return remaining.saw("1"); }));
+  remaining.answer("1", "v");
   ASSERT_TRUE(wait([&] { return c->in == FakeCache::value("1", "v"); }));
   EXPECT_TRUE(cache.ids.empty());
 }
 
+// A write waits for a connection to the origin when the origin moves: it is sent to the new address
+// immediately and exactly once.
 TEST_F(DispatchTest, SendsAWaitingWriteToTheMovedOrigin) {
-  ScriptedOrigin old(io), now(io);
+  ScriptedOrigin original(io), replacement(io);
   begin();
-  list({listed("o", old.server.local(), true)});
-  old.server.pause_accepting();
+  list({listed("o", original.server.local(), true)});
+  original.server.pause_accepting();
   auto c = client();
   c->send(put("k", "1"));
   ASSERT_TRUE(wait([&] { return limits->upstreams.used() == 1; }));
-  list({listed("o", now.server.local(), true)});
-  old.server.resume_accepting();
-  ASSERT_TRUE(wait([&] { return now.saw("1"); }));
-  now.answer("1", "r");
+  list({listed("o", replacement.server.local(), true)});
+  original.server.resume_accepting();
+  ASSERT_TRUE(wait([&] { return replacement.saw("1"); }));
+  replacement.answer("1", "r");
   ASSERT_TRUE(wait([&] { return c->in == "HD O1 cr\r\n"; }));
-  EXPECT_TRUE(old.ids.empty());
-  EXPECT_EQ(now.ids.size(), 1u);
+  EXPECT_TRUE(original.ids.empty());
+  EXPECT_EQ(replacement.ids.size(), 1u);
 }
 
-// So does a fetch, and with it who waits for it.
+// The same applies to a fetch, and with it to the requests that wait for the fetch.
 TEST_F(DispatchTest, SendsAWaitingFetchToTheMovedOrigin) {
   ScriptedCache cache(io);
-  ScriptedOrigin old(io), now(io);
+  ScriptedOrigin original(io), replacement(io);
   cache.on_command = [&](Peer&, const std::string& id) { cache.miss(id); };
   begin();
-  list({listed("h", cache.server.local()), listed("o", old.server.local(), true)});
-  old.server.pause_accepting();
+  list({listed("h", cache.server.local()), listed("o", original.server.local(), true)});
+  original.server.pause_accepting();
   auto c = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return limits->upstreams.used() == 2; }));
-  list({listed("h", cache.server.local()), listed("o", now.server.local(), true)});
-  ASSERT_TRUE(wait([&] { return now.saw("1"); }));
-  now.answer("1", "v");
+  list({listed("h", cache.server.local()), listed("o", replacement.server.local(), true)});
+  ASSERT_TRUE(wait([&] { return replacement.saw("1"); }));
+  replacement.answer("1", "v");
   ASSERT_TRUE(wait([&] { return c->in == FakeCache::value("1", "v"); }));
-  EXPECT_TRUE(old.ids.empty());
+  EXPECT_TRUE(original.ids.empty());
 }
 
-// Half of a write is at its host when that begins to drain: it has begun there, and goes on.
+// A host starts draining when it has received half of a write: the write is completed there.
 TEST_F(DispatchTest, FinishesAHalfWrittenAttemptAtADrainingHost) {
   ScriptedOrigin origin(io, 4096);
   origin.server.reads = false;
@@ -433,18 +447,18 @@
   ASSERT_TRUE(wait([&] { return c->in == "HD O1 cr\r\n"; }));
 }
 
-// The origin answers a second time, some milliseconds late, when the next fetch is out: HTTP does
-// not tell whose answer it is. On a busy machine the connection may have rested meanwhile, and
-// another try is made.
-TEST_F(DispatchTest, ServesNoLateSecondAnswerOfTheOrigin) {
+// The origin sends a duplicate answer some milliseconds late, when the next fetch is in flight.
+// HTTP does not identify the request of an answer. On a busy machine the connection may have been
+// idle for kMinIdleBeforeReuse (20 ms) before the next fetch; then the test tries again.
+TEST_F(DispatchTest, IgnoresALateDuplicateAnswerOfTheOrigin) {
   ScriptedCache cache(io);
   ScriptedOrigin origin(io);
   cache.on_command = [&](Peer&, const std::string& id) { cache.miss(id); };
   begin();
   list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
   auto c = client();
-  bool at_once = false;
-  for (int i = 0; i < 50 && !at_once; ++i) {
+  bool is_in_time = false;
+  for (int i = 0; i < 50 && !is_in_time; ++i) {
     const std::string one = "a" + std::to_string(i), two = "b" + std::to_string(i);
     c->in.clear();
     c->send(get("k" + one, one));
@@ -455,19 +469,19 @@
     c->in.clear();
     c->send(get("k" + two, two));
     ASSERT_TRUE(wait([&] { return origin.saw(two); }));
-    at_once = std::chrono::steady_clock::now() - from < milliseconds(20);
-    if (at_once) origin.answer(one, "first");
+    is_in_time = std::chrono::steady_clock::now() - from < milliseconds(20);
+    if (is_in_time) origin.answer(one, "first");
     run_for(io, milliseconds(5));
     origin.answer(two, "second");
     ASSERT_TRUE(wait([&] { return !c->in.empty(); }));
     EXPECT_EQ(c->in, FakeCache::value(two, "second"));
   }
-  EXPECT_TRUE(at_once) << "the machine never was fast enough";
+  EXPECT_TRUE(is_in_time) << "the machine was too slow in every try";
 }
 
-// An answer comes while its request is being written. It cannot be that request's: nobody is served
-// with it, and what may have run by then is not sent again.
-TEST_F(DispatchTest, IgnoresAnAnswerThatComesBeforeItsRequestIsWritten) {
+// An answer arrives while the request is still being written. It cannot belong to that request, so
+// no client receives it, and the request, which may have run, is not sent again.
+TEST_F(DispatchTest, IgnoresAnAnswerReceivedBeforeItsRequestIsWritten) {
   ScriptedOrigin origin(io, 4096);
   origin.server.reads = false;
   begin();
@@ -483,8 +497,8 @@
   EXPECT_EQ(origin.server.peers.size(), 1u);
 }
 
-// ---- a keyed write is decided on within the time in which repeats are discarded, and its turn to
-// be written comes behind it
+// ---- a keyed retry is decided on within its deduplication window, but could only be written after
+// it
 
 TEST_F(DispatchTest, WritesNoKeyedRetryAfterItsDeduplicationWindow) {
   ScriptedOrigin origin(io);
@@ -493,7 +507,8 @@
   origin.on_request = [&](Peer& p, const std::string&) {
     if (origin.ids.size() > 1) return;
     origin.server.pause_accepting();
-    p.close();  // it may have run, and is sent again at once: to a connection that does not come up
+    // The write may have run and is retried immediately, on a connection that is not established.
+    p.close();
   };
   auto c = client();
   const Time start = clock.now();
@@ -506,7 +521,7 @@
   EXPECT_EQ(origin.ids.size(), 1u);
 }
 
-// ---- an idle connection's end, and the next request
+// ---- an idle connection is closed, and the next request arrives
 
 TEST_F(DispatchTest, SendsNoNonIdempotentWriteOnAClosedConnection) {
   ScriptedOrigin origin(io);
@@ -518,8 +533,8 @@
   ASSERT_TRUE(wait([&] { return c->in == "HD O1 cr1\r\n"; }));
   const Time since = clock.now();
   ASSERT_TRUE(
-      wait([&] { return clock.now() - since > milliseconds(30); }));  // it may be used again
-  // In one turn of the loop: the close first, then the request.
+      wait([&] { return clock.now() - since > milliseconds(30); }));  // beyond kMinIdleBeforeReuse
+  // In one turn of the event loop, first the close and then the request.
   origin.from.at("1")->close();
   c->in.clear();
   c->send(put("k", "2"));
@@ -528,7 +543,7 @@
   EXPECT_EQ(origin.ids, (std::vector<std::string>{"1", "2"}));
 }
 
-// The other order: the request is written, and the close comes behind it. It may have run.
+// The other order: the request is written before the close arrives, so it may have run.
 TEST_F(DispatchTest, RetriesNoNonIdempotentWriteThatCrossedAClose) {
   ScriptedOrigin origin(io);
   begin();
@@ -547,19 +562,20 @@
   EXPECT_EQ(std::count(origin.ids.begin(), origin.ids.end(), "2"), 1);
 }
 
-// ---- a client's connection is closed, its command comes whole
+// ---- a client completes its command when its connection is about to be closed
 
-// The rest of a command comes in the turn in which its time is over, or in which its place is
-// needed. The loop is late, so that the ticks are due; the test's own timer is the first of them.
+// The rest of a command arrives in the turn of the event loop in which the command times out. The
+// loop is late, so that the session's tick is due; the test's own timer fires before it.
 TEST_F(DispatchTest, AnswersACommandThatIsCompletedInTheTurnOfItsTimeout) {
   times.first_command = milliseconds(100);
   begin();
   std::shared_ptr<Peer> c;
-  for (int i = 0; i < 50 && limits->clients.used() == 0; ++i) {  // a slow machine: closed already
+  // Repeated if the session has been closed already, as on a slow machine.
+  for (int i = 0; i < 50 && limits->clients.used() == 0; ++i) {
     c = client();
     c->send("m");
     ASSERT_TRUE(wait([&] { return limits->clients.used() == 1; }));
-    run_for(io, milliseconds(5));  // read
+    run_for(io, milliseconds(5));  // reads the input
   }
   asio::steady_timer first(io, std::chrono::steady_clock::now() - std::chrono::hours(1));
   first.async_wait([&](auto) {
@@ -571,16 +587,17 @@
   EXPECT_EQ(c->in, "MN\r\n");
 }
 
-TEST_F(DispatchTest, KeepsAClientWhoseCommandIsCompletedWhenRoomIsNeeded) {
+// The rest of a command arrives in the turn in which a new client needs the descriptor.
+TEST_F(DispatchTest, KeepsAClientThatCompletesItsCommandWhenDescriptorsAreShort) {
   begin();
   auto c = client();
   c->send("m");
   ASSERT_TRUE(wait([&] { return limits->clients.used() == 1; }));
-  run_for(io, milliseconds(1050));  // a slow writer
+  run_for(io, milliseconds(1050));  // a slow writer, which may be closed for others
   limits->clients.set_max(1);
   auto other = client();
   other->send("mn\r\n");
-  // Between the moment in which the loop has heard of the newcomer, and its acceptance.
+  // After the event loop has been notified of the new client and before it is accepted.
   c->send("n\r\n");
   ASSERT_TRUE(delivered(*c));
   EXPECT_FALSE(listener->stop());
@@ -590,23 +607,23 @@
 
 // ---- a drain
 
-// What waits to be accepted has been taken as far as its clients can tell.
+// To their clients, connections in the backlog look accepted, so they must be answered.
 TEST_F(DispatchTest, AnswersClientsInTheBacklogBeforeItStops) {
   begin();
-  std::vector<std::shared_ptr<Peer>> crowd;
+  std::vector<std::shared_ptr<Peer>> clients;
   for (int i = 0; i < 90; ++i) {
-    crowd.push_back(client());
-    crowd.back()->send("mn\r\n");
+    clients.push_back(client());
+    clients.back()->send("mn\r\n");
   }
   EXPECT_EQ(listener->sessions(), 0u);
   EXPECT_TRUE(listener->stop());
   ASSERT_TRUE(wait([&] {
-    return std::all_of(crowd.begin(), crowd.end(), [](auto& p) { return p->in == "MN\r\n"; });
+    return std::all_of(clients.begin(), clients.end(), [](auto& p) { return p->in == "MN\r\n"; });
   }));
 }
 
-// Without room the listener stays until there is some.
-TEST_F(DispatchTest, AnswersClientsInTheBacklogOnceThereIsRoom) {
+// While no descriptor is free, the listener stays open.
+TEST_F(DispatchTest, AnswersClientsInTheBacklogOnceDescriptorsAreFree) {
   ScriptedCache cache(io);
   begin();
   list({listed("h", cache.server.local())});
@@ -624,8 +641,8 @@
   EXPECT_TRUE(listener->stop());
 }
 
-// A connection is to be given back; a request comes between the decision and the close.
-TEST_F(DispatchTest, AnswersARequestThatComesBeforeADrainedConnectionCloses) {
+// A request arrives between the decision to close a drained connection and the close.
+TEST_F(DispatchTest, AnswersARequestReceivedBeforeADrainedConnectionCloses) {
   begin();
   auto c = client();
   c->send("mn\r\n");
@@ -636,7 +653,8 @@
   EXPECT_EQ(c->in, "MN\r\nMN\r\n");
 }
 
-// The other order: given back first, the client finds an end in order and nothing lost.
+// The other order: the connection is closed first; the client sees a graceful close and loses
+// nothing.
 TEST_F(DispatchTest, ClosesADrainedConnectionGracefully) {
   begin();
   auto c = client();
@@ -647,11 +665,12 @@
   EXPECT_EQ(c->in, "MN\r\n");
 }
 
-class ProcessEndTest : public NodeTest {};
+class ProcessShutdownTest : public NodeTest {};
 
-// A process that stands still in its drain wakes behind its last moment: what is open is failed and
-// the process ends in one turn, and several answers of one client leave together.
-TEST_F(ProcessEndTest, WritesAnswersOfItsLastTurn) {
+// A process that stalls during its drain resumes after the end of the drain. It fails the open
+// requests and ends in one turn of the event loop, and several answers to one client must be
+// written in it.
+TEST_F(ProcessShutdownTest, WritesAnswersOfItsLastEventLoopTurn) {
   FakeCache cache(io, [](const auto&, const auto&) { return std::string(); });
   discovery.hosts = host_entry("h1", cache.server.dial());
   begin();
@@ -661,16 +680,16 @@
   balancer->drain();
   std::this_thread::sleep_for(milliseconds(3700));
   ASSERT_TRUE(wait([&] { return io.stopped(); }));
-  // The program would end here: what has not left by now never does.
+  // The program would exit here, so answers that have not been written by now would be lost.
   c->on_data = [](Peer&) {};
   c->socket.non_blocking(true);
   PausableServer::read_now(*c);
   EXPECT_EQ(std::count(c->in.begin(), c->in.end(), '\n'), 3) << c->in;
 }
 
-// Discovery moves while this process is leaving: what is still out has hosts that may come to
-// drain.
-TEST_F(ProcessEndTest, AppliesAReloadDuringADrain) {
+// The address of discovery changes while this process drains. It must still follow the endpoint
+// list, as the hosts of its remaining requests may start draining.
+TEST_F(ProcessShutdownTest, AppliesAReloadDuringADrain) {
   FakeCache cache(io, [](const auto&, const auto&) { return std::string(); });
   discovery.hosts = host_entry("h1", cache.server.dial());
   begin();
@@ -686,9 +705,9 @@
   ASSERT_TRUE(wait([&] { return next.calls > 0; }));
 }
 
-// The memory is full, and a client has written its whole request. It is told within its time that
-// nothing has run, and not closed unheard.
-class ShortOfMemoryTest : public DispatchTest {
+// The memory limit is reached, and a client has sent a complete request. The request must be
+// rejected within its deadline, as it has not run, instead of being closed without an answer.
+class MemoryLimitTest : public DispatchTest {
  protected:
   void SetUp() override {
     for (RequestClass& request_class : site.policy.classes)
@@ -697,13 +716,13 @@
     list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
     hold = Reservation(limits->bytes, limits->bytes.max());
   }
-  void expect_refused(const std::string& request) {
+  void expect_rejected(const std::string& request) {
     auto c = client();
     const Time from = clock.now();
     c->send(request);
     ASSERT_TRUE(wait([&] { return !c->in.empty() || c->closed; }));
     EXPECT_EQ(c->in, "SERVER_ERROR busy\r\n");
-    EXPECT_LT(clock.now() - from, milliseconds(1500)) << "its client had left by then";
+    EXPECT_LT(clock.now() - from, milliseconds(1500)) << "rejected after the client's deadline";
     EXPECT_TRUE(origin.heads.empty() && cache.lines.empty());
   }
   Reservation hold;
@@ -711,8 +730,8 @@
   ScriptedOrigin origin{io};
 };
 
-TEST_F(ShortOfMemoryTest, RejectsARead) { expect_refused(get("k", "1")); }
-TEST_F(ShortOfMemoryTest, RejectsALongWrite) { expect_refused(put("k", "1", 200u << 10)); }
+TEST_F(MemoryLimitTest, RejectsARead) { expect_rejected(get("k", "1")); }
+TEST_F(MemoryLimitTest, RejectsALongWrite) { expect_rejected(put("k", "1", 200u << 10)); }
 
 }  // namespace
 }  // namespace balancer::node
--- a/tests/deadline_test.cc
+++ b/tests/deadline_test.cc
@@ -1,5 +1,5 @@
-// What each attempt tells its server as `d`: never more than is left to the client, whichever way
-// it went before, at cache hosts and at the origin.
+// The `d` property sent with each attempt to cache hosts and the origin: it never exceeds the time
+// left until the client's deadline, whatever happened to the request before.
 #include <algorithm>
 
 #include "dispatch_harness.h"
@@ -9,11 +9,11 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::int64_t kClientMs = 5000;  // what DispatchTest's clients send as `d`
+constexpr std::int64_t kClientMs = 5000;  // value of `d` that the clients of DispatchTest send
 constexpr milliseconds kDelay{200};       // well above what an unloaded attempt takes
 
-// The value of `d` in a list of names and values; -1 where there is none.
-std::int64_t told(const std::string& props) {
+// Returns the value of `d` in a list of properties, or -1 if there is none.
+std::int64_t deadline_in(const std::string& props) {
   std::size_t at = 0;
   while (at < props.size()) {
     const auto end = std::min(props.find(',', at), props.size());
@@ -37,69 +37,71 @@
 
 class DeadlineTest : public DispatchTest {
  protected:
-  // Lets the loop run for a while, and tells how long that was at least.
-  std::int64_t pass_time() {
+  // Runs the event loop for kDelay. Returns the time passed in milliseconds, rounded down.
+  std::int64_t run_for_delay() {
     const Time from = clock.now();
     run_for(io, kDelay);
     return in_ms(clock.now() - from);
   }
-  // At least `passed` lies between the balancer's having the request and the attempt.
-  static void expect_told(std::int64_t ms, std::int64_t passed) {
+  // Expects a deadline that leaves out the `passed` milliseconds between the arrival of the request
+  // at the balancer and the attempt.
+  static void expect_deadline(std::int64_t ms, std::int64_t passed) {
     EXPECT_GT(ms, 0);
     EXPECT_LE(ms, kClientMs - passed);
   }
-  static void expect_told_at_cache(const ScriptedCache& cache, std::int64_t passed) {
+  static void expect_deadline_at_cache(const ScriptedCache& cache, std::int64_t passed) {
     ASSERT_FALSE(cache.lines.empty());
-    expect_told(told(props_of_line(cache.lines.back())), passed);
+    expect_deadline(deadline_in(props_of_line(cache.lines.back())), passed);
   }
-  static void expect_told_at_origin(const ScriptedOrigin& origin, std::int64_t passed) {
+  static void expect_deadline_at_origin(const ScriptedOrigin& origin, std::int64_t passed) {
     ASSERT_FALSE(origin.heads.empty());
-    expect_told(told(props_of_head(origin.heads.back())), passed);
+    expect_deadline(deadline_in(props_of_head(origin.heads.back())), passed);
   }
 
   ScriptedCache cache{io}, second{io};
   ScriptedOrigin origin{io};
 };
 
-TEST_F(DeadlineTest, FirstAttemptAtACacheHost) {
+TEST_F(DeadlineTest, SendsTimeLeftWithFirstAttemptAtACacheHost) {
   begin();
   list({listed("h", cache.server.local())});
   auto c = client();
   const Time from = clock.now();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return cache.saw("1"); }));
-  expect_told_at_cache(cache, 0);
-  // All that is left to the client, less the part of a millisecond.
-  EXPECT_GE(told(props_of_line(cache.lines[0])), kClientMs - in_ms(clock.now() - from) - 1);
+  expect_deadline_at_cache(cache, 0);
+  // The complete time left, rounded down to a millisecond.
+  EXPECT_GE(deadline_in(props_of_line(cache.lines[0])), kClientMs - in_ms(clock.now() - from) - 1);
 }
 
-TEST_F(DeadlineTest, FirstAttemptOfAWriteAtTheOrigin) {
+TEST_F(DeadlineTest, SendsTimeLeftWithFirstWriteAtTheOrigin) {
   begin();
   list({listed("o", origin.server.local(), true)});
   auto c = client();
   const Time from = clock.now();
   c->send(put("k", "1"));
   ASSERT_TRUE(wait([&] { return origin.saw("1"); }));
-  expect_told_at_origin(origin, 0);
-  EXPECT_GE(told(props_of_head(origin.heads[0])), kClientMs - in_ms(clock.now() - from) - 1);
+  expect_deadline_at_origin(origin, 0);
+  EXPECT_GE(deadline_in(props_of_head(origin.heads[0])), kClientMs - in_ms(clock.now() - from) - 1);
 }
 
-TEST_F(DeadlineTest, FetchBehindAMiss) {
+TEST_F(DeadlineTest, SendsTimeLeftWithFetchAfterAMiss) {
   begin();
   list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
   auto c = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return cache.saw("1"); }));
-  const auto passed = pass_time();
+  const auto passed = run_for_delay();
   cache.miss("1");
   ASSERT_TRUE(wait([&] { return origin.saw("1"); }));
-  expect_told_at_origin(origin, passed);
+  expect_deadline_at_origin(origin, passed);
   origin.answer("1", "v");
   ASSERT_TRUE(wait([&] { return c->in == FakeCache::value("1", "v"); }));
 }
 
-// The host's connection never comes up: its time is over first, and another host is asked.
-TEST_F(DeadlineTest, BehindAConnectionThatNeverComesUp) {
+// The connection to the host is never established; after the connect time-out the request goes to
+// the origin.
+TEST_F(DeadlineTest, SendsTimeLeftAfterAConnectTimeout) {
   site.connect_timeout = kDelay;
   begin();
   list({listed("a", cache.server.local()), listed("o", origin.server.local(), true)});
@@ -107,53 +109,53 @@
   auto c = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return origin.saw("1"); }));
-  expect_told_at_origin(origin, in_ms(kDelay) - 1);
+  expect_deadline_at_origin(origin, in_ms(kDelay) - 1);
 }
 
-// Where a connection broke the host is asked once more.
-TEST_F(DeadlineTest, BehindAReset) {
+// After a reset the attempt is retried at the same host.
+TEST_F(DeadlineTest, SendsTimeLeftWithRetryAfterAReset) {
   begin();
   list({listed("h", cache.server.local())});
   auto c = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return cache.saw("1"); }));
-  const auto passed = pass_time();
+  const auto passed = run_for_delay();
   cache.from.at("1")->close();
   ASSERT_TRUE(wait([&] { return cache.lines.size() == 2; }));
-  expect_told_at_cache(cache, passed);
+  expect_deadline_at_cache(cache, passed);
 }
 
-// It breaks there again, and the origin is asked.
-TEST_F(DeadlineTest, FetchBehindResets) {
+// The retry at the host is reset too, and the value is fetched from the origin.
+TEST_F(DeadlineTest, SendsTimeLeftWithFetchAfterResets) {
   begin();
   list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
   auto c = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return cache.saw("1"); }));
-  const auto passed = pass_time();
+  const auto passed = run_for_delay();
   cache.on_command = [](Peer& p, const std::string&) { p.close(); };
   cache.from.at("1")->close();
   ASSERT_TRUE(wait([&] { return origin.saw("1"); }));
   EXPECT_EQ(cache.lines.size(), 2u);
-  expect_told_at_origin(origin, passed);
+  expect_deadline_at_origin(origin, passed);
 }
 
-// The origin has refused the write unrun; the next try is told the rest.
-TEST_F(DeadlineTest, WriteAfterARejection) {
+// The origin rejects the write without running it; the retry is sent with the remaining time.
+TEST_F(DeadlineTest, SendsTimeLeftWithWriteAfterARejection) {
   begin();
   list({listed("o", origin.server.local(), true)});
   auto c = client();
   c->send(put("k", "1"));
   ASSERT_TRUE(wait([&] { return origin.saw("1"); }));
-  const auto passed = pass_time();
+  const auto passed = run_for_delay();
   origin.never_ran("1");
   ASSERT_TRUE(wait([&] { return origin.heads.size() == 2; }));
-  expect_told_at_origin(origin, passed);
+  expect_deadline_at_origin(origin, passed);
 }
 
-// The host has hung: after a while the module sends a second copy to the origin, while the first is
-// still out.
-TEST_F(DeadlineTest, HedgedRequestWhileTheFirstIsInFlight) {
+// The host does not answer; after a delay the policy sends a hedged request to the origin while the
+// first attempt is still in flight.
+TEST_F(DeadlineTest, SendsTimeLeftWithAHedgedRequest) {
   site.policy.hedging = true;
   begin();
   list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
@@ -164,59 +166,60 @@
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return origin.saw("1"); }));
   ASSERT_EQ(cache.lines.size(), 1u);
-  const auto told_first = told(props_of_line(cache.lines[0]));
-  const auto told_second = told(props_of_head(origin.heads[0]));
-  EXPECT_GT(told_second, 0);
-  EXPECT_LT(told_second, told_first);
-  // Between the two writes lies what lies between the two arrivals, but for the ways there.
-  EXPECT_NEAR(static_cast<double>(told_first - told_second),
+  const auto first_deadline = deadline_in(props_of_line(cache.lines[0]));
+  const auto second_deadline = deadline_in(props_of_head(origin.heads[0]));
+  EXPECT_GT(second_deadline, 0);
+  EXPECT_LT(second_deadline, first_deadline);
+  // The two deadlines differ by the time between the two writes, which is about that between the
+  // two arrivals.
+  EXPECT_NEAR(static_cast<double>(first_deadline - second_deadline),
               static_cast<double>(in_ms(second_at - first_at)), 100);
 }
 
-TEST_F(DeadlineTest, BehindAConnectionThatComesUpLate) {
+TEST_F(DeadlineTest, SendsTimeLeftAfterASlowConnect) {
   begin();
   list({listed("h", cache.server.local())});
   cache.server.pause_accepting();
   auto c = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return limits->upstreams.used() == 1; }));
-  const auto passed = pass_time();
+  const auto passed = run_for_delay();
   cache.server.resume_accepting();
   ASSERT_TRUE(wait([&] { return cache.saw("1"); }));
-  expect_told_at_cache(cache, passed);
+  expect_deadline_at_cache(cache, passed);
 }
 
-TEST_F(DeadlineTest, WriteBehindAConnectionThatComesUpLate) {
+TEST_F(DeadlineTest, SendsTimeLeftWithWriteAfterASlowConnect) {
   begin();
   list({listed("o", origin.server.local(), true)});
   origin.server.pause_accepting();
   auto c = client();
   c->send(put("k", "1"));
   ASSERT_TRUE(wait([&] { return limits->upstreams.used() == 1; }));
-  const auto passed = pass_time();
+  const auto passed = run_for_delay();
   origin.server.resume_accepting();
   ASSERT_TRUE(wait([&] { return origin.saw("1"); }));
-  expect_told_at_origin(origin, passed);
+  expect_deadline_at_origin(origin, passed);
 }
 
-// Its host begins to drain before a byte has gone out, and another is chosen.
-TEST_F(DeadlineTest, DecidedAnewBehindADrain) {
+// The host starts draining before a byte of the attempt has been sent, and another host is chosen.
+TEST_F(DeadlineTest, SendsTimeLeftWhenReroutedAfterADrain) {
   begin();
   list({listed("a", cache.server.local())});
   cache.server.pause_accepting();
   auto c = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return limits->upstreams.used() == 1; }));
-  const auto passed = pass_time();
+  const auto passed = run_for_delay();
   list({listed("a", cache.server.local(), false, HostState::kDraining),
         listed("b", second.server.local())});
   ASSERT_TRUE(wait([&] { return second.saw("1"); }));
-  expect_told_at_cache(second, passed);
+  expect_deadline_at_cache(second, passed);
   EXPECT_FALSE(cache.saw("1"));
 }
 
-// With less than a millisecond left nothing can be told, and nothing is begun.
-TEST_F(DeadlineTest, BeginsNoAttemptWithLessThanAMillisecondLeft) {
+// No attempt is started with less than a millisecond left, as `d` would be 0.
+TEST_F(DeadlineTest, StartsNoAttemptWithLessThanAMillisecondLeft) {
   begin();
   list({listed("h", cache.server.local())});
   auto c = client(), other = client();
@@ -227,25 +230,26 @@
   EXPECT_EQ(cache.ids, std::vector<std::string>{"2"});
 }
 
-// Only the value of `d` changes: no other byte, and no `d` where the client sent none.
+// The balancer changes only the value of `d`: every other byte is kept, and no `d` is added if the
+// client sent none.
 struct Props {
   const char* sent;
-  const char* before;  // what stands before the value of `d`
-  const char* after;
+  const char* before;  // text before the value of `d`
+  const char* after;   // text after the value of `d`
 };
 class DeadlinePropsTest : public DeadlineTest, public ::testing::WithParamInterface<Props> {
  protected:
   static void expect_unchanged_but_for_d(const std::string& props) {
     const std::string before = GetParam().before, after = GetParam().after;
-    if (told(GetParam().sent) < 0) {
+    if (deadline_in(GetParam().sent) < 0) {
       EXPECT_EQ(props, GetParam().sent);
       return;
     }
     ASSERT_TRUE(props.starts_with(before)) << props;
     ASSERT_TRUE(props.ends_with(after)) << props;
     const auto value = props.substr(before.size(), props.size() - before.size() - after.size());
-    EXPECT_EQ(value, std::to_string(told(props)));
-    expect_told(told(props), 0);
+    EXPECT_EQ(value, std::to_string(deadline_in(props)));
+    expect_deadline(deadline_in(props), 0);
   }
 };
 INSTANTIATE_TEST_SUITE_P(
@@ -257,7 +261,7 @@
                       Props{"c=read,id=7,xd=9", "", ""},
                       Props{"c=read,size=d=5,d=5000", "c=read,size=d=5,d=", ""}));
 
-TEST_P(DeadlinePropsTest, AtACacheHostAndAtTheOrigin) {
+TEST_P(DeadlinePropsTest, ChangesOnlyTheDeadline) {
   begin();
   list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
   auto c = client();
@@ -267,14 +271,14 @@
   const std::string line = cache.lines[0];
   EXPECT_TRUE(line.starts_with("mg k v O1 P")) << line;
   expect_unchanged_but_for_d(props_of_line(line));
-  const auto passed = pass_time();
+  const auto passed = run_for_delay();
   cache.miss("1");
   ASSERT_TRUE(wait([&] { return origin.saw("1"); }));
   expect_unchanged_but_for_d(props_of_head(origin.heads[0]));
-  if (told(props) >= 0) expect_told_at_origin(origin, passed);
+  if (deadline_in(props) >= 0) expect_deadline_at_origin(origin, passed);
 }
 
-// A key that reads like the list of names and values is not taken for it.
+// A key that looks like a list of properties is not parsed as one.
 TEST_F(DeadlineTest, ReadsNoDeadlineFromAKeyThatLooksLikeProperties) {
   begin();
   list({listed("h", cache.server.local())});
--- a/tests/dispatch_harness.h
+++ b/tests/dispatch_harness.h
@@ -17,11 +17,11 @@
 #include "node_harness.h"
 
 // A server pool with real sockets on both sides, on the test's own event loop. The test applies
-// endpoint lists itself, and so decides between which two handlers one comes.
+// endpoint lists itself, so it controls between which two handlers a list arrives.
 namespace balancer::node {
 
-// A server that can stop taking connections at the kernel: until resume_accepting() they neither
-// connect nor fail. Its peers are handled as those of Server.
+// A server that can stop accepting connections in the kernel: until resume_accepting(), connection
+// attempts neither succeed nor fail. Otherwise behaves like Server.
 class PausableServer {
  public:
   PausableServer(asio::io_context& io, std::function<void(Peer&)> on_data, int receive_buffer = 0)
@@ -36,15 +36,15 @@
   }
   Endpoint local() const { return acceptor_.local_endpoint(); }
 
-  // Fills the backlog; the system drops further connections.
+  // Fills the backlog, so that the kernel drops further connection attempts.
   void pause_accepting() {
     take_waiting();
     paused_ = true;
     boost::system::error_code ignored;
     acceptor_.cancel(ignored);
     acceptor_.listen(0);
-    for (bool full = false; !full && fillers_.size() < 16;) {
-      auto& s = fillers_.emplace_back(io_);
+    for (bool full = false; !full && backlog_fillers_.size() < 16;) {
+      auto& s = backlog_fillers_.emplace_back(io_);
       s.open(tcp::v4());
       s.non_blocking(true);
       ::connect(s.native_handle(), local().data(), static_cast<socklen_t>(local().size()));
@@ -53,16 +53,16 @@
     }
   }
   void resume_accepting() {
-    for (auto& s : fillers_) {
+    for (auto& s : backlog_fillers_) {
       boost::system::error_code ignored;
       s.close(ignored);
     }
-    fillers_.clear();
+    backlog_fillers_.clear();
     paused_ = false;
     acceptor_.listen(kBacklog);
     accept();
   }
-  // What has been written to a peer up to now.
+  // Reads what has arrived from a peer so far.
   static void read_now(Peer& p) {
     boost::system::error_code e;
     std::string piece(64u << 10, '\0');
@@ -75,14 +75,14 @@
       p.on_data(p);
     }
   }
-  // Accepts the clients that wait, at once.
+  // Accepts the clients in the backlog immediately.
   void take_waiting() {
     boost::system::error_code e;
     while (!paused_) {
       tcp::socket s(io_);
       acceptor_.accept(s, e);
       if (e) return;
-      take(std::move(s));
+      add_peer(std::move(s));
     }
   }
 
@@ -99,30 +99,32 @@
       accept();
     });
   }
-  void take(tcp::socket s) {
+  void add_peer(tcp::socket s) {
     auto peer = std::make_shared<Peer>(std::move(s));
     peer->on_data = on_data_;
     peers.push_back(peer);
     peer->socket.non_blocking(true);
-    if (reads) watch(peer);
+    if (reads) wait_for_data(peer);
   }
-  // Bytes are in the kernel or in `in`, and never between the two.
-  void watch(const std::shared_ptr<Peer>& peer) {
+  // Waits for input and reads it synchronously, so that received bytes are always either in the
+  // kernel or in Peer::in.
+  void wait_for_data(const std::shared_ptr<Peer>& peer) {
     peer->socket.async_wait(tcp::socket::wait_read, [this, peer](auto e) {
       if (e || peer->closed) return;
       read_now(*peer);
-      if (!peer->closed) watch(peer);
+      if (!peer->closed) wait_for_data(peer);
     });
   }
 
   asio::io_context& io_;
   tcp::acceptor acceptor_;
   std::function<void(Peer&)> on_data_;
-  std::vector<tcp::socket> fillers_;
+  std::vector<tcp::socket> backlog_fillers_;
   bool paused_ = false;
 };
 
-// Waits until all that a peer has sent, its close included, has arrived at the other side's system.
+// Waits until all data that a peer has sent, and its close, have arrived at the other side's
+// kernel. Returns false if that takes longer than about one second.
 inline bool delivered(Peer& p) {
   for (int i = 0; i < 1000; ++i) {
     int left = 0;
@@ -141,7 +143,7 @@
   return line.substr(at, line.find(' ', at) - at);
 }
 
-// A memcache host that records commands in order, and answers when the test says so.
+// A memcache host that records commands in order and answers when the test tells it to.
 struct ScriptedCache {
   explicit ScriptedCache(asio::io_context& io)
       : server(io, [this](Peer& p) {
@@ -159,13 +161,14 @@
   bool saw(const std::string& id) const { return from.count(id) > 0; }
 
   std::vector<std::string> ids;
-  std::vector<std::string> lines;  // of the commands, as they came
+  std::vector<std::string> lines;  // of the commands, as received
   std::map<std::string, std::shared_ptr<Peer>> from;
   std::function<void(Peer&, const std::string& id)> on_command;
   PausableServer server;
 };
 
-// The same over HTTP; a request has come once its body has.
+// An HTTP origin that records requests in order, once their bodies are complete, and answers when
+// the test tells it to.
 struct ScriptedOrigin {
   explicit ScriptedOrigin(asio::io_context& io, int receive_buffer = 0)
       : server(
@@ -180,7 +183,7 @@
   bool saw(const std::string& id) const { return from.count(id) > 0; }
 
   std::vector<std::string> ids;
-  std::vector<std::string> heads;  // of the requests, as they came
+  std::vector<std::string> heads;  // of the requests, as received
   std::map<std::string, std::shared_ptr<Peer>> from;
   std::function<void(Peer&, const std::string& id)> on_request;
   PausableServer server;
@@ -213,10 +216,10 @@
   return h;
 }
 
-// A server pool between clients, hosts and an origin that the test scripts.
+// A server pool between clients, hosts and an origin that the test controls.
 class DispatchTest : public ::testing::Test {
  protected:
-  using MakeEvents = std::function<AttemptEvents&(AttemptEvents&)>;
+  using WrapEvents = std::function<AttemptEvents&(AttemptEvents&)>;
 
   void begin() {
     limits = std::make_unique<Limits>(sockets, memory_mb);
@@ -224,9 +227,9 @@
         io, clock, site, seed, *limits,
         [this](bool origin, AttemptEvents& events,
                UpstreamOwner& owner) -> std::shared_ptr<UpstreamConnection> {
-          AttemptEvents& seen = between ? between(events) : events;
-          if (origin) return std::make_shared<OriginConnection>(io, *limits, seen, owner);
-          return std::make_shared<CacheConnection>(io, *limits, seen, owner);
+          AttemptEvents& receiver = between ? between(events) : events;
+          if (origin) return std::make_shared<OriginConnection>(io, *limits, receiver, owner);
+          return std::make_shared<CacheConnection>(io, *limits, receiver, owner);
         },
         [] {});
     RequestSink& sink = core();
@@ -236,10 +239,10 @@
         [this] { return front->make(); }, times);
     listener->open();
   }
-  virtual RequestSink& core() { return *pool; }  // as frontends see it
+  virtual RequestSink& core() { return *pool; }  // the sink to which frontends submit
   void list(std::vector<ListedHost> hosts) { pool->on_list({++seq, true, std::move(hosts)}); }
   std::shared_ptr<Peer> client() { return Peer::dial(io, listener->local()); }
-  // Closes the client, and waits until the balancer has noticed.
+  // Closes the client's connection and waits until the balancer has detected it.
   ::testing::AssertionResult gone(const std::shared_ptr<Peer>& c, bool by_reset = false) {
     if (by_reset) c->socket.set_option(asio::socket_base::linger(true, 0));
     const std::size_t before = limits->clients.used();
@@ -249,7 +252,7 @@
   ::testing::AssertionResult wait(const std::function<bool()>& done,
                                   std::chrono::seconds limit = std::chrono::seconds(20)) {
     if (run_until(io, done, limit)) return ::testing::AssertionSuccess();
-    return ::testing::AssertionFailure() << "it never came to that";
+    return ::testing::AssertionFailure() << "the condition was not met within the time limit";
   }
   static std::string get(const std::string& key, const std::string& id) {
     return "mg " + key + " v O" + id + " Pc=read,t=acme,d=5000\r\n";
@@ -279,7 +282,7 @@
   Clock clock;
   std::unique_ptr<Limits> limits;  // outlives the loop
   asio::io_context io{1};
-  MakeEvents between;  // wraps what the connections report to the pool
+  WrapEvents between;  // wraps the receiver of the connections' events, if set
   std::unique_ptr<ServerPool> pool;
   std::unique_ptr<MemcacheFront> front;
   std::unique_ptr<ClientListener> listener;
--- a/tests/mass_restart_test.cc
+++ b/tests/mass_restart_test.cc
@@ -1,5 +1,5 @@
-// Sixty processes are killed at once and start again: nine in ten are ready within 10 s, whether
-// discovery is there or not, and whether lists are pushed or asked for.
+// 60 processes are killed together and restarted: nine in ten are ready within 10 s, whether or not
+// discovery is available and whether endpoint lists are pushed or polled.
 #include <signal.h>
 
 #include "program_harness.h"
@@ -15,13 +15,13 @@
 
 struct Restart {
   const char* name;
-  const char* lists;  // as in the settings
+  const char* lists;  // value of the "discovery" setting
   State discovery;
 };
 
 class MassRestartTest : public ProcessTest, public ::testing::WithParamInterface<Restart> {
  protected:
-  // Starts all at once, and tells how many answered `mn` in time.
+  // Starts all processes together. Returns how many answered `mn` within kReadyWithin.
   std::size_t start_all() {
     ready.clear();
     const Time from = context.now();
@@ -48,13 +48,13 @@
     }));
   }
 
-  std::vector<double> ready;  // seconds until each answered, in order
+  std::vector<double> ready;  // seconds until each process answered, ascending
 };
 INSTANTIATE_TEST_SUITE_P(Kinds, MassRestartTest,
                          ::testing::Values(Restart{"PushedAndUp", "pushed", State::kUp},
                                            Restart{"PushedAndSilent", "pushed", State::kSilent},
-                                           Restart{"AskedAndUp", "on_request", State::kUp},
-                                           Restart{"AskedAndDown", "on_request",
+                                           Restart{"PolledAndUp", "on_request", State::kUp},
+                                           Restart{"PolledAndDown", "on_request",
                                                    State::kResetting}),
                          [](const auto& i) { return i.param.name; });
 
@@ -69,7 +69,7 @@
   kill_all();
   discovery.set(GetParam().discovery);
   EXPECT_GE(start_all(), kMinReady);
-  // Ready is more than a word: what was known serves.
+  // A ready process actually serves requests, using the known endpoint list.
   auto c = client();
   c->send("mg k v O1 Pc=read,t=acme,d=5000\r\n");
   EXPECT_TRUE(wait([&] { return c->in == FakeCache::value("1", "v"); })) << c->in;
--- a/tests/timing_wheel_test.cc
+++ b/tests/timing_wheel_test.cc
@@ -18,7 +18,7 @@
   wheel.set(Time(12'345'679), 1);
   wheel.set(Time(13'000'000), 2);
   wheel.set(Time(13'000'001), 3);
-  wheel.set(Time(0), 4);  // past already
+  wheel.set(Time(0), 4);  // in the past
   std::vector<int> due;
   const auto take = [&](int v) { due.push_back(v); };
   wheel.advance(Time(12'999'999), take);
@@ -32,11 +32,11 @@
   EXPECT_FALSE(wheel.next());
 }
 
-TEST(TimingWheelTest, CancelsNothingByTheHandleOfAFiredTimer) {
+TEST(TimingWheelTest, IgnoresHandlesOfFiredAndCancelledTimers) {
   TimingWheel<int> wheel(Time(0), kTick);
   const auto first = wheel.set(milliseconds(5), 1);
   EXPECT_EQ(wheel.cancel(first), 1);
-  const auto second = wheel.set(milliseconds(5), 2);  // in the place of the first
+  const auto second = wheel.set(milliseconds(5), 2);  // reuses the node of the first
   EXPECT_FALSE(wheel.cancel(first));
   int due = 0;
   wheel.advance(milliseconds(5), [&](int v) { due = v; });
@@ -53,15 +53,15 @@
   wheel.advance(milliseconds(3), [&](int) {
     ++fired;
     for (const auto h : handles) wheel.cancel(h);
-    wheel.set(milliseconds(3), 99);  // due already: at the next tick, not in this turn for ever
+    wheel.set(milliseconds(3), 99);  // due already: fires at the next tick, not again in this call
   });
   EXPECT_EQ(fired, 1);
   wheel.advance(milliseconds(4), [&](int v) { later = v; });
   EXPECT_EQ(later, 99);
 }
 
-// Against an ordered map: times from a tick to days, half of the timers taken back, steps of any
-// length.
+// Compares the wheel with an ordered map: due times from a tick to 13 days ahead, about half of the
+// timers cancelled, and steps of any length.
 class RandomTimingWheelTest : public ::testing::TestWithParam<unsigned> {};
 
 TEST_P(RandomTimingWheelTest, FiresLikeAnOrderedMapOverRandomEvents) {
@@ -78,8 +78,8 @@
   std::uint64_t next = 1;
   for (int round = 0; round < 3000; ++round) {
     for (auto n = below(4); n > 0; --n) {
-      const auto reach = std::uint64_t{1} << below(50);  // up to 13 days
-      const Time due = now + nanoseconds(static_cast<std::int64_t>(below(reach)));
+      const auto span = std::uint64_t{1} << below(50);  // up to 13 days
+      const Time due = now + nanoseconds(static_cast<std::int64_t>(below(span)));
       pending[next] = {due, wheel.set(due, next)};
       ++next;
     }
@@ -92,11 +92,11 @@
     if (const auto at = wheel.next(); at && below(4) == 0) now = std::max(now, *at);
     wheel.advance(now, [&](std::uint64_t v) {
       const auto it = pending.find(v);
-      ASSERT_NE(it, pending.end()) << "came due twice, or after it was taken back";
-      ASSERT_LE(it->second.due, now) << "early";
+      ASSERT_NE(it, pending.end()) << "fired twice or after it was cancelled";
+      ASSERT_LE(it->second.due, now) << "fired early";
       pending.erase(it);
     });
-    for (const auto& [v, p] : pending) ASSERT_GT(p.due + kTick, now) << "late";
+    for (const auto& [v, p] : pending) ASSERT_GT(p.due + kTick, now) << "fired late";
     ASSERT_EQ(wheel.size(), pending.size());
     if (pending.empty()) {
       ASSERT_FALSE(wheel.next());
