--- a/src/group/group_node.cc
+++ b/src/group/group_node.cc
@@ -181,7 +181,7 @@
     // Unsuccessful elections are frequent and not worth a log line.
     const bool is_election = state == State::kCandidate || before == State::kCandidate;
     if (is_election && state != State::kHolder && state != State::kPartitioned) continue;
-    log_lines_.push_back("lease " + address + ": " + lease::name_of(state) + ", term " +
+    log_lines_.push_back("lease " + address + ": " + lease::log_name(state) + ", term " +
                          std::to_string(lease_holder.term()) + ": " + lease_holder.reason());
   }
 }
--- a/src/lease/lease_holder.cc
+++ b/src/lease/lease_holder.cc
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-const char* name_of(LeaseHolder::State state) {
+const char* log_name(LeaseHolder::State state) {
   return state == LeaseHolder::State::kPartitioned ? "partitioned" : status_name(state);
 }
 
--- a/src/lease/lease_holder.h
+++ b/src/lease/lease_holder.h
@@ -216,7 +216,7 @@
 };
 
 // Returns the name for log lines, "lease ADDRESS: STATE".
-const char* name_of(LeaseHolder::State state);
+const char* log_name(LeaseHolder::State state);
 // Returns the name for the status JSON, in which kPartitioned is "cut off".
 const char* status_name(LeaseHolder::State state);
 
