--- a/src/hot_restart/hot_restart.cc
+++ b/src/hot_restart/hot_restart.cc
@@ -12,15 +12,15 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-// Within which a process that has connected has to introduce itself.
+// A process that has connected must send a Hello within this time.
 constexpr milliseconds kHelloTimeout{1000};
 constexpr std::size_t kMaxCandidates = 4;
-// A predecessor that could not be queried is presumed to run for so long: it receives SIGTERM once
-// this process serves, and is killed by the platform 3.7 s later at the latest.
+// A predecessor that could not be queried is presumed to run for this long: it receives SIGTERM
+// once this process serves, and the platform kills it at most 3.7 s later.
 constexpr milliseconds kPresumedFor{10000};
-// Between two reports of this process's share.
+// Interval between two reports of this process's share.
 constexpr milliseconds kTick{50};
-// Between two attempts to write to the folder.
+// Delay between two attempts to write to the folder.
 constexpr milliseconds kMinRetryDelay{100}, kMaxRetryDelay{1000};
 
 }  // namespace
@@ -92,7 +92,7 @@
   candidates_.clear();
 }
 
-// ---- becoming connected
+// ---- connecting
 
 void HotRestart::connect_predecessor(Descriptor socket) {
   predecessor_ = std::make_unique<DescriptorLink>(
@@ -114,8 +114,8 @@
                      steady_clock::now() + kHelloTimeout};
 }
 
-// A link's handlers name the candidate that it began as; the one that became the successor is no
-// longer among the candidates.
+// A link's handlers keep the id of its candidate. The successor's link was a candidate's before, so
+// an id that is not among the candidates is the successor's.
 void HotRestart::on_candidate_packet(std::uint64_t id, Packet packet) {
   const auto at = candidates_.find(id);
   if (at == candidates_.end()) return on_peer_packet(std::move(packet), Peer::kSuccessor);
@@ -131,17 +131,17 @@
   drop_candidate(id);
 }
 
-// Posted, as the link's own handler may be on the stack.
+// Destroys the candidate later, because the handler of its link may be on the stack.
 void HotRestart::drop_candidate(std::uint64_t id) {
   boost::asio::post(io_, [this, id] { candidates_.erase(id); });
 }
 
-// Sends this process's state, after it has reduced what it holds. Takes the candidate's link, or
-// leaves it where this process cannot be replaced now.
+// Reduces this process's share, sends its state, and makes the candidate's link the successor's. If
+// this process cannot be replaced now, answers Busy and leaves the link to the candidate.
 void HotRestart::accept_successor(Candidate& candidate) {
   if (!is_serving_ || !state_.on_successor(clock_.now())) {
     candidate.link->send({encode(Busy{}), {}});
-    return;  // closed by the peer, or at its deadline
+    return;  // the peer closes the link, or it is closed at the candidate's deadline
   }
   callbacks_.log("hot restart: successor connected; this process keeps half of the limits");
   callbacks_.on_state_change();
@@ -149,7 +149,7 @@
   reported_share_ = snapshot.resources_held = share();
   auto parts = split(std::move(snapshot));
   auto sockets = callbacks_.sockets();
-  // The descriptors are sent beside the last part.
+  // The descriptors are sent with the last part.
   for (std::size_t i = 0; i + 1 < parts.size(); ++i) candidate.link->send({encode(parts[i]), {}});
   candidate.link->send({encode(parts.back()), std::move(sockets)});
   successor_ = std::move(candidate.link);
@@ -190,20 +190,20 @@
 void HotRestart::on_successor_message(const Message& message) {
   if (!std::holds_alternative<Serving>(message)) return;
   state_.on_successor_serving();
-  callbacks_.log("hot restart: successor serves; it accepts the new clients");
+  callbacks_.log("hot restart: successor serves; new clients connect to it");
   callbacks_.on_state_change();
 }
 
 void HotRestart::on_peer_lost(Peer peer) {
   auto& link = peer == Peer::kPredecessor ? predecessor_ : successor_;
   if (!link) return;
-  // Destroyed later, as its handlers may be on the stack.
+  // Destroyed later, because its handlers may be on the stack.
   boost::asio::post(io_, [lost = std::shared_ptr<DescriptorLink>(std::move(link))] {});
   if (peer == Peer::kPredecessor) {
-    callbacks_.log("hot restart: predecessor has ended");
+    callbacks_.log("hot restart: predecessor has exited");
     state_.on_predecessor_ended();
   } else {
-    callbacks_.log("hot restart: successor has ended; this process goes on");
+    callbacks_.log("hot restart: successor has exited; this process continues to serve");
     state_.on_successor_lost();
     if (is_serving_) listener_.publish();
   }
@@ -232,7 +232,7 @@
   if (is_serving_ && !listener_.is_open()) listener_.publish();
 }
 
-// As this process holds less, its successor may hold more.
+// Reports a changed share to the successor, which may use what this process no longer holds.
 void HotRestart::report_share() {
   callbacks_.on_state_change();
   if (!successor_) return;
--- a/src/hot_restart/hot_restart.h
+++ b/src/hot_restart/hot_restart.h
@@ -23,54 +23,56 @@
 namespace balancer::hot_restart {
 
 // One process's side of a hot restart: the links to its predecessor and to its successor, and the
-// messages on them. Which process may do what is decided by HotRestartState; the files in `folder`
-// belong to SuccessorListener and OverrideStore. Used from the event loop only.
+// messages on them. HotRestartState decides which process may do what; SuccessorListener and
+// OverrideStore own the files in `folder`. Used from the event loop only.
 class HotRestart {
  public:
-  // Descriptors that it may hold: the listener's, two links' and those of candidates.
+  // Upper bound of open descriptors: the listener, two links, and candidates.
   static constexpr std::size_t kDescriptors = 8;
 
-  // What the process around it provides, and is notified of.
+  // Callbacks to the process that owns this object.
   struct Callbacks {
-    // For a successor: the state, and the listening sockets in the order of its `listeners`.
+    // Return the state for a successor, and the listening sockets in the order of the state's
+    // `listeners`.
     std::function<Snapshot()> snapshot;
     std::function<std::vector<Descriptor>()> sockets;
-    // What is in use now, and what the requests in flight may still need.
+    // Return the resources in use, and those that the requests in flight may still need.
     std::function<ResourceShare()> used, needs;
     std::function<void(const OperatorOverride&)> on_override;
     std::function<void(bool enabled)> on_client_drain;
     std::function<void(const PassedConnection&, Descriptor)> on_connection;
-    // state() or share() has changed.
+    // Called when state() or share() may have changed.
     std::function<void()> on_state_change;
     Log log;
   };
 
-  // `total`: the limits that both processes share. Takes the link out of `predecessor`.
+  // `total`: the limits that both processes share. Moves the link out of `predecessor`.
   HotRestart(boost::asio::io_context& io, const Clock& clock, const std::string& folder,
              std::string name, ResourceShare total, Predecessor& predecessor, Callbacks callbacks);
   ~HotRestart();
 
-  // Notifies the predecessor that this process accepts clients, and lets a successor find it.
+  // Notifies the predecessor that this process accepts clients, and listens for a successor.
   void serve();
-  // SIGTERM was received: with a successor that serves, clients' connections pass over.
+  // Handles SIGTERM: from now on clients' connections are passed to a successor that serves.
   void on_term();
   // Sends the message to the predecessor and to the successor.
   void notify_peers(const Message& message);
-  // Replaces the overrides that a start after a crash reads. Written later where that fails now.
+  // Replaces the overrides in the file, which are read at a start after a crash. A failed write is
+  // retried.
   void persist_overrides(std::vector<OperatorOverride> overrides);
-  // Whether a client's connection would be sent at once.
+  // Returns whether a client's connection can be sent to the successor without waiting.
   bool may_pass() const;
   void pass(PassedConnection connection, Descriptor socket);
-  // Whether all messages to the successor have been sent.
+  // Returns whether all messages to the successor have been sent.
   bool is_flushed() const { return !successor_ || successor_->room(); }
 
   const HotRestartState& state() const { return state_; }
-  // The most that this process may hold now.
+  // Returns the limits of the resources that this process may hold now.
   ResourceShare share();
   void stop();
 
  private:
-  // A process that has connected and not introduced itself.
+  // A process that has connected and has not sent a Hello yet.
   struct Candidate {
     std::unique_ptr<DescriptorLink> link;
     std::chrono::steady_clock::time_point deadline;
--- a/src/hot_restart/hot_restart_state.cc
+++ b/src/hot_restart/hot_restart_state.cc
@@ -59,7 +59,7 @@
     limit.descriptors = std::min(limit.descriptors, ceiling_->descriptors);
     limit.bytes = std::min(limit.bytes, ceiling_->bytes);
   }
-  // What is in use cannot be released at once; the successor has the rest.
+  // Resources in use cannot be released at once; the successor has the rest.
   ceiling_ = {std::max(limit.descriptors, used.descriptors), std::max(limit.bytes, used.bytes)};
   return *ceiling_;
 }
--- a/src/hot_restart/hot_restart_state.h
+++ b/src/hot_restart/hot_restart_state.h
@@ -6,21 +6,22 @@
 
 #include "proto/hot_restart_wire.h"
 
-// Which of two processes that run beside each other as one balancer may do what. No I/O; the time
-// is passed in.
+// Rights and resource limits of the two processes that run as one balancer during a hot restart. No
+// I/O; the time is passed in.
 namespace balancer::hot_restart {
 
-// The state of one process. It may replace a predecessor, and later be replaced by a successor, one
-// at a time: while it still has a predecessor it accepts no successor.
+// The state of one process. It may replace a predecessor, and later be replaced by a successor, but
+// not both at once: while it has a predecessor it rejects successors.
 //
-//   its successor      accepts clients   its connections   may hold
-//   does not exist     yes               stay              all, less what a predecessor holds
-//   is starting        yes               stay              half, or what it has in use
-//   serves             no                stay              the same
-//   serves, and this   no                pass to the       what it has in use and needs for its
-//   one has SIGTERM                      successor         requests in flight
+//   successor          accepts clients   its connections   resource limits
+//   none               yes               stay              all, less what a predecessor holds
+//   starting           yes               stay              half, or what is in use if more
+//   serving            no                stay              as while starting
+//   serving, after     no                are passed to     what is in use, and what requests in
+//   SIGTERM                              the successor     flight need, as far as it is below half
 //
-// While there is a successor, what this process may hold never grows: the successor counts on it.
+// While there is a successor, the limits of this process never grow, because the successor uses the
+// rest.
 class HotRestartState {
  public:
   enum class Successor { kNone, kStarting, kServing };
@@ -30,15 +31,15 @@
 
   // ---- events of a predecessor
 
-  // It answered, and holds at most `held`.
+  // The predecessor has reported that it holds at most `held`.
   void on_predecessor(ResourceShare held);
-  // A process listens here and could not be queried: until then it is presumed to hold half.
+  // A predecessor could not be queried. It is presumed to hold half of the limits until `until`.
   void on_predecessor_presumed(Time until);
   void on_predecessor_ended();
 
   // ---- events of a successor
 
-  // A process asks to replace this one. Returns whether it may.
+  // A process requests to replace this one. Returns whether it may.
   bool on_successor(Time now);
   void on_successor_serving();
   void on_successor_lost();
@@ -51,8 +52,8 @@
   bool has_predecessor(Time now) const;
   bool accepts() const { return successor_ != Successor::kServing; }
   bool passes_connections() const { return is_terminating_ && successor_ == Successor::kServing; }
-  // The most that this process may hold. `used`: what it holds; `needs`: what its requests in
-  // flight may still need.
+  // Returns the limits of the resources that this process may hold. `used`: the resources in use;
+  // `needs`: those that its requests in flight may still need.
   ResourceShare share(Time now, ResourceShare used, ResourceShare needs);
 
  private:
--- a/src/hot_restart/override_store.cc
+++ b/src/hot_restart/override_store.cc
@@ -14,10 +14,10 @@
 namespace balancer::hot_restart {
 namespace {
 
-// kMaxOverrides overrides, each with the longest id, need less.
+// More than kMaxOverrides overrides with ids of the maximum length need.
 constexpr std::size_t kMaxFileBytes = 2u << 20;
 
-// Nothing if the bytes are no snapshot, or one of a later version.
+// Returns nullopt if the bytes are not a snapshot, or one of a later version.
 std::optional<Snapshot> parse_snapshot(std::string_view bytes) {
   auto message = decode(bytes);
   auto* snapshot = message ? std::get_if<Snapshot>(&*message) : nullptr;
@@ -25,7 +25,7 @@
   return std::move(*snapshot);
 }
 
-// The file holds parts of a snapshot, each behind its size in four bytes, in network order.
+// Parses a snapshot in parts, each preceded by its size in four bytes in network order.
 std::optional<Snapshot> parse_parts(std::string_view rest) {
   Snapshot all;
   for (;;) {
@@ -67,7 +67,7 @@
   in.read(text.data(), static_cast<std::streamsize>(text.size()));
   text.resize(static_cast<std::size_t>(in.gcount()));
   if (text.size() > kMaxFileBytes) return std::nullopt;
-  // Up to version 0.7.0 the file was one message.
+  // Up to version 0.7.0 the file was a single message without a size.
   auto snapshot = parse_snapshot(text);
   if (!snapshot) snapshot = parse_parts(text);
   if (!snapshot) return std::nullopt;
--- a/src/hot_restart/override_store.h
+++ b/src/hot_restart/override_store.h
@@ -9,17 +9,18 @@
 
 namespace balancer::hot_restart {
 
-// Keeps operators' overrides in a file, for a start after a crash. The file is replaced as a whole.
+// Keeps operators' overrides in a file, from which a start after a crash restores them. Each write
+// replaces the whole file.
 class OverrideStore {
  public:
   OverrideStore(const std::string& folder, const std::string& name, const Log& log);
 
-  // The overrides in the file; nothing if there is no file, or none that can be read.
+  // Returns the overrides in the file; nullopt if there is no file or it cannot be read.
   static std::optional<std::vector<OperatorOverride>> read(const std::string& folder,
                                                            const std::string& name);
 
-  // Replaces the file. The operator's call was answered already, so a failure is logged and the
-  // overrides are kept for retry(), until they are written or replaced by later ones.
+  // Replaces the file. The operator's call has been answered already, so a failure is logged and
+  // the overrides are kept for retry(), until they are written or replaced by a later call.
   void write(std::vector<OperatorOverride> overrides);
   void retry();
 
--- a/src/hot_restart/predecessor_query.cc
+++ b/src/hot_restart/predecessor_query.cc
@@ -19,24 +19,27 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-// A serving process answers within this even under load; the new one must serve within 6 s.
+// A serving process answers within this time even under load; the new process must serve within
+// 6 s.
 constexpr milliseconds kAnswerTimeout{1000};
-// A process that is still taking over itself is queried again.
+// A process that is itself still replacing its predecessor is queried again.
 constexpr milliseconds kBusyTimeout{4000}, kBusyInterval{100};
-// Of one answer. The largest snapshot needs fewer.
+// Limit of packets in one answer. The largest snapshot needs fewer.
 constexpr int kMaxPackets = 256;
 
-enum class QueryResult { kNobody, kNoAnswer, kBusy, kAnswered };
+enum class QueryResult { kNoPredecessor, kNoAnswer, kBusy, kAnswered };
 
-// Looks once even where the deadline has passed: a packet that has arrived counts all the same.
+// Polls once even after the deadline, because a packet that has already arrived counts.
 bool wait_readable(int socket, steady_clock::time_point deadline) {
   const auto left = std::chrono::duration_cast<milliseconds>(deadline - steady_clock::now());
   pollfd wanted{socket, POLLIN, 0};
   return ::poll(&wanted, 1, std::max(0, static_cast<int>(left.count()))) > 0;
 }
 
-// A process that was stopped in between finds the answer in its socket, and the sender may have
-// ended since: closing the descriptors in it would reset the connections in their accept queues.
+// Receives the parts of a snapshot. If this process was stopped meanwhile, the answer is in its
+// socket although the deadline has passed, and the sender may have exited: dropping the answer
+// would close the last descriptors of the listening sockets and reset the connections in their
+// accept queues.
 QueryResult receive_snapshot(int socket, steady_clock::time_point deadline, Predecessor& out) {
   Snapshot snapshot;
   std::vector<Descriptor> sockets;
@@ -47,7 +50,7 @@
     if (!message) return QueryResult::kNoAnswer;
     if (std::holds_alternative<Busy>(*message)) return QueryResult::kBusy;
     auto* part = std::get_if<Snapshot>(&*message);
-    if (!part) continue;  // of a later version
+    if (!part) continue;  // an unknown message of a later version
     for (auto& descriptor : received.packet.descriptors) sockets.push_back(std::move(descriptor));
     const bool has_more = part->has_more;
     if (!append(snapshot, std::move(*part))) return QueryResult::kNoAnswer;
@@ -63,10 +66,10 @@
 QueryResult query_once(const std::string& path, const std::string& name, Predecessor& out) {
   const UnixAddress address(path);
   Descriptor socket = open_packet_socket();
-  if (!socket || !address.is_valid()) return QueryResult::kNobody;
+  if (!socket || !address.is_valid()) return QueryResult::kNoPredecessor;
   if (::connect(socket.get(), address.get(), UnixAddress::size()) != 0) {
     const bool is_backlog_full = errno == EAGAIN;
-    return is_backlog_full ? QueryResult::kNoAnswer : QueryResult::kNobody;
+    return is_backlog_full ? QueryResult::kNoAnswer : QueryResult::kNoPredecessor;
   }
   const auto deadline = steady_clock::now() + kAnswerTimeout;
   if (!is_same_user(socket.get()) || !send_packet(socket.get(), encode(Hello{1, name}), {}))
--- a/src/hot_restart/predecessor_query.h
+++ b/src/hot_restart/predecessor_query.h
@@ -9,16 +9,16 @@
 
 namespace balancer::hot_restart {
 
-// What a starting process has received from the one that serves under its name.
+// What a starting process has received from the process that serves under the same name.
 struct Predecessor {
-  Descriptor link;  // empty: nobody answered
+  Descriptor link;  // empty: there was no answer
   Snapshot snapshot;
-  std::map<std::string, Descriptor> sockets;  // listening ones, by address
-  bool is_presumed = false;  // a process holds the socket file and did not answer in time
+  std::map<std::string, Descriptor> sockets;  // listening sockets by address
+  bool is_presumed = false;                   // a process runs but could not be queried
 };
 
-// Asks the process that serves under `name` in `folder` for its state. Blocks, for at most 5 s:
-// call it before the event loop runs. A failure is logged and shows in the result.
+// Queries the process that serves under `name` in `folder` for its state. Blocks for at most 5 s,
+// so it must be called before the event loop runs. Logs failures and reports them in the result.
 Predecessor query_predecessor(const std::string& folder, const std::string& name, const Log& log);
 
 }  // namespace balancer::hot_restart
--- a/src/hot_restart/state_files.cc
+++ b/src/hot_restart/state_files.cc
@@ -10,9 +10,9 @@
 namespace balancer::hot_restart {
 namespace {
 
-constexpr std::size_t kMaxNameInPath = 128;  // bytes, escapes included
+constexpr std::size_t kMaxNameInPath = 128;  // bytes, after escaping
 
-// Extensions that all versions use.
+// The extensions are the same in all versions.
 const char* extension_of(StateFile file) { return file == StateFile::kSocket ? "sock" : "words"; }
 
 bool is_plain(char c) {
--- a/src/hot_restart/state_files.h
+++ b/src/hot_restart/state_files.h
@@ -3,26 +3,27 @@
 #include <functional>
 #include <string>
 
-// The files by which two versions of a balancer find each other and keep operators' overrides.
+// The files by which two processes of a balancer find each other and keep operators' overrides. All
+// versions use the same paths.
 namespace balancer::hot_restart {
 
 using Log = std::function<void(const std::string& line)>;
 
 enum class StateFile {
-  kSocket,     // of the process that serves
-  kOverrides,  // of operators
+  kSocket,     // Unix socket of the serving process
+  kOverrides,  // operators' overrides
 };
 
-// The file's path in `folder`, of the balancer called `name`. Bytes of the name that a path cannot
-// hold are escaped; a long name is cut off.
+// Returns the path of the file in `folder` for the balancer called `name`. Characters of the name
+// other than letters, digits, '-' and '_' are escaped; long names are truncated.
 std::string state_file_path(const std::string& folder, const std::string& name, StateFile file);
 
-// Logs a file's failures: one line for each new cause, and one once the file can be written again.
+// Logs failures to write a file: one line for each new cause, and one when writing works again.
 class FileErrorLog {
  public:
   struct Consequence {
-    std::string failing;    // what does not work while the file cannot be written
-    std::string recovered;  // what works again
+    std::string failing;    // logged while the file cannot be written
+    std::string recovered;  // logged once it can be written again
   };
 
   FileErrorLog(std::string path, Consequence consequence, Log log);
--- a/src/hot_restart/successor_listener.cc
+++ b/src/hot_restart/successor_listener.cc
@@ -24,8 +24,8 @@
           log),
       listening_(io) {}
 
-// The file is replaced by a rename, so that a successor finds the old process or the new one at any
-// moment.
+// Replaces the file by a rename, so that a successor finds the old process or the new one at any
+// time.
 void SuccessorListener::publish() {
   const std::string temporary = path_ + "." + std::to_string(::getpid());
   const UnixAddress address(temporary);
--- a/src/hot_restart/successor_listener.h
+++ b/src/hot_restart/successor_listener.h
@@ -10,18 +10,18 @@
 
 namespace balancer::hot_restart {
 
-// The Unix socket at which a successor finds this process.
+// Listens on the Unix socket through which a successor connects to this process.
 class SuccessorListener {
  public:
-  // Bound of connections that wait to be accepted.
+  // Limit of connections that wait to be accepted.
   static constexpr int kBacklog = 4;
 
-  // `on_connection` gets each connection from a process of the same user.
+  // `on_connection` is called with each connection from a process of the same user.
   SuccessorListener(boost::asio::io_context& io, std::string path,
                     std::function<void(Descriptor)> on_connection, const Log& log);
 
-  // Listens, and puts the socket's file in the place of any other process's. A failure is logged;
-  // what was open stays open.
+  // Starts to listen and replaces the socket file of any other process. A failure is logged, and a
+  // socket that was open stays open.
   void publish();
   bool is_open() const { return listening_.is_open(); }
   void close();
--- a/src/hot_restart/unix_socket.h
+++ b/src/hot_restart/unix_socket.h
@@ -7,11 +7,11 @@
 
 #include "net/descriptor_link.h"
 
-// Unix sockets of packets, between processes of one user.
+// Unix sockets for packets between processes of one user.
 namespace balancer::hot_restart {
 
-// A socket address for a path of any length. A path too long for sockaddr_un is reached through a
-// descriptor of its folder, which lives as long as this object.
+// A socket address for a path of any length. A path that is too long for sockaddr_un is addressed
+// through a descriptor of its folder, which stays open as long as this object exists.
 class UnixAddress {
  public:
   explicit UnixAddress(const std::string& path);
@@ -26,10 +26,10 @@
   bool is_valid_ = false;
 };
 
-// A non-blocking SOCK_SEQPACKET socket; empty with errno set on failure.
+// Returns a non-blocking SOCK_SEQPACKET socket; empty, with errno set, on failure.
 Descriptor open_packet_socket();
 
-// Whether the peer runs as the same user as this process.
+// Returns whether the peer runs as the same user as this process.
 bool is_same_user(int socket);
 
 }  // namespace balancer::hot_restart
--- a/src/node/balancer.cc
+++ b/src/node/balancer.cc
@@ -6,7 +6,7 @@
 namespace balancer::node {
 namespace {
 
-// A process that has received no endpoint list by then accepts clients all the same.
+// A process that has received no endpoint list after this time accepts clients without one.
 constexpr std::chrono::milliseconds kMaxWaitForList{3000};
 
 }  // namespace
@@ -57,7 +57,7 @@
   };
 }
 
-// While a predecessor serves, clients are better off there until there is an endpoint list.
+// While a predecessor serves, this process leaves the clients to it until it has an endpoint list.
 void Balancer::open_when_ready() {
   if (!hot_restart_ || !hot_restart_->has_predecessor() || services_->memcache()->has_list())
     return open();
@@ -81,14 +81,14 @@
   if (hot_restart_) hot_restart_->serve();
 }
 
-// During a drain too: attempts of requests in flight still need the endpoint list.
+// Applies during a drain too, because attempts of requests in flight still need the endpoint list.
 void Balancer::reload(const Config& config) {
   if (services_->memcache()) services_->memcache()->move_discovery(config.discovery);
 }
 
 std::vector<std::string> Balancer::reload(const Operator& operator_settings) {
   if (group_) group_->reload();
-  return operator_settings_.take_over(operator_settings);
+  return operator_settings_.apply_reload(operator_settings);
 }
 
 void Balancer::drain() {
--- a/src/node/balancer.h
+++ b/src/node/balancer.h
@@ -23,26 +23,25 @@
 
 namespace balancer::node {
 
-// The program's parts, put together: the services for clients, the operators' calls, the group of
-// balancers, the hot restart and the drain. What each does stands in its own class; here stands in
-// which order they start and end.
+// Owns the parts of the program: the services for clients, operators' calls, the group of
+// balancers, the hot restart and the drain. Determines the order in which they start and stop.
 class Balancer {
  public:
-  // Listens when it returns, but for service addresses, and for memcache where a predecessor still
-  // serves and no endpoint list is known. Throws std::runtime_error with one line if it cannot.
-  // `config`: the platform's; without it there is no memcache service.
-  // `limits` outlives the event loop, whose last handlers hold reservations.
+  // Opens all listeners, except those of service addresses. If a predecessor still serves and no
+  // endpoint list is known, they are opened later. Throws std::runtime_error with a one-line
+  // message on failure. `config`: the platform's configuration; without it there is no memcache
+  // service. `limits` must outlive the event loop, whose last handlers hold reservations.
   Balancer(
       boost::asio::io_context& io, const std::optional<Config>& config, Limits& limits,
       Operator operator_settings = {}, const Log& log = [](const std::string&) {});
 
-  // Where memcache clients connect; only with a platform's configuration.
+  // The address for memcache clients; requires a platform configuration.
   Endpoint local() const { return services_->memcache()->listener().local(); }
-  // Where RESP clients connect, in the order of the operator's file.
+  // The address for RESP clients of a listener; `listener`: index in the operator's file.
   Endpoint local(std::size_t listener) const {
     return services_->resp(listener).listener().local();
   }
-  // Where operators call; only if the configuration says so.
+  // The address for operators' calls; requires an `admin` address in the configuration.
   Endpoint admin() const { return admin_->local(); }
   const ClusterPool& cluster_pool(std::size_t index) const {
     return services_->cluster_pool(index);
@@ -52,10 +51,11 @@
     return group_ ? &group_->runtime() : nullptr;
   }
 
-  // Applies what may change while requests are in flight: where discovery is.
+  // Applies the settings that may change while requests are in flight: the address of discovery.
   void reload(const Config& config);
-  // Likewise of the operator's file. Returns what has changed in it and waits for a restart. Throws
-  // FileError, and the old keys go on, if the group's new ones cannot be read.
+  // Does the same for the operator's file. Returns the changed sections that take effect after a
+  // restart. Throws FileError if the group's keys cannot be read; the previous keys stay in use
+  // then.
   std::vector<std::string> reload(const Operator& operator_settings);
   // Transfers leases, answers the requests in flight, then stops the event loop.
   void drain();
@@ -64,7 +64,7 @@
   Services::MakeForwardingCheck forwarding_checks();
   void start_admin(const Config& config);
   hot_restart::Predecessor query_predecessor(const std::optional<Config>& config) const;
-  // Accepts clients now, or once there are hosts for them.
+  // Opens the listeners now, or once there is an endpoint list.
   void open_when_ready();
   void open();
   void stop();
@@ -73,8 +73,8 @@
   const Clock clock_;
   const Log log_;
   Operator operator_settings_;
-  // In the order in which they start; they end in the reverse one.
-  std::unique_ptr<admin::AdminServer> admin_;  // null: operators are not listened to
+  // In the order of construction; destroyed in reverse order.
+  std::unique_ptr<admin::AdminServer> admin_;  // null without an `admin` address
   std::unique_ptr<Services> services_;
   std::unique_ptr<OperatorCalls> operator_calls_;
   std::unique_ptr<HotRestartCoordinator> hot_restart_;  // null without admin_ or a folder
--- a/src/node/command_line.cc
+++ b/src/node/command_line.cc
@@ -6,28 +6,31 @@
 namespace balancer::node {
 namespace {
 
-// The `address` subcommand and those below it.
+// The `address` subcommand and its subcommands.
 class AddressOptions {
  public:
   explicit AddressOptions(CLI::App& app)
-      : address_(app.add_subcommand(
-            "address",
-            "asks a running member of a group who holds which service address, and why")) {
-    address_->add_option("--operator", query_.operator_file, "the file that it was started with");
-    address_->add_option("--socket", query_.socket, "its socket, in place of the file");
-    address_->add_flag("--json", query_.prints_json, "as it comes");
+      : address_(app.add_subcommand("address",
+                                    "shows, as a running member of a group knows it, which "
+                                    "instance holds each service address")) {
+    address_->add_option("--operator", query_.operator_file,
+                         "the operator's file of the running member");
+    address_->add_option("--socket", query_.socket,
+                         "the member's status socket, instead of the file");
+    address_->add_flag("--json", query_.prints_json, "print the answer as JSON");
     address_->require_subcommand(0, 1);
-    move_ = address_->add_subcommand("move", "hands an address that it holds over, in order");
-    move_->add_option("ADDRESS", address_name_, "its name")->required();
-    move_->add_option("--to", target_, "the instance; the best one if left out");
-    auto* voters = address_->add_subcommand("voters", "changes who votes, one at a time");
+    move_ = address_->add_subcommand(
+        "move", "gracefully moves a service address that the member holds to another instance");
+    move_->add_option("ADDRESS", address_name_, "name of the service address")->required();
+    move_->add_option("--to", target_, "target instance; default: the most suitable one");
+    auto* voters = address_->add_subcommand("voters", "adds or removes one voter of the group");
     voters->require_subcommand(1);
-    add_ = voters->add_subcommand("add", "a member more");
+    add_ = voters->add_subcommand("add", "adds a member to the voters");
     add_->add_option("NAME", voter_)->required();
-    remove_ = voters->add_subcommand("remove", "one less");
+    remove_ = voters->add_subcommand("remove", "removes a member from the voters");
     remove_->add_option("NAME", voter_)->required();
   }
-  AddressOptions(const AddressOptions&) = delete;  // the options refer to it
+  AddressOptions(const AddressOptions&) = delete;  // the options hold references to the members
   AddressOptions& operator=(const AddressOptions&) = delete;
 
   bool is_given() const { return address_->parsed(); }
@@ -52,15 +55,16 @@
 
 CommandLine parse_command_line(int argc, char** argv) {
   CommandLine line;
-  CLI::App app{"A balancer for memcache and, with an operator's file, RESP clusters"};
+  CLI::App app{"Load balancer for memcache and, with an operator's file, RESP clusters"};
   app.set_version_flag("--version", "balancer " BALANCER_VERSION);
-  app.add_option("--operator", line.operator_file, "the operator's own file");
+  app.add_option("--operator", line.operator_file, "the operator's file");
   auto* check = app.add_subcommand(
-      "check", "reads the files, tells what it would listen on and connect to, and ends");
-  check->add_option("--operator", line.operator_file, "the operator's own file");
+      "check",
+      "reads the files, prints what the program would listen on and connect to, and exits");
+  check->add_option("--operator", line.operator_file, "the operator's file");
   auto* voter = app.add_subcommand(
-      "voter", "a member of the file's group of balancers that votes and serves nothing");
-  voter->add_option("--operator", line.operator_file, "the operator's own file")->required();
+      "voter", "runs a member of the file's group of balancers that votes and serves no clients");
+  voter->add_option("--operator", line.operator_file, "the operator's file")->required();
   AddressOptions address(app);
   try {
     app.parse(argc, argv);
--- a/src/node/command_line.h
+++ b/src/node/command_line.h
@@ -4,17 +4,17 @@
 
 namespace balancer::node {
 
-// What the program is called to do.
+// The commands of the program.
 enum class Command {
-  kServe,    // balance, until SIGTERM
-  kCheck,    // read the files, print what they mean, and end
-  kVoter,    // vote in a group, until SIGTERM
-  kAddress,  // ask a running member of a group about its leases, and end
+  kServe,    // serve clients until SIGTERM
+  kCheck,    // read the files, print their effect, and exit
+  kVoter,    // vote in a group until SIGTERM
+  kAddress,  // query or command a running member of a group, and exit
 };
 
-// For Command::kAddress.
+// The arguments of Command::kAddress.
 struct AddressQuery {
-  std::string operator_file, socket;  // the member's file, or its status socket
+  std::string operator_file, socket;  // the member's file, or the path of its status socket
   std::string request = "status";     // a line of the status socket's protocol
   bool prints_json = false;
 };
@@ -25,7 +25,7 @@
   AddressQuery address_query;
 };
 
-// Parses the arguments. On --help, --version and errors it prints a text and ends the process.
+// Parses the arguments. On --help, --version and errors, prints a message and exits the process.
 CommandLine parse_command_line(int argc, char** argv);
 
 }  // namespace balancer::node
--- a/src/node/config.cc
+++ b/src/node/config.cc
@@ -14,20 +14,20 @@
 
 using namespace json;
 
-std::string variable(const char* name) {
+std::string environment_variable(const char* name) {
   const char* value = std::getenv(name);
   return value ? value : "";
 }
 
-std::string text_or_variable(object o, std::string_view field, const char* name) {
+std::string text_or_environment(object o, std::string_view field, const char* name) {
   const auto text = std::string(get_or<std::string_view>(o, field, ""));
-  return text.empty() ? variable(name) : text;
+  return text.empty() ? environment_variable(name) : text;
 }
 
-Endpoint endpoint(object o, std::string_view field, const char* name) {
-  const auto text = text_or_variable(o, field, name);
+Endpoint read_endpoint(object o, std::string_view field, const char* name) {
+  const auto text = text_or_environment(o, field, name);
   const auto parsed = parse_endpoint(text);
-  if (!parsed) bad(field, text.empty() ? "is missing" : "is no address: " + text);
+  if (!parsed) bad(field, text.empty() ? "is missing" : "is not an IP address and port: " + text);
   return *parsed;
 }
 
@@ -38,16 +38,17 @@
   if (!e->get(seed)) return seed;
   const auto text = as<std::string_view>(*e, "seed");
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
-  if (error != std::errc{} || end != text.data() + text.size()) bad("seed", "is no hex number");
+  if (error != std::errc{} || end != text.data() + text.size())
+    bad("seed", "is not a hexadecimal number");
   return seed;
 }
 
 }  // namespace
 
-bool has_config() { return !variable("ROUTER_CONFIG").empty(); }
+bool has_config() { return !environment_variable("ROUTER_CONFIG").empty(); }
 
 Config load_config() {
-  const auto path = variable("ROUTER_CONFIG");
+  const auto path = environment_variable("ROUTER_CONFIG");
   if (path.empty()) throw FileError("ROUTER_CONFIG is not set");
   simdjson::dom::parser parser;
   element root;
@@ -56,16 +57,16 @@
   try {
     const auto o = as<object>(root, "config");
     Config config;
-    config.name = text_or_variable(o, "name", "ROUTER_NAME");
-    config.listen = endpoint(o, "listen", "ROUTER_LISTEN");
-    config.discovery = endpoint(o, "discovery", "ROUTER_DISCOVERY");
-    if (!text_or_variable(o, "admin", "ROUTER_ADMIN").empty())
-      config.admin = endpoint(o, "admin", "ROUTER_ADMIN");
-    if (config.admin) config.folder = variable("TMPDIR");
+    config.name = text_or_environment(o, "name", "ROUTER_NAME");
+    config.listen = read_endpoint(o, "listen", "ROUTER_LISTEN");
+    config.discovery = read_endpoint(o, "discovery", "ROUTER_DISCOVERY");
+    if (!text_or_environment(o, "admin", "ROUTER_ADMIN").empty())
+      config.admin = read_endpoint(o, "admin", "ROUTER_ADMIN");
+    if (config.admin) config.folder = environment_variable("TMPDIR");
     config.seed = read_seed(o);
     if (const auto e = find(o, "limits")) {
       const auto limits = as<object>(*e, "limits");
-      // With less the balancer cannot work.
+      // Below the lower bounds the balancer cannot work.
       config.sockets = static_cast<std::size_t>(
           std::clamp<std::int64_t>(get_or<std::int64_t>(limits, "sockets", 1024), 64, 1 << 20));
       config.memory_mb = static_cast<std::size_t>(
--- a/src/node/discovery.cc
+++ b/src/node/discovery.cc
@@ -17,9 +17,9 @@
 
 constexpr std::uint32_t kMaxHeadBytes = 64u << 10;
 constexpr std::size_t kMemoryPerListByte = 24;
-// After a list that is longer, the parser's memory is released at once.
+// The parser's memory is released at once after a list longer than this.
 constexpr std::size_t kMaxKeptParserBytes = 256u << 10;
-// A cause that has not occurred for so long is logged again.
+// A cause is logged again if it has not occurred for this long.
 constexpr Duration kCauseExpiry = std::chrono::seconds(60);
 
 Time now() { return std::chrono::steady_clock::now().time_since_epoch(); }
@@ -42,7 +42,8 @@
                            : DiscoveryPollScheduler::Mode::kPushed,
                 known_seq, seed) {}
 
-// The policy calls this and must not be called back from here: the first call waits for the timer.
+// The policy calls start() and must not be called back from it, so the first call is sent by the
+// timer.
 void Discovery::start() {
   if (schedule_.start(now())) arm_timer();
 }
@@ -52,7 +53,7 @@
   disconnect();
 }
 
-// Cancels the call in flight, or the pause before the next one.
+// Cancels the call in flight, or the timer of the next call.
 void Discovery::disconnect() {
   ++call_;
   timer_.cancel();
@@ -62,8 +63,8 @@
   link_.reset();
 }
 
-// The new service may count its versions in its own way, so the complete list is requested. An
-// answer of the old one must not be applied: it could replace the new list by an old one.
+// Requests the complete list, because the new service may number its versions differently. Cancels
+// the call to the old service, whose answer could replace the new list by an older one.
 void Discovery::move_to(const Endpoint& endpoint) {
   disconnect();
   endpoint_ = endpoint;
@@ -78,7 +79,7 @@
   arm_timer();
 }
 
-// One timer serves for the next call and for the timeout of the one in flight.
+// The timer is used for the start of the next call and for the timeout of the call in flight.
 void Discovery::arm_timer() {
   const Time next = schedule_.next();
   if (next == Time::max()) {
@@ -102,12 +103,12 @@
 void Discovery::call() {
   const auto call = ++call_;
   const bool connected = link_ != nullptr;
-  const DiscoveryPollScheduler::Call what = schedule_.begin(now(), connected);
+  const DiscoveryPollScheduler::Call request = schedule_.begin(now(), connected);
   arm_timer();
   std::string target = "/discovery/hosts";
-  if (!what.whole) {
-    const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(what.wait);
-    target += "?index=" + std::to_string(what.index) + "&wait=" + std::to_string(wait.count());
+  if (!request.whole) {
+    const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(request.wait);
+    target += "?index=" + std::to_string(request.index) + "&wait=" + std::to_string(wait.count());
   }
   if (!connected) link_ = std::make_shared<Link>(io_);
   link_->request = {http::verb::get, target, 11};
@@ -148,7 +149,7 @@
     log_body_too_long();
   } else if (error && error.category() == make_error_code(http::error::bad_version).category() &&
              error != http::error::end_of_stream && error != http::error::partial_message) {
-    log_failure(Cause::kHeadUnreadable, "cannot be read: " + error.message());
+    log_failure(Cause::kHeadUnreadable, "cannot be parsed: " + error.message());
   }
   if (error) return fail(Failure::kBroken);
   if (link_->parser->is_done()) return on_answer(call);
@@ -166,10 +167,10 @@
     return fail(Failure::kRejected);
   }
   const auto date = parse_http_date(std::string(message[http::field::date]));
-  const auto fault = apply(message.body(), date);
-  if (fault) {
-    log_failure(Cause::kNoList,
-                "of " + std::to_string(message.body().size()) + " bytes is no list: " + *fault);
+  const auto error = apply(message.body(), date);
+  if (error) {
+    log_failure(Cause::kNoList, "of " + std::to_string(message.body().size()) +
+                                    " bytes is not an endpoint list: " + *error);
     return fail(Failure::kBroken);
   }
   if (call != call_ || !schedule_.running()) return;
@@ -205,14 +206,14 @@
   arm_timer();
 }
 
-// Calls follow each other soon while answers cannot be used: one line stands for all of them.
+// While answers cannot be used, calls are repeated at short intervals; only the first is logged.
 void Discovery::log_failure(Cause cause, const std::string& why) {
   const Time at = now();
   const auto [last, is_first] = last_failures_.try_emplace(cause, at);
   const bool is_new = is_first || at - last->second >= kCauseExpiry;
   last->second = at;
   if (is_new && handlers_.log)
-    handlers_.log("discovery: answer " + why + "; the known hosts stay in force");
+    handlers_.log("discovery: answer " + why + "; the current endpoint list stays in use");
 }
 
 void Discovery::log_body_too_long() {
@@ -221,7 +222,7 @@
   const std::string size =
       length == head.end() ? "of unstated length" : "of " + std::string(length->value()) + " bytes";
   log_failure(Cause::kBodyTooLong, size + " is longer than the " + std::to_string(max_list_bytes_) +
-                                       " bytes that the memory limit leaves for it");
+                                       " bytes that the memory limit allows");
 }
 
 }  // namespace balancer::node
--- a/src/node/discovery.h
+++ b/src/node/discovery.h
@@ -20,20 +20,21 @@
 
 namespace balancer::node {
 
-// The longest endpoint list that is read, in bytes, by a process with this memory limit. Parsing
-// needs up to 16 times the body, at most two thirds of the memory; lists of hosts some 4 times.
+// Returns the maximum size in bytes of an endpoint list that a process with this memory limit
+// reads. Parsing needs up to 16 times the size of the body, at most two thirds of the memory; the
+// list of hosts needs about 4 times.
 std::size_t max_list_bytes(std::size_t memory_mb);
 
-// The HTTP client of the discovery service. DiscoveryPollScheduler decides when it calls; it has
-// one call in flight at most. Answers that cannot be used change nothing and are logged.
+// The HTTP client of the discovery service. DiscoveryPollScheduler decides when to call; at most
+// one call is in flight. Answers that cannot be used are logged and have no other effect.
 class Discovery {
  public:
   struct Handlers {
     std::function<void(const HostList&)> on_list;
-    std::function<void()> on_rejected;  // only where lists are polled
-    // A call that took so long was answered, and on_list has been called for it.
+    std::function<void()> on_rejected;  // a call has failed; only where lists are polled
+    // A call was answered after `took`, and on_list has been called with the answer.
     std::function<void(Duration took)> on_answered;
-    // Why an answer could not be used: one line for each cause, not for each call.
+    // Logs why an answer could not be used; called once for each cause, not for each call.
     std::function<void(const std::string& line)> log;
   };
 
@@ -41,18 +42,18 @@
             std::uint64_t known_seq, std::uint64_t seed, std::size_t max_list_bytes,
             Handlers handlers);
 
-  // Where lists are pushed, calls until stop(). Where they are polled, calls until one has failed,
-  // which on_rejected reports.
+  // Starts calling: until stop() where lists are pushed, or until a call fails and on_rejected is
+  // called where they are polled.
   void start();
   void stop();
-  // Closes the connection and requests the complete list from the service at `endpoint`.
+  // Cancels the call in flight and requests the complete list from the service at `endpoint`.
   void move_to(const Endpoint& endpoint);
   // Where lists are pushed: cancels the call in flight and requests the complete list at once.
   void refetch();
 
  private:
-  // A connection and the buffers of its operations. Their handlers share it: one that has completed
-  // when its call is cancelled still refers to the buffers.
+  // A connection and the buffers of its operations. Shared with the operations' handlers: a handler
+  // whose operation completed before its call was cancelled still refers to the buffers.
   struct Link {
     explicit Link(boost::asio::io_context& io) : socket(io) {}
     boost::asio::ip::tcp::socket socket;
@@ -70,7 +71,7 @@
   void on_answer(std::uint64_t call);
   void disconnect();
   void arm_timer();
-  // Why the body is no list; nothing if it has been applied.
+  // Applies the list in the body. Returns why it is not a valid list, or nullopt.
   std::optional<std::string> apply(const std::string& body, std::optional<UnixTime> sent_at);
   void fail(Failure failure);
   void log_failure(Cause cause, const std::string& why);
@@ -86,7 +87,8 @@
   boost::asio::steady_timer timer_;
   recovery::DiscoveryPollScheduler schedule_;
   simdjson::dom::parser json_;
-  std::uint64_t call_ = 0;  // of the call in flight; completions of cancelled calls have others
+  // Id of the call in flight. Handlers of cancelled calls have other ids and do nothing.
+  std::uint64_t call_ = 0;
   std::map<Cause, Time> last_failures_;
 };
 
--- a/src/node/discovery_list.cc
+++ b/src/node/discovery_list.cc
@@ -10,10 +10,10 @@
 
 using namespace json;
 
-// Later times would overflow in nanoseconds.
+// Later times would overflow when converted to nanoseconds.
 constexpr std::int64_t kMaxUnixMilliseconds = 9'000'000'000'000;
 
-// Unknown names have the index after the last.
+// Returns names.size() for unknown names.
 int index_of(const std::vector<std::string>& names, std::string_view name) {
   return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
 }
@@ -23,7 +23,7 @@
   return health == "gone" ? HostState::kGone : HostState::kDraining;
 }
 
-// The protocol's field names end here: `dial` is the host's address, `born_ms` the start of its
+// Meaning of the protocol's fields: `dial` is the host's address, `born_ms` the start of its
 // process (ms since the Unix epoch), `class` its kind, `site` its zone, `block` its cell, and
 // `share` its weight.
 ListedHost read_host(object o, const SiteSettings& site) {
@@ -32,7 +32,7 @@
   if (host.id.empty()) bad("host", "is empty");
   host.state = read_state(need<std::string_view>(o, "health"));
   host.dial = parse_endpoint(get_or<std::string_view>(o, "dial", ""));
-  if (!host.dial && host.state == HostState::kServing) bad("dial", "is no address");
+  if (!host.dial && host.state == HostState::kServing) bad("dial", "is not an IP address and port");
   const auto born_ms = get_or<std::int64_t>(o, "born_ms", 0);
   if (born_ms > 0 && born_ms < kMaxUnixMilliseconds)
     host.born = UnixTime(std::chrono::milliseconds(born_ms));
@@ -56,7 +56,7 @@
     try {
       list.hosts.push_back(read_host(as<object>(e, "hosts"), site));
     } catch (const FieldError&) {
-      // One bad entry must not hide the others.
+      // An invalid entry must not prevent the use of the others.
     }
   }
   return list;
--- a/src/node/drain_coordinator.cc
+++ b/src/node/drain_coordinator.cc
@@ -12,17 +12,17 @@
 
 using std::chrono::milliseconds;
 
-// The platform sends new connections for up to 400 ms after the signal, and kills the process no
-// sooner than 700 ms after the longest deadline, which is 3 s at most.
-// The drain's clock starts after GroupRuntime::leave(), which with a group takes up to a lease and
-// an overlap behind the signal.
+// The platform sends new connections for up to 400 ms after the signal, and kills the process at
+// the earliest 700 ms after the longest deadline, which is 3 s at most.
+// With a group, the drain starts after GroupRuntime::leave(), which completes up to a lease and an
+// overlap after the signal.
 constexpr milliseconds kAcceptTime{600};
 constexpr milliseconds kMaxDeadline{3000};
-// After the longest deadline: until open requests fail, and until the process ends.
+// Times after the longest deadline at which open requests fail and at which the process exits.
 constexpr milliseconds kAnswerGrace{400}, kExitGrace{550};
 constexpr milliseconds kTick{10};
-// Connections are closed from this part of the longest deadline on.
-constexpr int kFirstClosePart = 2;
+// The first connections are closed after the longest deadline divided by this.
+constexpr int kFirstCloseDivisor = 2;
 
 }  // namespace
 
@@ -44,7 +44,7 @@
       [this](ServerPool& pool) { pool.drain(started_at_ + longest_deadline_ + kAnswerGrace); });
   const Time last =
       started_at_ + std::max<Duration>(longest_deadline_ - kLastRequestTime, kAcceptTime);
-  const Time first = std::min<Time>(started_at_ + longest_deadline_ / kFirstClosePart, last);
+  const Time first = std::min<Time>(started_at_ + longest_deadline_ / kFirstCloseDivisor, last);
   services_.for_each_listener(
       [first, last](ClientListener& listener) { listener.drain(first, last); });
   arm_tick();
@@ -61,7 +61,7 @@
   const Duration elapsed = clock_.now() - started_at_;
   const Progress progress = advance(elapsed);
   if (!is_finished(elapsed, progress)) return arm_tick();
-  // Posted, so that answers given in this turn of the event loop are written.
+  // Posted, so that answers from the current iteration of the event loop are written first.
   boost::asio::post(io_, on_drained_);
 }
 
@@ -72,7 +72,7 @@
       progress.has_unaccepted = !listener.stop() || progress.has_unaccepted;
     progress.sessions += listener.sessions();
   });
-  // Requests whose deadline lies beyond the end of the process.
+  // Fails the requests whose deadline is after the exit of the process.
   if (elapsed >= longest_deadline_ + kAnswerGrace) {
     services_.for_each_pool([](ServerPool& pool) { pool.fail_open_requests(); });
     services_.for_each_listener([](ClientListener& listener) { listener.reject_unread(); });
--- a/src/node/drain_coordinator.h
+++ b/src/node/drain_coordinator.h
@@ -11,11 +11,13 @@
 
 namespace balancer::node {
 
-// The graceful end of the process: answers the requests in flight, closes or passes on the clients'
-// connections, and reports when none is left, or 0.55 s after the longest deadline.
+// Drains the process before its exit: answers the requests in flight and closes the clients'
+// connections or passes them to a successor. Completes when no connection is left, or 0.55 s after
+// the longest deadline.
 class DrainCoordinator {
  public:
-  // `hot_restart`: null without one. `on_drained` is called once, from the event loop.
+  // `hot_restart`: null if hot restarts are disabled. `on_drained` is called once, from the event
+  // loop.
   DrainCoordinator(boost::asio::io_context& io, const Clock& clock, Services& services,
                    HotRestartCoordinator* hot_restart, std::function<void()> on_drained);
 
@@ -24,14 +26,14 @@
  private:
   struct Progress {
     std::size_t sessions = 0;
-    bool has_unaccepted = false;  // clients wait to be accepted
+    bool has_unaccepted = false;  // connections wait in the backlog
   };
 
   void arm_tick();
   void on_tick();
   Progress advance(Duration elapsed);
   bool is_finished(Duration elapsed, const Progress& progress) const;
-  // Whether a successor takes the new clients and the connections.
+  // Returns whether a successor accepts the new clients and takes over the connections.
   bool has_serving_successor() const { return hot_restart_ && hot_restart_->passes_connections(); }
 
   boost::asio::io_context& io_;
--- a/src/node/drain_times.h
+++ b/src/node/drain_times.h
@@ -4,8 +4,8 @@
 
 namespace balancer::node {
 
-// A drain closes the last connection so long before its end, that a request just read from it can
-// still be answered.
+// A drain closes the last connection this long before its end, so that a request just read from the
+// connection can still be answered.
 inline constexpr std::chrono::milliseconds kLastRequestTime{200};
 
 }  // namespace balancer::node
--- a/src/node/endpoint_text.h
+++ b/src/node/endpoint_text.h
@@ -7,7 +7,7 @@
 
 namespace balancer::node {
 
-// "127.0.0.1:80" or "[::1]:80".
+// Formats the endpoint as "127.0.0.1:80" or "[::1]:80".
 inline std::string text_of(const Endpoint& endpoint) {
   std::ostringstream out;
   out << endpoint;
--- a/src/node/group_commands.cc
+++ b/src/node/group_commands.cc
@@ -44,7 +44,7 @@
       },
       log);
   signals.on_terminate([&](int number) {
-    log("drain: ends on signal " + std::to_string(number));
+    log("drain: voter exits on signal " + std::to_string(number));
     runtime.end();
     io.stop();
   });
--- a/src/node/group_coordinator.cc
+++ b/src/node/group_coordinator.cc
@@ -10,7 +10,7 @@
 namespace balancer::node {
 namespace {
 
-// Within which connections are closed once a lease was lost; their requests are rejected meanwhile.
+// Time in which connections are closed after a lease was lost. Requests on them are rejected.
 constexpr std::chrono::milliseconds kLostLeaseDrain{200};
 
 }  // namespace
--- a/src/node/group_coordinator.h
+++ b/src/node/group_coordinator.h
@@ -17,18 +17,18 @@
 // leases.
 class GroupCoordinator {
  public:
-  // Joins the group. All references outlive the coordinator. Throws std::runtime_error with one
-  // line if it cannot.
+  // Joins the group. All references must outlive the coordinator. Throws std::runtime_error with a
+  // one-line message on failure.
   GroupCoordinator(boost::asio::io_context& io, const Clock& clock, const GroupFile& settings,
                    Services& services, const Log& log);
 
-  // Whether a request that came to this service address may go out to a host now.
+  // Returns whether a request received at this service address may be forwarded to a host now.
   bool may_serve(const std::string& service_address) const {
     return runtime_.may_serve(service_address);
   }
-  // Reads the group's keys again. Throws FileError; then the old keys go on.
+  // Reads the group's keys again. Throws FileError on failure; the previous keys stay in use then.
   void reload() { runtime_.reload(); }
-  // Transfers all leases; `done` is called once none is held.
+  // Transfers all leases to other members; `done` is called once none is held.
   void leave(std::function<void()> done) { runtime_.leave(std::move(done)); }
   void stop() { runtime_.end(); }
   const group_runtime::GroupRuntime& runtime() const { return runtime_; }
--- a/src/node/hot_restart_coordinator.cc
+++ b/src/node/hot_restart_coordinator.cc
@@ -14,12 +14,12 @@
 
 using boost::system::error_code;
 
-// Descriptors that a terminating process keeps for retries, beside those of its open requests.
+// Descriptors that a terminating process keeps for retries, in addition to those of open requests.
 constexpr std::size_t kRetryDescriptors = 8;
-// An open request may use its client's descriptor and a host's.
+// An open request may use the descriptors of its client's connection and of a host's.
 constexpr std::size_t kDescriptorsPerRequest = 2;
 
-// Whether another process listens at the address.
+// Returns whether another process listens at the address.
 bool is_in_use(const Endpoint& address) {
   if (address.port() == 0) return false;
   boost::asio::io_context io;
@@ -31,7 +31,7 @@
   return error == boost::asio::error::address_in_use;
 }
 
-// Whether it is a listening TCP socket bound to the address.
+// Returns whether `socket` is a listening TCP socket bound to the address.
 bool listens_at(const Descriptor& socket, const std::string& address) {
   int is_listening = 0;
   socklen_t option_size = sizeof is_listening;
@@ -185,7 +185,7 @@
   return listeners;
 }
 
-// ---- what this process may do
+// ---- limits and listeners
 
 void HotRestartCoordinator::apply_state() {
   const hot_restart::HotRestartState& state = hot_restart_->state();
--- a/src/node/hot_restart_coordinator.h
+++ b/src/node/hot_restart_coordinator.h
@@ -17,28 +17,28 @@
 
 namespace balancer::node {
 
-// Connects a hot restart with the parts of this process: restores a predecessor's state, gives
-// this process's to a successor, and makes listeners and limits follow
-// hot_restart::HotRestartState.
+// Connects a hot restart with the other parts of this process: restores a predecessor's state,
+// sends this process's state to a successor, and applies hot_restart::HotRestartState to listeners
+// and limits.
 class HotRestartCoordinator {
  public:
-  // `services` include the memcache service. `predecessor`: of query_predecessor(); what it holds
-  // is restored here, and where nobody answered, the overrides of the file. References outlive the
-  // coordinator.
+  // Restores the predecessor's state or, if no predecessor answered or it is of a later version,
+  // the overrides in the file. `services` must include the memcache service. `predecessor`: the
+  // result of query_predecessor(). References must outlive the coordinator.
   HotRestartCoordinator(boost::asio::io_context& io, const Clock& clock, const Config& config,
                         Limits& limits, Services& services, OperatorCalls& operator_calls,
                         hot_restart::Predecessor predecessor, const Log& log);
 
-  // The predecessor's listening socket for this address; empty if it passed none.
+  // Returns the predecessor's listening socket for this address; empty if it passed none.
   Descriptor take_socket(const Endpoint& address);
   // Notifies the predecessor that this process accepts clients.
   void serve();
-  // SIGTERM was received.
+  // Handles SIGTERM.
   void on_term() { hot_restart_->on_term(); }
   bool has_predecessor() const { return hot_restart_->state().has_predecessor(clock_.now()); }
-  // Whether a successor serves and takes over this process's connections.
+  // Returns whether this process passes its connections to a successor.
   bool passes_connections() const { return hot_restart_->state().passes_connections(); }
-  // Whether all messages to a successor have been sent.
+  // Returns whether all messages to a successor have been sent.
   bool is_flushed() const { return hot_restart_->is_flushed(); }
   void stop() { hot_restart_->stop(); }
 
@@ -49,10 +49,10 @@
   hot_restart::HotRestart::Callbacks callbacks();
   hot_restart::Snapshot snapshot();
   hot_restart::ResourceShare needs();
-  // Open listeners, as many as may be passed to a successor.
+  // Returns the open listeners, at most as many as can be passed to a successor.
   std::vector<ClientListener*> passed_listeners();
   void adopt(const hot_restart::PassedConnection& connection, Descriptor socket);
-  // Makes limits and listeners follow the state.
+  // Applies the current state to limits and listeners.
   void apply_state();
   void apply_passing();
 
--- a/src/node/http_date.h
+++ b/src/node/http_date.h
@@ -7,8 +7,8 @@
 
 namespace balancer::node {
 
-// The time of a `Date` header in the form that RFC 9110 prefers ("Sun, 06 Nov 1994 08:49:37 GMT").
-// Nothing where it is in another form or no date.
+// Parses a `Date` header in the preferred format of RFC 9110 ("Sun, 06 Nov 1994 08:49:37 GMT").
+// Returns nullopt for other formats and invalid dates.
 std::optional<UnixTime> parse_http_date(const std::string& text);
 
 }  // namespace balancer::node
--- a/src/node/main.cc
+++ b/src/node/main.cc
@@ -19,13 +19,13 @@
 namespace balancer::node {
 namespace {
 
-// Descriptors of a group member: datagrams, the voter's record, routers, and status queries.
+// Descriptors of a group member, for datagrams, the voter's record, routers and status queries.
 constexpr std::size_t kGroupDescriptors = 64;
 
-// Memory of long values is returned to the system once they have passed.
+// Memory of large values is returned to the system once they have been forwarded.
 constexpr int kMmapThresholdBytes = 256 << 10, kTrimThresholdBytes = 1 << 20;
 
-std::size_t set_aside_descriptors(const ProgramSettings& settings) {
+std::size_t reserved_descriptors(const ProgramSettings& settings) {
   std::size_t count = 0;
   if (settings.operator_settings.group) count += kGroupDescriptors;
   if (settings.config && settings.config->admin)
@@ -37,18 +37,18 @@
             Balancer& balancer) {
   open_log(process.log);
   const ProgramSettings settings = load_settings(operator_file);
-  const auto waiting = balancer.reload(settings.operator_settings);
+  const auto needs_restart = balancer.reload(settings.operator_settings);
   if (settings.config) balancer.reload(*settings.config);
   const std::string subject = "reload: " + operator_file + ": ";
-  for (const auto& what : waiting) {
+  for (const auto& section : needs_restart) {
     std::string line = subject;
-    line += what;
-    line += " has changed, and waits for a restart";
+    line += section;
+    line += " has changed; the change takes effect after a restart";
     log(line);
   }
 }
 
-// Tests and the testbed wait for these lines: behind them the addresses accept clients.
+// Tests and the testbed wait for these lines, after which the addresses accept clients.
 void log_addresses(const Log& log, const ProgramSettings& settings, std::size_t resp_listeners,
                    const Balancer& balancer) {
   if (settings.config) log("listening on " + text_of(balancer.local()));
@@ -56,17 +56,17 @@
   for (std::size_t i = 0; i < resp_listeners; ++i) log("RESP on " + text_of(balancer.local(i)));
 }
 
-// Balances until SIGTERM or SIGINT has been received and the drain is over.
+// Serves clients until SIGTERM or SIGINT is received and the drain is complete.
 void serve(const std::string& operator_file) {
   std::optional<Limits> limits;  // outlives the event loop, whose last handlers hold reservations
   boost::asio::io_context io(1);
-  ProcessSignals signals(io);  // first: before its handler is set, a signal would end the process
+  ProcessSignals signals(io);  // first, because an unhandled signal would terminate the process
   ProgramSettings settings = load_settings(operator_file);
   const ProcessSettings process = settings.operator_settings.process;
   const std::size_t resp_listeners = settings.operator_settings.listeners.size();
   open_log(process.log);
   const Log log = make_log(process.name);
-  limits.emplace(process.sockets, process.memory_mb, set_aside_descriptors(settings));
+  limits.emplace(process.sockets, process.memory_mb, reserved_descriptors(settings));
   Balancer balancer(io, settings.config, *limits, std::move(settings.operator_settings), log);
   signals.on_reload(
       [&] { reload_or_keep(log, [&] { reload(operator_file, process, log, balancer); }); });
@@ -79,7 +79,7 @@
   ProcessSignals::block_all();
 }
 
-// Commands that print a result. Returns the exit status.
+// Runs a command that prints a result. Returns the exit status.
 int run_query(const CommandLine& line) {
   try {
     if (line.command == Command::kAddress) return query_address(line.address_query) ? 0 : 1;
@@ -92,7 +92,7 @@
   }
 }
 
-// Commands that run until a signal. Returns the exit status.
+// Runs a command that ends on a signal. Returns the exit status.
 int run_process(const CommandLine& line) {
   std::signal(SIGPIPE, SIG_IGN);
   mallopt(M_MMAP_THRESHOLD, kMmapThresholdBytes);
--- a/src/node/memcache_service.cc
+++ b/src/node/memcache_service.cc
@@ -12,8 +12,8 @@
 
 using std::chrono::milliseconds;
 
-// A request that waits for memory to be read may be of any class. It is rejected while a client
-// with the shortest deadline still waits.
+// The class of a request that waits for memory before it is read is unknown. It is rejected early
+// enough that a client with the shortest deadline still receives the rejection.
 SessionTimes session_times(const std::vector<RequestClass>& classes) {
   constexpr Duration kMinWait = milliseconds(50), kMaxWait = milliseconds(1000);
   constexpr int kWaitsPerDeadline = 4;
--- a/src/node/memcache_service.h
+++ b/src/node/memcache_service.h
@@ -20,27 +20,27 @@
 
 namespace balancer::node {
 
-// Serves memcache clients: their listener and front, the pool of cache hosts and origins, and
-// discovery, which lists those hosts. Keeps the endpoint list as discovery sent it.
+// Serves memcache clients. Owns their listener and front end, the pool of cache hosts and origins,
+// and the discovery client, and keeps the current endpoint list.
 class MemcacheService {
  public:
-  // The listener is closed until open(). `may_forward` is asked of every request; empty: always.
-  // `clock` and `limits` outlive the service.
+  // The listener is closed until open() is called. `may_forward` is checked for every request;
+  // empty: all may be forwarded. `clock` and `limits` must outlive the service.
   MemcacheService(boost::asio::io_context& io, const Config& config, const Clock& clock,
                   Limits& limits, ForwardingCheck may_forward, const Log& log);
   MemcacheService(const MemcacheService&) = delete;
   MemcacheService& operator=(const MemcacheService&) = delete;
 
-  // Subscribes to endpoint lists where they are pushed, and guards against process stalls by
-  // confirming the list. Where discovery is polled, the policy asks for the first list.
+  // Where endpoint lists are pushed, subscribes to them, and confirms the list after process
+  // stalls. Does nothing where discovery is polled: the policy requests the first list.
   void start_discovery();
   void stop_discovery() { discovery_.stop(); }
-  // From now on lists come from the service at `endpoint`.
+  // Uses the discovery service at `endpoint` from now on.
   void move_discovery(const Endpoint& endpoint) { discovery_.move_to(endpoint); }
 
   // Applies an endpoint list, or the changes in it.
   void apply(const HostList& list);
-  // Called once, at the first list.
+  // `callback` is called once, after the first list was applied.
   void set_on_first_list(std::function<void()> callback) { on_first_list_ = std::move(callback); }
 
   ClientListener& listener() { return *listener_; }
@@ -48,7 +48,7 @@
   ServerPool& pool() { return pool_; }
   MemcacheFront& front() { return front_; }
   bool has_list() const { return has_list_; }
-  // Whether the list holds a cache host that serves.
+  // Returns whether the list contains a cache host in state kServing.
   bool has_cache_hosts() const { return !serving_caches_.empty(); }
   // The hosts and the sequence number of the endpoint list, for a successor.
   const std::map<std::string, ListedHost>& hosts() const { return hosts_; }
--- a/src/node/operator_calls.cc
+++ b/src/node/operator_calls.cc
@@ -8,8 +8,8 @@
 
 using std::chrono::milliseconds;
 
-// The platform's clients ask every 100 ms where to connect and open new connections for another
-// 200 ms; from 2 s after the call on no connection may take a request.
+// The platform's clients look up their balancers every 100 ms and may open connections to this one
+// for another 200 ms. From 2 s after the call, no connection may accept a request.
 constexpr milliseconds kClientDrainFirst{300}, kClientDrainLast{1800};
 
 std::string override_line(std::string_view host, bool out_of_service) {
--- a/src/node/operator_calls.h
+++ b/src/node/operator_calls.h
@@ -13,32 +13,34 @@
 
 namespace balancer::node {
 
-// Carries out what operators call for: cache hosts out of service and back, and draining clients.
-// During a hot restart both processes hear of a call that either has answered.
+// Carries out operators' calls: overrides of cache hosts, and client drains. During a hot restart a
+// call to either process takes effect in both.
 class OperatorCalls {
  public:
   OperatorCalls(const Clock& clock, Services& services, Log log)
       : clock_(clock), services_(services), log_(std::move(log)) {}
 
-  // From now on calls are passed to the other process and overrides are kept on disk.
+  // From now on calls are sent to the other process and overrides are stored on disk.
   void attach(hot_restart::HotRestart& hot_restart) { hot_restart_ = &hot_restart; }
 
-  // Takes a cache host out of service, or back into it. Returns false if no such host is known.
+  // Takes a cache host out of service, or puts it back into service. Returns false if the host is
+  // unknown.
   bool override_host(std::string_view host, bool out_of_service);
-  // Asks clients to reconnect elsewhere, or takes them again. Returns false if the process is
-  // terminating.
+  // Starts or ends a client drain, in which clients are asked to reconnect elsewhere. Returns false
+  // if the process is terminating.
   bool set_client_drain(bool enabled);
-  // Closes the clients' connections between requests, spread over the time of a client drain.
+  // Closes the clients' connections between requests, spread over the duration of a client drain.
   void drain_connections();
   bool is_draining_clients() const { return is_draining_clients_; }
 
-  // The overrides in force, and one that a predecessor or its file held.
+  // Returns the overrides in force.
   std::vector<hot_restart::OperatorOverride> overrides() const;
+  // Applies an override of a predecessor or of the overrides file.
   void restore(const hot_restart::OperatorOverride& restored);
-  // Of an operator who called at the other process.
+  // Applies an override that an operator requested from the other process.
   void on_peer_override(const hot_restart::OperatorOverride& changed);
 
-  // SIGTERM was received: a client drain is neither begun nor ended any more.
+  // Handles SIGTERM: client drains are neither started nor ended any more.
   void on_term() { is_terminating_ = true; }
 
  private:
--- a/src/node/process_log.h
+++ b/src/node/process_log.h
@@ -7,11 +7,12 @@
 
 using Log = std::function<void(const std::string& line)>;
 
-// Log lines go to standard error, which is the operator's log file where one is named. Opens the
-// file anew, so that a file that was renamed is left. Throws std::runtime_error if it cannot.
+// Redirects standard error, where log lines are written, to `file`; empty: leaves it unchanged. Can
+// be called again after the file was renamed, to start a new file. Throws std::runtime_error if the
+// file cannot be opened.
 void open_log(const std::string& file);
 
-// Writes each line as "balancer NAME: LINE".
+// Returns a log that writes each line as "balancer NAME: LINE".
 Log make_log(const std::string& name);
 
 }  // namespace balancer::node
--- a/src/node/process_signals.cc
+++ b/src/node/process_signals.cc
@@ -33,7 +33,7 @@
     reload();
     log("reload: done");
   } catch (const std::exception& error) {
-    log(std::string("reload: rejected, the settings in force stay: ") + error.what());
+    log(std::string("reload: rejected, the current settings stay in use: ") + error.what());
   }
 }
 
--- a/src/node/process_signals.h
+++ b/src/node/process_signals.h
@@ -9,21 +9,21 @@
 
 namespace balancer::node {
 
-// The signals that the program handles: SIGHUP, and SIGTERM and SIGINT. They are caught from its
-// construction on; one that comes earlier than its handler waits for the event loop.
+// Handles SIGHUP, SIGTERM and SIGINT. The signals are caught from construction on; the handlers are
+// called from the event loop, also for signals that arrived before it ran.
 class ProcessSignals {
  public:
   explicit ProcessSignals(boost::asio::io_context& io);
   ProcessSignals(const ProcessSignals&) = delete;
   ProcessSignals& operator=(const ProcessSignals&) = delete;
 
-  // SIGHUP: settings are to be read again.
+  // Sets the handler of SIGHUP, which requests a reload of the settings.
   void on_reload(std::function<void()> handler) { on_reload_ = std::move(handler); }
-  // SIGTERM or SIGINT, each time.
+  // Sets the handler of SIGTERM and SIGINT, which is called for each of them.
   void on_terminate(std::function<void(int number)> handler) { on_terminate_ = std::move(handler); }
 
-  // For the end of main: once nothing handles signals any more, SIGHUP would end the process as a
-  // crash.
+  // Blocks all signals. Called before the process exits: once the handlers are gone, SIGHUP would
+  // terminate it, which looks like a crash.
   static void block_all();
 
  private:
@@ -34,8 +34,8 @@
   std::function<void(int number)> on_terminate_;
 };
 
-// Runs `reload` and logs its result. Settings that cannot be read leave those in force as they are,
-// so that a mistake in a file does not end a process that serves.
+// Runs `reload` and logs its result. If it throws, the current settings stay in use, so that an
+// error in a file does not end a serving process.
 void reload_or_keep(const Log& log, const std::function<void()>& reload);
 
 }  // namespace balancer::node
--- a/src/node/program_settings.h
+++ b/src/node/program_settings.h
@@ -8,14 +8,15 @@
 
 namespace balancer::node {
 
-// The platform's configuration and the operator's file; either may be missing, but not both.
+// The platform's configuration and the operator's file. At least one of them is present.
 struct ProgramSettings {
   std::optional<Config> config;
   Operator operator_settings;
 };
 
-// Reads both. `operator_file`: empty if there is none. With a platform's configuration its name and
-// limits replace those of the operator's file. Throws std::runtime_error (FileError) with one line.
+// Reads both. `operator_file`: path; empty: none. The name and limits of a platform configuration
+// replace those of the operator's file. Throws std::runtime_error or FileError with a one-line
+// message.
 ProgramSettings load_settings(const std::string& operator_file);
 
 // Prints what the program would listen on and connect to. Throws FileError if the group's keys
--- a/src/node/resp_service.cc
+++ b/src/node/resp_service.cc
@@ -10,7 +10,8 @@
 Endpoint endpoint_of(const RespListener& settings) {
   const auto endpoint = parse_endpoint(settings.address);
   if (!endpoint)
-    throw std::runtime_error("listener " + settings.name + ": names are not looked up");
+    throw std::runtime_error("listener " + settings.name +
+                             ": the address is not an IP address and port");
   return *endpoint;
 }
 
--- a/src/node/resp_service.h
+++ b/src/node/resp_service.h
@@ -15,9 +15,10 @@
 // Serves the RESP clients of one [[listener]] of the operator's file.
 class RespService {
  public:
-  // Where the file states no port and no service address, it listens when it is constructed, as
-  // clients are told the port. Throws std::runtime_error if the address is a name, and
-  // boost::system::system_error if it cannot listen. All references outlive the service.
+  // If the file states port 0 and no service address, the constructor starts to listen, because the
+  // port is needed for the announced address. Throws std::runtime_error if the address is not an IP
+  // address and port, and boost::system::system_error if it cannot listen. All references must
+  // outlive the service.
   RespService(boost::asio::io_context& io, const Clock& clock, const RespListener& settings,
               const RespPool& pool_settings, ClusterPool& pool, Limits& limits,
               ForwardingCheck may_forward);
@@ -29,7 +30,7 @@
   const RespListener& settings() const { return settings_; }
 
  private:
-  // The address that clients are told. Listens first where only the system knows the port.
+  // Returns the address that is sent to clients. Listens first if the system chooses the port.
   std::string announced_address();
 
   const RespListener& settings_;
--- a/src/node/services.cc
+++ b/src/node/services.cc
@@ -27,7 +27,7 @@
   }
 }
 
-// The settings' reader has checked that each listener's pool exists.
+// The pool exists: the reader of the settings rejects listeners of unknown pools.
 std::size_t Services::pool_index(const std::string& name) const {
   const auto& pools = operator_settings_.pools;
   const auto at = std::find_if(pools.begin(), pools.end(),
@@ -45,10 +45,10 @@
   });
 }
 
-Duration Services::longest_deadline(Duration most) {
+Duration Services::longest_deadline(Duration max) {
   Duration longest{0};
-  for_each_pool([&longest, most](ServerPool& pool) {
-    longest = std::max(longest, pool.longest_deadline(most));
+  for_each_pool([&longest, max](ServerPool& pool) {
+    longest = std::max(longest, pool.longest_deadline(max));
   });
   return longest;
 }
--- a/src/settings/addresses.cc
+++ b/src/settings/addresses.cc
@@ -15,10 +15,10 @@
   const auto colon = text.rfind(':');
   if (colon == std::string::npos) return false;
   std::string host = text.substr(0, colon);
-  const bool six = host.starts_with('[') && host.ends_with(']');
-  if (six) host = host.substr(1, host.size() - 2);
+  const bool v6 = host.starts_with('[') && host.ends_with(']');
+  if (v6) host = host.substr(1, host.size() - 2);
   unsigned char bytes[16];
-  if (::inet_pton(six ? AF_INET6 : AF_INET, host.c_str(), bytes) != 1) return false;
+  if (::inet_pton(v6 ? AF_INET6 : AF_INET, host.c_str(), bytes) != 1) return false;
   unsigned port = 0;
   const char* end = text.data() + text.size();
   const auto [at, error] = std::from_chars(text.data() + colon + 1, end, port);
@@ -32,13 +32,13 @@
     ip::make_address(text, error);
     return !error;
   }
-  const auto four = ip::make_network_v4(text, error);
-  if (!error) return four == four.canonical();
-  const auto six = ip::make_network_v6(text, error);
-  return !error && six == six.canonical();
+  const auto v4 = ip::make_network_v4(text, error);
+  if (!error) return v4 == v4.canonical();
+  const auto v6 = ip::make_network_v6(text, error);
+  return !error && v6 == v6.canonical();
 }
 
-bool is_name(const std::string& text) {
+bool is_host_name_and_port(const std::string& text) {
   const auto colon = text.rfind(':');
   return colon != std::string::npos && colon > 0 &&
          std::all_of(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(colon),
--- a/src/settings/addresses.h
+++ b/src/settings/addresses.h
@@ -2,14 +2,16 @@
 
 #include <string>
 
-// What of the operator's files is an address; names are not looked up.
+// Syntax checks of the network addresses in the operator's files. Host names are not resolved.
 namespace balancer {
 
-// "127.0.0.1:6400" or "[::1]:6400". `port_zero`: port 0 will do, and the system gives one.
+// Returns whether `text` is an IP address and port: "127.0.0.1:6400" or "[::1]:6400". `port_zero`:
+// port 0 is allowed as well; the system then chooses the port.
 bool is_address(const std::string& text, bool port_zero);
-// "10.1.0.0/16", "fd00::/8" or a single address; bits behind the prefix must be zero.
+// Returns whether `text` is a network, "10.1.0.0/16" or "fd00::/8", or a single IP address. Bits
+// beyond the prefix length must be zero.
 bool is_network(const std::string& text);
-// A host's name and a port, in the place of an address.
-bool is_name(const std::string& text);
+// Returns whether `text` is a host name and a port.
+bool is_host_name_and_port(const std::string& text);
 
 }  // namespace balancer
--- a/src/settings/field_error.h
+++ b/src/settings/field_error.h
@@ -4,12 +4,12 @@
 
 namespace balancer {
 
-// Input that is not what it should be; what() names the field and the fault.
+// Invalid input; what() names the field and the error.
 struct FieldError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// What is wrong with a file that an operator wrote: "FILE:LINE: KEY: REASON".
+// An error in a file that an operator wrote; what() is "FILE:LINE: KEY: REASON".
 struct FileError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
--- a/src/settings/group_file.cc
+++ b/src/settings/group_file.cc
@@ -17,27 +17,27 @@
 
 constexpr std::size_t kMaxAddresses = 64, kMaxRouters = 16, kMaxCommunities = 16;
 
-std::optional<std::uint32_t> ipv4(const std::string& text) {
+std::optional<std::uint32_t> parse_ipv4(const std::string& text) {
   in_addr a{};
   if (::inet_pton(AF_INET, text.c_str(), &a) != 1) return std::nullopt;
   return ntohl(a.s_addr);
 }
 
-std::uint32_t ipv4(Keys& keys, std::string_view key) {
+std::uint32_t read_ipv4(Keys& keys, std::string_view key) {
   std::string text = keys.text(key, "");
   if (text.empty()) keys.bad(key, "is missing");
-  const auto address = ipv4(text);
-  if (!address) keys.bad(key, "is no IPv4 address: " + text);
+  const auto address = parse_ipv4(text);
+  if (!address) keys.bad(key, "is not an IPv4 address: " + text);
   return *address;
 }
 
-std::uint32_t as_number(Keys& keys, std::string_view key) {
+std::uint32_t read_as_number(Keys& keys, std::string_view key) {
   if (!keys.has(key)) keys.bad(key, "is missing");
   return static_cast<std::uint32_t>(keys.real(key, 0, 1, 4294967294.0));
 }
 
-// "64512:100", RFC 1997.
-std::uint32_t community(Keys& keys, const std::string& text) {
+// Parses a community of RFC 1997, such as "64512:100".
+std::uint32_t parse_community(Keys& keys, const std::string& text) {
   unsigned high = 0, low = 0;
   const char* const end = text.data() + text.size();
   const auto [colon, error] = std::from_chars(text.data(), end, high);
@@ -45,21 +45,23 @@
     const auto [last, e] = std::from_chars(colon + 1, end, low);
     if (e == std::errc{} && last == end && low <= 65535) return high << 16 | low;
   }
-  keys.bad("communities", "holds what is no community, such as 64512:100: " + text);
+  keys.bad("communities",
+           "contains an invalid community (expected a form such as 64512:100): " + text);
 }
 
-std::string ip_and_port(Keys& keys, std::string_view key, bool needed) {
+std::string read_endpoint(Keys& keys, std::string_view key, bool needed) {
   std::string text = keys.text(key, "");
   if (text.empty() && needed) keys.bad(key, "is missing");
-  if (!text.empty() && !is_address(text, false)) keys.bad(key, "is no address: " + text);
+  if (!text.empty() && !is_address(text, false))
+    keys.bad(key, "is not an IP address and port: " + text);
   return text;
 }
 
-std::vector<std::string> names(Keys& keys, std::string_view key) {
-  auto all = keys.texts(key);
+std::vector<std::string> read_names(Keys& keys, std::string_view key) {
+  auto all = keys.strings(key);
   for (const auto& n : all)
     if (n.empty() || n.size() > 64 || n.find_first_of(" \t\"\\") != std::string::npos)
-      keys.bad(key, "holds what is no name: " + n);
+      keys.bad(key, "contains an invalid name: " + n);
   return all;
 }
 
@@ -70,9 +72,10 @@
   t.withdraw_lead = keys.time("withdraw_lead_ms", 1e-3, 150, 1, 30'000);
   t.overlap = keys.time("overlap_ms", 1e-3, 300, 0, 30'000);
   t.round_timeout = keys.time("patience_ms", 1e-3, 150, 5, 30'000);
-  // A renewal is begun each quarter of the lease; two must fit in before the withdrawal.
+  // A renewal starts every quarter of the lease; two must fit in before the withdrawal.
   if (t.withdraw_lead > t.holder_duration() / 2)
-    keys.bad("withdraw_lead_ms", "is more than half of what a lease is good for");
+    keys.bad("withdraw_lead_ms",
+             "is more than half of the time for which a holder may use its lease");
   if (t.round_timeout > t.duration / 2) keys.bad("patience_ms", "is more than half of lease_ms");
   if (t.overlap > t.duration) keys.bad("overlap_ms", "is longer than lease_ms");
   g.lease_manager.settle_time = keys.time("settle_ms", 1e-3, 5000, 0, 3'600'000);
@@ -82,27 +85,30 @@
 
 void read_group_table(Keys& keys, GroupFile& g, const std::string& process_name) {
   g.name = keys.has("name") ? keys.name("name") : process_name;
-  if (g.name.size() > 64) keys.bad("name", "is longer than 64 letters");
-  g.listen = ip_and_port(keys, "listen", true);
-  g.announce = ip_and_port(keys, "announce", false);
+  if (g.name.size() > 64) keys.bad("name", "is longer than 64 characters");
+  g.listen = read_endpoint(keys, "listen", true);
+  g.announce = read_endpoint(keys, "announce", false);
   if (g.announce.empty()) g.announce = g.listen;
   if (g.announce.starts_with("0.0.0.0:") || g.announce.starts_with("[::]:"))
-    keys.bad("announce", "is needed: others cannot be told " + g.announce);
-  for (const auto& seed : keys.texts("seeds")) {
-    if (!is_address(seed, false)) keys.bad("seeds", "holds what is no address: " + seed);
+    keys.bad("announce", "is required: other members cannot send to " + g.announce);
+  for (const auto& seed : keys.strings("seeds")) {
+    if (!is_address(seed, false))
+      keys.bad("seeds", "contains an invalid IP address and port: " + seed);
     g.membership.seeds.push_back(seed);
   }
-  g.networks = keys.texts("networks");
-  if (g.networks.empty()) keys.bad("networks", "is missing: whose datagrams are heard at all");
+  g.networks = keys.strings("networks");
+  if (g.networks.empty())
+    keys.bad("networks", "is missing: it lists the networks whose datagrams are accepted");
   for (const auto& network : g.networks)
     if (!is_network(network))
-      keys.bad("networks", "holds what is no network, such as 10.1.0.0/16: " + network);
+      keys.bad("networks",
+               "contains an invalid network (expected a form such as 10.1.0.0/16): " + network);
   g.key_file = keys.text("key_file", "");
   if (g.key_file.empty()) keys.bad("key_file", "is missing");
   g.key_change = keys.time("key_change_s", 1, 60, 1, 86'400);
   g.folder = keys.text("folder", "");
   if (g.folder.empty()) keys.bad("folder", "is missing");
-  g.founding.names = names(keys, "voters");
+  g.founding.names = read_names(keys, "voters");
   std::sort(g.founding.names.begin(), g.founding.names.end());
   if (g.founding.names.empty()) keys.bad("voters", "is missing");
   if (!lease::is_valid(g.founding))
@@ -124,9 +130,10 @@
 void read_address(Keys& keys, GroupFile& g) {
   ServiceAddress a;
   a.name = keys.name("name");
-  if (a.name.size() > 64) keys.bad("name", "is longer than 64 letters");
-  if (g.address(a.name)) keys.bad("name", "is that of two addresses");
-  if (g.addresses.size() >= kMaxAddresses) keys.bad("name", "is one address too many");
+  if (a.name.size() > 64) keys.bad("name", "is longer than 64 characters");
+  if (g.address(a.name)) keys.bad("name", "is used by two addresses");
+  if (g.addresses.size() >= kMaxAddresses)
+    keys.bad("name", "exceeds the maximum number of addresses");
   if (keys.has("prefix")) {
     std::string text = keys.text("prefix", "");
     int length = 32;
@@ -136,32 +143,34 @@
       if (error != std::errc{} || last != end) length = -1;
       text.resize(slash);
     }
-    const auto ip = ipv4(text);
-    if (!ip || length < 1 || length > 32) keys.bad("prefix", "is no IPv4 address or network");
-    if (length < 32 && (*ip << length) != 0) keys.bad("prefix", "has bits behind its length");
+    const auto ip = parse_ipv4(text);
+    if (!ip || length < 1 || length > 32) keys.bad("prefix", "is not an IPv4 address or network");
+    if (length < 32 && (*ip << length) != 0)
+      keys.bad("prefix", "has bits set beyond its prefix length");
     a.prefix = bgp::Prefix{*ip, static_cast<std::uint8_t>(length)};
   }
-  a.claim = keys.texts("claim");
-  a.release = keys.texts("release");
+  a.claim = keys.strings("claim");
+  a.release = keys.strings("release");
   a.command_limit = keys.time("command_limit_ms", 1e-3, 1000, 10, 60'000);
   if (a.prefix && (!a.claim.empty() || !a.release.empty()))
-    keys.bad("claim", "and prefix cannot both carry an address");
+    keys.bad("claim", "cannot be combined with prefix");
   if (!a.prefix && (a.claim.empty() || a.release.empty()))
     keys.bad("name", "needs a prefix, or both claim and release");
   for (const auto* command : {&a.claim, &a.release})
     if (!command->empty() && !command->front().starts_with('/'))
-      keys.bad(command == &a.claim ? "claim" : "release", "must name its program by a whole path");
-  lease::AddressPreference wanted{a.name, names(keys, "prefer")};
+      keys.bad(command == &a.claim ? "claim" : "release",
+               "must start with the absolute path of a program");
+  lease::AddressPreference wanted{a.name, read_names(keys, "prefer")};
   g.lease_manager.addresses.push_back(std::move(wanted));
   g.addresses.push_back(std::move(a));
 }
 
 void read_bgp(Keys& keys, GroupFile& g) {
   BgpFile b;
-  b.session.local_as = b.speaker.local_as = as_number(keys, "as");
-  b.session.id = ipv4(keys, "id");
+  b.session.local_as = b.speaker.local_as = read_as_number(keys, "as");
+  b.session.id = read_ipv4(keys, "id");
   if (b.session.id == 0) keys.bad("id", "must not be 0.0.0.0");
-  b.speaker.next_hop = ipv4(keys, "next_hop");
+  b.speaker.next_hop = read_ipv4(keys, "next_hop");
   b.session.hold = keys.time("hold_s", 1, 9, 3, 3600);
   b.session.retry = keys.time("retry_ms", 1e-3, 500, 50, 60'000);
   b.session.longest_retry = keys.time("longest_retry_ms", 1e-3, 30'000, 50, 3'600'000);
@@ -170,25 +179,26 @@
   b.session.connect_patience = keys.time("connect_ms", 1e-3, 3000, 10, 60'000);
   b.speaker.claim_patience = keys.time("claim_ms", 1e-3, 500, 10, 60'000);
   b.speaker.routers_needed = static_cast<std::size_t>(keys.whole("routers_needed", 1, 1, 16));
-  for (const auto& text : keys.texts("communities"))
-    b.speaker.communities.push_back(community(keys, text));
+  for (const auto& text : keys.strings("communities"))
+    b.speaker.communities.push_back(parse_community(keys, text));
   if (b.speaker.communities.size() > kMaxCommunities)
-    keys.bad("communities", "holds more than " + std::to_string(kMaxCommunities));
+    keys.bad("communities", "contains more than " + std::to_string(kMaxCommunities));
   b.source = keys.text("source", "");
-  if (!b.source.empty() && !ipv4(b.source)) keys.bad("source", "is no IPv4 address: " + b.source);
-  b.listen = ip_and_port(keys, "listen", false);
+  if (!b.source.empty() && !parse_ipv4(b.source))
+    keys.bad("source", "is not an IPv4 address: " + b.source);
+  b.listen = read_endpoint(keys, "listen", false);
   keys.tables("router", [&](Keys& k) {
     BgpRouter r;
-    r.address = ip_and_port(k, "address", true);
-    r.as = as_number(k, "as");
+    r.address = read_endpoint(k, "address", true);
+    r.as = read_as_number(k, "as");
     for (const auto& other : b.routers)
-      if (other.address == r.address) k.bad("address", "is that of two routers");
-    if (b.routers.size() >= kMaxRouters) k.bad("address", "is one router too many");
+      if (other.address == r.address) k.bad("address", "is used by two routers");
+    if (b.routers.size() >= kMaxRouters) k.bad("address", "exceeds the maximum number of routers");
     b.routers.push_back(std::move(r));
   });
   if (b.routers.empty()) keys.bad("router", "is missing: [[bgp.router]]");
   if (b.speaker.routers_needed > b.routers.size())
-    keys.bad("routers_needed", "is more than there are");
+    keys.bad("routers_needed", "is more than the number of routers");
   g.bgp = std::move(b);
 }
 
@@ -204,24 +214,24 @@
   GroupFile g;
   if (!root.has("group")) {
     for (const char* key : {"address", "bgp"})
-      if (root.has(key)) root.bad(key, "has no meaning without [group]");
+      if (root.has(key)) root.bad(key, "requires [group]");
     return std::nullopt;
   }
   root.table("group", [&](Keys& k) {
     read_group_table(k, g, process_name);
-    g.shape += k.text_of_all();
+    g.fixed_settings += k.serialize();
   });
   root.tables("address", [&](Keys& k) {
     read_address(k, g);
-    g.shape += k.text_of_all();
+    g.fixed_settings += k.serialize();
   });
   if (root.has("bgp"))
     root.table("bgp", [&](Keys& k) {
       read_bgp(k, g);
-      g.shape += k.text_of_all();
+      g.fixed_settings += k.serialize();
     });
   for (const auto& a : g.addresses)
-    if (a.prefix && !g.bgp) root.bad("address", a.name + " has a prefix, and there is no [bgp]");
+    if (a.prefix && !g.bgp) root.bad("address", a.name + " has a prefix, but there is no [bgp]");
   if (g.bgp && std::none_of(g.addresses.begin(), g.addresses.end(),
                             [](const auto& a) { return a.prefix.has_value(); }))
     root.bad("bgp", "has no [[address]] with a prefix to announce");
--- a/src/settings/group_file.h
+++ b/src/settings/group_file.h
@@ -10,16 +10,17 @@
 #include "membership/membership_protocol.h"
 #include "route_announcement/speaker.h"
 
-// What the operator's file says of a group of balancers and of the service addresses that move
-// among them: the tables [group], [[address]] and [bgp]. Every key, its default, bound and harm:
-// docs/operate/addresses.md.
+// The settings of a group of balancers and of the service addresses that move among them: the
+// tables [group], [[address]] and [bgp] of the operator's file. docs/operate/addresses.md describes
+// each key with its default, its bounds and the effects of wrong values.
 namespace balancer {
 
 struct ServiceAddress {
   std::string name;
-  // Carried by BGP: announced as this prefix to every router; or, without it, by the two commands.
+  // If set, the address is announced to every router as this BGP prefix; otherwise the two commands
+  // claim and release it.
   std::optional<bgp::Prefix> prefix;
-  std::vector<std::string> claim, release;  // a program and its arguments
+  std::vector<std::string> claim, release;  // each: a program and its arguments
   Duration command_limit{std::chrono::milliseconds(1000)};
 };
 
@@ -29,37 +30,41 @@
 };
 
 struct BgpFile {
-  bgp::SpeakerSettings speaker;  // but for its sessions
-  bgp::SessionSettings session;  // but for the router's AS
-  std::string source;            // the address that routers are dialled from; empty: any
-  std::string listen;            // where routers may connect; empty: only this side dials
+  bgp::SpeakerSettings speaker;  // without its sessions
+  bgp::SessionSettings session;  // without the router's AS
+  std::string source;            // local address of outgoing connections to routers; empty: any
+  std::string listen;  // IP and port for incoming connections of routers; empty: outgoing ones only
   std::vector<BgpRouter> routers;
 };
 
 struct GroupFile {
   std::string name;                   // of this instance
-  std::string listen;                 // datagrams; IP and port
-  std::string announce;               // as others are told to reach it; where it listens, if empty
-  std::vector<std::string> networks;  // that members' datagrams may come from
+  std::string listen;                 // IP and port for datagrams
+  std::string announce;               // IP and port that other members send to; default: `listen`
+  std::vector<std::string> networks;  // datagrams from other networks are dropped
   std::string key_file;
-  Duration key_change{std::chrono::seconds(60)};
-  std::string folder;  // of the voter's record and of the socket for `balancer address`
+  Duration key_change{std::chrono::seconds(60)};  // within which all members read a new key
+  std::string folder;  // for the voter's record and the socket for `balancer address`
   lease::VoterSet founding;
-  membership::MembershipSettings membership;  // with the seeds
-  lease::LeaseManagerSettings lease_manager;  // with the addresses
+  membership::MembershipSettings membership;  // includes the seeds
+  lease::LeaseManagerSettings lease_manager;  // includes the addresses
   lease::EligibilitySettings eligibility;
-  Duration drain{std::chrono::seconds(3)};  // for connections that an orderly move has left behind
+  Duration drain{std::chrono::seconds(3)};  // of a service address's connections after a hand-over
   std::vector<ServiceAddress> addresses;
   std::optional<BgpFile> bgp;
-  std::string memcache_service;  // the platform's listener is open only while this one is held
-  std::string shape;             // all that holds from a start to the end, for comparison
+  // Name of the service address of the platform's memcache listener, which is open only while this
+  // instance holds the address; empty: always open.
+  std::string memcache_service;
+  std::string fixed_settings;  // text of the settings that a reload cannot change, for comparison
 
+  // Null if there is no address of this name.
   const ServiceAddress* address(const std::string& name) const;
 };
 
 class Keys;
-// From the file's top. `process_name`: of the instance, where [group] has none. Nothing if there is
-// no [group]; then [[address]] and [bgp] are errors. Throws FileError.
+// Reads the group's tables from the file's root table. `process_name`: the instance's name if
+// [group] states none. Returns nullopt without [group], where [[address]] and [bgp] are errors.
+// Throws FileError.
 std::optional<GroupFile> read_group(Keys& root, const std::string& process_name);
 
 }  // namespace balancer
--- a/src/settings/json.h
+++ b/src/settings/json.h
@@ -10,7 +10,8 @@
 #include "policy/policy.h"
 #include "settings/field_error.h"
 
-// Getters over simdjson that name the field they could not read.
+// Typed access to the fields of JSON objects. The functions throw FieldError, which names
+// the field, if a value is missing or invalid.
 namespace balancer::json {
 
 using simdjson::dom::array;
@@ -21,6 +22,7 @@
   throw FieldError("field '" + std::string(field) + "' " + std::string(what));
 }
 
+// Returns nullopt if the field is missing or null.
 inline std::optional<element> find(object o, std::string_view field) {
   element e;
   if (o.at_key(field).get(e) || e.is_null()) return std::nullopt;
@@ -34,7 +36,7 @@
   return value;
 }
 
-// Counts and times may come as 5 or 5.0.
+// Accepts integers that are written as floating-point numbers, such as 5.0.
 template <>
 inline std::int64_t as(element e, std::string_view field) {
   std::int64_t value;
@@ -53,6 +55,7 @@
   return value;
 }
 
+// Reads a required field.
 template <typename T>
 T need(object o, std::string_view field) {
   const auto e = find(o, field);
@@ -66,10 +69,12 @@
   return e ? as<T>(*e, field) : fallback;
 }
 
+// Reads an optional time in nanoseconds; default: 0.
 inline Duration get_time(object o, std::string_view field) {
   return Duration{get_or<std::int64_t>(o, field, 0)};
 }
 
+// Checks that `value` lies in [0, end).
 inline int small(std::int64_t value, std::string_view field, std::int64_t end = 1 << 30) {
   if (value < 0 || value >= end) bad(field, "is out of range");
   return static_cast<int>(value);
--- a/src/settings/operator.cc
+++ b/src/settings/operator.cc
@@ -25,18 +25,21 @@
      {"any", cluster::Reads::kAny}}};
 constexpr std::size_t kMaxClasses = 64, kMaxTenants = 1024;
 
-std::string address(Keys& keys, std::string_view key, const std::string& fallback, bool port_zero) {
+std::string read_address(Keys& keys, std::string_view key, const std::string& fallback,
+                         bool port_zero) {
   std::string text = keys.text(key, fallback);
-  if (!text.empty() && !is_address(text, port_zero)) keys.bad(key, "is no address: " + text);
+  if (!text.empty() && !is_address(text, port_zero))
+    keys.bad(key, "is not an IP address and port: " + text);
   return text;
 }
 
-std::vector<std::string> addresses(Keys& keys, std::string_view key) {
-  auto all = keys.texts(key);
+std::vector<std::string> read_addresses(Keys& keys, std::string_view key) {
+  auto all = keys.strings(key);
   for (const auto& text : all)
     if (!is_address(text, false))
-      keys.bad(key, is_name(text) ? "holds a name, and names are not looked up: " + text
-                                  : "holds what is no address: " + text);
+      keys.bad(key, is_host_name_and_port(text)
+                        ? "contains a host name; host names are not resolved: " + text
+                        : "contains an invalid IP address and port: " + text);
   return all;
 }
 
@@ -45,16 +48,16 @@
   RequestClass r;
   c.name = keys.name("name");
   for (const auto& other : pool.classes)
-    if (other.name == c.name) keys.bad("name", "is that of two classes");
+    if (other.name == c.name) keys.bad("name", "is used by two classes");
   bool writes = false;
-  for (std::string word : keys.texts("commands")) {
+  for (std::string word : keys.strings("commands")) {
     std::transform(word.begin(), word.end(), word.begin(),
                    [](unsigned char ch) { return static_cast<char>(std::toupper(ch)); });
     if (word != "READ" && word != "WRITE") {
       const auto* info = cluster::find_command(word);
-      if (!info) keys.bad("commands", word + " is no command that is known");
+      if (!info) keys.bad("commands", word + " is not a known command");
       if (info->kind != cluster::Kind::kRead && info->kind != cluster::Kind::kWrite)
-        keys.bad("commands", word + " is no data command");
+        keys.bad("commands", word + " is not a data command");
       writes = writes || info->kind == cluster::Kind::kWrite;
     }
     writes = writes || word == "WRITE";
@@ -66,26 +69,27 @@
       keys.choice("effect", writes ? Idempotency::kNone : Idempotency::kIdempotent, kEffects);
   r.latency_objective = keys.time("aim_ms", 1e-3, 100, 1, 600'000);
   r.deadline = keys.time("deadline_ms", 1e-3, 1000, 1, 600'000);
-  if (r.deadline < r.latency_objective) keys.bad("deadline_ms", "lies before the aim");
+  if (r.deadline < r.latency_objective) keys.bad("deadline_ms", "is less than aim_ms");
   c.reads = keys.choice("reads", cluster::Reads::kPrimary, kReads);
   if (c.reads != cluster::Reads::kPrimary && writes)
-    keys.bad("reads", "replicas take no writes, and this class has some");
+    keys.bad("reads", "replicas accept no writes, but this class contains write commands");
   c.key_argument = static_cast<std::size_t>(keys.whole("key_argument", 0, 0, 1024));
   r.deduplication_window = keys.time("window_ms", 1e-3, 0, 0, 3'600'000);
   if (r.idempotency == Idempotency::kIdempotencyKey &&
       (c.key_argument == 0 || r.deduplication_window == Duration{0}))
-    keys.bad("effect", "keyed needs key_argument and window_ms");
+    keys.bad("effect", "keyed requires key_argument and window_ms");
   if (r.idempotency != Idempotency::kIdempotencyKey &&
       (c.key_argument > 0 || r.deduplication_window > Duration{0}))
-    keys.bad("effect", "key_argument and window_ms belong to keyed classes");
-  if (pool.classes.size() >= kMaxClasses) keys.bad("name", "is one class too many");
+    keys.bad("effect", "key_argument and window_ms are allowed in keyed classes only");
+  if (pool.classes.size() >= kMaxClasses) keys.bad("name", "exceeds the maximum number of classes");
   pool.site.classes.push_back(c.name);
   pool.site.policy.classes.push_back(r);
   pool.classes.push_back(std::move(c));
 }
 
-// What no class of the file is for. Where one is for all of it the default has no part in the
-// policy either, whose targets follow the shortest aim.
+// Adds the class of commands that no class of the file covers. Not added if a class covers all READ
+// or WRITE commands: the policy's targets follow the shortest latency objective, and an unused
+// class must not affect them.
 void add_default_class(RespPool& pool, const std::string& name, const char* word,
                        Idempotency idempotency) {
   for (const RespClass& c : pool.classes)
@@ -104,8 +108,8 @@
 void read_pool(Keys& keys, Operator& all) {
   RespPool pool;
   pool.name = keys.name("name");
-  if (all.pool(pool.name)) keys.bad("name", "is that of two pools");
-  pool.cluster.seeds = addresses(keys, "seeds");
+  if (all.pool(pool.name)) keys.bad("name", "is used by two pools");
+  pool.cluster.seeds = read_addresses(keys, "seeds");
   if (pool.cluster.seeds.empty()) keys.bad("seeds", "is missing");
   pool.cluster.max_nodes = static_cast<std::size_t>(
       keys.whole("most_nodes", static_cast<int>(pool.cluster.max_nodes), 1, cluster::kSlots));
@@ -136,14 +140,14 @@
     RespTenant t;
     t.name = k.name("name");
     for (const auto& other : pool.tenants)
-      if (other.name == t.name) k.bad("name", "is that of two tenants");
+      if (other.name == t.name) k.bad("name", "is used by two tenants");
     if (k.has("password")) t.password = k.text("password", "");
-    if (pool.tenants.size() >= kMaxTenants) k.bad("name", "is one tenant too many");
+    if (pool.tenants.size() >= kMaxTenants) k.bad("name", "exceeds the maximum number of tenants");
     policy.tenant_quotas.push_back(k.real("quota_per_s", 1e9, 0, 1e9));
     pool.site.tenants.push_back(t.name);
     pool.tenants.push_back(std::move(t));
   });
-  pool.shape = keys.without("password");
+  pool.fixed_settings = keys.serialize_without("password");
   all.pools.push_back(std::move(pool));
 }
 
@@ -151,26 +155,28 @@
   RespListener l;
   l.name = keys.name("name");
   for (const auto& other : all.listeners)
-    if (other.name == l.name) keys.bad("name", "is that of two listeners");
+    if (other.name == l.name) keys.bad("name", "is used by two listeners");
   if (!keys.has("address")) keys.bad("address", "is missing");
-  l.address = address(keys, "address", "", true);
+  l.address = read_address(keys, "address", "", true);
   for (const auto& other : all.listeners)
     if (other.address == l.address && !l.address.ends_with(":0"))
-      keys.bad("address", "is that of two listeners");
-  l.announce = address(keys, "announce", "", false);
+      keys.bad("address", "is used by two listeners");
+  l.announce = read_address(keys, "announce", "", false);
   if (l.announce.empty() && (l.address.starts_with("0.0.0.0:") || l.address.starts_with("[::]:")))
-    keys.bad("announce", "is needed: clients cannot be told " + l.address);
-  l.peers = addresses(keys, "peers");
+    keys.bad("announce", "is required: clients cannot connect to " + l.address);
+  l.peers = read_addresses(keys, "peers");
   l.pool = keys.name("pool");
-  if (!all.pool(l.pool)) keys.bad("pool", "names none of this file: " + l.pool);
+  if (!all.pool(l.pool)) keys.bad("pool", "is not defined in this file: " + l.pool);
   if (keys.has("service")) l.service = keys.name("service");
   if (!l.service.empty() && l.address.ends_with(":0"))
-    keys.bad("address", "needs a port: the address moves, and the port with it");
+    keys.bad("address",
+             "must have a fixed port: the service address moves between instances together with "
+             "its port");
   l.require_auth = keys.flag("require_auth", false);
   l.max_bulk = static_cast<std::size_t>(keys.whole("most_bulk_kb", 512, 1, 65536)) << 10;
   l.max_queued = static_cast<std::size_t>(keys.whole("most_queued", 128, 1, 4096));
   l.idle_close = keys.time("idle_close_ms", 1e-3, 300'000, 1000, 86'400'000);
-  l.shape = keys.without("require_auth");
+  l.fixed_settings = keys.serialize_without("require_auth");
   all.listeners.push_back(std::move(l));
 }
 
@@ -182,21 +188,23 @@
   return nullptr;
 }
 
-std::vector<std::string> Operator::take_over(const Operator& changed) {
-  std::vector<std::string> wait;
-  const auto match = [&wait](auto& mine, const auto& theirs, const std::string& what, auto&& take) {
-    for (auto& m : mine) {
-      const auto it = std::find_if(theirs.begin(), theirs.end(),
+std::vector<std::string> Operator::apply_reload(const Operator& changed) {
+  std::vector<std::string> needs_restart;
+  const auto match = [&needs_restart](auto& current, const auto& updated, const std::string& what,
+                                      auto&& apply) {
+    for (auto& m : current) {
+      const auto it = std::find_if(updated.begin(), updated.end(),
                                    [&m](const auto& t) { return t.name == m.name; });
-      if (it == theirs.end() || it->shape != m.shape) {
-        wait.push_back(what + " " + m.name);
+      if (it == updated.end() || it->fixed_settings != m.fixed_settings) {
+        needs_restart.push_back(what + " " + m.name);
       } else {
-        take(m, *it);
+        apply(m, *it);
       }
     }
-    for (const auto& t : theirs)
-      if (std::none_of(mine.begin(), mine.end(), [&t](const auto& m) { return m.name == t.name; }))
-        wait.push_back("new " + what + " " + t.name);
+    for (const auto& t : updated)
+      if (std::none_of(current.begin(), current.end(),
+                       [&t](const auto& m) { return m.name == t.name; }))
+        needs_restart.push_back("new " + what + " " + t.name);
   };
   match(pools, changed.pools, "pool", [](RespPool& m, const RespPool& t) {
     m.password = t.password;
@@ -205,9 +213,9 @@
   match(listeners, changed.listeners, "listener",
         [](RespListener& m, const RespListener& t) { m.require_auth = t.require_auth; });
   if (group.has_value() != changed.group.has_value() ||
-      (group && group->shape != changed.group->shape))
-    wait.push_back("the group of balancers");
-  return wait;
+      (group && group->fixed_settings != changed.group->fixed_settings))
+    needs_restart.push_back("the group of balancers");
+  return needs_restart;
 }
 
 Operator parse_operator(const std::string& text, const std::string& file) {
--- a/src/settings/operator.h
+++ b/src/settings/operator.h
@@ -12,55 +12,56 @@
 #include "settings/settings.h"
 #include "structures/persisted_names.h"
 
-// The operator's own file: what the platform's configuration has no word for. TOML; every key has a
-// default, a bound and a harm in docs/operate/cluster.md and docs/operate/addresses.md.
+// The operator's file, in TOML: settings that the platform's configuration does not cover.
+// docs/operate/cluster.md and docs/operate/addresses.md describe each key with its default, its
+// bounds and the effects of wrong values.
 namespace balancer {
 
-// A class of requests of a RESP pool, and which commands are of it.
+// A request class of a RESP pool, with the commands that belong to it.
 struct RespClass {
   std::string name;
-  std::vector<std::string> commands;  // upper case; "READ" and "WRITE" mean all of a kind
-  std::string prefix;                 // of the first key
+  std::vector<std::string> commands;  // upper case; "READ" and "WRITE" stand for all of that kind
+  std::string prefix;                 // of the command's first key; empty: any
   cluster::Reads reads = cluster::Reads::kPrimary;
-  std::size_t key_argument = 0;  // of a keyed class: the word that holds the idempotency key
+  std::size_t key_argument = 0;  // index of the argument with the idempotency key; 0: none
 };
 
 struct RespTenant {
-  std::string name;                     // the user of AUTH and HELLO
-  std::optional<std::string> password;  // none: any will do
+  std::string name;                     // user name in AUTH and HELLO
+  std::optional<std::string> password;  // not set: any password is accepted
 };
 
 struct RespPool {
   std::string name;
   cluster::RouterSettings cluster;
-  std::string user, password;  // towards the nodes; empty: none
-  std::size_t max_value = 1u << 20;
-  SiteSettings site;  // classes and tenants in the order of those below
+  std::string user, password;        // credentials for the nodes; empty: none
+  std::size_t max_value = 1u << 20;  // bytes
+  SiteSettings site;                 // classes and tenants in the order of `classes`, `tenants`
   std::vector<RespClass> classes;
   std::vector<RespTenant> tenants;
-  std::string shape;  // all that holds from a start to the end, for comparison
+  std::string fixed_settings;  // text of the settings that a reload cannot change, for comparison
 };
 
 struct RespListener {
   std::string name, address;
-  std::string announce;            // as clients are told; the address where it is empty
-  std::vector<std::string> peers;  // what the other balancers announce
+  std::string announce;            // address sent to clients; empty: `address`
+  std::vector<std::string> peers;  // addresses that the other balancers announce
   std::string pool;
   std::string service;  // open only while this service address is held; empty: always
   bool require_auth = false;
-  std::size_t max_bulk = 512u << 10;
+  std::size_t max_bulk = 512u << 10;               // bytes
   std::size_t max_queued = 128;                    // commands between MULTI and EXEC
-  Duration idle_close{std::chrono::seconds(300)};  // of clients that ask for nothing
-  std::string shape;                               // as a pool's
+  Duration idle_close{std::chrono::seconds(300)};  // for clients that send no commands
+  std::string fixed_settings;                      // as RespPool::fixed_settings
 };
 
-// Of the process, where it runs without the platform's configuration; with it that one's figures
-// hold.
+// The process's own settings. Used only without the platform's configuration, which otherwise
+// replaces them.
 struct ProcessSettings {
   std::string name{kPersistedProgramName};  // in the log
-  std::string log;                          // a file that lines are added to; empty: standard error
+  std::string log;                          // file to append to; empty: standard error
   std::size_t memory_mb = 512;
-  std::size_t sockets = 4096;
+  std::size_t sockets = 4096;  // descriptors
 };
 
 struct Operator {
@@ -71,9 +72,10 @@
   std::optional<GroupFile> group;
 
   const RespPool* pool(const std::string& name) const;
-  // Takes over what may change while requests are in work: passwords, and whether they are asked
-  // for. Returns what else differs, and waits for a restart.
-  std::vector<std::string> take_over(const Operator& changed);
+  // Applies the settings of a reload that may change while requests are in flight: passwords, and
+  // whether they are required. Returns the pools and listeners, and the group, whose other
+  // settings differ: those take effect after a restart.
+  std::vector<std::string> apply_reload(const Operator& changed);
 };
 
 // Throws FileError.
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -11,7 +11,7 @@
 
 Idempotency read_idempotency(std::string_view semantics) {
   if (semantics == "read_like") return Idempotency::kIdempotent;
-  // A word that is not known gets the strictest treatment.
+  // Unknown values get the strictest treatment.
   return semantics == "idempotency_key" ? Idempotency::kIdempotencyKey : Idempotency::kNone;
 }
 
@@ -92,8 +92,7 @@
 
 }  // namespace
 
-// The platform's field names end here: behind this reader only the fields of SiteSettings are
-// known.
+// The only reader of the platform's field names; all other code uses the fields of SiteSettings.
 SiteSettings read_settings(object o) {
   SiteSettings site;
   read_classes(o, site);
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -10,21 +10,23 @@
 
 namespace balancer {
 
-// The settings object that an instance is given: what the module reads, and what only those who
-// carry out its decisions need.
+// The settings object of the platform's configuration: the policy's settings, and those that only
+// the code that carries out the policy's decisions needs.
 struct SiteSettings {
   Settings policy;
-  std::int64_t origin_kind = -1;
-  // Names in the order of their indices.
+  std::int64_t origin_kind = -1;  // index in `kinds`
+  // Names by index.
   std::vector<std::string> classes, tenants, zones, kinds;
   Duration connect_timeout{0};
-  Duration idle_close{0};  // hosts close connections that have stood idle for this long
+  Duration idle_close{0};  // hosts close connections that have been idle for this long
   int streams_per_connection = 1;
-  bool shared_connections = false;                    // not only where no other can be had
-  Duration slow_after{std::chrono::milliseconds(2)};  // no answer that took less counts as slow
-  std::size_t max_unsafe = SIZE_MAX;       // attempts on one connection that must never run twice
+  // Clients share connections; without it, only where no further connection can be opened.
+  bool shared_connections = false;
+  Duration slow_after{std::chrono::milliseconds(2)};  // faster answers never count as slow
+  // Limit of non-idempotent attempts in flight on one connection.
+  std::size_t max_unsafe = SIZE_MAX;
   std::size_t max_connections = SIZE_MAX;  // to all hosts together
-  std::int64_t max_held = 0;  // requests that may be open at once; 0: no limit is stated
+  std::int64_t max_held = 0;               // limit of open requests; 0: unlimited
 };
 
 // Throws FieldError.
--- a/src/settings/toml_keys.h
+++ b/src/settings/toml_keys.h
@@ -13,8 +13,8 @@
 #include "settings/field_error.h"
 #include "structures/time.h"
 
-// Reading of the TOML files that operators write: every error names file, line, key and reason, and
-// keys that nobody knows are errors.
+// Reads the TOML files that operators write. Every error states file, line, key and reason; unknown
+// keys are errors.
 namespace balancer {
 
 [[noreturn]] inline void wrong(const std::string& file, int line, std::string_view key,
@@ -23,13 +23,14 @@
                   (key.empty() ? "" : std::string(key) + ": ") + reason);
 }
 
-inline std::string number_text(double value) {
+inline std::string format_number(double value) {
   std::ostringstream out;
   out << value;
   return out.str();
 }
 
-// Reads a table's keys once each; those that nobody asked for are errors.
+// Reads the keys of one table. finish() reports each key that was not read as an error. All readers
+// throw FileError if a value is missing, has the wrong type or is out of bounds.
 class Keys {
  public:
   Keys(const toml::table& table, const std::string& file) : table_(table), file_(file) {}
@@ -41,28 +42,30 @@
     wrong(file_, node ? static_cast<int>(node->source().begin.line) : line(), key, reason);
   }
 
-  const toml::node* take(std::string_view key) {
-    taken_.emplace(key);
+  // Returns the value, or null if the key is missing, and marks the key as read.
+  const toml::node* get(std::string_view key) {
+    read_keys_.emplace(key);
     return table_.get(key);
   }
   double real(std::string_view key, double fallback, double low, double high) {
-    const toml::node* node = take(key);
+    const toml::node* node = get(key);
     if (!node) return fallback;
     return check(key, *node, low, high);
   }
   int whole(std::string_view key, int fallback, int low, int high) {
-    const toml::node* node = take(key);
+    const toml::node* node = get(key);
     if (!node) return fallback;
     if (!node->is_integer()) bad(key, "must be a whole number");
     return static_cast<int>(check(key, *node, low, high));
   }
+  // Reads a time in units of `unit` seconds, which apply to the other arguments too.
   Duration time(std::string_view key, double unit, double fallback, double low, double high) {
     return from_seconds(unit * real(key, fallback, low, high));
   }
-  // A type of two numbers, low and high.
+  // Reads a number or [low, high]. `Range` has the members `low` and `high`.
   template <typename Range>
   Range range(std::string_view key, Range fallback, double low, double high) {
-    const toml::node* node = take(key);
+    const toml::node* node = get(key);
     if (!node) return fallback;
     if (const toml::array* pair = node->as_array()) {
       if (pair->size() != 2) bad(key, "must be a number or [low, high]");
@@ -73,8 +76,9 @@
     const double value = check(key, *node, low, high);
     return {value, value};
   }
+  // Reads a list of `size` numbers; default: all 1.
   std::vector<double> list(std::string_view key, std::size_t size) {
-    const toml::node* node = take(key);
+    const toml::node* node = get(key);
     if (!node) return std::vector<double>(size, 1.0);
     const toml::array* all = node->as_array();
     if (!all || all->size() != size) bad(key, "must hold a number for each zone");
@@ -83,29 +87,30 @@
     return out;
   }
   std::string text(std::string_view key, const std::string& fallback) {
-    const toml::node* node = take(key);
+    const toml::node* node = get(key);
     if (!node) return fallback;
     if (!node->is_string()) bad(key, "must be text");
     return **node->as_string();
   }
   bool flag(std::string_view key, bool fallback) {
-    const toml::node* node = take(key);
+    const toml::node* node = get(key);
     if (!node) return fallback;
     if (!node->is_boolean()) bad(key, "must be true or false");
     return **node->as_boolean();
   }
-  std::vector<std::string> texts(std::string_view key) {
-    const toml::node* node = take(key);
+  std::vector<std::string> strings(std::string_view key) {
+    const toml::node* node = get(key);
     std::vector<std::string> out;
     if (!node) return out;
     const toml::array* all = node->as_array();
-    if (!all) bad(key, "must be a list of texts");
+    if (!all) bad(key, "must be a list of strings");
     for (const toml::node& n : *all) {
-      if (!n.is_string()) bad(key, "must be a list of texts");
+      if (!n.is_string()) bad(key, "must be a list of strings");
       out.push_back(**n.as_string());
     }
     return out;
   }
+  // Reads a required name.
   std::string name(std::string_view key) {
     std::string value = text(key, "");
     if (value.empty()) bad(key, "is missing");
@@ -117,7 +122,7 @@
   }
   template <typename T, std::size_t N>
   T choice(std::string_view key, T fallback, const std::array<std::pair<const char*, T>, N>& all) {
-    const toml::node* node = take(key);
+    const toml::node* node = get(key);
     if (!node) return fallback;
     const std::string value = text(key, "");
     std::string names;
@@ -127,19 +132,20 @@
     }
     bad(key, "is none of " + names);
   }
-  // Calls `read` with the table of this name, or with an empty one.
+  // Calls `read` with the table of this name, or with an empty table if there is none.
   template <typename Read>
   void table(std::string_view key, Read&& read) {
     static const toml::table kEmpty;
-    const toml::node* node = take(key);
+    const toml::node* node = get(key);
     if (node && !node->is_table()) bad(key, "must be a table");
     Keys keys(node ? *node->as_table() : kEmpty, file_);
     read(keys);
     keys.finish();
   }
+  // Calls `read` with each table of the array of tables of this name.
   template <typename Read>
   void tables(std::string_view key, Read&& read) {
-    const toml::node* node = take(key);
+    const toml::node* node = get(key);
     if (!node) return;
     const toml::array* all = node->as_array();
     if (!all || !all->is_array_of_tables())
@@ -150,24 +156,25 @@
       keys.finish();
     }
   }
-  // The table as text, without the keys of this name in it and in its tables.
-  std::string without(std::string_view omitted) const {
+  // Returns the table as text, without the keys of this name in it and in its arrays of tables.
+  std::string serialize_without(std::string_view omitted) const {
     toml::table copy = table_;
     copy.erase(omitted);
     for (auto&& [key, node] : copy)
       if (toml::array* all = node.as_array())
         for (toml::node& n : *all)
           if (toml::table* t = n.as_table()) t->erase(omitted);
-    return Keys(copy, file_).text_of_all();
+    return Keys(copy, file_).serialize();
   }
-  std::string text_of_all() const {
+  std::string serialize() const {
     std::ostringstream out;
     out << table_;
     return out.str();
   }
+  // Throws FileError if the table has a key that was not read.
   void finish() const {
     for (const auto& [key, node] : table_)
-      if (!taken_.count(std::string(key.str())))
+      if (!read_keys_.count(std::string(key.str())))
         wrong(file_, static_cast<int>(node.source().begin.line), key.str(), "is not known here");
   }
 
@@ -176,14 +183,14 @@
     const auto value = node.value<double>();
     if (!value || !node.is_number()) bad(key, "must be a number");
     if (!(*value >= low && *value <= high))
-      bad(key, "is " + number_text(*value) + "; it must lie from " + number_text(low) + " to " +
-                   number_text(high));
+      bad(key, "is " + format_number(*value) + "; it must lie from " + format_number(low) + " to " +
+                   format_number(high));
     return *value;
   }
 
   const toml::table& table_;
   const std::string& file_;
-  std::set<std::string, std::less<>> taken_;
+  std::set<std::string, std::less<>> read_keys_;
 };
 
 }  // namespace balancer
--- a/tests/customer_test.cc
+++ b/tests/customer_test.cc
@@ -1,5 +1,6 @@
-// Settings of other customers, drawn from a printed seed within what the pages allow: the balancer
-// starts and keeps its rules, or says in one line what it cannot read.
+// Random platform settings within the documented bounds, from a printed seed: the balancer starts,
+// answers each request once and never repeats an unsafe one. Invalid settings are rejected with an
+// error that names the field.
 #include <algorithm>
 #include <map>
 #include <random>
@@ -10,17 +11,18 @@
 namespace balancer::node {
 namespace {
 
-class Draw {
+class RandomSource {
  public:
-  explicit Draw(std::uint64_t seed) : random_(seed) {}
+  explicit RandomSource(std::uint64_t seed) : random_(seed) {}
   int below(int n) { return static_cast<int>(random_() % static_cast<std::uint64_t>(n)); }
   bool chance(int percent) { return below(100) < percent; }
   std::int64_t one_of(std::vector<std::int64_t> all) { return all[random_() % all.size()]; }
-  // A name in characters that a list of names and values can carry.
+  // Returns a name of characters that are allowed in a request's property list.
   std::string name() {
-    static constexpr std::string_view kOdd = "abzAZ09-_.:;/@!$%&()*+?[]{}|~^#<>'`";
+    static constexpr std::string_view kCharacters = "abzAZ09-_.:;/@!$%&()*+?[]{}|~^#<>'`";
     std::string text;
-    for (int i = 1 + below(chance(20) ? 60 : 8); i > 0; --i) text += kOdd[random_() % kOdd.size()];
+    for (int i = 1 + below(chance(20) ? 60 : 8); i > 0; --i)
+      text += kCharacters[random_() % kCharacters.size()];
     return text;
   }
 
@@ -28,40 +30,40 @@
   std::mt19937_64 random_;
 };
 
-struct Klass {
+struct ClassSpec {
   std::string name, semantics;
 };
 
-struct Customer {
+struct RandomSettings {
   std::string settings;
-  std::vector<Klass> classes;
+  std::vector<ClassSpec> classes;
   std::vector<std::string> tenants;
 };
 
-std::string in_quotes(const std::string& s) { return "\"" + s + "\""; }
+std::string json_string(const std::string& s) { return "\"" + s + "\""; }
 
-Customer draw(Draw& d) {
+RandomSettings random_platform_settings(RandomSource& d) {
   constexpr std::int64_t kMs = 1'000'000;
-  Customer c;
-  const int only = d.below(5);  // 0 to 2: all classes of one kind
+  RandomSettings c;
+  const int uniform_kind = d.below(5);  // 0 to 2: all classes are of this kind
   std::string classes;
   std::set<std::string> names;
   for (int i = 1 + d.below(5); i > 0; --i) {
-    Klass k{d.name(), ""};
+    ClassSpec k{d.name(), ""};
     if (!names.insert(k.name).second) continue;
     static const std::vector<std::string> kinds = {"read_like", "idempotency_key", "non_idempotent",
                                                    "of_a_later_version"};
-    k.semantics = only < 3 ? kinds[static_cast<std::size_t>(only)]
-                           : kinds[static_cast<std::size_t>(d.below(4))];
+    k.semantics = uniform_kind < 3 ? kinds[static_cast<std::size_t>(uniform_kind)]
+                                   : kinds[static_cast<std::size_t>(d.below(4))];
     const auto deadline = d.one_of({300, 500, 1500, 3000, 60000}) * kMs;
-    classes += (classes.empty() ? "" : ",") + std::string("{\"name\":") + in_quotes(k.name) +
-               ",\"semantics\":" + in_quotes(k.semantics) +
+    classes += (classes.empty() ? "" : ",") + std::string("{\"name\":") + json_string(k.name) +
+               ",\"semantics\":" + json_string(k.semantics) +
                ",\"giveUp\":" + std::to_string(deadline);
     if (d.chance(80)) classes += ",\"aim\":" + std::to_string(deadline / d.one_of({1, 2, 10}));
     if (d.chance(70)) classes += ",\"keyTtl\":" + std::to_string(d.one_of({0, 1, 200, 5000}) * kMs);
     if (d.chance(70))
       classes +=
-          ",\"keyScope\":" + in_quotes(std::vector<std::string>{
+          ",\"keyScope\":" + json_string(std::vector<std::string>{
                                  "all", "zone", "cell"}[static_cast<std::size_t>(d.below(3))]);
     if (d.chance(30)) classes += ",\"worth\":0.0,\"lateWorth\":0,\"streaming\":false";
     c.classes.push_back(k);
@@ -74,7 +76,7 @@
     for (int i = d.below(4); i > 0; --i) {
       c.tenants.push_back(d.name());
       tenants +=
-          (tenants.empty() ? "" : ",") + std::string("{\"name\":") + in_quotes(c.tenants.back());
+          (tenants.empty() ? "" : ",") + std::string("{\"name\":") + json_string(c.tenants.back());
       if (d.chance(60)) tenants += ",\"quotaPerS\":" + std::string(d.chance(30) ? "0" : "50.5");
       if (d.chance(50)) tenants += ",\"share\":0.25";
       tenants += "}";
@@ -112,14 +114,15 @@
   return c;
 }
 
-class AnotherCustomer : public DispatchTest, public ::testing::WithParamInterface<std::uint64_t> {};
-INSTANTIATE_TEST_SUITE_P(Seeds, AnotherCustomer, ::testing::Range<std::uint64_t>(1, 61));
+class RandomSettingsTest : public DispatchTest,
+                           public ::testing::WithParamInterface<std::uint64_t> {};
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomSettingsTest, ::testing::Range<std::uint64_t>(1, 61));
 
-TEST_P(AnotherCustomer, IsServedByTheRules) {
-  Draw d(GetParam());
-  const Customer customer = draw(d);
-  SCOPED_TRACE("seed " + std::to_string(GetParam()) + ": " + customer.settings);
-  site = settings(customer.settings);
+TEST_P(RandomSettingsTest, AnswersEachRequestOnceAndRepeatsNoUnsafeOne) {
+  RandomSource d(GetParam());
+  const RandomSettings random_settings = random_platform_settings(d);
+  SCOPED_TRACE("seed " + std::to_string(GetParam()) + ": " + random_settings.settings);
+  site = settings(random_settings.settings);
   ScriptedCache cache(io);
   ScriptedOrigin origin(io);
   std::map<std::string, int> may_have_run;
@@ -136,9 +139,9 @@
         cache.miss(id);
     }
   };
-  std::set<std::string> twice;
+  std::set<std::string> repeated;
   origin.on_request = [&](Peer& p, const std::string& id) {
-    if (id[0] == 'u' && may_have_run[id] > 0) twice.insert(id);
+    if (id[0] == 'u' && may_have_run[id] > 0) repeated.insert(id);
     switch (++turn % 4) {
       case 0:
         return origin.never_ran(id);
@@ -152,24 +155,24 @@
   };
   begin();
   list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
-  int asked = 0;
+  int request_count = 0;
   for (int round = 0; round < 3; ++round) {
-    for (const Klass& k : customer.classes) {
+    for (const ClassSpec& k : random_settings.classes) {
       for (const bool write : {false, true}) {
         const bool safe = k.semantics == "read_like", keyed = k.semantics == "idempotency_key";
         const std::string id = std::string(safe    ? "s"
                                            : keyed ? "k"
                                                    : "u") +
-                               std::to_string(++asked);
+                               std::to_string(++request_count);
         auto c = client();
         std::string props = " O" + id + " Pc=" + k.name;
-        if (!customer.tenants.empty() && d.chance(70))
-          props += ",t=" + customer.tenants[static_cast<std::size_t>(
-                               d.below(static_cast<int>(customer.tenants.size())))];
+        if (!random_settings.tenants.empty() && d.chance(70))
+          props += ",t=" + random_settings.tenants[static_cast<std::size_t>(
+                               d.below(static_cast<int>(random_settings.tenants.size())))];
         if (d.chance(80)) props += ",d=" + std::to_string(d.one_of({1, 200, 400}));
         if (d.chance(30)) props += ",h=" + std::to_string(d.one_of({0, 1000, 3000000}));
         if (write && keyed) props += ",k=key" + id;
-        // Only reads that may be repeated are read; the others stand for writes.
+        // Only classes of idempotent reads get read commands; all others get writes.
         const bool as_write = write || !safe;
         if (as_write && keyed && !write) props += ",k=key" + id;
         c->send(as_write ? "ms key 2" + props + "\r\nab\r\n" : "mg key v" + props + "\r\n");
@@ -179,22 +182,22 @@
         EXPECT_FALSE(c->in.empty()) << "closed without an answer: " << props;
         EXPECT_FALSE(c->in.starts_with("CLIENT_ERROR")) << props << " got " << c->in;
         if (c->in.starts_with("SERVER_ERROR busy") && !safe && !keyed) {
-          EXPECT_EQ(may_have_run[id], 0) << id << " was refused though it may have run";
+          EXPECT_EQ(may_have_run[id], 0) << id << " was rejected although it may have run";
         }
         const std::string first = c->in;
         c->send("mn\r\n");
         ASSERT_TRUE(wait([&] { return c->in.size() > first.size() || c->closed; }));
         if (!c->closed) {
-          EXPECT_EQ(c->in, first + "MN\r\n") << "a second answer";
+          EXPECT_EQ(c->in, first + "MN\r\n") << "received a second answer";
         }
       }
     }
   }
-  EXPECT_TRUE(twice.empty()) << *twice.begin() << " may have run twice";
+  EXPECT_TRUE(repeated.empty()) << *repeated.begin() << " may have run twice";
 }
 
-// What cannot be read is told by its field.
-TEST(AnotherCustomersFilesTest, NamesTheFieldOfEachFault) {
+// Errors in the platform's settings name the field in one line.
+TEST(PlatformSettingsTest, NamesTheFieldOfEachError) {
   simdjson::dom::parser parser;
   for (const auto& [text, field] : std::vector<std::pair<std::string, std::string>>{
            {R"({})", "classes"},
@@ -210,7 +213,7 @@
     ASSERT_FALSE(parser.parse(text).get(o));
     try {
       read_settings(o);
-      ADD_FAILURE() << text << " was read";
+      ADD_FAILURE() << text << " was accepted";
     } catch (const std::exception& e) {
       EXPECT_NE(std::string(e.what()).find(field), std::string::npos) << text << ": " << e.what();
       EXPECT_EQ(std::string(e.what()).find('\n'), std::string::npos);
--- a/tests/discovery_test.cc
+++ b/tests/discovery_test.cc
@@ -1,4 +1,5 @@
-// Watches that end in every way, at the moment that the test decides.
+// Calls to the discovery service that end in different ways at moments chosen by the test, and
+// endpoint lists of unusual form or size.
 #include <fstream>
 
 #include "node/discovery_list.h"
@@ -9,37 +10,39 @@
 
 constexpr std::size_t kMaxListBytes = 1u << 20;
 
-enum class End { kBeforeTheHead, kInTheHead, kInTheBody, kSilentInTheBody, kBetweenCalls };
+// How a call ends: the connection closes before, within or after the answer, or the answer stalls.
+enum class End { kBeforeHead, kInHead, kInBody, kStalledInBody, kBetweenCalls };
 
-SiteSettings site(bool asked) {
+SiteSettings site(bool is_polled) {
   simdjson::dom::parser parser;
   std::string text = test_settings();
-  if (asked) text.replace(text.find("pushed"), 6, "on_request");
+  if (is_polled) text.replace(text.find("pushed"), 6, "on_request");
   return read_settings(parser.parse(text).get_object());
 }
 std::string answer(const std::string& body) {
   return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
-std::string whole(int seq) {
+std::string complete_list(int seq) {
   return "{\"seq\":" + std::to_string(seq) + ",\"whole\":true,\"hosts\":[" +
          host_entry("h1", "127.0.0.1:1") + "]}";
 }
 
-// `asked`: whether lists must be asked for.
-class DiscoveryCrossingTest : public ::testing::TestWithParam<std::tuple<bool, End>> {};
-INSTANTIATE_TEST_SUITE_P(
-    Ends, DiscoveryCrossingTest,
-    ::testing::Combine(::testing::Bool(),
-                       ::testing::Values(End::kBeforeTheHead, End::kInTheHead, End::kInTheBody,
-                                         End::kSilentInTheBody, End::kBetweenCalls)));
+// Parameters: whether lists are polled, and how the call ends.
+class DiscoveryTest : public ::testing::TestWithParam<std::tuple<bool, End>> {};
+INSTANTIATE_TEST_SUITE_P(Ends, DiscoveryTest,
+                         ::testing::Combine(::testing::Bool(),
+                                            ::testing::Values(End::kBeforeHead, End::kInHead,
+                                                              End::kInBody, End::kStalledInBody,
+                                                              End::kBetweenCalls)));
 
-// The service may be another behind it and count its versions anew: a watch that names the old
-// version would wait for ever. So the next call asks for the whole list, and that counts.
-TEST_P(DiscoveryCrossingTest, RequestsACompleteListAfterEachEnd) {
-  const auto [asked, end] = GetParam();
+// After a broken call the service may have been replaced by one that numbers its versions from the
+// start: a watch with the old version would never return. So the next call requests the complete
+// list, which is applied although its version is lower.
+TEST_P(DiscoveryTest, RequestsACompleteListAfterABrokenCall) {
+  const auto [is_polled, end] = GetParam();
   asio::io_context io(1);
   std::vector<std::string> calls;
-  bool broke = false;
+  bool has_broken = false;
   Server server(io, [&](Peer& p) {
     for (auto at = p.in.find("\r\n\r\n"); at != std::string::npos; at = p.in.find("\r\n\r\n")) {
       const std::string line = p.in.substr(0, p.in.find("\r\n"));
@@ -47,41 +50,41 @@
       calls.push_back(line);
       const bool watch = line.find("index=") != std::string::npos;
       if (!watch) {
-        p.send(answer(whole(broke ? 3 : 41)));
-        if (end == End::kBetweenCalls && !broke) {
-          broke = true;
+        p.send(answer(complete_list(has_broken ? 3 : 41)));
+        if (end == End::kBetweenCalls && !has_broken) {
+          has_broken = true;
           p.close();
         }
         continue;
       }
-      if (broke) continue;  // the new service knows of no version 41, and of nothing newer than 3
-      broke = true;
-      const std::string text = answer(whole(42));
+      if (has_broken) continue;  // the new service is at version 3 and never reaches 41
+      has_broken = true;
+      const std::string text = answer(complete_list(42));
       const std::size_t head = text.find("\r\n\r\n");
-      if (end == End::kInTheHead) p.send(text.substr(0, head / 2));
-      if (end == End::kInTheBody || end == End::kSilentInTheBody) p.send(text.substr(0, head + 9));
-      if (end != End::kSilentInTheBody) p.close();
+      if (end == End::kInHead) p.send(text.substr(0, head / 2));
+      if (end == End::kInBody || end == End::kStalledInBody) p.send(text.substr(0, head + 9));
+      if (end != End::kStalledInBody) p.close();
     }
   });
-  const SiteSettings settings = site(asked);
-  std::vector<std::uint64_t> heard;
+  const SiteSettings settings = site(is_polled);
+  std::vector<std::uint64_t> received;
   Discovery* self = nullptr;
   Discovery discovery(io, server.local(), settings, 0, 1, kMaxListBytes,
                       {[&](const HostList& list) {
-                         if (list.whole) heard.push_back(list.seq);
+                         if (list.whole) received.push_back(list.seq);
                        },
                        [&] { self->start(); }, nullptr, nullptr});
   self = &discovery;
   discovery.start();
-  ASSERT_TRUE(run_until(io, [&] { return heard.size() == 2; }));
-  EXPECT_EQ(heard, (std::vector<std::uint64_t>{41, 3}));
+  ASSERT_TRUE(run_until(io, [&] { return received.size() == 2; }));
+  EXPECT_EQ(received, (std::vector<std::uint64_t>{41, 3}));
   EXPECT_EQ(calls.back().find("index="), std::string::npos);
   discovery.stop();
 }
 
-// A call that is turned away in order says nothing against the version: a whole list for everybody
-// would be the dearer, the fuller the service is.
-TEST_F(DiscoveryCrossingTest, RepeatsARejectedCallUnchanged) {
+// A rejected call does not invalidate the version. Requesting the complete list instead would add
+// to the load of a service that is already overloaded.
+TEST_F(DiscoveryTest, RepeatsARejectedCallUnchanged) {
   asio::io_context io(1);
   std::vector<std::string> calls;
   Server server(io, [&](Peer& p) {
@@ -89,7 +92,7 @@
       calls.push_back(p.in.substr(0, p.in.find("\r\n")));
       p.in.erase(0, at + 4);
       if (calls.size() == 1) {
-        p.send(answer(whole(41)));
+        p.send(answer(complete_list(41)));
       } else {
         p.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
       }
@@ -106,7 +109,7 @@
   discovery.stop();
 }
 
-TEST_F(DiscoveryCrossingTest, IgnoresAnOlderVersion) {
+TEST_F(DiscoveryTest, IgnoresAnOlderVersion) {
   asio::io_context io(1);
   int calls = 0;
   const auto changes = [](int seq, const std::string& health) {
@@ -118,7 +121,7 @@
       p.in.erase(0, at + 4);
       switch (++calls) {
         case 1:
-          p.send(answer(whole(41)));
+          p.send(answer(complete_list(41)));
           break;
         case 2:
           p.send(answer(changes(43, "draining")));
@@ -135,19 +138,19 @@
     }
   });
   const SiteSettings settings = site(false);
-  std::vector<HostState> heard;
+  std::vector<HostState> received;
   Discovery discovery(io, server.local(), settings, 0, 1, kMaxListBytes,
                       {[&](const HostList& list) {
-                         for (const auto& h : list.hosts) heard.push_back(h.state);
+                         for (const auto& h : list.hosts) received.push_back(h.state);
                        },
                        [] {}, nullptr, nullptr});
   discovery.start();
   ASSERT_TRUE(run_until(io, [&] { return calls == 5; }));
-  EXPECT_EQ(heard, (std::vector<HostState>{HostState::kServing, HostState::kDraining}));
+  EXPECT_EQ(received, (std::vector<HostState>{HostState::kServing, HostState::kDraining}));
   discovery.stop();
 }
 
-TEST_F(DiscoveryCrossingTest, AppliesOddLists) {
+TEST_F(DiscoveryTest, SkipsInvalidEntriesAndIgnoresUnknownFields) {
   simdjson::dom::parser parser;
   const std::string text =
       "\n { \"later\" : [ 1, {\"x\":null} ],\t\"seq\" : 41 ,\r\n \"whole\":true, \"hosts\" : [\n"
@@ -164,8 +167,9 @@
   EXPECT_EQ(list.hosts[1].id, "a");
 }
 
-// Lists of fleets far larger than the one that is planned, written in one line or indented.
-class LargeList : public ::testing::TestWithParam<std::tuple<int, bool>> {
+// Endpoint lists of fleets far larger than planned, in one line or indented. Parameters: number of
+// hosts, and whether the list is indented.
+class LargeListTest : public ::testing::TestWithParam<std::tuple<int, bool>> {
  protected:
   static std::string list(int hosts, bool indented) {
     const std::string gap = indented ? "\n      " : "";
@@ -191,13 +195,13 @@
     }
     return text + (indented ? "\n  ]\n}\n" : "]}");
   }
-  // A body that is longer than what the system holds for a socket.
+  // Sends a text that is longer than a socket's send buffer.
   static void send_long(Peer& peer, const std::string& text) {
-    const auto kept = std::make_shared<const std::string>(text);
-    asio::async_write(peer.socket, asio::buffer(*kept),
-                      [kept, self = peer.shared_from_this()](auto, auto) {});
+    const auto buffer = std::make_shared<const std::string>(text);
+    asio::async_write(peer.socket, asio::buffer(*buffer),
+                      [buffer, self = peer.shared_from_this()](auto, auto) {});
   }
-  // In kB, of this process.
+  // Returns a memory figure of this process in kB.
   static long memory(const std::string& field) {
     std::ifstream status("/proc/self/status");
     for (std::string line; std::getline(status, line);)
@@ -205,11 +209,11 @@
     return 0;
   }
 };
-INSTANTIATE_TEST_SUITE_P(Sizes, LargeList,
+INSTANTIATE_TEST_SUITE_P(Sizes, LargeListTest,
                          ::testing::Combine(::testing::Values(1400, 6000, 20'000),
                                             ::testing::Bool()));
 
-TEST_P(LargeList, IsTakenWhole) {
+TEST_P(LargeListTest, AppliesACompleteListOfManyHosts) {
   const auto [hosts, indented] = GetParam();
   const std::string body = list(hosts, indented);
   asio::io_context io(1);
@@ -221,17 +225,17 @@
     }
   });
   const SiteSettings settings = site(false);
-  std::vector<std::size_t> heard;
+  std::vector<std::size_t> received;
   std::vector<std::string> lines;
   Discovery discovery(io, server.local(), settings, 0, 1, max_list_bytes(192),
-                      {[&](const HostList& l) { heard.push_back(l.hosts.size()); }, [] {}, nullptr,
-                       [&](const std::string& line) { lines.push_back(line); }});
+                      {[&](const HostList& l) { received.push_back(l.hosts.size()); }, [] {},
+                       nullptr, [&](const std::string& line) { lines.push_back(line); }});
   const long before = memory("VmRSS");
-  const auto begun = std::chrono::steady_clock::now();
+  const auto start = std::chrono::steady_clock::now();
   discovery.start();
-  ASSERT_TRUE(run_until(io, [&] { return !heard.empty() || !lines.empty(); }));
-  const auto took = std::chrono::steady_clock::now() - begun;
-  EXPECT_EQ(heard, std::vector{static_cast<std::size_t>(hosts)});
+  ASSERT_TRUE(run_until(io, [&] { return !received.empty() || !lines.empty(); }));
+  const auto took = std::chrono::steady_clock::now() - start;
+  EXPECT_EQ(received, std::vector{static_cast<std::size_t>(hosts)});
   EXPECT_EQ(lines, std::vector<std::string>{});
   RecordProperty("body_bytes", std::to_string(body.size()));
   RecordProperty("took_us", std::to_string(took / std::chrono::microseconds(1)));
@@ -240,12 +244,12 @@
   discovery.stop();
 }
 
-// What is too long, or no list, changes nothing, and is said in one line for all of its tries.
-class UselessAnswer : public LargeList {};
-INSTANTIATE_TEST_SUITE_P(Lengths, UselessAnswer,
+// An answer that is too long or not a list is ignored, and logged once for repeated calls.
+class UnusableAnswerTest : public LargeListTest {};
+INSTANTIATE_TEST_SUITE_P(Lengths, UnusableAnswerTest,
                          ::testing::Combine(::testing::Values(6000), ::testing::Bool()));
 
-TEST_P(UselessAnswer, IsLoggedOnceForEachCause) {
+TEST_P(UnusableAnswerTest, LogsEachCauseOnce) {
   const bool states_length = std::get<1>(GetParam());
   const std::string body = list(std::get<0>(GetParam()), false);
   constexpr std::size_t kLimit = 512u << 10;
@@ -257,7 +261,7 @@
       p.in.erase(0, at + 4);
       ++calls;
       if (calls == 1) {
-        p.send(answer(whole(1)));
+        p.send(answer(complete_list(1)));
       } else if (calls == 2) {
         p.close();
       } else if (calls <= 5) {
@@ -265,26 +269,26 @@
       } else if (calls <= 7) {
         p.send(answer("{\"seq\":2"));
       } else if (calls == 8) {
-        p.send(answer(whole(2)));
+        p.send(answer(complete_list(2)));
       }
     }
   });
   const SiteSettings settings = site(false);
-  std::vector<std::uint64_t> heard;
+  std::vector<std::uint64_t> received;
   std::vector<std::string> lines;
   Discovery discovery(io, server.local(), settings, 0, 1, kLimit,
-                      {[&](const HostList& l) { heard.push_back(l.seq); }, [] {}, nullptr,
+                      {[&](const HostList& l) { received.push_back(l.seq); }, [] {}, nullptr,
                        [&](const std::string& line) { lines.push_back(line); }});
   discovery.start();
-  ASSERT_TRUE(run_until(io, [&] { return heard.size() == 2; }));
-  EXPECT_EQ(heard, (std::vector<std::uint64_t>{1, 2}))
-      << "the tries between leave the first in force";
+  ASSERT_TRUE(run_until(io, [&] { return received.size() == 2; }));
+  EXPECT_EQ(received, (std::vector<std::uint64_t>{1, 2}))
+      << "unusable answers must leave the first list in use";
   ASSERT_EQ(lines.size(), 2u);
   const std::string size =
       states_length ? std::to_string(body.size()) + " bytes" : "unstated length";
   EXPECT_NE(lines[0].find(size), std::string::npos) << lines[0];
   EXPECT_NE(lines[0].find(std::to_string(kLimit) + " bytes"), std::string::npos) << lines[0];
-  EXPECT_NE(lines[1].find("of 8 bytes is no list"), std::string::npos) << lines[1];
+  EXPECT_NE(lines[1].find("of 8 bytes is not an endpoint list"), std::string::npos) << lines[1];
   discovery.stop();
 }
 
--- a/tests/hot_restart_state_test.cc
+++ b/tests/hot_restart_state_test.cc
@@ -1,4 +1,4 @@
-// Messages between a process and its successor, and which of them may do what.
+// Hot restart: the messages between a process and its successor, and the rights and limits of both.
 #include "hot_restart/hot_restart_state.h"
 
 #include <gtest/gtest.h>
@@ -50,8 +50,8 @@
   for (const Message& m : examples()) EXPECT_EQ(decode(encode(m)), m);
 }
 
-// Cut at any byte it is another message or none, and never one that says more.
-TEST(HotRestartWireTest, ReadsNoMoreThanWasSentWhenCutAtAnyByte) {
+// A truncated message is rejected or decodes to one with less content, never to one with more.
+TEST(HotRestartWireTest, DecodesNoExtraEntriesFromTruncatedMessages) {
   for (const Message& m : examples()) {
     const std::string whole = encode(m);
     for (std::size_t n = 0; n < whole.size(); ++n) {
@@ -87,32 +87,32 @@
   EXPECT_FALSE(decode(encode(many)));
 }
 
-// Of a newer version only what every version means alike is taken.
-TEST(HotRestartWireTest, ReadsOnlyTheCommonPartOfALaterVersion) {
+// Only the fields that have the same meaning in all versions are read from a later version.
+TEST(HotRestartWireTest, ReadsOnlyCommonFieldsOfALaterVersion) {
   Snapshot s = std::get<Snapshot>(examples()[1]);
   s.version = 2;
   const auto m = decode(encode(s));
   ASSERT_TRUE(m);
-  const auto& got = std::get<Snapshot>(*m);
-  EXPECT_EQ(got.resources_held, s.resources_held);
-  EXPECT_EQ(got.listeners, s.listeners);
-  EXPECT_TRUE(got.hosts.empty());
-  EXPECT_TRUE(got.overrides.empty());
+  const auto& decoded = std::get<Snapshot>(*m);
+  EXPECT_EQ(decoded.resources_held, s.resources_held);
+  EXPECT_EQ(decoded.listeners, s.listeners);
+  EXPECT_TRUE(decoded.hosts.empty());
+  EXPECT_TRUE(decoded.overrides.empty());
 }
 
 TEST(HotRestartWireTest, SplitsALargeFleetIntoBoundedParts) {
   Snapshot whole = std::get<Snapshot>(examples()[1]);
   whole.hosts.clear();
   for (int i = 0; i < 1000; ++i) whole.hosts.push_back(host("s-" + std::to_string(i)));
-  Snapshot got;
+  Snapshot decoded;
   const auto parts = split(whole);
   EXPECT_EQ(parts.size(), 6u);
   for (const Snapshot& p : parts) {
     const std::string bytes = encode(p);
     EXPECT_LE(bytes.size(), kMaxMessage);
-    ASSERT_TRUE(append(got, std::get<Snapshot>(*decode(bytes))));
+    ASSERT_TRUE(append(decoded, std::get<Snapshot>(*decode(bytes))));
   }
-  EXPECT_EQ(got, whole);
+  EXPECT_EQ(decoded, whole);
   Snapshot endless;
   endless.hosts.assign(kEntriesPerPart, host("s"));
   Snapshot sum;
@@ -123,7 +123,7 @@
 
 // ---- states
 
-TEST(HotRestartStateTest, AcceptsOneSuccessorAtATimeAndNoneBesideAPredecessor) {
+TEST(HotRestartStateTest, AcceptsOneSuccessorAtATimeAndNoneWhileAPredecessorRuns) {
   HotRestartState t({400, 4000});
   EXPECT_TRUE(t.accepts());
   EXPECT_EQ(t.share(seconds(1), {50, 0}, {}), (ResourceShare{400, 4000}));
@@ -133,7 +133,7 @@
   t.on_predecessor_ended();
   EXPECT_TRUE(t.on_successor(seconds(1)));
   EXPECT_FALSE(t.on_successor(seconds(1)));
-  EXPECT_TRUE(t.accepts()) << "until the successor serves";
+  EXPECT_TRUE(t.accepts()) << "accepts clients until the successor serves";
   t.on_successor_serving();
   EXPECT_FALSE(t.accepts());
   EXPECT_FALSE(t.passes_connections()) << "no SIGTERM yet";
@@ -144,7 +144,7 @@
   EXPECT_FALSE(t.passes_connections());
 }
 
-TEST(HotRestartStateTest, PresumesThatAPredecessorThatCouldNotBeQueriedHoldsHalf) {
+TEST(HotRestartStateTest, HoldsHalfWhileAPredecessorIsPresumed) {
   HotRestartState t({400, 4000});
   t.on_predecessor_presumed(seconds(10));
   EXPECT_EQ(t.share(seconds(9), {}, {}), (ResourceShare{200, 2000}));
@@ -153,7 +153,7 @@
   EXPECT_TRUE(t.on_successor(seconds(10)));
 }
 
-TEST(HotRestartStateTest, NeverTakesBackWhatIsInUse) {
+TEST(HotRestartStateTest, NeverLowersLimitsBelowResourcesInUse) {
   HotRestartState t({400, 4000});
   ASSERT_TRUE(t.on_successor(seconds(1)));
   EXPECT_EQ(t.share(seconds(1), {300, 100}, {}), (ResourceShare{300, 2000}));
@@ -161,38 +161,38 @@
   EXPECT_EQ(t.share(seconds(1), {100, 100}, {}), (ResourceShare{200, 2000}));
 }
 
-// Whatever the two use, and however late the reports arrive, both together never may hold more than
-// the total: the ceiling of the predecessor's share is there for this.
-TEST(HotRestartStateTest, NeverLetsBothHoldMoreThanTheTotal) {
+// The limits of both processes together never exceed the total, for random use and however late the
+// reports arrive. This is why the predecessor's limits never grow.
+TEST(HotRestartStateTest, LimitsOfBothProcessesNeverExceedTheTotal) {
   const unsigned seed = std::random_device()();
   SCOPED_TRACE("seed " + std::to_string(seed));
   std::mt19937 random(seed);
-  const auto upto = [&](std::uint64_t n) {
+  const auto up_to = [&](std::uint64_t n) {
     return std::uniform_int_distribution<std::uint64_t>(0, n)(random);
   };
   for (int run = 0; run < 300; ++run) {
-    const ResourceShare total{100 + upto(900), 1000 + upto(100000)};
-    HotRestartState old(total), fresh(total);
-    ResourceShare used{upto(total.descriptors), upto(total.bytes)};
+    const ResourceShare total{100 + up_to(900), 1000 + up_to(100000)};
+    HotRestartState old(total), successor(total);
+    ResourceShare used{up_to(total.descriptors), up_to(total.bytes)};
     ASSERT_TRUE(old.on_successor(seconds(1)));
-    ResourceShare may = old.share(seconds(1), used, {});
-    std::vector<ResourceShare> on_the_way;  // to the new one
-    fresh.on_predecessor(may);
+    ResourceShare limits = old.share(seconds(1), used, {});
+    std::vector<ResourceShare> in_transit;  // reports that the successor has not received yet
+    successor.on_predecessor(limits);
     for (int step = 0; step < 60; ++step) {
-      if (upto(9) == 0) old.on_successor_serving();
-      if (upto(19) == 0) old.on_term();
-      // It uses no more than it may, or what it used before.
-      used = {upto(may.descriptors), upto(may.bytes)};
-      may = old.share(seconds(2), used, {upto(50), upto(5000)});
-      ASSERT_GE(may.descriptors, used.descriptors);
-      on_the_way.push_back(may);
-      if (upto(2) == 0) {
-        fresh.on_predecessor(on_the_way.front());
-        on_the_way.erase(on_the_way.begin());
+      if (up_to(9) == 0) old.on_successor_serving();
+      if (up_to(19) == 0) old.on_term();
+      // The predecessor uses at most its limits.
+      used = {up_to(limits.descriptors), up_to(limits.bytes)};
+      limits = old.share(seconds(2), used, {up_to(50), up_to(5000)});
+      ASSERT_GE(limits.descriptors, used.descriptors);
+      in_transit.push_back(limits);
+      if (up_to(2) == 0) {
+        successor.on_predecessor(in_transit.front());
+        in_transit.erase(in_transit.begin());
       }
-      const ResourceShare theirs = fresh.share(seconds(2), {}, {});
-      ASSERT_LE(may.descriptors + theirs.descriptors, total.descriptors);
-      ASSERT_LE(may.bytes + theirs.bytes, total.bytes);
+      const ResourceShare successor_limits = successor.share(seconds(2), {}, {});
+      ASSERT_LE(limits.descriptors + successor_limits.descriptors, total.descriptors);
+      ASSERT_LE(limits.bytes + successor_limits.bytes, total.bytes);
     }
   }
 }
--- a/tests/hot_restart_test.cc
+++ b/tests/hot_restart_test.cc
@@ -1,4 +1,4 @@
-// Hot restart of the built program; its clients, hosts and discovery are played by the test.
+// Hot restart of the built program, with clients, hosts and discovery on the test's event loop.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sys/prctl.h>
@@ -25,10 +25,10 @@
 
 using testbed::text_of;
 
-// One start of the program.
+// A process of the program.
 class Process {
  public:
-  // `faults`: of its machine; see testbed/faults/fault_plan.h.
+  // `faults`: faults to inject; see testbed/faults/fault_plan.h.
   Process(asio::io_context& io, const std::string& dir, const Endpoint& admin_at,
           const std::string& faults)
       : admin(admin_at), err_(io) {
@@ -48,8 +48,8 @@
     pid = ::fork();
     if (pid == 0) {
       ::dup2(pipe[1], 2);
-      ::close_range(3, ~0U, 0);            // the test's own
-      ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // it ends with the test, and gives its address back
+      ::close_range(3, ~0U, 0);            // descriptors of the test
+      ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // ends with the test and releases its address
       ::execve(BALANCER_PROGRAM, args, env.data());
       ::_exit(127);
     }
@@ -68,8 +68,8 @@
     if (!status && ::waitpid(pid, &s, WNOHANG) == pid) status = s;
     return status.has_value();
   }
-  bool ended_well() { return exited() && WIFEXITED(*status) && WEXITSTATUS(*status) == 0; }
-  // Until the program runs the descriptors are the test's own.
+  bool exited_cleanly() { return exited() && WIFEXITED(*status) && WEXITSTATUS(*status) == 0; }
+  // Returns whether the program is executed; before that, the descriptors are the test's.
   bool runs() const {
     std::error_code e;
     return std::filesystem::equivalent("/proc/" + std::to_string(pid) + "/exe", BALANCER_PROGRAM,
@@ -130,14 +130,14 @@
   std::unique_ptr<Process> start(const std::string& faults = "") {
     return std::make_unique<Process>(io_, dir_, addresses_.next_endpoint(), faults);
   }
-  // Killed outright: nothing is left of it but its folder.
+  // Kills the process with SIGKILL; only the files in its folder remain.
   void kill(Process& p) {
     ::kill(p.pid, SIGKILL);
     ASSERT_TRUE(wait([&] { return p.exited(); }));
   }
   ::testing::AssertionResult wait(const std::function<bool()>& done) {
     if (run_until(io_, done)) return ::testing::AssertionSuccess();
-    return ::testing::AssertionFailure() << "it never came to that";
+    return ::testing::AssertionFailure() << "the condition was not met in time";
   }
   int call(const Process& p, const std::string& method_and_path) {
     auto c = std::make_shared<Peer>(tcp::socket(io_));
@@ -152,15 +152,16 @@
   bool serves(const Process& p) { return call(p, "GET /healthcheck") == 200; }
   ::testing::AssertionResult serving(const Process& p) {
     if (wait([&] { return serves(p); })) return ::testing::AssertionSuccess();
-    return ::testing::AssertionFailure() << "no yes; its log:\n" << p.log;
+    return ::testing::AssertionFailure() << "the health check did not return 200; the log:\n"
+                                         << p.log;
   }
-  // One more process, and the end of the one before.
+  // Starts a successor of `old` and terminates `old`. Returns the successor.
   std::unique_ptr<Process> restart(Process& old) {
     auto next = start();
     EXPECT_TRUE(serving(*next));
     ::kill(old.pid, SIGTERM);
     EXPECT_TRUE(wait([&] { return old.exited(); }));
-    EXPECT_TRUE(old.ended_well()) << old.log;
+    EXPECT_TRUE(old.exited_cleanly()) << old.log;
     return next;
   }
   std::string ask(Peer& c, const std::string& key) {
@@ -181,8 +182,8 @@
   testbed::LoopbackBlock addresses_;
   asio::io_context io_{1};
   FakeDiscovery discovery_{io_};
-  std::vector<std::string> lines_;  // of the commands that came to host s-1
-  // What asks for the key "held" gets no answer.
+  std::vector<std::string> lines_;  // commands that host s-1 received
+  // Requests for the key "held" get no answer.
   static std::string answer_to(const std::string& line, const std::string& id) {
     return line.starts_with("mg held ") ? std::string() : FakeCache::value(id, "v");
   }
@@ -197,18 +198,19 @@
   int ids_ = 0;
 };
 
-// Clients that keep their connection and ask again and again, and clients that come with a new one
-// each time, at some 300 requests a second together.
+// Clients that send requests repeatedly on a persistent connection, and clients that send one
+// request on a new connection; together about 300 requests per second.
 class Load {
  public:
-  Load(asio::io_context& io, const Endpoint& at, int keepers) : io_(io), at_(at), timer_(io) {
-    for (int i = 0; i < keepers; ++i) keep(std::make_shared<Client>(io));
+  Load(asio::io_context& io, const Endpoint& at, int persistent_clients)
+      : io_(io), at_(at), timer_(io) {
+    for (int i = 0; i < persistent_clients; ++i) connect_persistent(std::make_shared<Client>(io));
     arm();
   }
   void stop() { stopped_ = true; }
-  bool quiet() const { return open_ == 0; }
+  bool is_idle() const { return open_ == 0; }
 
-  int asked = 0, served = 0, rejected = 0, odd = 0;
+  int sent = 0, served = 0, rejected = 0, unexpected = 0;
 
  private:
   struct Client {
@@ -217,17 +219,17 @@
     asio::steady_timer timer;
     std::string in;
     char chunk[512];
-    bool keeps = false;
+    bool is_persistent = false;
   };
   using Ptr = std::shared_ptr<Client>;
 
-  void keep(const Ptr& c) {
-    c->keeps = true;
+  void connect_persistent(const Ptr& c) {
+    c->is_persistent = true;
     connect(c);
   }
   void connect(const Ptr& c) {
     ++open_;
-    ++asked;
+    ++sent;
     c->socket.async_connect(at_, [this, c](auto e) {
       if (e) return end(c, false);
       c->socket.set_option(tcp::no_delay(true));
@@ -251,21 +253,21 @@
       if (e) return end(c, false);
       c->in.append(c->chunk, n);
       if (c->in.size() < want.size()) return read(c, want);
-      odd += c->in != want;
+      unexpected += c->in != want;
       end(c, true);
     });
   }
   void end(const Ptr& c, bool answered) {
     --open_;
     ++(answered ? served : rejected);
-    if (!c->keeps || stopped_) return;
+    if (!c->is_persistent || stopped_) return;
     if (!answered) c->socket = tcp::socket(io_);
     c->timer.expires_after(milliseconds(100));
     c->timer.async_wait([this, c, answered](auto) {
       if (stopped_) return;
       if (!answered) return connect(c);
       ++open_;
-      ++asked;
+      ++sent;
       ask(c);
     });
   }
@@ -285,7 +287,7 @@
   bool stopped_ = false;
 };
 
-TEST_F(HotRestartTest, RejectsNobodyOverTwentyRestartsInARow) {
+TEST_F(HotRestartTest, RejectsNoRequestInTwentyConsecutiveRestarts) {
   auto now = start();
   ASSERT_TRUE(serving(*now));
   Load load(io_, listen_, 20);
@@ -307,25 +309,25 @@
       measure();
       return now->exited();
     }));
-    EXPECT_TRUE(now->ended_well()) << now->log;
+    EXPECT_TRUE(now->exited_cleanly()) << now->log;
     now = std::move(next);
   }
   run_for(io_, milliseconds(100));
   load.stop();
-  ASSERT_TRUE(wait([&] { return load.quiet(); }));
+  ASSERT_TRUE(wait([&] { return load.is_idle(); }));
   EXPECT_GT(load.served, 100);
   EXPECT_EQ(load.rejected, 0);
-  EXPECT_EQ(load.odd, 0);
+  EXPECT_EQ(load.unexpected, 0);
   EXPECT_LE(max_descriptors, kSockets);
-#ifndef __SANITIZE_ADDRESS__  // its shadow is most of what is resident
+#ifndef __SANITIZE_ADDRESS__  // its shadow memory makes up most of the resident memory
   EXPECT_LE(max_kb, kMemoryMb << 10);
 #endif
   std::printf("%d requests served over 20 restarts, both at most %zu descriptors and %zu kB\n",
               load.served, max_descriptors, max_kb);
 }
 
-// Half a command that was written to the predecessor is finished at the successor.
-TEST_F(HotRestartTest, PassesAConnectionWithHalfACommand) {
+// A command of which the predecessor has received one half is completed at the successor.
+TEST_F(HotRestartTest, PassesAConnectionWithAPartialCommand) {
   auto old = start();
   ASSERT_TRUE(serving(*old));
   auto slow = Peer::dial(io_, listen_), idle = Peer::dial(io_, listen_);
@@ -341,8 +343,8 @@
   EXPECT_FALSE(idle->closed);
 }
 
-// Connections wait in the accept queue when the predecessor gets SIGTERM: it is stopped before, so
-// that none is accepted earlier.
+// Connections wait in the accept queue when the predecessor receives SIGTERM. Both processes are
+// stopped before, so that none of the connections is accepted earlier.
 TEST_F(HotRestartTest, AnswersClientsThatWaitInTheAcceptQueue) {
   auto old = start();
   ASSERT_TRUE(serving(*old));
@@ -366,9 +368,10 @@
   for (const auto& p : waiting) EXPECT_TRUE(p->in.starts_with("VA 1 ")) << p->in;
 }
 
-// Out of service, gone from the list, two restarts, listed again with a new start: still out of
-// service. Then `ready`.
-TEST_F(HotRestartTest, KeepsOverridesOverRestarts) {
+// A host that an operator took out of service stays out of service when it disappears from the
+// endpoint list and is listed again after two restarts, with a new start time. `ready` then puts it
+// back into service.
+TEST_F(HotRestartTest, KeepsOverridesAcrossRestarts) {
   auto old = start();
   ASSERT_TRUE(serving(*old));
   const std::string with = discovery_.hosts;
@@ -385,12 +388,12 @@
   EXPECT_EQ(lines_.size(), 0u) << lines_[0];
   EXPECT_EQ(call(*last, "POST /cache-hosts/s-3/maint"), 404);
   EXPECT_EQ(call(*last, "POST /cache-hosts/s-1/ready"), 200);
-  // For a start that finds no predecessor.
+  // The file is for a start without a predecessor.
   EXPECT_TRUE(std::filesystem::exists(dir_ + "/silverpin-n%2f0.words"));
 }
 
-// The folder cannot be written for a while, in which an operator's call is answered. Afterwards the
-// override is saved: the next start applies it, though the process that was called was killed.
+// An operator's call is answered while the folder cannot be written. The override is saved once the
+// folder can be written: after the process was killed, the next start applies it.
 TEST_F(HotRestartTest, SavesOverridesOnceTheFolderCanBeWritten) {
   auto first = start("storage_from_ms=0,storage_until_ms=2000");
   ASSERT_TRUE(serving(*first));
@@ -403,10 +406,10 @@
   lines_.clear();
   auto c = Peer::dial(io_, listen_);
   for (int i = 0; i < 30; ++i) ask(*c, "k" + std::to_string(i));
-  EXPECT_EQ(lines_.size(), 0u) << "the host that was taken out is asked";
+  EXPECT_EQ(lines_.size(), 0u) << "a host that is out of service received requests";
 }
 
-// The same of the socket by which a successor finds the process.
+// The socket through which a successor connects is created once the folder can be written.
 TEST_F(HotRestartTest, PublishesItsSocketOnceTheFolderCanBeWritten) {
   auto old = start("storage_from_ms=0,storage_until_ms=2000");
   ASSERT_TRUE(serving(*old));
@@ -416,7 +419,7 @@
   EXPECT_TRUE(next->logged("hot restart: predecessor answered")) << next->log;
 }
 
-// More overrides than one part of a snapshot holds are read by the next start.
+// After a kill, the next start restores more overrides than fit into one part of a snapshot.
 TEST_F(HotRestartTest, RestoresManyOverridesAfterAKill) {
   constexpr int kHosts = 600;
   discovery_.hosts.clear();
@@ -437,7 +440,7 @@
 TEST_F(HotRestartTest, AppliesAnOverrideAtBothProcesses) {
   auto old = start();
   ASSERT_TRUE(serving(*old));
-  auto kept = Peer::dial(io_, listen_);  // stays the old one's until it is told to end
+  auto kept = Peer::dial(io_, listen_);  // stays at the predecessor until it receives SIGTERM
   ASSERT_TRUE(ask(*kept, "k").starts_with("VA 1 "));
   auto next = start();
   ASSERT_TRUE(serving(*next));
@@ -456,7 +459,7 @@
   EXPECT_EQ(probe->in, "SERVER_ERROR draining\r\n");
 }
 
-// The successor is killed after it has begun to accept: the predecessor accepts again.
+// The predecessor accepts clients again when the successor is killed while it serves.
 TEST_F(HotRestartTest, AcceptsAgainWhenTheSuccessorIsKilled) {
   auto old = start();
   ASSERT_TRUE(serving(*old));
@@ -468,12 +471,13 @@
     auto c = Peer::dial(io_, listen_);
     EXPECT_TRUE(ask(*c, "k").starts_with("VA 1 "));
   }
-  auto next = restart(*old);  // and is found by the next
+  auto next = restart(*old);  // a further successor finds the predecessor
   EXPECT_TRUE(next->logged("hot restart: predecessor answered")) << next->log;
 }
 
-// A version that cannot start logs one line and ends; the predecessor is not touched.
-TEST_F(HotRestartTest, IsUntouchedByASuccessorWithABadConfiguration) {
+// A successor with an invalid configuration logs one line and exits; the predecessor continues to
+// serve.
+TEST_F(HotRestartTest, ContinuesWhenTheSuccessorsConfigurationIsInvalid) {
   auto old = start();
   ASSERT_TRUE(serving(*old));
   write_config("nowhere");
@@ -488,26 +492,28 @@
   EXPECT_TRUE(ask(*c, "k").starts_with("VA 1 "));
 }
 
-// The socket's owner does not answer, sends an unreadable message, or closes in the middle: the new
-// process listens beside the old one in time, and presumes that it holds half of the limits.
-TEST_F(HotRestartTest, ListensBesideAPredecessorThatCannotBeQueried) {
+// The owner of the socket file does not listen, does not answer, sends an unreadable message, or
+// closes the connection after a part of the snapshot. The new process still starts in time, listens
+// in addition to the old one, and presumes that the old one holds half of the limits.
+TEST_F(HotRestartTest, ServesWhenThePredecessorCannotBeQueried) {
   for (const int kind : {0, 1, 2, 3}) {
     auto old = start();
     ASSERT_TRUE(serving(*old));
     EXPECT_EQ(call(*old, "POST /cache-hosts/s-1/maint"), 200);
     const std::string path = dir_ + "/silverpin-n%2f0.sock";
     std::filesystem::remove(path);
-    Descriptor liar(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0));
+    Descriptor fake_predecessor(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0));
     sockaddr_un address{};
     address.sun_family = AF_UNIX;
     std::copy(path.begin(), path.end(), address.sun_path);
-    ASSERT_EQ(::bind(liar.get(), reinterpret_cast<sockaddr*>(&address), sizeof address), 0);
+    ASSERT_EQ(::bind(fake_predecessor.get(), reinterpret_cast<sockaddr*>(&address), sizeof address),
+              0);
     if (kind > 0) {
-      ASSERT_EQ(::listen(liar.get(), 4), 0);
+      ASSERT_EQ(::listen(fake_predecessor.get(), 4), 0);
     }
     auto next = start();
     if (kind > 1) {
-      Descriptor peer(::accept(liar.get(), nullptr, nullptr));
+      Descriptor peer(::accept(fake_predecessor.get(), nullptr, nullptr));
       ASSERT_TRUE(peer);
       std::string part = "\xff nonsense";
       if (kind == 3) {
@@ -520,19 +526,20 @@
     ASSERT_TRUE(serving(*next));
     EXPECT_TRUE(next->logged("presumed to hold half")) << kind << next->log;
     EXPECT_TRUE(next->logged("hot restart: 1 overrides restored from their file")) << next->log;
-    // Both listen; the old process ends as if it were alone.
+    // Both listen; the old process drains as without a successor.
     ::kill(old->pid, SIGTERM);
     ASSERT_TRUE(wait([&] { return old->exited(); }));
-    EXPECT_TRUE(old->ended_well());
+    EXPECT_TRUE(old->exited_cleanly());
     auto c = Peer::dial(io_, listen_);
     EXPECT_TRUE(ask(*c, "k").starts_with("VA 1 "));
   }
 }
 
-// ---- another event while a connection is being passed
+// ---- events while a connection is being passed
 
-// The successor is stopped, so that the client's connection lies between the two for as long as the
-// test wants. A request that gets no answer keeps the predecessor running.
+// The successor is stopped, so that the client's connection is in transit between the two processes
+// until the test continues the successor. A request without an answer is_persistent the predecessor
+// running.
 class ConnectionPassingTest : public HotRestartTest {
  protected:
   void begin() {
@@ -549,7 +556,7 @@
     ::kill(next->pid, SIGSTOP);
     const std::size_t before = old->descriptors();
     ::kill(old->pid, SIGTERM);
-    ASSERT_TRUE(wait([&] { return old->descriptors() < before; })) << "it was not passed on";
+    ASSERT_TRUE(wait([&] { return old->descriptors() < before; })) << "no connection was passed";
     lines_.clear();
     c->in.clear();
   }
@@ -564,7 +571,7 @@
   void end_old() {
     holder->close();
     ASSERT_TRUE(wait([&] { return old->exited(); }));
-    EXPECT_TRUE(old->ended_well()) << old->log;
+    EXPECT_TRUE(old->exited_cleanly()) << old->log;
   }
   bool asked_hosts_for(const std::string& id) const {
     return std::count(cache_.ids.begin(), cache_.ids.end(), id) +
@@ -572,12 +579,12 @@
            0;
   }
 
-  static constexpr int kMany = 20;  // keys, of which both hosts have some
+  static constexpr int kMany = 20;  // keys, distributed over both hosts
   std::unique_ptr<Process> old, next;
   std::shared_ptr<Peer> holder, c;
 };
 
-TEST_F(ConnectionPassingTest, DrainsAHostThatDiscoveryListsAsDraining) {
+TEST_F(ConnectionPassingTest, SendsNothingToAHostListedAsDrainingMeanwhile) {
   ASSERT_NO_FATAL_FAILURE(begin());
   discovery_.hosts = host_entry("s-1", cache_.server.dial(), "std", "draining") + "," +
                      host_entry("s-2", cache_2_.server.dial());
@@ -599,8 +606,9 @@
   end_old();
 }
 
-// Its command is complete, and it has left: nobody waits for the answer at the successor.
-TEST_F(ConnectionPassingTest, ForwardsNothingOfAClientThatLeaves) {
+// A client sends a complete command and disconnects; the successor must not forward the command,
+// because nobody waits for the answer.
+TEST_F(ConnectionPassingTest, ForwardsNothingForADisconnectedClient) {
   for (const bool by_reset : {false, true}) {
     ASSERT_NO_FATAL_FAILURE(begin());
     c->send(get("k"));
@@ -616,7 +624,7 @@
   }
 }
 
-// What it asked for in between is answered, and then its connection is closed gracefully.
+// Requests sent while the connection was in transit are answered, then it is closed gracefully.
 TEST_F(ConnectionPassingTest, AnswersWhenTheSuccessorIsTerminatedToo) {
   ASSERT_NO_FATAL_FAILURE(begin());
   ask_for_many();
@@ -627,7 +635,7 @@
   EXPECT_EQ(std::count(c->in.begin(), c->in.end(), '\n'), 2 * kMany);
   end_old();
   ASSERT_TRUE(wait([&] { return next->exited(); }));
-  EXPECT_TRUE(next->ended_well()) << next->log;
+  EXPECT_TRUE(next->exited_cleanly()) << next->log;
 }
 
 TEST_F(ConnectionPassingTest, AnswersWhenThePredecessorIsKilled) {
@@ -641,8 +649,8 @@
   EXPECT_TRUE(ask(*other, "k").starts_with("VA 1 "));
 }
 
-// What lay between the two is closed with the successor; the client connects again.
-TEST_F(ConnectionPassingTest, ClosesUnreadWhenTheSuccessorIsKilled) {
+// A connection in transit is closed when the successor is killed, and the client connects again.
+TEST_F(ConnectionPassingTest, ClosesTheConnectionWhenTheSuccessorIsKilled) {
   ASSERT_NO_FATAL_FAILURE(begin());
   ::kill(next->pid, SIGKILL);
   ASSERT_TRUE(wait([&] { return c->closed; }));
@@ -652,17 +660,18 @@
   end_old();
 }
 
-// ---- the successor does not come to serve
+// ---- the successor does not reach the serving state
 
-// The successor is stopped between its query and its first accept, and the predecessor gets SIGTERM
-// or is killed: clients that are connected are answered, and new ones are served by one of the two.
+// The successor is stopped between its query and its first accept, and the predecessor receives
+// SIGTERM or is killed. Connected clients are answered, and new clients are served by either
+// process.
 TEST_F(HotRestartTest, AnswersWhenThePredecessorEndsBeforeTheSuccessorServes) {
   for (const int signal : {SIGTERM, SIGKILL}) {
     auto old = start();
     ASSERT_TRUE(serving(*old));
     auto c = Peer::dial(io_, listen_);
     ASSERT_TRUE(ask(*c, "k").starts_with("VA 1 "));
-    // It may have begun to serve before it could be stopped: then another one is tried.
+    // A successor that began to serve before it was stopped is replaced by another one.
     std::unique_ptr<Process> next;
     for (int i = 0; i < 50 && !next; ++i) {
       old->log.clear();
@@ -672,9 +681,9 @@
       run_for(io_, milliseconds(50));
       if (!old->logged("hot restart: successor serves")) break;
       next.reset();
-      ASSERT_TRUE(wait([&] { return old->logged("hot restart: successor has ended"); }));
+      ASSERT_TRUE(wait([&] { return old->logged("hot restart: successor has exited"); }));
     }
-    ASSERT_TRUE(next) << "it always served before it was stopped";
+    ASSERT_TRUE(next) << "every successor served before it was stopped";
     ::kill(old->pid, signal);
     if (signal == SIGTERM) {
       auto fresh = Peer::dial(io_, listen_);
@@ -682,8 +691,8 @@
       EXPECT_TRUE(ask(*c, "k").starts_with("VA 1 "));
     }
     ASSERT_TRUE(wait([&] { return old->exited(); }));
-    EXPECT_EQ(old->ended_well(), signal == SIGTERM) << old->log;
-    auto late = Peer::dial(io_, listen_);  // waits in the queue that the new one was passed
+    EXPECT_EQ(old->exited_cleanly(), signal == SIGTERM) << old->log;
+    auto late = Peer::dial(io_, listen_);  // waits in the accept queue of the passed socket
     late->send(get("k"));
     ::kill(next->pid, SIGCONT);
     ASSERT_TRUE(wait([&] { return answered(*late) || late->closed; }));
--- a/tests/loopback_block_test.cc
+++ b/tests/loopback_block_test.cc
@@ -1,4 +1,4 @@
-// Addresses of tests and of the rig: no two processes get the same.
+// Loopback addresses of tests and of the testbed: no two processes get the same address.
 #include "testbed/loopback/loopback_block.h"
 
 #include <fcntl.h>
@@ -19,20 +19,20 @@
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 
-// Where this process's tests begin their search; others may hold that block.
+// The block at which this process's tests start to search; it may belong to another process.
 const int kFirst = static_cast<int>(::getpid() % LoopbackBlock::kBlocks);
 
-// Whether `given_again(first)` holds for one of some blocks: another process may take the block
-// that a test has just given back, if its search begins there at that moment.
-template <typename GivenAgain>
-bool for_some_block(GivenAgain&& given_again) {
-  constexpr int kTries = 10, kApart = 100;
+// Returns whether `is_reassigned(first)` holds for at least one of several blocks. A single block
+// is not enough: another process that searches at that moment may take the released block.
+template <typename IsReassigned>
+bool holds_for_some_block(IsReassigned&& is_reassigned) {
+  constexpr int kTries = 10, kDistance = 100;
   for (int i = 0; i < kTries; ++i)
-    if (given_again((kFirst + i * kApart) % LoopbackBlock::kBlocks)) return true;
+    if (is_reassigned((kFirst + i * kDistance) % LoopbackBlock::kBlocks)) return true;
   return false;
 }
 
-// Another process that has a block until it is killed.
+// Another process that owns a block until it is killed.
 class BlockOwner {
  public:
   explicit BlockOwner(int first) {
@@ -65,22 +65,22 @@
   asio::ip::address_v4 address_;
 };
 
-TEST(LoopbackBlock, ProcessesThatBeginAtTheSameBlockGetDifferentOnes) {
+TEST(LoopbackBlock, AssignsDifferentBlocksToConcurrentProcesses) {
   std::vector<std::unique_ptr<BlockOwner>> owners;
   std::set<asio::ip::address_v4> addresses;
   for (int i = 0; i < 8; ++i) {
     owners.push_back(std::make_unique<BlockOwner>(kFirst));
     addresses.insert(owners.back()->address());
   }
-  const LoopbackBlock mine(kFirst), mine_too(kFirst);
-  addresses.insert(mine.address());
-  addresses.insert(mine_too.address());
+  const LoopbackBlock own(kFirst), second_own(kFirst);
+  addresses.insert(own.address());
+  addresses.insert(second_own.address());
   EXPECT_EQ(addresses.size(), owners.size() + 2);
   for (const auto& a : addresses) EXPECT_TRUE(a.is_loopback()) << a;
 }
 
-TEST(LoopbackBlock, ABlockWhoseOwnerWasKilledIsGivenAgain) {
-  EXPECT_TRUE(for_some_block([](int from) {
+TEST(LoopbackBlock, ReassignsTheBlockOfAKilledProcess) {
+  EXPECT_TRUE(holds_for_some_block([](int from) {
     BlockOwner first(from), second(from);
     EXPECT_NE(first.address(), second.address());
     first.kill();
@@ -88,8 +88,8 @@
   }));
 }
 
-TEST(LoopbackBlock, AProgramThatIsStartedDoesNotKeepTheBlockOfItsParent) {
-  EXPECT_TRUE(for_some_block([](int from) {
+TEST(LoopbackBlock, IsNotInheritedByExecutedPrograms) {
+  EXPECT_TRUE(holds_for_some_block([](int from) {
     auto block = std::make_unique<LoopbackBlock>(from);
     const auto address = block->address();
     int input[2], started[2];
@@ -103,43 +103,44 @@
     }
     ::close(started[1]);
     char none = 0;
-    EXPECT_EQ(::read(started[0], &none, 1), 0) << "closed by the start of the program";
+    EXPECT_EQ(::read(started[0], &none, 1), 0) << "the pipe is closed when the program is executed";
     block.reset();
-    const bool given_again = LoopbackBlock(from).address() == address;
+    const bool is_reassigned = LoopbackBlock(from).address() == address;
     ::close(input[1]);
     ::waitpid(pid, nullptr, 0);
     ::close(input[0]);
     ::close(started[0]);
-    return given_again;
+    return is_reassigned;
   }));
 }
 
-// The probe that this class replaces gave the same endpoint twice in one of some 6,700 pairs.
-TEST(LoopbackBlock, NoPortIsGivenTwiceAndNoneThatTheKernelChooses) {
+// An earlier implementation, which probed for free ports, returned the same endpoint twice in about
+// one of 6,700 pairs.
+TEST(LoopbackBlock, ReturnsEachPortOnceAndNoEphemeralPorts) {
   std::uint32_t low = 0, high = 0;
   std::ifstream("/proc/sys/net/ipv4/ip_local_port_range") >> low >> high;
   LoopbackBlock block(kFirst);
-  std::set<tcp::endpoint> given;
+  std::set<tcp::endpoint> returned;
   constexpr int kDraws = 2000;
   for (int i = 0; i < kDraws; ++i) {
     const auto endpoint = block.next_endpoint();
     const auto index = endpoint.address().to_v4().to_uint() - block.address().to_uint();
     EXPECT_LT(index, static_cast<std::uint32_t>(LoopbackBlock::kAddresses)) << endpoint;
     EXPECT_TRUE(endpoint.port() < low || endpoint.port() > high) << endpoint;
-    EXPECT_TRUE(given.insert(endpoint).second) << endpoint << " was given before";
+    EXPECT_TRUE(returned.insert(endpoint).second) << endpoint << " was returned before";
     const tcp::endpoint single(block.address(), block.next_port());
-    EXPECT_TRUE(given.insert(single).second) << single << " was given before";
+    EXPECT_TRUE(returned.insert(single).second) << single << " was returned before";
   }
 }
 
-// A server on all addresses has its port on this block's too.
-TEST(LoopbackBlock, APortOfAServerOnAllAddressesIsNotGiven) {
+// A server that listens on all addresses uses its port on this block's addresses too.
+TEST(LoopbackBlock, SkipsPortsOfServersOnAllAddresses) {
   asio::io_context io;
   tcp::acceptor server(io);
   LoopbackBlock block(kFirst);
   std::uint16_t taken = block.next_port();
-  // Below the last one given is the next to be given; where another server has it already, that
-  // one serves as well.
+  // The port below the last returned one is returned next. If another server listens on it already,
+  // the next lower port is used.
   boost::system::error_code error = asio::error::address_in_use;
   server.open(tcp::v4());
   while (error) {
--- a/tests/mixed_versions_test.cc
+++ b/tests/mixed_versions_test.cc
@@ -1,5 +1,5 @@
-// Hot restart between this version's program and the previous one's, in both directions, under
-// load. Built where the CMake option BALANCER_PREVIOUS_PROGRAM names that program.
+// Hot restarts between the programs of this version and of the previous one, in both directions and
+// under load. Built only if the CMake option BALANCER_PREVIOUS_PROGRAM names the previous program.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <signal.h>
@@ -18,7 +18,8 @@
 
 using std::chrono::milliseconds;
 
-// The requests of one client that keeps its connection, and of clients that come for one request.
+// Clients that send requests repeatedly on a persistent connection, and clients that connect for a
+// single request.
 class SteadyLoad {
  public:
   SteadyLoad(asio::io_context& io, const Endpoint& at) : io_(io), at_(at), timer_(io) {
@@ -29,7 +30,7 @@
   bool idle() const {
     return std::all_of(clients_.begin(), clients_.end(), [](const Client& c) { return !c.waits; });
   }
-  // Connections that are kept over all restarts and that this side has not closed.
+  // Returns the number of persistent connections that are still open.
   std::size_t kept_open() const {
     return static_cast<std::size_t>(
         std::count_if(clients_.begin(), clients_.end(),
@@ -56,7 +57,7 @@
     ++sent;
     client.peer->send("mg k v O" + std::to_string(sent) + " Pc=read,t=acme,d=5000\r\n");
   }
-  // Notes what has come, and asks again on connections that are kept.
+  // Counts the answer or failure of the client's request, if it has one.
   void collect(Client& client) {
     if (!client.waits) return;
     const bool answered = client.peer->in.ends_with("\r\nv\r\n");
@@ -91,7 +92,7 @@
   bool stopped_ = false;
 };
 
-// One start of one version's program; its log is a file.
+// A process of one version's program, which logs to a file.
 class VersionProcess {
  public:
   VersionProcess(const std::string& program, const std::string& folder, const std::string& name,
@@ -103,8 +104,8 @@
     if (pid_ != 0) return;
     const int log = ::open(log_file_.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
     ::dup2(log, 2);
-    ::close_range(3, ~0U, 0);            // the test's own
-    ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // it ends with the test
+    ::close_range(3, ~0U, 0);            // descriptors of the test
+    ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // ends with the test
     char* const arguments[] = {const_cast<char*>(program.c_str()), nullptr};
     char* const environment[] = {const_cast<char*>(config.c_str()),
                                  const_cast<char*>(files.c_str()), const_cast<char*>(calls.c_str()),
@@ -141,7 +142,7 @@
 
 class MixedVersionsTest : public ProcessTest {
  protected:
-  // `programs`, one in the place of the other, under load: no request may be lost.
+  // Runs each of `programs` as the successor of the one before, under load. No request may be lost.
   void expect_no_loss(const std::vector<std::string>& programs) {
     discovery.hosts = host_entry("s-1", cache_.server.dial());
     const Endpoint listen = context.loopback.next_endpoint();
@@ -169,7 +170,7 @@
     EXPECT_EQ(load.kept_open(), SteadyLoad::kKept) << "a client's connection was not passed on";
     std::printf("%d requests sent, %d served, %d failed\n", load.sent, load.served, load.failed);
   }
-  // Nothing if it is not ready in time.
+  // Returns null if the process is not ready in time.
   std::unique_ptr<VersionProcess> start(const std::string& program, const std::string& name) {
     const Endpoint admin = context.loopback.next_endpoint();
     auto process = std::make_unique<VersionProcess>(program, folder, name, testbed::text_of(admin));
@@ -191,15 +192,15 @@
       io, [](const std::string&, const std::string& id) { return FakeCache::value(id, "v"); }};
 };
 
-TEST_F(MixedVersionsTest, ThisVersionTakesThePlaceOfThePreviousOneUnderLoad) {
+TEST_F(MixedVersionsTest, ReplacesThePreviousVersionUnderLoad) {
   expect_no_loss({BALANCER_PREVIOUS_PROGRAM, BALANCER_PROGRAM});
 }
 
-TEST_F(MixedVersionsTest, ThePreviousVersionTakesThePlaceOfThisOneUnderLoad) {
+TEST_F(MixedVersionsTest, IsReplacedByThePreviousVersionUnderLoad) {
   expect_no_loss({BALANCER_PROGRAM, BALANCER_PREVIOUS_PROGRAM});
 }
 
-TEST_F(MixedVersionsTest, VersionsAlternateUnderLoad) {
+TEST_F(MixedVersionsTest, AlternatesVersionsUnderLoad) {
   expect_no_loss({BALANCER_PREVIOUS_PROGRAM, BALANCER_PROGRAM, BALANCER_PREVIOUS_PROGRAM,
                   BALANCER_PROGRAM, BALANCER_PROGRAM, BALANCER_PREVIOUS_PROGRAM});
 }
--- a/tests/node_harness.h
+++ b/tests/node_harness.h
@@ -13,14 +13,14 @@
 
 #include "node/balancer.h"
 
-// Peers of a few lines on loopback, all on the test's own event loop.
+// Minimal clients, hosts and discovery services on loopback, on the test's own event loop.
 namespace balancer::node {
 
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 
-// Runs the loop until `done` holds; false if it never does. A balancer that has drained stops it:
-// what its peers have still to read is theirs all the same.
+// Runs the loop until `done` holds. Returns false if it does not within `limit`. Restarts the loop
+// if a balancer has stopped it after its drain, because the peers may still have data to read.
 template <typename Done>
 bool run_until(asio::io_context& io, Done&& done,
                std::chrono::seconds limit = std::chrono::seconds(30)) {
@@ -41,7 +41,7 @@
 class Peer : public std::enable_shared_from_this<Peer> {
  public:
   explicit Peer(tcp::socket s) : socket(std::move(s)) {
-    boost::system::error_code ignored;  // small answers one by one would wait for each other
+    boost::system::error_code ignored;  // without this, small answers would wait for each other
     socket.set_option(tcp::no_delay(true), ignored);
   }
 
@@ -71,7 +71,7 @@
       self->read();
     });
   }
-  // The first line that has come, taken off; empty if there is none yet.
+  // Removes the first complete line received and returns it; empty if there is none yet.
   std::string take_line() {
     const auto end = in.find("\r\n");
     if (end == std::string::npos) return {};
@@ -117,7 +117,7 @@
   std::function<void(Peer&)> on_data_;
 };
 
-// Discovery: answers every call with `list`; a watch that has nothing new gets no entries.
+// A discovery service that answers every call with `hosts` and every watch with no changes.
 class FakeDiscovery {
  public:
   explicit FakeDiscovery(asio::io_context& io)
@@ -146,7 +146,7 @@
          "\",\"health\":\"" + health + "\",\"born_ms\":" + std::to_string(born_ms) + "}";
 }
 
-// The cache host of a test: hands each whole command line to `answer` and sends what it returns.
+// A cache host that passes each complete command line to `answer` and sends the result.
 class FakeCache {
  public:
   using Answer = std::function<std::string(const std::string& line, const std::string& id)>;
@@ -166,7 +166,7 @@
     return "VA " + std::to_string(text.size()) + " O" + id + "\r\n" + text + "\r\n";
   }
 
-  std::vector<std::string> ids;  // of the commands that came
+  std::vector<std::string> ids;  // of the commands received
   Server server;
 
  private:
@@ -197,7 +197,7 @@
   return config;
 }
 
-// A balancer with its peers.
+// A balancer on the test's event loop, and its peers.
 class NodeTest : public ::testing::Test {
  protected:
   void begin() {
@@ -208,7 +208,7 @@
   std::shared_ptr<Peer> client() { return Peer::dial(io, balancer->local()); }
   ::testing::AssertionResult wait(const std::function<bool()>& done) {
     if (run_until(io, done)) return ::testing::AssertionSuccess();
-    return ::testing::AssertionFailure() << "it never came to that";
+    return ::testing::AssertionFailure() << "the condition was not met in time";
   }
   static std::string get(const std::string& key, const std::string& id) {
     return "mg " + key + " v O" + id + " Pc=read,t=acme,d=5000\r\n";
