--- a/tests/operator_test.cc
+++ b/tests/operator_test.cc
@@ -1,4 +1,4 @@
-// The operator's file: what is wrong is named by file, line, key and reason.
+// Reading of the operator's file: each error states file, line, key and reason.
 #include "settings/operator.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 const std::string kListener =
     "[[listener]]\nname = \"l\"\naddress = \"127.0.0.1:0\"\npool = \"p\"\n";
 
-std::string fault_of(const std::string& text) {
+std::string error_of(const std::string& text) {
   try {
     parse_operator(text, "o.toml");
     return "none";
@@ -19,75 +19,76 @@
   }
 }
 
-TEST(OperatorFileTest, NamesEveryFault) {
-  const std::vector<std::pair<std::string, std::string>> faults = {
+TEST(OperatorFileTest, ReportsFileLineKeyAndReasonOfEachError) {
+  const std::vector<std::pair<std::string, std::string>> errors = {
       {"pool = 1\n", "o.toml:1: pool: must be tables: [[pool]]"},
       {"[[pool]\n", "o.toml:1: "},
       {"frob = 1\n", "o.toml:1: frob: is not known here"},
       {kPool + "frob = 1\n", "o.toml:4: frob: is not known here"},
       {"[[pool]]\nname = \"p\"\n", "o.toml:1: seeds: is missing"},
-      {"[[pool]]\nname = \"p\"\nseeds = [\"x\"]\n", "o.toml:3: seeds: holds what is no address: x"},
+      {"[[pool]]\nname = \"p\"\nseeds = [\"x\"]\n",
+       "o.toml:3: seeds: contains an invalid IP address and port: x"},
       {"[[pool]]\nname = \"p\"\nseeds = [\"rate-1:7000\"]\n",
-       "o.toml:3: seeds: holds a name, and names are not looked up: rate-1:7000"},
+       "o.toml:3: seeds: contains a host name; host names are not resolved: rate-1:7000"},
       {"[process]\nsockets = 3\n", "o.toml:2: sockets: is 3; it must lie from 64 to 1.04858e+06"},
       {"[process]\nname = \"a b\"\n", "o.toml:2: name: may hold letters"},
-      {"[[pool]]\nname = \"p\"\nseeds = [7]\n", "o.toml:3: seeds: must be a list of texts"},
-      {kPool + kPool, "o.toml:5: name: is that of two pools"},
+      {"[[pool]]\nname = \"p\"\nseeds = [7]\n", "o.toml:3: seeds: must be a list of strings"},
+      {kPool + kPool, "o.toml:5: name: is used by two pools"},
       {kPool + "most_attempts = 99\n", "o.toml:4: most_attempts: is 99; it must lie from 1 to 32"},
       {kPool + "most_attempts = \"2\"\n", "o.toml:4: most_attempts: must be a whole number"},
       {kPool + "user = \"u\"\n", "o.toml:4: user: has no password"},
       {kPool + "[[pool.class]]\nname = \"c\"\n", "o.toml:4: commands: is missing"},
       {kPool + "[[pool.class]]\nname = \"c\"\ncommands = [\"FROB\"]\n",
-       "o.toml:6: commands: FROB is no command that is known"},
+       "o.toml:6: commands: FROB is not a known command"},
       {kPool + "[[pool.class]]\nname = \"c\"\ncommands = [\"BLPOP\"]\n",
-       "o.toml:6: commands: BLPOP is no data command"},
+       "o.toml:6: commands: BLPOP is not a data command"},
       {kPool + "[[pool.class]]\nname = \"c\"\ncommands = [\"set\"]\nreads = \"any\"\n",
-       "o.toml:7: reads: replicas take no writes, and this class has some"},
+       "o.toml:7: reads: replicas accept no writes, but this class contains write commands"},
       {kPool + "[[pool.class]]\nname = \"c\"\ncommands = [\"SET\"]\neffect = \"keyed\"\n",
-       "o.toml:7: effect: keyed needs key_argument and window_ms"},
+       "o.toml:7: effect: keyed requires key_argument and window_ms"},
       {kPool + "[[pool.class]]\nname = \"c\"\ncommands = [\"GET\"]\neffect = \"some\"\n",
        "o.toml:7: effect: is none of safe, keyed, unsafe"},
       {kPool + "[[pool.class]]\nname = \"c\"\ncommands = [\"GET\"]\naim_ms = 500\n"
                "deadline_ms = 400\n",
-       "o.toml:8: deadline_ms: lies before the aim"},
+       "o.toml:8: deadline_ms: is less than aim_ms"},
       {kPool + "[[listener]]\nname = \"l\"\npool = \"p\"\n", "o.toml:4: address: is missing"},
       {kPool + "[[listener]]\nname = \"l\"\naddress = \"x\"\npool = \"p\"\n",
-       "o.toml:6: address: is no address: x"},
+       "o.toml:6: address: is not an IP address and port: x"},
       {kPool + "[[listener]]\nname = \"l\"\naddress = \"cache.example:1\"\npool = \"p\"\n",
-       "o.toml:6: address: is no address: cache.example:1"},
+       "o.toml:6: address: is not an IP address and port: cache.example:1"},
       {kPool + "[[listener]]\nname = \"l\"\naddress = \"0.0.0.0:1\"\npool = \"p\"\n",
-       "o.toml:4: announce: is needed: clients cannot be told 0.0.0.0:1"},
+       "o.toml:4: announce: is required: clients cannot connect to 0.0.0.0:1"},
       {kPool + "[[listener]]\nname = \"l\"\naddress = \"127.0.0.1:1\"\npool = \"q\"\n",
-       "o.toml:7: pool: names none of this file: q"},
+       "o.toml:7: pool: is not defined in this file: q"},
       {kPool + kListener + "require_auth = 1\n", "o.toml:8: require_auth: must be true or false"},
   };
-  for (const auto& [text, fault] : faults)
-    EXPECT_TRUE(fault_of(text).starts_with(fault)) << fault_of(text) << "\nwanted " << fault;
-  EXPECT_EQ(fault_of(kPool + kListener), "none");
-  EXPECT_EQ(fault_of(""), "none");
+  for (const auto& [text, error] : errors)
+    EXPECT_TRUE(error_of(text).starts_with(error)) << error_of(text) << "\nexpected " << error;
+  EXPECT_EQ(error_of(kPool + kListener), "none");
+  EXPECT_EQ(error_of(""), "none");
   EXPECT_THROW(load_operator("/nonexistent.toml"), FileError);
 }
 
-TEST(OperatorFileTest, HasSafeDefaults) {
+TEST(OperatorFileTest, TreatsUnlistedAndMixedWritesAsNonIdempotentByDefault) {
   const auto all = parse_operator(
       kPool + "[[pool.class]]\nname = \"c\"\ncommands = [\"GET\", \"SET\"]\n" + kListener,
       "o.toml");
   ASSERT_EQ(all.pools.size(), 1u);
   const auto& classes = all.pools[0].site.policy.classes;
   ASSERT_EQ(classes.size(), 3u);
-  EXPECT_EQ(classes[0].idempotency, Idempotency::kNone) << "some of it writes";
+  EXPECT_EQ(classes[0].idempotency, Idempotency::kNone) << "the class contains a write command";
   EXPECT_EQ(classes[1].idempotency, Idempotency::kIdempotent);
   EXPECT_EQ(classes[2].idempotency, Idempotency::kNone);
   EXPECT_FALSE(all.pools[0].site.policy.hedging);
 }
 
-TEST(OperatorFileTest, ReloadsOnlyPasswords) {
+TEST(OperatorFileTest, AppliesOnlyPasswordsOnReload) {
   const std::string tenant = "[[pool.tenant]]\nname = \"t\"\npassword = \"";
   auto all = parse_operator(kPool + tenant + "a\"\n" + kListener, "o.toml");
   EXPECT_TRUE(
-      all.take_over(parse_operator(kPool + tenant + "b\"\n" + kListener, "o.toml")).empty());
+      all.apply_reload(parse_operator(kPool + tenant + "b\"\n" + kListener, "o.toml")).empty());
   EXPECT_EQ(all.pools[0].tenants[0].password, "b");
-  const auto wait = all.take_over(parse_operator(kPool + "most_attempts = 3\n", "o.toml"));
+  const auto wait = all.apply_reload(parse_operator(kPool + "most_attempts = 3\n", "o.toml"));
   EXPECT_EQ(wait, (std::vector<std::string>{"pool p", "listener l"}));
   EXPECT_EQ(all.pools[0].site.policy.max_attempts, 8);
 }
@@ -100,10 +101,10 @@
     "[bgp]\nas = 64512\nid = \"10.0.0.1\"\nnext_hop = \"10.0.0.1\"\n[[bgp.router]]\naddress = "
     "\"10.0.0.2:179\"\nas = 64513\n";
 
-TEST(OperatorFileTest, ReadsAllOfAGroup) {
+TEST(OperatorFileTest, ReadsGroupAddressAndBgpTables) {
   const Operator all = parse_operator(kGroup + kAddress + "prefer = [\"a\"]\n" + kBgp, "o.toml");
   ASSERT_TRUE(all.group);
-  EXPECT_EQ(all.group->name, "silverpin") << "the process's";
+  EXPECT_EQ(all.group->name, "silverpin") << "defaults to the process's name";
   EXPECT_EQ(all.group->announce, "127.0.0.1:7946");
   EXPECT_EQ(all.group->founding.names, (std::vector<std::string>{"a", "b"}));
   ASSERT_EQ(all.group->lease_manager.addresses.size(), 1u);
@@ -115,18 +116,18 @@
   EXPECT_FALSE(parse_operator(kPool, "o.toml").group);
 }
 
-TEST(OperatorFileTest, NamesEveryFaultOfAGroup) {
+TEST(OperatorFileTest, ReportsEachErrorInGroupTables) {
   const auto group = [](const std::string& line) { return kGroup + line + kAddress + kBgp; };
-  const std::vector<std::pair<std::string, std::string>> faults = {
-      {kAddress, "o.toml:1: address: has no meaning without [group]"},
-      {kBgp, "o.toml:1: bgp: has no meaning without [group]"},
+  const std::vector<std::pair<std::string, std::string>> errors = {
+      {kAddress, "o.toml:1: address: requires [group]"},
+      {kBgp, "o.toml:1: bgp: requires [group]"},
       {"[group]\n", "o.toml:1: listen: is missing"},
-      {"[group]\nlisten = \"here:1\"\n", "o.toml:2: listen: is no address: here:1"},
-      {"[group]\nlisten = \"0.0.0.0:1\"\n", "o.toml:1: announce: is needed"},
+      {"[group]\nlisten = \"here:1\"\n", "o.toml:2: listen: is not an IP address and port: here:1"},
+      {"[group]\nlisten = \"0.0.0.0:1\"\n", "o.toml:1: announce: is required"},
       {"[group]\nlisten = \"127.0.0.1:1\"\n", "o.toml:1: networks: is missing"},
       {"[group]\nlisten = \"127.0.0.1:1\"\nnetworks = [\"10.0.0.1/8\"]\n",
-       "o.toml:3: networks: holds what is no network"},
-      {group("seeds = [\"x\"]\n"), "o.toml:7: seeds: holds what is no address: x"},
+       "o.toml:3: networks: contains an invalid network"},
+      {group("seeds = [\"x\"]\n"), "o.toml:7: seeds: contains an invalid IP address and port: x"},
       {group("lease_ms = 5\n"), "o.toml:7: lease_ms: is 5; it must lie from 100 to 60000"},
       {group("withdraw_lead_ms = 500\n"), "o.toml:7: withdraw_lead_ms: is more than half"},
       {group("patience_ms = 501\n"), "o.toml:7: patience_ms: is more than half of lease_ms"},
@@ -135,38 +136,39 @@
       {group("frob = 1\n"), "o.toml:7: frob: is not known here"},
       {kGroup + "[[address]]\nname = \"svc\"\n", "o.toml:8: name: needs a prefix"},
       {kGroup + "[[address]]\nname = \"svc\"\nprefix = \"10.0.0.1/8\"\n",
-       "o.toml:9: prefix: has bits behind its length"},
+       "o.toml:9: prefix: has bits set beyond its prefix length"},
       {kGroup + "[[address]]\nname = \"svc\"\nprefix = \"10.0.0.1/40\"\n",
-       "o.toml:9: prefix: is no IPv4 address or network"},
+       "o.toml:9: prefix: is not an IPv4 address or network"},
       {kGroup + "[[address]]\nname = \"svc\"\nclaim = [\"x\"]\nrelease = [\"/x\"]\n",
-       "o.toml:9: claim: must name its program by a whole path"},
-      {kGroup + kAddress, "svc has a prefix, and there is no [bgp]"},
-      {kGroup + kAddress + kAddress, "o.toml:11: name: is that of two addresses"},
+       "o.toml:9: claim: must start with the absolute path of a program"},
+      {kGroup + kAddress, "svc has a prefix, but there is no [bgp]"},
+      {kGroup + kAddress + kAddress, "o.toml:11: name: is used by two addresses"},
       {kGroup + kBgp, "bgp: has no [[address]] with a prefix to announce"},
       {kGroup + kAddress + "[bgp]\nas = 0\n", "o.toml:11: as: is 0; it must lie from 1"},
-      {kGroup + kAddress + "[bgp]\nas = 1\nid = \"x\"\n", "o.toml:12: id: is no IPv4 address: x"},
+      {kGroup + kAddress + "[bgp]\nas = 1\nid = \"x\"\n",
+       "o.toml:12: id: is not an IPv4 address: x"},
       {kGroup + kAddress + kBgp + "[[bgp.router]]\naddress = \"10.0.0.2:179\"\nas = 1\n",
-       "o.toml:18: address: is that of two routers"},
+       "o.toml:18: address: is used by two routers"},
       {kPool + "[[listener]]\nname = \"l\"\naddress = \"127.0.0.1:1\"\npool = \"p\"\nservice = "
                "\"svc\"\n",
        "listener: l: service names no [[address]]: svc"},
       {kPool + "[[listener]]\nname = \"l\"\naddress = \"127.0.0.1:0\"\npool = \"p\"\nservice = "
                "\"svc\"\n",
-       "address: needs a port"},
+       "address: must have a fixed port"},
       {kGroup.substr(0, kGroup.find("voters")) +
            "voters = [\"1\",\"2\",\"3\",\"4\",\"5\",\"6\",\"7\",\"8\"]\n",
        "o.toml:6: voters: must be up to 7 different names"},
       {kGroup.substr(0, kGroup.find("voters")) + "voters = [\"1\",\"1\"]\n",
        "o.toml:6: voters: must be up to 7 different names"},
   };
-  for (const auto& [text, wanted] : faults) {
-    const auto fault = fault_of(text);
-    EXPECT_NE(fault.find(wanted), std::string::npos) << text << "\n" << fault;
+  for (const auto& [text, wanted] : errors) {
+    const auto error = error_of(text);
+    EXPECT_NE(error.find(wanted), std::string::npos) << text << "\n" << error;
   }
 }
 
-// Lists of balancers and servers: no default and no bound below what the fleets need.
-TEST(OperatorFileTest, TakesThousandsOfBalancersAndServers) {
+// No default and no bound of member or node counts may be below the size of the largest fleets.
+TEST(OperatorFileTest, AcceptsThousandsOfBalancersAndNodes) {
   const Operator defaults = parse_operator(kGroup + kAddress + kBgp + kPool, "o.toml");
   EXPECT_GE(defaults.group->membership.max_members, 1024u);
   EXPECT_GE(defaults.pools[0].cluster.max_nodes, 1024u);
--- a/tests/previous_version_test.cc
+++ b/tests/previous_version_test.cc
@@ -1,5 +1,5 @@
-// What the previous version (revision 272e1b7) has stored and sent, read by this one. The bytes are
-// in tests/data/previous_version; tests/data/README.md says how they were made.
+// Reading of files and messages of the previous version (revision 272e1b7). The bytes are in
+// tests/data/previous_version; tests/data/README.md describes how they were produced.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -50,7 +50,7 @@
     group_runtime::VoterStorage storage(folder_, 1s,
                                         [&](const std::string& line) { log.push_back(line); });
     ASSERT_TRUE(storage.open(Time{0}));
-    // One more than the last start's, which lies ahead of every clock.
+    // One more than the incarnation of the last start, which is later than any current time.
     EXPECT_EQ(storage.incarnation(), 4102444800125u);
     ASSERT_TRUE(storage.remembered());
     const lease::VoterRecord& record = *storage.remembered();
@@ -69,18 +69,18 @@
   std::string folder_;
 };
 
-TEST_F(PreviousVersionStorageTest, VoterRecordIsRead) {
+TEST_F(PreviousVersionStorageTest, ReadsVoterRecord) {
   copy("group.db");
   expect_voter_record();
 }
 
-TEST_F(PreviousVersionStorageTest, VoterRecordOfAKilledProcessIsReadFromItsWriteAheadLog) {
+TEST_F(PreviousVersionStorageTest, ReadsVoterRecordOfAKilledProcessFromItsWriteAheadLog) {
   copy("killed/group.db");
   copy("killed/group.db-wal");
   expect_voter_record();
 }
 
-TEST_F(PreviousVersionStorageTest, StoreIsNeitherFreshNorPutAside) {
+TEST_F(PreviousVersionStorageTest, OpensTheStoreWithItsContents) {
   copy("group.db");
   store::Store store(folder_, "group");
   EXPECT_FALSE(store.fresh());
@@ -89,7 +89,7 @@
   EXPECT_TRUE(store.get("voter"));
 }
 
-TEST_F(PreviousVersionStorageTest, OperatorOverridesAreRead) {
+TEST_F(PreviousVersionStorageTest, ReadsOperatorOverrides) {
   copy("silverpin-127%2e0%2e0%2e1%3a11211.words");
   const auto read = hot_restart::OverrideStore::read(folder_, "127.0.0.1:11211");
   ASSERT_TRUE(read);
@@ -100,8 +100,8 @@
                                              std::chrono::seconds(1000 + i)}));
 }
 
-// The form that the file had up to version 0.7.0.
-TEST_F(PreviousVersionStorageTest, OperatorOverridesOfOneMessageAreRead) {
+// Up to version 0.7.0 the file was a single message.
+TEST_F(PreviousVersionStorageTest, ReadsOperatorOverridesOfASingleMessage) {
   std::filesystem::copy_file(kFolder + "operator-overrides-one-message",
                              folder_ + "/silverpin-n.words");
   const auto read = hot_restart::OverrideStore::read(folder_, "n");
@@ -112,7 +112,7 @@
 
 // ---- datagrams of a group
 
-// Opens the datagram and checks its envelope: the body, if it is a T.
+// Decrypts the datagram and checks its envelope. Returns the body, or nullopt if it is not a T.
 template <class T>
 std::optional<T> open_datagram(const std::string& name, std::uint64_t sequence,
                                const std::string& to = "b/0") {
@@ -126,12 +126,12 @@
   EXPECT_EQ(datagram->incarnation, 1764750000001u);
   EXPECT_EQ(datagram->sequence, sequence);
   EXPECT_EQ(datagram->to, to);
-  EXPECT_EQ(encode(*datagram), *plain) << "the same message has other bytes now";
+  EXPECT_EQ(encode(*datagram), *plain) << "this version encodes the message differently";
   const T* const body = std::get_if<T>(&datagram->body);
   return body ? std::optional<T>(*body) : std::nullopt;
 }
 
-TEST(PreviousVersionDatagramTest, GossipWithUpdatesIsRead) {
+TEST(PreviousVersionDatagramTest, ReadsGossipWithUpdates) {
   using membership::MemberState;
   const auto gossip = open_datagram<membership::GossipMessage>("gossip", 1, "");
   ASSERT_TRUE(gossip);
@@ -154,7 +154,7 @@
   }
 }
 
-TEST(PreviousVersionDatagramTest, EveryKindOfGossipIsRead) {
+TEST(PreviousVersionDatagramTest, ReadsEveryKindOfGossip) {
   const int kinds[] = {0, 1, 3, 4};  // a ping, its acknowledgement, a join, updates alone
   for (std::size_t i = 0; i < 4; ++i) {
     const auto gossip =
@@ -167,7 +167,7 @@
   }
 }
 
-TEST(PreviousVersionDatagramTest, MemberMetadataIsRead) {
+TEST(PreviousVersionDatagramTest, ReadsMemberMetadata) {
   const std::string bytes = read_file("member-meta");
   const auto meta = group::decode_meta(bytes);
   ASSERT_TRUE(meta);
@@ -179,7 +179,7 @@
   EXPECT_EQ(encode(*meta), bytes);
 }
 
-TEST(PreviousVersionDatagramTest, VoteRequestsAreRead) {
+TEST(PreviousVersionDatagramTest, ReadsVoteRequests) {
   for (std::size_t kind = 0; kind < 3; ++kind) {
     const auto request =
         open_datagram<lease::VoteRequest>("vote-request-" + std::to_string(kind), 6 + kind);
@@ -194,7 +194,7 @@
   }
 }
 
-TEST(PreviousVersionDatagramTest, VoteRepliesAreRead) {
+TEST(PreviousVersionDatagramTest, ReadsVoteReplies) {
   for (std::size_t verdict = 0; verdict < 6; ++verdict) {
     const auto reply =
         open_datagram<lease::VoteReply>("vote-reply-" + std::to_string(verdict), 9 + verdict);
@@ -209,7 +209,7 @@
   }
 }
 
-TEST(PreviousVersionDatagramTest, TransferMessagesAreRead) {
+TEST(PreviousVersionDatagramTest, ReadsTransferMessages) {
   for (std::size_t kind = 0; kind < 2; ++kind) {
     const auto transfer =
         open_datagram<lease::TransferMessage>("transfer-" + std::to_string(kind), 15 + kind);
@@ -220,7 +220,7 @@
   }
 }
 
-TEST(PreviousVersionDatagramTest, VoterChangesAreRead) {
+TEST(PreviousVersionDatagramTest, ReadsReconfigurationRequests) {
   for (std::size_t kind = 0; kind < 3; ++kind) {
     const auto change = open_datagram<lease::ReconfigurationRequest>(
         "voter-change-" + std::to_string(kind), 17 + kind);
@@ -234,7 +234,7 @@
   }
 }
 
-TEST(PreviousVersionDatagramTest, AnswersToVoterChangesAreRead) {
+TEST(PreviousVersionDatagramTest, ReadsReconfigurationReplies) {
   for (std::size_t kind = 0; kind < 3; ++kind) {
     const auto answer = open_datagram<lease::ReconfigurationReply>(
         "voter-changed-" + std::to_string(kind), 20 + kind);
@@ -253,7 +253,7 @@
 
 // ---- hot restart
 
-// The message, which has the same bytes in this version.
+// Expects that the stored bytes decode to `expected`, and that it is encoded as the same bytes.
 template <class T>
 void expect_message(const std::string& name, const T& expected) {
   const std::string bytes = read_file("hot-restart-" + name);
@@ -264,7 +264,7 @@
   EXPECT_EQ(hot_restart::encode(expected), bytes) << name;
 }
 
-TEST(PreviousVersionHotRestartTest, MessagesAreRead) {
+TEST(PreviousVersionHotRestartTest, ReadsMessages) {
   using hot_restart::OperatorOverride;
   expect_message("hello", hot_restart::Hello{1, "127.0.0.1:11211"});
   expect_message("busy", hot_restart::Busy{});
@@ -277,7 +277,7 @@
   expect_message("connection", hot_restart::PassedConnection{"127.0.0.1:11211", "mg half\r", 17});
 }
 
-TEST(PreviousVersionHotRestartTest, SnapshotIsRead) {
+TEST(PreviousVersionHotRestartTest, ReadsSnapshot) {
   const std::string bytes = read_file("hot-restart-snapshot");
   const auto message = hot_restart::decode(bytes);
   ASSERT_TRUE(message);
--- a/tests/program_harness.h
+++ b/tests/program_harness.h
@@ -13,10 +13,10 @@
 #include "node_harness.h"
 #include "testbed/balancer_process.h"
 
-// The built program as processes of their own, between peers on the test's event loop.
+// Runs the built program in separate processes, with peers on the test's event loop.
 namespace balancer::node {
 
-// Discovery that can be away: it answers nothing then, or breaks its connections off.
+// A discovery service that can fail: it stops answering, or closes its connections.
 class SwitchableDiscovery {
  public:
   enum class State { kUp, kSilent, kResetting };
@@ -30,8 +30,8 @@
   }
 
   std::string hosts;
-  int answered = 0;  // calls that have been given the whole list
-  int watches = 0;   // calls for what has changed since a list, which is in force by then
+  int answered = 0;  // calls answered with the complete list
+  int watches = 0;   // calls for changes of a list, which the balancer has applied before
   Server server;
 
  private:
@@ -52,12 +52,12 @@
   State state_ = State::kUp;
 };
 
-// Lowers what a process that is started meanwhile may open.
+// Lowers the limit of open descriptors for processes that are started during its lifetime.
 class DescriptorLimit {
  public:
-  explicit DescriptorLimit(rlim_t most) {
+  explicit DescriptorLimit(rlim_t limit) {
     ::getrlimit(RLIMIT_NOFILE, &before_);
-    const rlimit lower{most, before_.rlim_max};
+    const rlimit lower{limit, before_.rlim_max};
     ::setrlimit(RLIMIT_NOFILE, &lower);
   }
   ~DescriptorLimit() { ::setrlimit(RLIMIT_NOFILE, &before_); }
@@ -81,7 +81,7 @@
     processes.clear();
     std::filesystem::remove_all(folder);
   }
-  // The processes read their configuration, `settings` and `known` with it, at each start.
+  // At each start the processes read their configuration, which includes `settings` and `known`.
   void make_processes(int count) {
     for (int i = 0; i < count; ++i) {
       Process::Files files;
@@ -106,7 +106,7 @@
                                   std::chrono::seconds limit = std::chrono::seconds(30)) {
     if (run_until(io, done, limit)) return ::testing::AssertionSuccess();
     return ::testing::AssertionFailure()
-           << "it never came to that; the log: " << processes.at(0)->last_log_lines();
+           << "the condition was not met in time; the log: " << processes.at(0)->last_log_lines();
   }
 
   testbed::Scenario scenario;
@@ -114,7 +114,7 @@
   testbed::Context context{io, scenario};
   SwitchableDiscovery discovery{io};
   std::string folder, settings = test_settings(), known;
-  std::string faults;  // of their machines; see rig/faults/fault_plan.h
+  std::string faults;  // injected into the processes; see testbed/faults/fault_plan.h
   int sockets = 256;
   std::vector<std::unique_ptr<Process>> processes;
 };
--- a/tests/program_test.cc
+++ b/tests/program_test.cc
@@ -1,4 +1,4 @@
-// The built program: what it does at its start, on signals and on new configurations.
+// The built program: start, signals, reloads and invalid configurations.
 #include <signal.h>
 #include <sys/prctl.h>
 #include <sys/wait.h>
@@ -42,19 +42,19 @@
            "\",\"seed\":\"1f\",\"limits\":{\"memory_mb\":32,\"sockets\":256},\"settings\":" +
            test_settings() + "}";
   }
-  void launch(const std::vector<std::string>& words = {}, bool platform = true) {
+  void launch(const std::vector<std::string>& arguments = {}, bool platform = true) {
     int pipe[2];
     ASSERT_EQ(::pipe(pipe), 0);
     const std::string variable = "ROUTER_CONFIG=" + dir_ + "/config.json";
     char* const env[] = {platform ? const_cast<char*>(variable.c_str()) : nullptr, nullptr};
     std::vector<char*> args = {const_cast<char*>(BALANCER_PROGRAM)};
-    for (const auto& w : words) args.push_back(const_cast<char*>(w.c_str()));
+    for (const auto& w : arguments) args.push_back(const_cast<char*>(w.c_str()));
     args.push_back(nullptr);
     pid_ = ::fork();
     if (pid_ == 0) {
       ::dup2(pipe[1], 2);
-      ::close_range(3, ~0U, 0);            // the test's own
-      ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // it ends with the test
+      ::close_range(3, ~0U, 0);            // descriptors of the test
+      ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // ends with the test
       ::execve(BALANCER_PROGRAM, args.data(), env);
       ::_exit(127);
     }
@@ -79,7 +79,7 @@
   }
   ::testing::AssertionResult wait(const std::function<bool()>& done) {
     if (run_until(io_, done)) return ::testing::AssertionSuccess();
-    return ::testing::AssertionFailure() << "it never came to that; its log: " << log_;
+    return ::testing::AssertionFailure() << "the condition was not met in time; the log: " << log_;
   }
   std::shared_ptr<Peer> client(const std::string& mark = "listening on 127.0.0.1:") {
     const auto at = log_.find(mark);
@@ -89,7 +89,7 @@
   }
 
   asio::io_context io_{1};
-  // The loop goes on when the program closes its standard error for a log of its own.
+  // Keeps the loop running when the program closes its standard error to log to a file.
   asio::executor_work_guard<asio::io_context::executor_type> work_{io_.get_executor()};
   std::string dir_, log_;
   pid_t pid_ = 0;
@@ -98,8 +98,8 @@
   char chunk_[1024];
 };
 
-// A reload must not end the program, and from then on the new discovery counts.
-TEST_F(ProgramTest, MovesToTheNewDiscoveryOnReload) {
+// A reload must not end the program; afterwards only the new discovery service is called.
+TEST_F(ProgramTest, UsesTheNewDiscoveryAddressAfterAReload) {
   FakeDiscovery first(io_), second(io_);
   FakeCache cache(io_, [](const auto&, const auto& id) { return FakeCache::value(id, "v1"); });
   second.hosts = host_entry("h1", cache.server.dial());
@@ -114,12 +114,12 @@
   ASSERT_TRUE(wait([&] { return c->in == "VA 2 O1\r\nv1\r\n"; }));
   const int before = first.calls;
   ASSERT_TRUE(wait([&] { return second.calls > 5; }));
-  EXPECT_EQ(first.calls, before) << "the old discovery is still asked";
+  EXPECT_EQ(first.calls, before) << "the old discovery service is still called";
   EXPECT_FALSE(exited());
 }
 
-// A slip in the new file leaves the old configuration in force, and a line says so.
-TEST_F(ProgramTest, KeepsTheConfigurationOnABadReload) {
+// An invalid file leaves the current configuration in use, which is logged.
+TEST_F(ProgramTest, KeepsTheConfigurationOnAnInvalidReload) {
   FakeDiscovery discovery(io_);
   write_config(config_text(discovery));
   launch();
@@ -129,17 +129,18 @@
     log_.clear();
     write_config(text);
     ::kill(pid_, SIGHUP);
-    ASSERT_TRUE(wait([&] { return logged("reload: rejected, the settings in force stay: "); }))
-        << text;
+    ASSERT_TRUE(wait([&] {
+      return logged("reload: rejected, the current settings stay in use: ");
+    })) << text;
   }
   const int before = discovery.calls;
   ASSERT_TRUE(wait([&] { return discovery.calls > before + 2; }));
   EXPECT_FALSE(exited());
 }
 
-// Stopped for over a second, with requests of its clients and news of discovery waiting for it:
-// what they ask for goes by the news, though they come first.
-TEST_F(ProgramTest, ForwardsNothingByTheOldListAfterAStall) {
+// The program is stopped for more than a second, in which clients send requests and the endpoint
+// list changes. The requests must be forwarded by the new list, although they arrived before it.
+TEST_F(ProgramTest, ForwardsByTheNewListAfterAStall) {
   FakeDiscovery discovery(io_);
   const auto answer = [](const auto&, const auto& id) { return FakeCache::value(id, "v1"); };
   FakeCache old(io_, answer), fresh(io_, answer);
@@ -172,8 +173,9 @@
   ASSERT_TRUE(wait([&] { return logged("endpoint list confirmed after "); }));
 }
 
-// A client's time is over before the program goes on: refused, though it could be served. On a busy
-// machine the request may be read too late for that, and is served then; so it has several tries.
+// A request whose deadline expires while the program is stopped is rejected, although it could be
+// served. On a busy machine the request may be read so late that it is served; the test therefore
+// makes several attempts.
 TEST_F(ProgramTest, RejectsExpiredRequestsAfterAStall) {
   FakeDiscovery discovery(io_);
   FakeCache cache(io_, [](const auto&, const auto& id) { return FakeCache::value(id, "v1"); });
@@ -181,8 +183,8 @@
   write_config(config_text(discovery));
   launch();
   ASSERT_TRUE(wait([&] { return discovery.calls > 1 && logged("listening"); }));
-  int refused = 0;
-  for (int round = 1; round <= 5 && refused == 0; ++round) {
+  int rejected = 0;
+  for (int round = 1; round <= 5 && rejected == 0; ++round) {
     const auto before = cache.ids.size();
     auto late = client();
     ::kill(pid_, SIGSTOP);
@@ -191,14 +193,15 @@
     ::kill(pid_, SIGCONT);
     ASSERT_TRUE(wait([&] { return late->in.ends_with("\r\n"); }));
     if (!late->in.starts_with("SERVER_ERROR busy")) continue;
-    ++refused;
-    EXPECT_EQ(cache.ids.size(), before) << "refused, and sent on";
+    ++rejected;
+    EXPECT_EQ(cache.ids.size(), before) << "a rejected request was forwarded";
   }
-  EXPECT_EQ(refused, 1);
+  EXPECT_EQ(rejected, 1);
 }
 
-// With discovery gone it goes on with what it knew, and each client has its one answer.
-TEST_F(ProgramTest, GoesOnWithTheOldListWithoutDiscoveryAfterAStall) {
+// Without discovery the program continues with the last known list after a stall, and each request
+// gets exactly one answer.
+TEST_F(ProgramTest, KeepsTheLastListWithoutDiscoveryAfterAStall) {
   std::optional<FakeDiscovery> discovery(std::in_place, io_);
   FakeCache cache(io_, [](const auto&, const auto& id) { return FakeCache::value(id, "v1"); });
   discovery->hosts = host_entry("h1", cache.server.dial());
@@ -221,7 +224,7 @@
   EXPECT_EQ(cache.ids.size(), 2u);
 }
 
-TEST_F(ProgramTest, EndsWithOneLineOnABadConfiguration) {
+TEST_F(ProgramTest, ExitsWithOneLineOnAnInvalidConfiguration) {
   write_config("{\"name\":\"n0\"}");
   launch();
   ASSERT_TRUE(wait([&] { return exited(); }));
@@ -230,8 +233,9 @@
   EXPECT_EQ(std::count(log_.begin(), log_.end(), '\n'), 1) << log_;
 }
 
-// The operator's file adds a RESP side; what of a changed one waits for a restart is said.
-TEST_F(ProgramTest, ServesRespAndReloadsPasswordsWithAnOperatorsFile) {
+// The operator's file adds a RESP listener. A reload rejects an invalid file, and logs changes that
+// take effect only after a restart.
+TEST_F(ProgramTest, ServesRespAndReloadsTheOperatorsFile) {
   FakeDiscovery discovery(io_);
   write_config(config_text(discovery));
   const std::string file = dir_ + "/operator.toml";
@@ -247,19 +251,20 @@
   std::ofstream(file) << text << "frob = 1\n";
   ::kill(pid_, SIGHUP);
   ASSERT_TRUE(wait([&] {
-    return logged("reload: rejected, the settings in force stay: " + file +
+    return logged("reload: rejected, the current settings stay in use: " + file +
                   ":8: frob: is not known");
   }));
   std::ofstream(file) << text << "most_bulk_kb = 7\n";
   ::kill(pid_, SIGHUP);
-  ASSERT_TRUE(wait([&] { return logged("listener l has changed, and waits for a restart"); }));
+  ASSERT_TRUE(wait(
+      [&] { return logged("listener l has changed; the change takes effect after a restart"); }));
   ::kill(pid_, SIGTERM);
   ASSERT_TRUE(wait([&] { return exited(); }));
   EXPECT_TRUE(WIFEXITED(*status_) && WEXITSTATUS(*status_) == 0);
 }
 
-// The operator's file alone starts the RESP side, and takes name, log and limits from it.
-TEST_F(ProgramTest, RunsWithTheOperatorsFileAlone) {
+// Without a platform configuration, name, log file and limits are taken from the operator's file.
+TEST_F(ProgramTest, RunsWithOnlyTheOperatorsFile) {
   const std::string file = dir_ + "/operator.toml", log = dir_ + "/log";
   const std::string text =
       "[process]\nname = \"lane-1\"\nlog = \"" + log +
@@ -279,7 +284,7 @@
   auto c = client("RESP on 127.0.0.1:");
   c->send("PING\r\n");
   ASSERT_TRUE(wait([&] { return c->in == "+PONG\r\n"; }));
-  // A log that was moved away is left at the next signal.
+  // After the log file was renamed, SIGHUP starts a new one.
   std::filesystem::rename(log, log + ".1");
   ::kill(pid_, SIGHUP);
   ASSERT_TRUE(wait([&] {
@@ -291,21 +296,21 @@
   EXPECT_TRUE(WIFEXITED(*status_) && WEXITSTATUS(*status_) == 0);
 }
 
-TEST_F(ProgramTest, EndsWithOneLineWithoutAnyFile) {
+TEST_F(ProgramTest, ExitsWithOneLineWithoutAnyFile) {
   launch({}, false);
   ASSERT_TRUE(wait([&] { return exited() && log_.ends_with('\n'); }));
   EXPECT_EQ(log_, "balancer: neither ROUTER_CONFIG is set nor --operator given\n");
   EXPECT_EQ(WEXITSTATUS(*status_), 1);
 }
 
-TEST_F(ProgramTest, CheckPrintsWhatItWouldListenOn) {
+TEST_F(ProgramTest, CheckPrintsListenersPoolsAndLimits) {
   const std::string file = dir_ + "/operator.toml";
   std::ofstream(file) << "[[pool]]\nname = \"p\"\nseeds = [\"127.0.0.1:7000\"]\nmost_connections "
                          "= 9\n[[listener]]\nname = \"l\"\naddress = \"127.0.0.1:6400\"\npool = "
                          "\"p\"\nrequire_auth = true\n";
-  const auto output = [](const std::string& words) {
+  const auto output = [](const std::string& arguments) {
     std::string out;
-    FILE* pipe = ::popen(("env -u ROUTER_CONFIG " BALANCER_PROGRAM " " + words).c_str(), "r");
+    FILE* pipe = ::popen(("env -u ROUTER_CONFIG " BALANCER_PROGRAM " " + arguments).c_str(), "r");
     char piece[256];
     while (std::fgets(piece, sizeof piece, pipe)) out += piece;
     ::pclose(pipe);
@@ -318,7 +323,7 @@
   EXPECT_TRUE(output("--version").starts_with("balancer 0."));
 }
 
-TEST_F(ProgramTest, EndsWithOneLineOnABadOperatorsFile) {
+TEST_F(ProgramTest, ExitsWithOneLineOnAnInvalidOperatorsFile) {
   FakeDiscovery discovery(io_);
   write_config(config_text(discovery));
   const std::string file = dir_ + "/operator.toml";
@@ -336,8 +341,9 @@
   }
 }
 
-// A host hangs, the end is asked for twice: what was taken is answered, and the exit is in order.
-TEST_F(ProgramTest, AnswersAndExitsOnASecondTermWhileAHostHangs) {
+// SIGTERM is received twice while a host does not answer: accepted requests are answered, and the
+// exit status is 0.
+TEST_F(ProgramTest, AnswersAndExitsOnASecondSigtermWhileAHostHangs) {
   FakeDiscovery discovery(io_);
   FakeCache cache(io_, [](const auto&, const auto&) { return std::string(); });
   discovery.hosts = host_entry("h1", cache.server.dial());
@@ -350,7 +356,7 @@
   ::kill(pid_, SIGTERM);
   ASSERT_TRUE(wait([&] { return logged("drain: begins on signal 15"); }));
   ::kill(pid_, SIGTERM);
-  // On a connection that stays open it goes on asking.
+  // The client sends another request on its open connection.
   c->send("mg k v O2 Pc=read,t=acme,d=5000\r\n");
   ASSERT_TRUE(wait([&] { return exited(); }));
   EXPECT_TRUE(WIFEXITED(*status_) && WEXITSTATUS(*status_) == 0);
@@ -358,8 +364,9 @@
   EXPECT_EQ(std::count(c->in.begin(), c->in.end(), '\n'), 2) << c->in;
 }
 
-// Reloads that go on coming until the process has gone: the last of them must not end it.
-TEST_F(ProgramTest, ExitsWithZeroWhileReloadsKeepComing) {
+// SIGHUP is sent until the process has exited. A late one must not terminate it: once the signal
+// handlers are removed, SIGHUP would.
+TEST_F(ProgramTest, ExitsWithZeroUnderRepeatedReloads) {
   FakeDiscovery discovery(io_);
   write_config(config_text(discovery));
   launch();
@@ -376,7 +383,7 @@
   EXPECT_EQ(*status_, 0);
 }
 
-TEST_F(ProgramTest, AnswersAndExitsOnTerm) {
+TEST_F(ProgramTest, AnswersAndExitsOnSigterm) {
   FakeDiscovery discovery(io_);
   write_config(config_text(discovery));
   launch();
--- a/tests/wall_clock_test.cc
+++ b/tests/wall_clock_test.cc
@@ -1,5 +1,5 @@
-// The machine's wall clock is wrong when a balancer starts. A cache host's age decides how much it
-// is sent; the age must not come from that clock.
+// Slow start of a cache host while the balancer's wall clock is wrong. The host's age determines
+// its share of the requests and must not be computed from that clock.
 #include "program_harness.h"
 
 namespace balancer::node {
@@ -15,7 +15,7 @@
 
 class WallClockTest : public ProcessTest {
  protected:
-  // Starts a balancer before two hosts, of which one has just started.
+  // Starts a balancer with two hosts, of which one has just started.
   void begin(std::int64_t wall_step_s, const std::string& warm_after_ns) {
     faults = "wall_step_s=" + std::to_string(wall_step_s);
     settings.insert(settings.rfind('}'),
@@ -27,8 +27,8 @@
     processes.front()->start([&ready] { ready = true; });
     ASSERT_TRUE(wait([&] { return ready && discovery.watches > 0; }));
   }
-  // The part of the keys, each asked for once, that the new host is asked for.
-  double part_of_new_host() {
+  // Requests each key once and returns the fraction of the requests that the new host receives.
+  double fraction_at_new_host() {
     const std::size_t before = new_host.ids.size();
     const auto c = client();
     for (int key = 0; key < kKeys; ++key) {
@@ -47,20 +47,20 @@
   int last_id = 0;
 };
 
-TEST_F(WallClockTest, KeepsAColdHostColdWithAClockAnHourAhead) {
+TEST_F(WallClockTest, LimitsANewHostWithAClockOneHourAhead) {
   begin(3600, "600000000000");
-  EXPECT_LT(part_of_new_host(), 0.2);
+  EXPECT_LT(fraction_at_new_host(), 0.2);
 }
 
-TEST_F(WallClockTest, WarmsAHostWithAClockAnHourBehind) {
+TEST_F(WallClockTest, CompletesSlowStartWithAClockOneHourBehind) {
   begin(-3600, "1000000000");
   run_for(io, std::chrono::milliseconds(1500));
-  EXPECT_GT(part_of_new_host(), 0.3);
+  EXPECT_GT(fraction_at_new_host(), 0.3);
 }
 
-TEST_F(WallClockTest, BehavesTheSameWithARightClock) {
+TEST_F(WallClockTest, LimitsANewHostWithACorrectClock) {
   begin(0, "600000000000");
-  EXPECT_LT(part_of_new_host(), 0.2);
+  EXPECT_LT(fraction_at_new_host(), 0.2);
 }
 
 }  // namespace
