--- a/src/hot_restart/state_files.cc
+++ b/src/hot_restart/state_files.cc
@@ -15,7 +15,7 @@
 // The extensions are the same in all versions.
 const char* extension_of(StateFile file) { return file == StateFile::kSocket ? "sock" : "words"; }
 
-bool is_plain(char c) {
+bool is_unescaped(char c) {
   return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '-' ||
          c == '_';
 }
@@ -23,7 +23,7 @@
 std::string escape(const std::string& name) {
   std::string text;
   for (const char c : name) {
-    if (is_plain(c)) {
+    if (is_unescaped(c)) {
       text += c;
       continue;
     }
--- a/src/settings/group_file.cc
+++ b/src/settings/group_file.cc
@@ -160,8 +160,8 @@
     if (!command->empty() && !command->front().starts_with('/'))
       keys.bad(command == &a.claim ? "claim" : "release",
                "must start with the absolute path of a program");
-  lease::AddressPreference wanted{a.name, read_names(keys, "prefer")};
-  g.lease_manager.addresses.push_back(std::move(wanted));
+  lease::AddressPreference preference{a.name, read_names(keys, "prefer")};
+  g.lease_manager.addresses.push_back(std::move(preference));
   g.addresses.push_back(std::move(a));
 }
 
@@ -204,9 +204,9 @@
 
 }  // namespace
 
-const ServiceAddress* GroupFile::address(const std::string& wanted) const {
+const ServiceAddress* GroupFile::address(const std::string& address_name) const {
   for (const auto& a : addresses)
-    if (a.name == wanted) return &a;
+    if (a.name == address_name) return &a;
   return nullptr;
 }
 
--- a/tests/hot_restart_test.cc
+++ b/tests/hot_restart_test.cc
@@ -164,7 +164,7 @@
     EXPECT_TRUE(old.exited_cleanly()) << old.log;
     return next;
   }
-  std::string ask(Peer& c, const std::string& key) {
+  std::string request_key(Peer& c, const std::string& key) {
     c.in.clear();
     c.send(get(key));
     EXPECT_TRUE(wait([&] { return answered(c) || c.closed; }));
@@ -233,10 +233,10 @@
     c->socket.async_connect(at_, [this, c](auto e) {
       if (e) return end(c, false);
       c->socket.set_option(tcp::no_delay(true));
-      ask(c);
+      send_request(c);
     });
   }
-  void ask(const Ptr& c) {
+  void send_request(const Ptr& c) {
     c->in.clear();
     const std::string id = "load" + std::to_string(++ids_);
     auto line =
@@ -268,7 +268,7 @@
       if (!answered) return connect(c);
       ++open_;
       ++sent;
-      ask(c);
+      send_request(c);
     });
   }
   void arm() {
@@ -331,7 +331,7 @@
   auto old = start();
   ASSERT_TRUE(serving(*old));
   auto slow = Peer::dial(io_, listen_), idle = Peer::dial(io_, listen_);
-  EXPECT_TRUE(ask(*idle, "k").starts_with("VA 1 "));
+  EXPECT_TRUE(request_key(*idle, "k").starts_with("VA 1 "));
   const std::string line = get("slowly");
   slow->send(line.substr(0, 9));
   run_for(io_, milliseconds(50));
@@ -339,7 +339,7 @@
   slow->send(line.substr(9));
   ASSERT_TRUE(wait([&] { return answered(*slow) || slow->closed; }));
   EXPECT_TRUE(slow->in.starts_with("VA 1 ")) << slow->in;
-  EXPECT_TRUE(ask(*idle, "k").starts_with("VA 1 ")) << idle->in << old->log << next->log;
+  EXPECT_TRUE(request_key(*idle, "k").starts_with("VA 1 ")) << idle->in << old->log << next->log;
   EXPECT_FALSE(idle->closed);
 }
 
@@ -384,7 +384,7 @@
   auto last = restart(*next);
   lines_.clear();
   auto c = Peer::dial(io_, listen_);
-  for (int i = 0; i < 30; ++i) ask(*c, "k" + std::to_string(i));
+  for (int i = 0; i < 30; ++i) request_key(*c, "k" + std::to_string(i));
   EXPECT_EQ(lines_.size(), 0u) << lines_[0];
   EXPECT_EQ(call(*last, "POST /cache-hosts/s-3/maint"), 404);
   EXPECT_EQ(call(*last, "POST /cache-hosts/s-1/ready"), 200);
@@ -405,7 +405,7 @@
   ASSERT_TRUE(serving(*next));
   lines_.clear();
   auto c = Peer::dial(io_, listen_);
-  for (int i = 0; i < 30; ++i) ask(*c, "k" + std::to_string(i));
+  for (int i = 0; i < 30; ++i) request_key(*c, "k" + std::to_string(i));
   EXPECT_EQ(lines_.size(), 0u) << "a host that is out of service received requests";
 }
 
@@ -440,15 +440,16 @@
 TEST_F(HotRestartTest, AppliesAnOverrideAtBothProcesses) {
   auto old = start();
   ASSERT_TRUE(serving(*old));
-  auto kept = Peer::dial(io_, listen_);  // stays at the predecessor until it receives SIGTERM
-  ASSERT_TRUE(ask(*kept, "k").starts_with("VA 1 "));
+  auto persistent_client =
+      Peer::dial(io_, listen_);  // stays at the predecessor until it receives SIGTERM
+  ASSERT_TRUE(request_key(*persistent_client, "k").starts_with("VA 1 "));
   auto next = start();
   ASSERT_TRUE(serving(*next));
   EXPECT_EQ(call(*next, "POST /cache-hosts/s-1/maint"), 200);
   ASSERT_TRUE(wait(
       [&] { return old->logged("override s-1: out of service, by an operator at the other"); }));
   lines_.clear();
-  for (int i = 0; i < 30; ++i) ask(*kept, "k" + std::to_string(i));
+  for (int i = 0; i < 30; ++i) request_key(*persistent_client, "k" + std::to_string(i));
   EXPECT_EQ(lines_.size(), 0u);
   EXPECT_EQ(call(*old, "POST /healthcheck/fail"), 200);
   auto probe = Peer::dial(io_, listen_);
@@ -469,7 +470,7 @@
     ::kill(next->pid, SIGKILL);
     ASSERT_TRUE(wait([&] { return next->exited(); }));
     auto c = Peer::dial(io_, listen_);
-    EXPECT_TRUE(ask(*c, "k").starts_with("VA 1 "));
+    EXPECT_TRUE(request_key(*c, "k").starts_with("VA 1 "));
   }
   auto next = restart(*old);  // a further successor finds the predecessor
   EXPECT_TRUE(next->logged("hot restart: predecessor answered")) << next->log;
@@ -489,7 +490,7 @@
   EXPECT_TRUE(bad->logged("listen")) << bad->log;
   EXPECT_FALSE(old->logged("hot restart: successor connected"));
   auto c = Peer::dial(io_, listen_);
-  EXPECT_TRUE(ask(*c, "k").starts_with("VA 1 "));
+  EXPECT_TRUE(request_key(*c, "k").starts_with("VA 1 "));
 }
 
 // The owner of the socket file does not listen, does not answer, sends an unreadable message, or
@@ -531,24 +532,24 @@
     ASSERT_TRUE(wait([&] { return old->exited(); }));
     EXPECT_TRUE(old->exited_cleanly());
     auto c = Peer::dial(io_, listen_);
-    EXPECT_TRUE(ask(*c, "k").starts_with("VA 1 "));
+    EXPECT_TRUE(request_key(*c, "k").starts_with("VA 1 "));
   }
 }
 
 // ---- events while a connection is being passed
 
 // The successor is stopped, so that the client's connection is in transit between the two processes
-// until the test continues the successor. A request without an answer is_persistent the predecessor
+// until the test continues the successor. A request without an answer keeps the predecessor
 // running.
 class ConnectionPassingTest : public HotRestartTest {
  protected:
   void begin() {
     old = start();
     ASSERT_TRUE(serving(*old));
-    holder = Peer::dial(io_, listen_);
+    blocked_client = Peer::dial(io_, listen_);
     c = Peer::dial(io_, listen_);
-    for (auto& p : {holder, c}) ASSERT_TRUE(ask(*p, "k").starts_with("VA 1 "));
-    holder->send(get("held"));
+    for (auto& p : {blocked_client, c}) ASSERT_TRUE(request_key(*p, "k").starts_with("VA 1 "));
+    blocked_client->send(get("held"));
     ASSERT_TRUE(wait([&] { return cache_.ids.size() + cache_2_.ids.size() > 2; }));
     next = start();
     ASSERT_TRUE(serving(*next));
@@ -560,7 +561,7 @@
     lines_.clear();
     c->in.clear();
   }
-  void ask_for_many() {
+  void send_many_requests() {
     std::string text;
     for (int i = 0; i < kMany; ++i) text += get("k" + std::to_string(i));
     c->send(text);
@@ -569,11 +570,11 @@
     return wait([&] { return std::count(c->in.begin(), c->in.end(), '\n') == 2 * kMany; });
   }
   void end_old() {
-    holder->close();
+    blocked_client->close();
     ASSERT_TRUE(wait([&] { return old->exited(); }));
     EXPECT_TRUE(old->exited_cleanly()) << old->log;
   }
-  bool asked_hosts_for(const std::string& id) const {
+  bool host_received(const std::string& id) const {
     return std::count(cache_.ids.begin(), cache_.ids.end(), id) +
                std::count(cache_2_.ids.begin(), cache_2_.ids.end(), id) >
            0;
@@ -581,14 +582,14 @@
 
   static constexpr int kMany = 20;  // keys, distributed over both hosts
   std::unique_ptr<Process> old, next;
-  std::shared_ptr<Peer> holder, c;
+  std::shared_ptr<Peer> blocked_client, c;
 };
 
 TEST_F(ConnectionPassingTest, SendsNothingToAHostListedAsDrainingMeanwhile) {
   ASSERT_NO_FATAL_FAILURE(begin());
   discovery_.hosts = host_entry("s-1", cache_.server.dial(), "std", "draining") + "," +
                      host_entry("s-2", cache_2_.server.dial());
-  ask_for_many();
+  send_many_requests();
   run_for(io_, milliseconds(1100));  // a process stall, after which the list is confirmed
   ::kill(next->pid, SIGCONT);
   ASSERT_TRUE(many_answered()) << c->in << next->log;
@@ -599,7 +600,7 @@
 TEST_F(ConnectionPassingTest, AppliesAnOverrideMadeMeanwhile) {
   ASSERT_NO_FATAL_FAILURE(begin());
   ASSERT_EQ(call(*old, "POST /cache-hosts/s-1/maint"), 200);
-  ask_for_many();
+  send_many_requests();
   ::kill(next->pid, SIGCONT);
   ASSERT_TRUE(many_answered()) << c->in << next->log;
   EXPECT_EQ(lines_.size(), 0u) << lines_[0];
@@ -617,17 +618,17 @@
     c->close();
     ::kill(next->pid, SIGCONT);
     auto other = Peer::dial(io_, listen_);
-    EXPECT_TRUE(ask(*other, "k").starts_with("VA 1 "));
+    EXPECT_TRUE(request_key(*other, "k").starts_with("VA 1 "));
     end_old();
-    EXPECT_TRUE(ask(*other, "k").starts_with("VA 1 "));
-    EXPECT_FALSE(asked_hosts_for(id)) << "by " << (by_reset ? "reset" : "FIN");
+    EXPECT_TRUE(request_key(*other, "k").starts_with("VA 1 "));
+    EXPECT_FALSE(host_received(id)) << "by " << (by_reset ? "reset" : "FIN");
   }
 }
 
 // Requests sent while the connection was in transit are answered, then it is closed gracefully.
 TEST_F(ConnectionPassingTest, AnswersWhenTheSuccessorIsTerminatedToo) {
   ASSERT_NO_FATAL_FAILURE(begin());
-  ask_for_many();
+  send_many_requests();
   ::kill(next->pid, SIGTERM);
   ::kill(next->pid, SIGCONT);
   ASSERT_TRUE(many_answered()) << c->in << next->log;
@@ -642,11 +643,11 @@
   ASSERT_NO_FATAL_FAILURE(begin());
   ::kill(old->pid, SIGKILL);
   ASSERT_TRUE(wait([&] { return old->exited(); }));
-  ask_for_many();
+  send_many_requests();
   ::kill(next->pid, SIGCONT);
   ASSERT_TRUE(many_answered()) << c->in << next->log;
   auto other = Peer::dial(io_, listen_);
-  EXPECT_TRUE(ask(*other, "k").starts_with("VA 1 "));
+  EXPECT_TRUE(request_key(*other, "k").starts_with("VA 1 "));
 }
 
 // A connection in transit is closed when the successor is killed, and the client connects again.
@@ -656,7 +657,7 @@
   ASSERT_TRUE(wait([&] { return c->closed; }));
   EXPECT_EQ(c->in, "");
   auto again = Peer::dial(io_, listen_);  // the predecessor serves it, though it is draining
-  EXPECT_TRUE(ask(*again, "k").starts_with("VA 1 "));
+  EXPECT_TRUE(request_key(*again, "k").starts_with("VA 1 "));
   end_old();
 }
 
@@ -670,7 +671,7 @@
     auto old = start();
     ASSERT_TRUE(serving(*old));
     auto c = Peer::dial(io_, listen_);
-    ASSERT_TRUE(ask(*c, "k").starts_with("VA 1 "));
+    ASSERT_TRUE(request_key(*c, "k").starts_with("VA 1 "));
     // A successor that began to serve before it was stopped is replaced by another one.
     std::unique_ptr<Process> next;
     for (int i = 0; i < 50 && !next; ++i) {
@@ -687,8 +688,8 @@
     ::kill(old->pid, signal);
     if (signal == SIGTERM) {
       auto fresh = Peer::dial(io_, listen_);
-      EXPECT_TRUE(ask(*fresh, "k").starts_with("VA 1 "));
-      EXPECT_TRUE(ask(*c, "k").starts_with("VA 1 "));
+      EXPECT_TRUE(request_key(*fresh, "k").starts_with("VA 1 "));
+      EXPECT_TRUE(request_key(*c, "k").starts_with("VA 1 "));
     }
     ASSERT_TRUE(wait([&] { return old->exited(); }));
     EXPECT_EQ(old->exited_cleanly(), signal == SIGTERM) << old->log;
--- a/tests/mixed_versions_test.cc
+++ b/tests/mixed_versions_test.cc
@@ -23,21 +23,22 @@
 class SteadyLoad {
  public:
   SteadyLoad(asio::io_context& io, const Endpoint& at) : io_(io), at_(at), timer_(io) {
-    for (std::size_t i = 0; i < kKept; ++i) connect(true);
+    for (std::size_t i = 0; i < kPersistentClients; ++i) connect(true);
     arm();
   }
   void stop() { stopped_ = true; }
   bool idle() const {
-    return std::all_of(clients_.begin(), clients_.end(), [](const Client& c) { return !c.waits; });
+    return std::all_of(clients_.begin(), clients_.end(),
+                       [](const Client& c) { return !c.is_waiting; });
   }
   // Returns the number of persistent connections that are still open.
-  std::size_t kept_open() const {
+  std::size_t open_persistent_clients() const {
     return static_cast<std::size_t>(
         std::count_if(clients_.begin(), clients_.end(),
-                      [](const Client& c) { return c.kept && !c.peer->closed; }));
+                      [](const Client& c) { return c.is_persistent && !c.peer->closed; }));
   }
 
-  static constexpr std::size_t kKept = 20;
+  static constexpr std::size_t kPersistentClients = 20;
   int sent = 0, served = 0, failed = 0;
 
  private:
@@ -45,24 +46,24 @@
 
   struct Client {
     std::shared_ptr<Peer> peer;
-    bool kept = false, waits = false;
+    bool is_persistent = false, is_waiting = false;
   };
 
-  void connect(bool kept) {
-    clients_.push_back({Peer::dial(io_, at_), kept, false});
-    ask(clients_.back());
+  void connect(bool is_persistent) {
+    clients_.push_back({Peer::dial(io_, at_), is_persistent, false});
+    send_request(clients_.back());
   }
-  void ask(Client& client) {
-    client.waits = true;
+  void send_request(Client& client) {
+    client.is_waiting = true;
     ++sent;
     client.peer->send("mg k v O" + std::to_string(sent) + " Pc=read,t=acme,d=5000\r\n");
   }
   // Counts the answer or failure of the client's request, if it has one.
   void collect(Client& client) {
-    if (!client.waits) return;
+    if (!client.is_waiting) return;
     const bool answered = client.peer->in.ends_with("\r\nv\r\n");
     if (!answered && !client.peer->closed && !client.peer->in.starts_with("SERVER_ERROR")) return;
-    client.waits = false;
+    client.is_waiting = false;
     ++(answered ? served : failed);
     client.peer->in.clear();
   }
@@ -72,13 +73,13 @@
       if (error) return;
       for (Client& client : clients_) collect(client);
       std::erase_if(clients_, [](const Client& c) {
-        const bool done = !c.waits && !c.kept;
+        const bool done = !c.is_waiting && !c.is_persistent;
         if (done) c.peer->close();
         return done;
       });
       if (!stopped_) {
         for (Client& client : clients_)
-          if (!client.waits && !client.peer->closed) ask(client);
+          if (!client.is_waiting && !client.peer->closed) send_request(client);
         connect(false);
       }
       arm();
@@ -167,7 +168,8 @@
     EXPECT_GT(load.served, 100);
     EXPECT_EQ(load.failed, 0);
     EXPECT_EQ(load.served, load.sent);
-    EXPECT_EQ(load.kept_open(), SteadyLoad::kKept) << "a client's connection was not passed on";
+    EXPECT_EQ(load.open_persistent_clients(), SteadyLoad::kPersistentClients)
+        << "a client's connection was not passed on";
     std::printf("%d requests sent, %d served, %d failed\n", load.sent, load.served, load.failed);
   }
   // Returns null if the process is not ready in time.
--- a/tests/operator_test.cc
+++ b/tests/operator_test.cc
@@ -88,8 +88,9 @@
   EXPECT_TRUE(
       all.apply_reload(parse_operator(kPool + tenant + "b\"\n" + kListener, "o.toml")).empty());
   EXPECT_EQ(all.pools[0].tenants[0].password, "b");
-  const auto wait = all.apply_reload(parse_operator(kPool + "most_attempts = 3\n", "o.toml"));
-  EXPECT_EQ(wait, (std::vector<std::string>{"pool p", "listener l"}));
+  const auto needs_restart =
+      all.apply_reload(parse_operator(kPool + "most_attempts = 3\n", "o.toml"));
+  EXPECT_EQ(needs_restart, (std::vector<std::string>{"pool p", "listener l"}));
   EXPECT_EQ(all.pools[0].site.policy.max_attempts, 8);
 }
 
@@ -161,9 +162,9 @@
       {kGroup.substr(0, kGroup.find("voters")) + "voters = [\"1\",\"1\"]\n",
        "o.toml:6: voters: must be up to 7 different names"},
   };
-  for (const auto& [text, wanted] : errors) {
+  for (const auto& [text, expected] : errors) {
     const auto error = error_of(text);
-    EXPECT_NE(error.find(wanted), std::string::npos) << text << "\n" << error;
+    EXPECT_NE(error.find(expected), std::string::npos) << text << "\n" << error;
   }
 }
 
