--- a/src/net/address_set.cc
+++ b/src/net/address_set.cc
@@ -74,7 +74,7 @@
     Node& node = nodes_[static_cast<std::size_t>(at)];
     const int common = std::min({bits.common_prefix(node.bits), node.length, length});
     if (common < node.length) {
-      // The network branches off within this node's path, or contains the node.
+      // The new network diverges within this node's prefix, or contains the node.
       const Bits old = node.bits;
       const std::int32_t branch = add_node(bits, common, common == length);
       attach(branch);
@@ -85,7 +85,7 @@
       }
       return;
     }
-    if (node.is_network) return;  // contains the new one
+    if (node.is_network) return;  // already contains the new network
     if (node.length == length) {
       node.is_network = true;
       return;
--- a/src/net/address_set.h
+++ b/src/net/address_set.h
@@ -9,33 +9,33 @@
 
 namespace balancer {
 
-// A set of IP networks, IPv4 and IPv6, as a path-compressed binary trie (Morrison's Patricia,
-// 1968): a look-up costs as many steps as networks branch above the address, however many there
-// are. Networks that lie in others take no node.
+// A set of IPv4 and IPv6 networks, stored as a path-compressed binary trie (PATRICIA, Morrison
+// 1968). A lookup takes one step per branch on the path to the address, however many networks the
+// set has. A network that is contained in a network added earlier adds no node.
 class AddressSet {
  public:
-  // "10.1.0.0/16", "fd00::/8", or one address. False if it is none of these, or has bits set behind
-  // the prefix.
+  // Adds a network such as "10.1.0.0/16" or "fd00::/8", or a single address. Returns false if the
+  // text is neither, or if bits after the prefix are set.
   bool insert(std::string_view network);
   bool contains(const boost::asio::ip::address& address) const;
   bool empty() const { return nodes_.empty(); }
   std::size_t nodes() const { return nodes_.size(); }
 
  private:
-  // 128 bits, the first highest; an IPv4 address lies in ::ffff:0:0/96.
+  // A 128-bit address, most significant bit first. IPv4 addresses are mapped into ::ffff:0:0/96.
   struct Bits {
     std::uint64_t high = 0;
     std::uint64_t low = 0;
     bool operator==(const Bits&) const = default;
     bool bit(int i) const { return (i < 64 ? high >> (63 - i) : low >> (127 - i)) & 1; }
-    Bits prefix(int n) const;                    // the other bits zero
+    Bits prefix(int n) const;                    // with all other bits zero
     int common_prefix(const Bits& other) const;  // length in bits
   };
   static constexpr std::int32_t kNone = -1;
   struct Node {
     Bits bits;
     int length = 0;
-    bool is_network = false;  // of the set; otherwise a branch only
+    bool is_network = false;  // member of the set; otherwise an inner branch
     std::int32_t child[2] = {kNone, kNone};
   };
 
--- a/src/net/client_listener.cc
+++ b/src/net/client_listener.cc
@@ -15,18 +15,19 @@
 
 constexpr Duration kTickInterval = std::chrono::milliseconds(50);
 constexpr int kBacklog = 4096;
-// Accepted at one go before other events get their turn.
+// Connections accepted per event-loop turn, so that other events are not starved.
 constexpr int kAcceptBatch = 64;
-// Clients that intend a request have sent its first byte by then.
+// Time within which a client that intends to send a request has sent its first byte.
 constexpr Duration kFirstByteGrace = std::chrono::milliseconds(300);
-// Most clients have written a command by then.
+// Time within which most clients have written a complete command.
 constexpr Duration kCommandGrace = std::chrono::milliseconds(1000);
-// A client in use sends its next request sooner than this.
+// An actively used connection sends its next request within this time.
 constexpr Duration kReuseInterval = std::chrono::seconds(2);
 
-// The order in which connections are closed to make room, the first kind first. Most connections of
-// a crowd never send a request; they must not drive out clients that were served and come back.
-// Clients within a command are mostly honest slow writers.
+// The order in which connections are closed to free descriptors, lowest value first. In a
+// connection flood most connections never send a request; they must not displace clients that were
+// served and reuse their connection. Clients in the middle of a command are mostly legitimate but
+// slow writers.
 enum class ClosePriority {
   kProtocolError,
   kSilent,
@@ -34,7 +35,7 @@
   kIdle,
   kNew,
   kSlowCommand,
-  kKeep,  // has requests in flight, or has just begun a command
+  kKeep,  // never closed: requests in flight, or a command just begun
 };
 
 ClosePriority close_priority(const ClientSession& session, Time now) {
@@ -107,8 +108,9 @@
   arm_accept();
 }
 
-// Without this option accept() blocks, and the event loop with it, when a client that waited in the
-// backlog has reset its connection, although the acceptor is non-blocking.
+// Makes accept() report connections that were reset while they waited in the backlog. Without this
+// option accept() waits for the next connection instead, which blocks the event loop even though
+// the acceptor is non-blocking.
 void ClientListener::report_aborted_connections() {
   acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
 }
@@ -131,7 +133,7 @@
 }
 
 void ClientListener::on_acceptable() {
-  // Without room new clients wait in the backlog until the next tick.
+  // When descriptors are short, new clients wait in the backlog until the next tick.
   if (accept_batch() != AcceptResult::kNoRoom) arm_accept();
 }
 
@@ -144,7 +146,7 @@
     if (error == asio::error::connection_aborted || error == asio::error::interrupted) continue;
     if (error == asio::error::would_block || error == asio::error::try_again)
       return AcceptResult::kNoneLeft;
-    // Out of descriptors or memory; waiting for readiness would spin.
+    // Out of descriptors or memory: the acceptor stays readable, so waiting for it would spin.
     if (error) return AcceptResult::kNoRoom;
     const auto session = make_session(std::move(socket));
     session->start();
@@ -161,7 +163,7 @@
   return session;
 }
 
-// ---- sharing with another process
+// ---- hot restart: sharing with another process
 
 void ClientListener::pause() {
   paused_ = true;
@@ -212,8 +214,9 @@
   }
 }
 
-// Closes the connection with the first priority, of these the one that has been in its state for
-// longest. One with unread input has just sent something and is kept, unless it was no command.
+// Closes the connection with the lowest ClosePriority, and among those the one that has been in its
+// state for the longest time. A connection with unread input is skipped, as its client has just
+// sent something, unless it is in a protocol error.
 bool ClientListener::make_room() {
   const Time now = clock_.now();
   SessionPtr chosen;
@@ -244,9 +247,9 @@
 
 // ---- draining
 
-// The multiples of the golden ratio, modulo 1, fill the interval evenly for any number of
-// connections. Closed all at once, their clients would reconnect together to the balancers that are
-// left.
+// Returns the close time for the next connection. Multiples of the golden ratio modulo 1 cover the
+// interval evenly for any number of connections. If all were closed at once, their clients would
+// reconnect to the remaining balancers at the same moment.
 Time ClientListener::DrainSchedule::next() {
   constexpr double kGoldenRatio = 0.6180339887498949;
   fraction += kGoldenRatio;
@@ -269,7 +272,7 @@
   for (const SessionPtr& session : sessions_) session->cancel_drain();
 }
 
-// Clients in the backlog are accepted first: the system resets them when the socket is closed.
+// Accepts the clients in the backlog first, as the kernel resets them when the socket is closed.
 bool ClientListener::stop() {
   if (!acceptor_.is_open()) return true;
   if (!paused_) {
--- a/src/net/client_listener.h
+++ b/src/net/client_listener.h
@@ -13,70 +13,74 @@
 
 namespace balancer {
 
-// Accepts clients on one address, and decides which connection to close when descriptors run short:
-// never one with a request in flight.
+// Accepts clients on one address and owns their sessions. When descriptors run short, it decides
+// which connection to close, and never closes one with a request in flight.
 class ClientListener : private SessionOwner {
  public:
-  // Closed until open(). `may_forward`: asked for every request of its clients; empty: always. All
-  // references outlive the listener.
+  // Does not listen until open(). `may_forward` is called for every request; if it is empty, all
+  // requests may be forwarded. All references must outlive the listener.
   ClientListener(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen,
                  Limits& limits, const Clock& clock, RequestSink& core, MakeDialect make_dialect,
                  const SessionTimes& times = {}, ForwardingCheck may_forward = {});
 
   // ---- accepting
 
-  // Listens; without effect if it does already. Throws boost::system::system_error if the address
-  // cannot be bound. `reuse_port`: another process may listen here too.
+  // Starts listening; no effect if already open. Throws boost::system::system_error if the address
+  // cannot be bound. `reuse_port`: sets SO_REUSEPORT, so that another process can listen on the
+  // same address.
   void open(bool reuse_port = false);
-  // Accepts from a socket that listens already, for example another process's.
+  // Accepts on a socket that is already listening, for example one passed by another process.
   void open(Descriptor listening);
   bool is_open() const { return acceptor_.is_open(); }
   boost::asio::ip::tcp::endpoint local() const { return local_; }
-  // Accepts nobody for now: clients wait in the backlog, or are accepted by another process that
-  // listens on the same socket.
+  // Stops accepting until resume(). Clients wait in the backlog, or are accepted by another process
+  // that listens on the same socket.
   void pause();
   void resume();
-  // Another descriptor of the listening socket; none if it is closed.
+  // Returns a duplicate of the listening socket's descriptor; an empty one if it is closed.
   Descriptor listening() const;
 
   // ---- draining
 
-  // Goes on accepting until stop(), and closes connections between requests, spread evenly from
-  // `first` to `last`; also those that are accepted later.
+  // Closes connections between requests, at times spread evenly from `first` to `last`, including
+  // those accepted later. Accepting continues until stop().
   void drain(Time first, Time last);
   void cancel_drain();
-  // Accepts the clients that wait in the backlog, and closes the listening socket. False: there was
-  // no room for some of them, and it has to be called again.
+  // Accepts the clients in the backlog and closes the listening socket. Returns false if
+  // descriptors ran out before the backlog was empty; the socket stays open and the caller must
+  // call again.
   bool stop();
-  // Stops, and drains the connections from now to `last`. May be opened again.
+  // Closes the listening socket and drains the connections from now to `last`. The listener may be
+  // opened again.
   void shut(Time last);
-  // Rejects requests that are unread for want of memory, before the process ends.
+  // Rejects requests that are unread because memory is short; called before the process ends.
   void reject_unread();
-  // Closes everything at once.
+  // Closes the listening socket and all connections immediately.
   void close_all();
 
   // ---- connections
 
   std::size_t sessions() const { return sessions_.size(); }
-  // Closes connections without a request while more descriptors are in use than the limit allows.
+  // Closes connections without a request in flight while more descriptors are in use than the limit
+  // allows.
   void close_excess();
-  // From now on connections between requests go to `transfer`, one at a time while `may_transfer`
-  // says so. Empty functions: no more.
+  // From now on passes connections that are between requests to `transfer`, one at a time while
+  // `may_transfer` returns true. Empty functions end the transfer.
   using MayTransfer = std::function<bool()>;
   using Transfer = std::function<void(HandedClient)>;
   void transfer_clients(MayTransfer may_transfer, Transfer transfer);
-  // Goes on with a client of another process.
+  // Takes over a client connection from another process.
   void adopt(HandedClient client);
 
  private:
   enum class AcceptResult { kNoneLeft, kMoreMayWait, kNoRoom };
   using SessionPtr = std::shared_ptr<ClientSession>;
 
-  // Spreads the ends of connections over a drain.
+  // Spreads the closing of connections over a drain.
   struct DrainSchedule {
     Time first;
     Time last;
-    double fraction = 0;  // of the time between them, for the connection that came last
+    double fraction = 0;  // position in [first, last] of the most recent connection
 
     Time next();
   };
@@ -86,7 +90,7 @@
   bool transfer(ClientSession& session) override;
 
   SessionPtr make_session(boost::asio::ip::tcp::socket socket);
-  // A copy, as sessions leave the set when they close.
+  // Returns a copy, as sessions are erased from the set when they close.
   std::vector<SessionPtr> all_sessions() const { return {sessions_.begin(), sessions_.end()}; }
   void report_aborted_connections();
   void arm_accept();
@@ -98,7 +102,7 @@
 
   boost::asio::io_context& io_;
   const boost::asio::ip::tcp::endpoint listen_;
-  boost::asio::ip::tcp::endpoint local_;  // with the port that the system assigned
+  boost::asio::ip::tcp::endpoint local_;  // with the port assigned by the kernel
   boost::asio::ip::tcp::acceptor acceptor_;
   Limits& limits_;
   const Clock& clock_;
--- a/src/net/client_session.cc
+++ b/src/net/client_session.cc
@@ -15,33 +15,34 @@
 using boost::system::error_code;
 
 constexpr std::size_t kReadSize = 16u << 10;  // bytes read in one call
-// Requests that one client may have in flight.
+// Maximum requests that one client may have in flight.
 constexpr std::size_t kMaxPipelined = 256;
-// Bytes of responses that a client may leave unread before it can begin another request.
+// Unwritten response bytes at which a client may not begin another request.
 constexpr std::size_t kMaxUnwritten = 256u << 10;
-// Commands processed at one go before other clients get their turn.
+// Commands processed per event-loop turn, so that other clients are not starved.
 constexpr int kMaxCommandsPerTurn = 32;
-// Input that may pass to another process with its connection, in bytes.
-constexpr std::size_t kMaxHandedInput = 16u << 10;
+// Maximum unprocessed input that is transferred to another process with its connection, in bytes.
+constexpr std::size_t kMaxTransferredInput = 16u << 10;
 
-// For a client to write a command.
+// Time within which a client must write a complete command.
 constexpr Duration kCommandTimeout = std::chrono::milliseconds(2500);
-// For a body whose memory is reserved, as long as it goes on coming.
+// Time within which a body whose memory is reserved must be read, provided that it keeps arriving.
 constexpr Duration kBodyTimeout = std::chrono::seconds(30);
-// For a client to take more of its response.
+// Time without progress after which a client that does not read its response is closed.
 constexpr Duration kWriteTimeout = std::chrono::seconds(5);
-// Idle time of a client that has sent one request only, where descriptors are short: it may itself
-// be limited in connections, and others wait for its place. One that has come back before keeps it.
-constexpr Duration kShortIdle = std::chrono::milliseconds(100);
-// How long a body waits for memory at most, where its client waits for longer.
+// Idle timeout for a client that has sent only one request, when descriptors are short: the client
+// may itself be limited in connections, and other clients wait for the descriptor. Clients that
+// have reused their connection keep the normal timeout.
+constexpr Duration kSingleUseIdleTimeout = std::chrono::milliseconds(100);
+// Maximum time that a body waits for memory, even if its client's deadline is longer.
 constexpr Duration kMaxBodyMemoryWait = std::chrono::milliseconds(2000);
-// In a drain, for a new client to begin.
-constexpr Duration kDrainFirstByte = std::chrono::milliseconds(300);
-// The delay of an error response: clients that send garbage mostly reconnect at once, and would
-// take all of the accept rate.
+// During a drain, time for a new client to send its first byte.
+constexpr Duration kDrainFirstByteTimeout = std::chrono::milliseconds(300);
+// Delay of an error response. Clients that send malformed input mostly reconnect at once, and would
+// otherwise use up the accept rate.
 constexpr Duration kErrorDelay = std::chrono::milliseconds(250);
 constexpr Duration kLingerTimeout = std::chrono::seconds(1);
-// Reads per tick while lingering; the rest waits in the kernel.
+// Reads per tick while lingering; remaining input stays in the kernel's buffer.
 constexpr int kLingerReads = 4;
 
 }  // namespace
@@ -82,10 +83,10 @@
 }
 
 bool ClientSession::can_release() const {
-  if (closed_ || !responses_.empty() || reads_no_more() || lingering_) return false;
+  if (closed_ || !responses_.empty() || has_stopped_reading() || lingering_) return false;
   if (blocked_ || processing_posted_) return false;
   const auto unread = dialect_->unread();
-  return unread && unread->size() <= kMaxHandedInput;
+  return unread && unread->size() <= kMaxTransferredInput;
 }
 
 HandedClient ClientSession::release() {
@@ -98,7 +99,7 @@
 // ---- reading
 
 void ClientSession::arm_read() {
-  if (read_pending_ || closed_ || blocked_ || processing_posted_ || reads_no_more()) return;
+  if (read_pending_ || closed_ || blocked_ || processing_posted_ || has_stopped_reading()) return;
   read_pending_ = true;
   socket_.async_wait(asio::ip::tcp::socket::wait_read,
                      [self = shared_from_this()](const error_code& error) {
@@ -110,7 +111,7 @@
 void ClientSession::on_readable() {
   static std::array<char, kReadSize> buffer;  // one thread reads one connection at a time
   if (!limits_.bytes.room_for(kReadSize)) {
-    block();  // until a tick finds room
+    block();  // resumed by a tick once memory is available
     return;
   }
   error_code error;
@@ -136,9 +137,9 @@
   processing_ = true;
   take_commands();
   processing_ = false;
-  // It was not memory that it has waited for, but an earlier request.
+  // The session was waiting for an earlier request, not for memory.
   if (!blocked_ && !has_input()) blocked_since_ = Time{0};
-  if (reads_no_more()) {
+  if (has_stopped_reading()) {
     error_response_at_ = clock_.now() + kErrorDelay;
     discard_input();
   }
@@ -148,7 +149,7 @@
 }
 
 void ClientSession::take_commands() {
-  for (int taken = 0; !reads_no_more(); ++taken) {
+  for (int taken = 0; !has_stopped_reading(); ++taken) {
     if (!may_begin_request() || !reserve_body()) return block();
     if (taken == kMaxCommandsPerTurn) return schedule_processing();
     const auto step = dialect_->step(*this);
@@ -172,11 +173,11 @@
 bool ClientSession::may_begin_request() const {
   if (responses_.empty()) return true;
   return responses_.size() < kMaxPipelined && responses_.unwritten_bytes() < kMaxUnwritten &&
-         !limits_.bytes_short();
+         !limits_.is_memory_short();
 }
 
-// A body is read only once the memory for all of it is reserved: many half-read ones would
-// otherwise fill it, and none could go on.
+// Reserves memory for the complete body before any of it is read. Otherwise many partly read bodies
+// could exhaust the budget, and none of them could complete. Returns false if there is no room.
 bool ClientSession::reserve_body() {
   const auto length = dialect_->body_length();
   if (length <= kSmallBody || body_.size() >= length) return true;
@@ -204,7 +205,8 @@
 
 void ClientSession::answer(std::uint64_t slot, std::string text) {
   if (closed_ || !responses_.complete(slot, std::move(text)) || processing_) return;
-  // With other requests in flight, what else becomes ready in this turn leaves in the same write.
+  // With other requests in flight, the flush is deferred so that all responses that become ready in
+  // this turn are sent in one write.
   if (responses_.size() == 1) return flush();
   schedule_flush();
 }
@@ -243,7 +245,7 @@
   if (result.state == WriteState::kSocketFull) return arm_write();
   if (result.state == WriteState::kFailed) return close_soon();
   if (result.state == WriteState::kStreamBroken) {
-    // The client can tell by the close that the value is not complete.
+    // The close tells the client that the value is incomplete.
     close_when_written_ = true;
     error_code ignored;
     socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
@@ -265,13 +267,13 @@
   if (lingering_) return;
   if (error_response_sent_ || close_when_written_) return linger();
   if (!error_response_.empty()) {
-    if (clock_.now() < error_response_at_) return;  // a later tick sends it
+    if (clock_.now() < error_response_at_) return;  // sent by a later tick
     error_response_sent_ = true;
     return answer(open_slot(), error_response_);
   }
-  // Posted, as this may run inside the core's call that has brought the response, and a transfer or
-  // a close withdraws from the core. The conditions are checked again then, so that input that has
-  // come meanwhile is processed first.
+  // Posted, because this may run inside the core's call that delivers the response, and a transfer
+  // or a close calls withdraw() on the core. The conditions are checked again in the posted
+  // handler, so that input that has arrived meanwhile is processed first.
   if (drain_at_ && can_release())
     asio::post(socket_.get_executor(), [self = shared_from_this()] {
       if (self->can_release()) self->owner_.transfer(*self);
@@ -311,12 +313,13 @@
       !dialect_->between_commands())
     return false;
   const Time now = clock_.now();
-  const bool is_due = has_answered() ? now >= *drain_at_ : now - accepted_at_ > kDrainFirstByte;
+  const bool is_due =
+      has_answered() ? now >= *drain_at_ : now - accepted_at_ > kDrainFirstByteTimeout;
   return is_due && !has_input();
 }
 
-// Closing with input unread would reset the connection, and the client might lose the last
-// response.
+// Shuts down the sending side and waits for the client to close. Closing a socket with unread input
+// resets the connection, and the client might lose the last response.
 void ClientSession::linger() {
   lingering_ = true;
   state_since_ = clock_.now();
@@ -337,33 +340,35 @@
 bool ClientSession::is_overdue(Time now) const {
   if (responses_.unwritten_bytes() > 0 || responses_.is_streaming())
     return write_pending_ && now - responses_.last_progress() > kWriteTimeout;
-  if (!responses_.empty()) return false;  // in flight: the request has a deadline of its own
+  if (!responses_.empty()) return false;  // in flight: bounded by the request's own deadline
   if (!has_answered() && now - accepted_at_ > times_.first_command) return true;
   const Duration in_state = now - state_since_;
   if (dialect_->body_length() > 0)
     return now - last_read_ > kCommandTimeout || in_state > kBodyTimeout;
   if (blocked_ || !dialect_->between_commands()) return in_state > kCommandTimeout;
-  if (answered_ == 1 && limits_.clients_short()) return in_state > kShortIdle;
+  if (answered_ == 1 && limits_.are_client_descriptors_short())
+    return in_state > kSingleUseIdleTimeout;
   return in_state > (has_answered() ? times_.idle : times_.first_byte);
 }
 
-bool ClientSession::waits_for_memory() {
-  if (closed_ || blocked_since_ == Time{0} || !responses_.empty() || reads_no_more() ||
+bool ClientSession::is_waiting_for_memory() {
+  if (closed_ || blocked_since_ == Time{0} || !responses_.empty() || has_stopped_reading() ||
       processing_posted_)
     return false;
   return blocked_ || has_input();
 }
 
-// A client that has written all of its request waits as long as that says; one that could not be
-// read at all may have any deadline.
+// Returns how long a request may wait for memory: up to half of the client's deadline if the head
+// of the command has been read, and a fixed time if its deadline is not known.
 Duration ClientSession::memory_wait() const {
   const auto deadline = dialect_->body_deadline();
   return deadline ? std::min(kMaxBodyMemoryWait, *deadline / 2) : times_.memory_wait;
 }
 
-// The client has mostly written its request already: to close would lose it without a response.
+// Sends a response instead of closing, as the client has mostly written its request already and
+// would otherwise lose it without a response.
 void ClientSession::reject_unread() {
-  if (!waits_for_memory()) return;
+  if (!is_waiting_for_memory()) return;
   error_response_ = dialect_->busy();
   error_response_at_ = clock_.now();
   blocked_ = false;
@@ -379,14 +384,14 @@
     if (now - state_since_ > kLingerTimeout) close();
     return;
   }
-  // Where nothing is read, a close by the client is not read either, and its requests would still
-  // go out much later.
+  // While reading is suspended, a close by the client goes unnoticed, and its requests would still
+  // be sent much later.
   if (!read_pending_ && has_disconnected()) return close();
-  if (blocked_) process_commands();  // there may be memory now
+  if (blocked_) process_commands();  // memory may be available now
   if (closed_) return;
-  if (waits_for_memory() && now - blocked_since_ > memory_wait()) reject_unread();
-  // Input is processed first: it may complete a command in this very turn.
-  if (is_overdue(now) && !reads_no_more() && !blocked_ && !processing_posted_ &&
+  if (is_waiting_for_memory() && now - blocked_since_ > memory_wait()) reject_unread();
+  // Unread input is processed before closing, as it may complete a command.
+  if (is_overdue(now) && !has_stopped_reading() && !blocked_ && !processing_posted_ &&
       responses_.unwritten_bytes() == 0 && has_input())
     on_readable();
   if (closed_) return;
--- a/src/net/client_session.h
+++ b/src/net/client_session.h
@@ -18,10 +18,10 @@
 
 class ClientSession;
 
-// Whether the requests of a listener's clients may be forwarded to servers.
+// Returns whether the requests of a listener's clients may be forwarded to servers.
 using ForwardingCheck = std::function<bool()>;
 
-// How long a connection stays open without a request.
+// How long a client's connection stays open without a request.
 struct SessionTimes {
   // From the accept to the first byte. Default: 2.1 s.
   Duration first_byte{std::chrono::milliseconds(2100)};
@@ -29,28 +29,31 @@
   Duration first_command{std::chrono::milliseconds(2600)};
   // Between requests. Default: 10 s.
   Duration idle{std::chrono::seconds(10)};
-  // How long a request may stay unread because memory is short; then it is rejected. Default:
-  // 500 ms.
+  // Time for which a request may stay unread because memory is short, before it is rejected.
+  // Default: 500 ms.
   Duration memory_wait{std::chrono::milliseconds(500)};
 };
 
-// A client's connection that passes to another process.
+// A client's connection in transfer to another process.
 struct HandedClient {
   Descriptor socket;
-  std::string input;           // read and not processed yet
-  std::uint64_t answered = 0;  // requests so far
+  std::string input;           // read but not processed yet
+  std::uint64_t answered = 0;  // number of requests so far
 };
 
+// Receives the events of a session.
 class SessionOwner {
  public:
   virtual ~SessionOwner() = default;
-  // The session is between requests. May release it to another process; returns whether it did.
+  // Called during a drain when the session is between requests. May release the connection to
+  // another process; returns whether it did.
   virtual bool transfer(ClientSession& session) = 0;
   virtual void on_session_closed(const std::shared_ptr<ClientSession>& session) = 0;
 };
 
-// One client's connection: reads input for its dialect within the limits on memory and pipelining,
-// writes responses in order, and closes where its client stays away. Every state has an end.
+// One client's connection, shared by its owner and by pending handlers. Reads input for its dialect
+// within the limits on memory and pipelining, writes responses in order, and closes the connection
+// if the client is inactive. Every state has a timeout or ends with its requests.
 class ClientSession : public ResponseSink, public std::enable_shared_from_this<ClientSession> {
  public:
   ClientSession(boost::asio::ip::tcp::socket socket, Limits& limits, const Clock& clock,
@@ -58,30 +61,30 @@
                 const SessionTimes& times, const ForwardingCheck& may_forward);
 
   void start();
-  // As start(), of a connection that another process has served until now.
+  // Like start(), for a connection taken over from another process.
   void resume(const HandedClient& from);
-  // Whether the connection is between requests and may pass to another process.
+  // Whether the connection is between requests and can be transferred to another process.
   bool can_release() const;
-  // Gives up the connection without closing it; the session has ended.
+  // Detaches the connection without closing it, and ends the session. Requires can_release().
   HandedClient release();
 
-  // ---- for its dialect
+  // ---- called by the dialect
 
-  // Opens the next slot in the order of responses.
+  // Reserves the next slot in the order of responses.
   std::uint64_t open_slot() { return responses_.open_slot(); }
-  // Completes the slot. All responses are written in the order of their slots.
+  // Sets the response of a slot. Responses are written in the order of their slots.
   void answer(std::uint64_t slot, std::string text);
-  // The same where most of the response is a long value, between `head` and `tail`. A stream that
-  // breaks closes the connection behind the part that has come.
+  // As above, for a response that consists of `head`, a streamed value and `tail`. If the stream
+  // breaks, the connection is closed after the part that has arrived.
   void answer(std::uint64_t slot, std::string head, StreamPtr stream, std::string tail);
-  // What made the next command wait (Dialect::Step::kWait) has ended.
+  // Resumes processing after Dialect::Step::kWait, once the earlier request has ended.
   void wake() {
     if (blocked_) schedule_processing();
   }
-  // Calls `then` from the event loop, unless the connection has closed by then.
+  // Calls `then` from the event loop, unless the connection is closed before that.
   void later(std::function<void()> then);
   Time now() const { return clock_.now(); }
-  // The reservation for the body that was just read.
+  // Transfers the reservation of the body that was just read to the caller.
   Reservation take_body() { return std::exchange(body_, Reservation(limits_.bytes)); }
 
   // ---- ResponseSink
@@ -90,28 +93,28 @@
   bool may_forward() const override { return !may_forward_ || may_forward_(); }
   bool is_connected() const override { return !has_disconnected(); }
 
-  // ---- for its owner
+  // ---- called by the owner
 
   enum class State {
-    kProtocolError,         // its input was no command; closes soon
-    kAwaitingFirstRequest,  // has sent nothing yet
-    kReadingCommand,        // has sent part of a command
+    kProtocolError,         // malformed input; will be closed after the error response
+    kAwaitingFirstRequest,  // no request received yet
+    kReadingCommand,        // part of a command received
     kIdle,                  // between requests
-    kBusy,                  // has requests in flight, or input to be processed
+    kBusy,                  // requests in flight, or input to be processed
   };
   State state() const;
   Time state_since() const { return state_since_; }
-  // Whether bytes have come that were not read yet.
+  // Whether the socket has unread input.
   bool has_input();
-  // Whether the client has closed its side, also behind bytes that were not read yet.
+  // Whether the client has closed its side, even if unread input precedes the close.
   bool has_disconnected() const;
   void close();
-  // Closes at the first moment between requests from `close_at` on; a client that has sent no
-  // request, soon.
+  // Closes the connection as soon as it is between requests at or after `close_at`. A client that
+  // has sent no request is closed 300 ms after it was accepted.
   void drain(Time close_at);
   void cancel_drain() { drain_at_.reset(); }
   void tick(Time now);
-  // Rejects what is unread for want of memory. Nothing of it has been forwarded.
+  // Rejects requests that are unread because memory is short; nothing of them has been forwarded.
   void reject_unread();
 
  private:
@@ -121,7 +124,7 @@
   void process_commands();
   void take_commands();
   void schedule_processing();
-  bool reads_no_more() const { return close_when_written_ || !error_response_.empty(); }
+  bool has_stopped_reading() const { return close_when_written_ || !error_response_.empty(); }
   bool may_begin_request() const;
   bool reserve_body();
   void block();
@@ -136,7 +139,7 @@
   // ending
   bool has_answered() const { return answered_ > 0; }
   bool is_overdue(Time now) const;
-  bool waits_for_memory();
+  bool is_waiting_for_memory();
   Duration memory_wait() const;
   bool may_close_for_drain();
   void linger();
@@ -152,25 +155,25 @@
   const SessionTimes& times_;
   const ForwardingCheck& may_forward_;
   Reservation descriptor_;
-  Reservation body_;      // of the command that is being read
-  Reservation buffered_;  // read and not processed yet
+  Reservation body_;      // body of the command that is being read
+  Reservation buffered_;  // input read but not processed yet
   ResponseQueue responses_;
-  bool read_pending_ = false;   // a wait for input is pending
-  bool write_pending_ = false;  // a wait for room is pending
+  bool read_pending_ = false;   // an async wait for input is pending
+  bool write_pending_ = false;  // an async wait for writability is pending
   bool processing_posted_ = false;
   bool flush_posted_ = false;
-  bool processing_ = false;  // flush() follows in this turn
-  bool blocked_ = false;     // the next command may not begin now
-  Time blocked_since_{0};    // 0: it is not
-  // What the client hears at the end if its input was no command or could not be read.
+  bool processing_ = false;  // inside process_commands(), which calls flush() afterwards
+  bool blocked_ = false;     // processing is suspended; the next command may not begin
+  Time blocked_since_{0};    // 0: not blocked
+  // Final response if the input was malformed or could not be read; empty otherwise.
   std::string error_response_;
   bool error_response_sent_ = false;
   Time error_response_at_{0};
   std::optional<Time> drain_at_;
   bool close_when_written_ = false;
-  bool lingering_ = false;  // all is written; waits for the client to close
+  bool lingering_ = false;  // all responses are written; waiting for the client to close
   bool closed_ = false;
-  std::uint64_t answered_ = 0;  // requests
+  std::uint64_t answered_ = 0;  // number of requests answered
   const Time accepted_at_;
   Time state_since_{0};
   Time last_read_{0};
--- a/src/net/datagram_socket.cc
+++ b/src/net/datagram_socket.cc
@@ -9,7 +9,7 @@
 using boost::system::error_code;
 namespace asio = boost::asio;
 
-// Datagrams read at one go before other events get their turn.
+// Datagrams read per event-loop turn, so that other events are not starved.
 constexpr int kBatch = 64;
 
 }  // namespace
@@ -35,7 +35,8 @@
     error_code error;
     const auto n = socket_.receive_from(asio::buffer(buffer_), from, 0, error);
     if (error == asio::error::would_block || error == asio::error::try_again) break;
-    if (error) continue;  // an earlier datagram met a port on which nobody listens
+    if (error)
+      continue;  // typically ECONNREFUSED, as an earlier datagram was sent to a closed port
     if (!admitted_.contains(from.address())) {
       ++counters_.rejected;
       continue;
--- a/src/net/datagram_socket.h
+++ b/src/net/datagram_socket.h
@@ -12,18 +12,18 @@
 
 namespace balancer {
 
-// A UDP socket that takes datagrams from admitted addresses only. Sends directly: a datagram for
-// which the system has no room is dropped, as the network may drop any.
+// A UDP socket that accepts datagrams from admitted addresses only. Sends without queueing: if the
+// socket's send buffer is full, the datagram is dropped, as the network may drop any datagram.
 class DatagramSocket {
  public:
   using Endpoint = boost::asio::ip::udp::endpoint;
   using Receiver = std::function<void(const Endpoint& from, std::string_view bytes)>;
 
-  // Throws boost::system::system_error if it cannot be bound.
+  // Throws boost::system::system_error if the address cannot be bound.
   DatagramSocket(boost::asio::io_context& io, const Endpoint& listen, AddressSet admitted,
                  Receiver receiver);
 
-  // Never waits; a datagram that could not be sent is counted.
+  // Never blocks; counts a datagram that could not be sent in Counters::not_sent.
   void send(const Endpoint& to, std::string_view bytes);
   void close();
   Endpoint local() const { return socket_.local_endpoint(); }
--- a/src/net/descriptor_link.cc
+++ b/src/net/descriptor_link.cc
@@ -13,11 +13,11 @@
 using boost::system::error_code;
 using Stream = boost::asio::posix::stream_descriptor;
 
-// Packets queued for a peer that does not read; with more the link fails.
+// Maximum packets queued for a peer that does not read; beyond this the link fails.
 constexpr std::size_t kMaxQueued = 1024;
-// Descriptors in one packet (the kernel allows SCM_MAX_FD, 253).
+// Maximum descriptors in one packet; the kernel's limit is SCM_MAX_FD, 253.
 constexpr std::size_t kMaxDescriptors = 64;
-// Packets read at one go before other events get their turn.
+// Packets read per event-loop turn, so that other events are not starved.
 constexpr int kReadBatch = 16;
 
 }  // namespace
@@ -105,7 +105,8 @@
   for (int i = 0; i < kReadBatch && open(); ++i) {
     Received r = receive_packet(stream_.native_handle(), max_bytes_, max_descriptors_);
     if (r.n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) break;
-    // Reported once if the peer closed with input unread; what it had sent can still be read.
+    // Reported once if the peer closed its socket with unread input. Packets that it sent before
+    // the close can still be read.
     if (r.n < 0 && errno == ECONNRESET && i < kReadBatch - 1) continue;
     if (r.n <= 0) return fail();
     handlers_.on_packet(std::move(r.packet));
@@ -127,7 +128,7 @@
       if (errno == EINTR) continue;
       const bool full = errno == EAGAIN || errno == EWOULDBLOCK || errno == ETOOMANYREFS;
       if (full && queue_.size() <= kMaxQueued) return arm_write();
-      // Posted, as the owner may be inside a call of its own.
+      // Posted, as send() may run inside a call of the owner, and fail() calls on_lost().
       boost::asio::post(stream_.get_executor(), [this, alive = alive_] {
         if (*alive) fail();
       });
--- a/src/net/descriptor_link.h
+++ b/src/net/descriptor_link.h
@@ -12,7 +12,7 @@
 
 namespace balancer {
 
-// Owns one file descriptor.
+// Owns one file descriptor, and closes it on destruction.
 class Descriptor {
  public:
   Descriptor() = default;
@@ -32,39 +32,41 @@
   int fd_ = -1;
 };
 
+// A message and the descriptors that it carries.
 struct Packet {
   std::string bytes;
   std::vector<Descriptor> descriptors;
 };
 
 struct Received {
-  // As recvmsg() returns it: bytes, 0 if the peer has closed, or -1 with errno set (EMSGSIZE for a
-  // packet that was truncated).
+  // Result of recvmsg(): number of bytes, 0 if the peer has closed, or -1 with errno set (EMSGSIZE
+  // for a truncated packet).
   long n = -1;
   Packet packet;
 };
-// Receives one packet of at most `max_bytes` with up to `max_descriptors`, without waiting.
+// Receives one packet of at most `max_bytes` with up to `max_descriptors`, without blocking.
 Received receive_packet(int fd, std::size_t max_bytes, std::size_t max_descriptors);
-// Sends one packet without waiting. False with errno set if nothing of it was sent; the descriptors
-// stay the caller's.
+// Sends one packet without blocking. Returns false with errno set if the packet was not sent. The
+// caller keeps ownership of the descriptors.
 bool send_packet(int fd, std::string_view bytes, const std::vector<Descriptor>& descriptors);
 
-// Exchanges packets that carry descriptors, in order, over a connected Unix socket of type
-// SOCK_SEQPACKET, to another process of the same user on this machine.
+// Exchanges packets that carry descriptors with another process of the same user on this machine,
+// in order, over a connected Unix socket of type SOCK_SEQPACKET.
 class DescriptorLink {
  public:
   struct Handlers {
     std::function<void(Packet)> on_packet;
-    // The peer has closed, or sent more than the bounds allow. Once, and from the event loop only.
+    // The peer has closed the connection or exceeded the bounds, or the queue for it is full.
+    // Called once, from the event loop only.
     std::function<void()> on_lost;
   };
 
-  // `max_bytes`, `max_descriptors`: of one packet.
+  // `max_bytes` and `max_descriptors` bound one received packet.
   DescriptorLink(boost::asio::io_context& io, Descriptor socket, std::size_t max_bytes,
                  std::size_t max_descriptors, Handlers handlers);
   ~DescriptorLink();
 
-  // Whether the next packet goes out at once; others wait in a bounded queue.
+  // Whether the next packet would be sent immediately. Otherwise it waits in a bounded queue.
   bool room() const { return open() && queue_.empty(); }
   void send(Packet packet);
   bool open() const { return stream_.is_open(); }
@@ -81,8 +83,9 @@
   const std::size_t max_descriptors_;
   const Handlers handlers_;
   std::deque<Packet> queue_;
-  bool write_pending_ = false;  // a wait for room is pending
-  // Shared with pending handlers, which check it first: they may outlive the link.
+  bool write_pending_ = false;  // an async wait for writability is pending
+  // Set to false on destruction. Shared with pending handlers, which may outlive the link and check
+  // it first.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/net/dialect.h
+++ b/src/net/dialect.h
@@ -14,18 +14,18 @@
 
 class ClientSession;
 
-// One client's side of a dialect: reads its commands, turns them into requests to the core, and the
-// core's responses into bytes. Has no socket; the session that owns it feeds it and orders its
-// answers. Called from the session only; on_response() also from inside step(), where the core
-// answers at once.
+// The protocol codec of one client connection. Decodes commands into requests to the core, and
+// encodes the core's responses. Has no socket: the session that owns it passes in the input and
+// writes the answers in order. Called by the session only; on_response() may be called from inside
+// step() if the core responds at once.
 class Dialect {
  public:
   enum class Step {
-    kMore,   // no complete command has come
-    kTaken,  // one was taken: answered, or submitted to the core
-    kWait,   // the next one waits for an earlier one of this client to end; see wake()
-    kFault,  // the input is no command: nothing further may be read, and fault() is the last answer
-    kLeave,  // the client has asked to close the connection after its answers
+    kMore,   // no complete command has been received
+    kTaken,  // a command was processed: answered, or submitted to the core
+    kWait,   // the next command waits for an earlier one of this client; see ClientSession::wake()
+    kFault,  // malformed input: no further input may be read, and fault() is the last answer
+    kLeave,  // the client has asked for a close after its outstanding answers
   };
 
   virtual ~Dialect() = default;
@@ -34,19 +34,20 @@
   virtual std::string fault() const = 0;
   virtual void on_response(ClientSession& session, ResponseSlot slot, const RequestPayload& payload,
                            Response response) = 0;
-  // Input that is not processed yet, if a new dialect object could go on from it alone.
+  // Returns the unprocessed input if a new dialect object could continue from it alone; nullopt if
+  // the dialect has other state.
   virtual std::optional<std::string> unread() const { return std::nullopt; }
-  // Drops input that is not processed yet.
+  // Discards unprocessed input.
   virtual void forget() = 0;
 
-  // Bytes of input that are not processed yet; a body that is being read is not counted.
+  // Returns the bytes of unprocessed input, without a body that is being read.
   virtual std::size_t buffered() const = 0;
   virtual bool between_commands() const = 0;
-  // Length in bytes of the body that is being read; 0 if there is none.
+  // Returns the length in bytes of the body that is being read; 0 if there is none.
   virtual std::size_t body_length() const = 0;
-  // How long its client waits for the answer, if that is known.
+  // Returns how long the client waits for the answer to the command with that body, if known.
   virtual std::optional<Duration> body_deadline() const { return std::nullopt; }
-  // The answer to a command that is rejected unread.
+  // Returns the answer to a command that is rejected without being read.
   virtual std::string busy() const = 0;
 };
 
--- a/src/net/host_list.h
+++ b/src/net/host_list.h
@@ -13,11 +13,12 @@
 
 using Endpoint = boost::asio::ip::tcp::endpoint;
 
+// An entry of the endpoint list.
 struct ListedHost {
   std::string id;
-  std::optional<Endpoint> dial;  // none: it could not be read
-  std::optional<UnixTime> born;  // its last start, as the list says it; none: long ago
-  std::optional<Duration> age;   // since that start, where a process that saw it says so
+  std::optional<Endpoint> dial;  // nullopt: the address could not be parsed
+  std::optional<UnixTime> born;  // last start according to the list; nullopt: long ago
+  std::optional<Duration> age;   // time since that start, if reported by a process that observed it
   bool origin = false;
   int zone = 0;
   int cell = 0;
@@ -25,15 +26,15 @@
   double weight = 1;
 };
 
-// Discovery's list, or what changed in it.
+// The endpoint list from discovery, or a change to it.
 struct HostList {
   std::uint64_t seq = 0;
   bool whole = false;
-  std::vector<ListedHost> hosts;      // entries that make no sense are left out
-  std::optional<UnixTime> sent_at{};  // by the clock of whoever sent it
+  std::vector<ListedHost> hosts;      // without invalid entries
+  std::optional<UnixTime> sent_at{};  // by the sender's clock
 };
 
-// "127.0.0.1:80" or "[::1]:80"; names are not looked up.
+// Parses "127.0.0.1:80" or "[::1]:80". Returns nullopt for anything else; names are not resolved.
 std::optional<Endpoint> parse_endpoint(std::string_view text);
 
 }  // namespace balancer
--- a/src/net/lease_clock.h
+++ b/src/net/lease_clock.h
@@ -8,8 +8,9 @@
 
 namespace balancer {
 
-// The clock of leases, CLOCK_BOOTTIME: never set, and unlike the steady clock it also counts while
-// the machine is suspended, as the voters' clocks go on meanwhile. Counts from the machine's start.
+// Returns the time on the clock used for leases, CLOCK_BOOTTIME, since the machine's boot. It is
+// never adjusted, and unlike the steady clock it also advances while the machine is suspended,
+// because the voters' clocks advance meanwhile.
 inline Time lease_now() {
   timespec t{};
   ::clock_gettime(CLOCK_BOOTTIME, &t);
--- a/src/net/limits.h
+++ b/src/net/limits.h
@@ -4,18 +4,18 @@
 #include <cstddef>
 #include <utility>
 
-// The limits on descriptors and bytes of one process, and what is reserved of them. One thread uses
-// them.
+// Limits on the descriptors and bytes of one process, and the reservations made against them. Not
+// thread-safe.
 namespace balancer {
 
-// The longest value that is collected before any of it reaches a client, in bytes: until then it
-// can be retried elsewhere if it breaks off or makes no sense.
+// The longest value, in bytes, that is collected completely before any of it is sent to a client.
+// If such a value is truncated or malformed, the request can still be retried at another host.
 inline constexpr std::size_t kMaxCollectedValue = 64u << 10;
-// Request bodies beyond this reserve their length ahead, in bytes.
+// Request bodies longer than this, in bytes, reserve memory for their length before they are read.
 inline constexpr std::size_t kSmallBody = 4u << 10;
 
-// A number of units of which parts are reserved. Reserving never fails: callers ask room_for()
-// first where they can wait.
+// A limited number of units, parts of which can be reserved. Reserving never fails, even beyond the
+// maximum: callers that can wait check room_for() first.
 class Budget {
  public:
   explicit Budget(std::size_t max) : max_(max) {}
@@ -25,7 +25,7 @@
   bool room_for(std::size_t n) const { return used_ + n <= max_; }
   std::size_t used() const { return used_; }
   std::size_t max() const { return max_; }
-  // Reservations beyond a lower maximum stay until they are released.
+  // Lowering the maximum does not revoke reservations; they stay until they are released.
   void set_max(std::size_t max) { max_ = max; }
 
  private:
@@ -34,7 +34,7 @@
   std::size_t used_ = 0;
 };
 
-// A part of a budget, released on destruction. The budget outlives it.
+// A part of a budget, released on destruction. The budget must outlive it.
 class Reservation {
  public:
   Reservation() = default;
@@ -51,7 +51,7 @@
   }
 
   std::size_t size() const { return n_; }
-  // Without effect on one that has no budget.
+  // No effect if the reservation has no budget.
   void resize(std::size_t n) {
     if (!budget_) return;
     budget_->used_ += n;
@@ -66,7 +66,7 @@
 
 // The budgets of one process.
 struct Limits {
-  // `reserved_descriptors`: for parts that not every installation has.
+  // `reserved_descriptors`: descriptors for optional components that this installation uses.
   Limits(std::size_t descriptors, std::size_t memory_mb, std::size_t reserved_descriptors = 0)
       : total_descriptors(descriptors),
         total_bytes((memory_mb << 20) / 2),
@@ -77,8 +77,8 @@
     share(total_descriptors, total_bytes, true);
   }
 
-  // Sets what this process may use: all, except during a hot restart, where two processes share.
-  // `accepts_clients`: whether it needs descriptors for new ones.
+  // Sets the part of the limits that this process may use: all of it, except during a hot restart,
+  // when two processes share it. `accepts_clients`: whether descriptors for new clients are needed.
   void share(std::size_t descriptors, std::size_t max_bytes, bool accepts_clients) {
     const std::size_t left = descriptors > fixed ? descriptors - fixed : 0;
     const std::size_t for_upstreams =
@@ -89,16 +89,16 @@
   }
   std::size_t descriptors_used() const { return fixed + clients.used() + upstreams.used(); }
 
-  // Standard streams, epoll, timer, signals, the listener and discovery.
+  // Descriptors for standard streams, epoll, timer, signals, the listener and discovery.
   static constexpr std::size_t kBaseDescriptors = 24;
 
   const std::size_t total_descriptors, total_bytes, fixed;
   Budget clients, upstreams;  // descriptors
-  Budget bytes;               // bodies, values, and answers that clients have not read yet
-  // Beyond this only clients that have no request in flight may begin one.
-  bool bytes_short() const { return bytes.used() > bytes.max() / 2; }
-  // Beyond this idle client connections are closed early.
-  bool clients_short() const { return clients.used() > clients.max() / 3; }
+  Budget bytes;               // bodies, values and unwritten responses
+  // Whether so much memory is in use that only clients without a request in flight may begin one.
+  bool is_memory_short() const { return bytes.used() > bytes.max() / 2; }
+  // Whether so many client descriptors are in use that idle connections are closed early.
+  bool are_client_descriptors_short() const { return clients.used() > clients.max() / 3; }
 };
 
 }  // namespace balancer
--- a/src/net/request.h
+++ b/src/net/request.h
@@ -12,67 +12,67 @@
 #include "net/value_stream.h"
 #include "policy/policy.h"
 
-// The types that pass between the frontends, which know the clients' dialects, and the dispatch
-// core, which knows none.
+// The types exchanged between the frontends, which implement the clients' dialects, and the
+// dispatch core, which is independent of them.
 namespace balancer {
 
-// A request in its dialect's own form. Made by a frontend and read by the upstream connections of
-// its pool; the core only carries it.
+// The dialect-specific form of a request. Created by a frontend and encoded by the upstream
+// connections of its pool; opaque to the core.
 class RequestPayload {
  public:
   virtual ~RequestPayload() = default;
-  // No attempt of the request is in flight any longer and none will be: the frontend may reuse the
-  // request's id.
+  // Called when no attempt of the request is in flight and none will follow, so that the frontend
+  // may reuse the request's id.
   virtual void on_released() const {}
 
-  // What the request requires of its connection; the core adds what its class says.
+  // The request's requirements on its connection; the core adds those of its request class.
   connection_pool::AttemptTraits traits;
 };
 using RequestPayloadPtr = std::shared_ptr<const RequestPayload>;
 
-// The one answer of a request.
+// The final answer to a request. Each request gets exactly one.
 struct Response {
   enum class Kind {
     kServed,
-    kRejected,  // nothing has run, or a repeat is harmless: the client may retry
-    kFailed,    // it may have run
+    kRejected,  // not executed, or safe to repeat: the client may retry
+    kFailed,    // may have been executed
   };
   Kind kind = Kind::kFailed;
-  std::string value;        // of a served one: what the connection has made of the server's answer
-  Duration retry_after{0};  // of a rejected one; 0: no advice
-  StreamPtr stream;         // of a served one whose value is long: in place of `value`
+  std::string value;        // kServed: the server's answer as decoded by the connection
+  Duration retry_after{0};  // kRejected: advice for the client; 0: none
+  StreamPtr stream;         // kServed with a long value: replaces `value`
 };
 
-// Where an answer belongs: a place in a client's order of answers, and the part of it where one
-// command became several requests.
+// Position of an answer: the slot in the client's order of answers, and the part within the slot if
+// one command was split into several requests.
 struct ResponseSlot {
   std::uint64_t slot = 0;
   std::uint32_t part = 0;
   auto operator<=>(const ResponseSlot&) const = default;
 };
 
-// The client of a request, as the core sees it.
+// The core's interface to the client of a request.
 class ResponseSink {
  public:
   virtual ~ResponseSink() = default;
-  // Called once for each request that was submitted and not withdrawn; possibly before submit()
+  // Called once for each request that was submitted and not withdrawn, possibly before submit()
   // returns.
   virtual void on_response(ResponseSlot slot, const RequestPayload& payload, Response response) = 0;
-  // Whether requests of this client may still be forwarded. Asked on arrival and before each
-  // attempt; where false, nothing more reaches a server, and the request is rejected unless an
-  // earlier attempt may have run.
+  // Whether requests of this client may still be forwarded. Checked on arrival and before each
+  // attempt. If false, nothing more is sent to a server, and the request is rejected unless an
+  // earlier attempt may have been executed.
   virtual bool may_forward() const { return true; }
-  // Whether the client still has its connection open, also where a close has not been read yet.
-  // Asked on arrival, and before a byte goes out where the last answer is not recent. Costs a
-  // system call.
+  // Whether the client's connection is still open; false also if a close has arrived but has not
+  // been read yet. Checked on arrival, and before a byte is written if the last check is not
+  // recent. Costs a system call.
   virtual bool is_connected() const { return true; }
 
  private:
   friend class ServerPool;
-  std::vector<RequestId> open_requests_;  // those without an answer
+  std::vector<RequestId> open_requests_;  // not answered yet
 };
 
-// A request, as a frontend submits it.
+// A request as submitted by a frontend.
 struct RequestSpec {
   RequestPayloadPtr payload;
   int request_class = 0;  // index into the pool's classes
@@ -83,15 +83,16 @@
   Duration time_left{0};         // until the client gives up
 };
 
-// The core as a frontend sees it.
+// The frontends' interface to the core.
 class RequestSink {
  public:
   virtual ~RequestSink() = default;
-  // Takes the request; its end is reported by ResponseSink::on_response(), also that of a request
-  // that is rejected at once.
+  // Accepts the request. Its response, including an immediate rejection, is passed to
+  // ResponseSink::on_response().
   virtual void submit(const std::shared_ptr<ResponseSink>& sink, ResponseSlot slot,
                       RequestSpec spec) = 0;
-  // The client has gone; on_response() is not called for it any more. From the event loop only.
+  // Ends all requests of a client that has disconnected; on_response() is no longer called for it.
+  // Called from the event loop only.
   virtual void withdraw(ResponseSink& sink) = 0;
 };
 
--- a/src/net/response_queue.cc
+++ b/src/net/response_queue.cc
@@ -11,7 +11,7 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-constexpr std::size_t kWriteSize = 64u << 10;  // bytes gathered for one call
+constexpr std::size_t kWriteSize = 64u << 10;  // bytes gathered for one write call
 
 bool is_socket_full(const error_code& error) {
   return error == asio::error::would_block || error == asio::error::try_again;
@@ -65,8 +65,8 @@
   return result;
 }
 
-// The complete responses at the front: small ones copied together, or one large one from where it
-// lies.
+// Returns the next bytes of the complete responses at the front: small responses copied into one
+// buffer, or a single large response without a copy.
 std::string_view ResponseQueue::gather() const {
   static std::array<char, kWriteSize> buffer;  // one thread writes one connection at a time
   std::size_t filled = 0;
@@ -80,7 +80,7 @@
   return std::string_view(slots_.front().text).substr(slots_.front().written);
 }
 
-// kNoneReady: go on with the next response.
+// Returns kNoneReady if the caller may continue with the next response.
 ResponseQueue::WriteResult::State ResponseQueue::write_responses(WriteResult& result) {
   const std::string_view bytes = gather();
   error_code error;
@@ -96,7 +96,8 @@
   return WriteResult::State::kNoneReady;
 }
 
-// Counts the bytes off the complete responses at the front; returns how many were written whole.
+// Removes `bytes` written bytes from the complete responses at the front. Returns how many
+// responses are now completely written.
 std::size_t ResponseQueue::pop_written(std::size_t bytes) {
   std::size_t popped = 0;
   while (!slots_.empty() && slots_.front().is_complete) {
@@ -111,8 +112,8 @@
   return popped;
 }
 
-// The head, then what has come of the value; behind the last of it the tail becomes a response like
-// others. kNoneReady: go on.
+// Writes the head, then the part of the value that has arrived. After the end of the value, the
+// tail is left in the slot as a regular response. Returns kNoneReady if the caller may continue.
 ResponseQueue::WriteResult::State ResponseQueue::write_stream(Slot& slot) {
   using State = WriteResult::State;
   ValueStream& stream = *slot.stream;
@@ -137,7 +138,7 @@
     slot.written += written;
     unwritten_bytes_ -= written;
   } else if (written > 0) {
-    const StreamPtr kept = slot.stream;  // the reader may end it from inside the call
+    const StreamPtr kept = slot.stream;  // take() may call back and release the slot's reference
     kept->take(written);
   }
   if (!error || error == asio::error::interrupted) return State::kNoneReady;
--- a/src/net/response_queue.h
+++ b/src/net/response_queue.h
@@ -14,55 +14,55 @@
 
 namespace balancer {
 
-// The responses to one client: written in the order of their requests, whatever the order in which
-// they become ready. Waits for nothing: the owner calls write() again when the socket or a stream
-// has room or data. Slots are numbered from 1.
+// The responses to one client. They are written in the order of their requests, regardless of the
+// order in which they become ready. Never waits: the owner calls write() again when the socket is
+// writable or a stream has data. Slots are numbered from 1.
 class ResponseQueue {
  public:
-  // All outlive the queue.
+  // All references must outlive the queue.
   ResponseQueue(boost::asio::ip::tcp::socket& socket, Budget& bytes, const Clock& clock)
       : socket_(socket), budget_(bytes), clock_(clock) {}
 
-  // Opens the next slot.
+  // Reserves the next slot and returns its number.
   std::uint64_t open_slot();
-  // Completes the slot. False: it is not open, or complete already.
+  // Sets the response of the slot. Returns false if the slot is not open, or already complete.
   bool complete(std::uint64_t slot, std::string text);
-  // Completes it with a long value between `head` and `tail`. `on_data` is called when more of the
-  // value has come. False: as above; the stream is abandoned.
+  // Sets a response that consists of `head`, a streamed value and `tail`. `on_data` is called when
+  // more of the value has arrived. Returns false as above, after abandoning the stream.
   bool complete(std::uint64_t slot, std::string head, StreamPtr stream, std::string tail,
                 std::function<void()> on_data);
 
   struct WriteResult {
     enum class State {
-      kNoneReady,     // the front response is not ready, or there is none
-      kSocketFull,    // wait until the socket is writable
-      kStreamEmpty,   // the value's next bytes have not come
-      kStreamBroken,  // the value will never be complete: the connection must end
+      kNoneReady,     // the front response is not ready, or the queue is empty
+      kSocketFull,    // call again when the socket is writable
+      kStreamEmpty,   // call again when the stream has data
+      kStreamBroken,  // the value is truncated: the connection must be closed
       kFailed,        // the connection has failed
     };
     State state = State::kNoneReady;
-    std::size_t completed = 0;     // responses of which the last byte was written
-    bool wrote_responses = false;  // other than parts of a stream
+    std::size_t completed = 0;     // responses whose last byte was written
+    bool wrote_responses = false;  // wrote bytes other than those of a stream
   };
-  // Writes what is ready.
+  // Writes as many ready responses as the socket accepts.
   WriteResult write();
 
-  // Ends the streams of all open responses, and drops these.
+  // Abandons the streams of all open responses, and drops the responses.
   void clear();
 
   bool empty() const { return slots_.empty(); }
   std::size_t size() const { return slots_.size(); }
   bool is_streaming() const { return !slots_.empty() && slots_.front().stream; }
-  // Bytes that are ready and not written, parts of streams apart.
+  // Returns the bytes that are ready but not written, not counting streamed values.
   std::size_t unwritten_bytes() const { return unwritten_bytes_; }
-  // When the client last took something, or had taken everything.
+  // Returns when bytes were last written, or when the queue last had nothing to write.
   Time last_progress() const { return last_progress_; }
 
  private:
   struct Slot {
     std::uint64_t number;
     std::string text;
-    std::size_t written = 0;  // bytes of `text`
+    std::size_t written = 0;  // bytes written of `text`
     bool is_complete = false;
     Reservation bytes;
     StreamPtr stream;  // follows `text`
--- a/src/net/upstream_connection.cc
+++ b/src/net/upstream_connection.cc
@@ -15,14 +15,15 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-constexpr std::size_t kReadSize = 64u << 10;    // bytes read in one call
-constexpr std::size_t kWriteSize = 64u << 10;   // bytes gathered for one call
-constexpr std::size_t kLargePiece = 16u << 10;  // from this size on written without a copy
-// An answer that has begun and sends nothing for so long is never completed: its length does not
-// fit, or its host died. Hosts write an answer at one go.
+constexpr std::size_t kReadSize = 64u << 10;   // bytes read in one call
+constexpr std::size_t kWriteSize = 64u << 10;  // bytes gathered for one write call
+constexpr std::size_t kLargePiece =
+    16u << 10;  // pieces of at least this size are written without a copy
+// An answer that has begun and then makes no progress for this time is given up: its stated length
+// is wrong, or its host has died. Hosts write an answer in one piece.
 constexpr Duration kAnswerIdleTimeout = std::chrono::milliseconds(250);
-// The same for a long value, which its host may send in pieces, and for the answer to a
-// non-idempotent request, where an earlier end gains nothing as it is not retried.
+// The same for a long value, which the host may send in pieces, and for the answer to a
+// non-idempotent request, which is not retried, so that giving up early has no benefit.
 constexpr Duration kLongAnswerIdleTimeout = std::chrono::milliseconds(3000);
 
 }  // namespace
@@ -78,9 +79,9 @@
 
 // ---- writing
 
-// The outcome of a request that may not go on being written. One that has begun at its host goes on
-// there, though the host is to get nothing new.
-std::optional<Result> UpstreamConnection::denied_result(const Outgoing& out) const {
+// Returns the outcome of a request that must not be written any further, or nullopt if it may be. A
+// partly written request is completed even if its host is to get no new requests.
+std::optional<Result> UpstreamConnection::result_if_denied(const Outgoing& out) const {
   if (out.attempt->ended) return unsent_result(SendPermission::kRequestFinished);
   const SendPermission permission = events_.may_send(*out.attempt);
   if (permission == SendPermission::kGranted) return std::nullopt;
@@ -88,10 +89,10 @@
   return unsent_result(permission);
 }
 
-// Encodes the request at this place if it may be written. False: it was withdrawn.
+// Encodes the request at this place if it may be written. Otherwise withdraws it and returns false.
 bool UpstreamConnection::prepare_to_write(std::size_t place) {
   Outgoing& out = queue_[place];
-  if (const auto result = denied_result(out)) {
+  if (const auto result = result_if_denied(out)) {
     withdraw(place, *result);
     return false;
   }
@@ -103,7 +104,7 @@
 }
 
 void UpstreamConnection::withdraw(std::size_t place, Result result) {
-  if (queue_[place].encoded) return cut_off(place, result);
+  if (queue_[place].encoded) return withdraw_partly_written(place, result);
   remove(place, result);
 }
 
@@ -114,10 +115,11 @@
   end(removed, result);
 }
 
-// A request that is partly written cannot be taken out of the middle of others: the connection gets
-// no byte more, what stands behind goes elsewhere, and what is in flight before it keeps its
-// answers. A host that holds a part of a request never runs it.
-void UpstreamConnection::cut_off(std::size_t place, Result result) {
+// Withdraws a partly written request. Nothing more can be written on the connection after a partial
+// request: it is retired, the requests queued after this one are withdrawn so that they can be sent
+// elsewhere, and those in flight before it still get their answers. A host never executes a request
+// that it has received only in part.
+void UpstreamConnection::withdraw_partly_written(std::size_t place, Result result) {
   retired_ = true;
   owner_.on_retired(*this);
   remove(place, result);
@@ -127,7 +129,7 @@
 
 void UpstreamConnection::withdraw_unsendable() {
   for (std::size_t place = first_unsent_; !closed_ && place < queue_.size();) {
-    const auto result = denied_result(queue_[place]);
+    const auto result = result_if_denied(queue_[place]);
     if (result) {
       withdraw(place, *result);
     } else {
@@ -149,8 +151,9 @@
   if (queue_.empty()) fail();
 }
 
-// The next bytes to write: small pieces copied together, as a system call for each would cost more,
-// or one large piece from where it lies. Empty if there is nothing, or the connection has closed.
+// Returns the next bytes to write: small pieces copied into one buffer, as a system call for each
+// would cost more, or one large piece without a copy. Empty if there is nothing to write or the
+// connection has closed.
 std::string_view UpstreamConnection::gather() {
   static std::array<char, kWriteSize> buffer;  // one thread writes one connection at a time
   std::size_t filled = 0;
@@ -188,8 +191,9 @@
   }
 }
 
-// Writes directly, not through a queued operation: whether the last byte of a request went out
-// decides whether it may have run, and must be known when the connection breaks.
+// Writes with direct calls instead of asynchronous operations. Whether the last byte of a request
+// was written decides whether it may have been executed, and must be known when the connection
+// breaks.
 void UpstreamConnection::flush() {
   if (!connected_ || closed_) return;
   while (true) {
@@ -242,7 +246,7 @@
 
 void UpstreamConnection::on_readable() {
   static std::array<char, kReadSize> buffer;  // one thread reads one connection at a time
-  if (!may_read()) return;                    // the stream's window filled up meanwhile
+  if (!may_read()) return;                    // the stream's window has filled up meanwhile
   error_code error;
   const auto max_bytes = stream_ ? std::min(kReadSize, stream_->room()) : kReadSize;
   const auto n = socket_.read_some(asio::buffer(buffer.data(), max_bytes), error);
@@ -255,16 +259,17 @@
   if (handle_input(std::string_view(buffer.data(), n))) close_or_read();
 }
 
-// False: the connection has failed.
+// Returns false if the connection has failed.
 bool UpstreamConnection::handle_input(std::string_view bytes) {
-  // Bytes that are no answer are an error of the host, not a sign that it is away, as a reset is.
+  // Malformed bytes are an error of the host, unlike a reset, which suggests that it is down.
   if (queue_.empty() || !on_bytes(bytes)) return fail(Result::kError), false;
-  // Bytes behind the last answer belong to nothing: the next answer would be read as their rest.
-  // If they come in a later packet, is_alive() finds them before the next attempt.
+  // Bytes after the last answer belong to no request, and the next answer would be parsed as their
+  // continuation. If they arrive in a later packet, is_alive() detects them before the next
+  // attempt.
   if (queue_.empty() && !between_answers()) return fail(), false;
   partial_since_ = between_answers() ? std::optional<Time>() : partial_since_.value_or(last_read_);
   if (stream_ && stream_->abandoned()) return fail(), false;
-  // Values are collected within the byte budget; what is over it waits in the kernel.
+  // Values are collected within the byte budget; beyond it, input waits in the kernel's buffer.
   memory_full_ = !value_.empty() && !limits_.bytes.room_for(kMaxCollectedValue);
   return true;
 }
@@ -282,13 +287,13 @@
   stream_->on_room = [self = weak_from_this()] {
     if (const auto c = self.lock()) c->on_stream_room();
   };
-  ended_.push_back({current(), Result::kOk, {}, stream_});
+  pending_events_.push_back({current(), Result::kOk, {}, stream_});
 }
 
-// May come from inside push(), or from the client's side at any time.
+// May be called from inside push(), or by the client's connection at any time.
 void UpstreamConnection::on_stream_room() {
   if (closed_ || read_pending_) return;
-  last_read_ = events_.now();  // the client was the slow side
+  last_read_ = events_.now();  // the pause was caused by the client, not by the host
   if (stream_ && stream_->abandoned()) {
     asio::post(socket_.get_executor(), [self = shared_from_this(), stream = stream_] {
       if (self->stream_ == stream) self->fail();
@@ -300,7 +305,7 @@
 
 bool UpstreamConnection::take_value(std::string_view piece, std::optional<std::size_t> length) {
   if (stream_) return stream_->push(piece), true;
-  if (current()->ended) return true;  // read and dropped
+  if (current()->ended) return true;  // the answer is not wanted; discard it
   if (value_.size() + piece.size() > max_value()) return false;
   if (length && value_.empty()) value_.reserve(*length);
   value_ += piece;
@@ -316,7 +321,7 @@
   bytes_.resize(0);
   if (const auto stream = std::exchange(stream_, nullptr)) stream->finish();
   if (!out.is_sent()) {
-    // The answer came before the request was written whole: only a rejection makes sense.
+    // The answer arrived before the request was completely written: only a rejection is valid then.
     reusable_ = false;
     if (result != Result::kRejected) result = Result::kReset;
   }
@@ -330,7 +335,7 @@
   if (closed_) return;
   if (memory_full_ && limits_.bytes.room_for(kMaxCollectedValue)) {
     memory_full_ = false;
-    last_read_ = events_.now();  // the pause was this process's
+    last_read_ = events_.now();  // the pause was caused by this process, not by the host
     arm_read();
   }
   const bool is_long = stream_ || (!queue_.empty() && current()->non_idempotent);
@@ -339,13 +344,13 @@
     fail(Result::kError);
 }
 
-// ---- ends
+// ---- ending
 
-// Outcomes are reported from the event loop only, as this may run inside a call of the policy;
-// those of one turn together.
+// Records the outcome of an attempt. Outcomes are reported from the event loop only, as this may
+// run inside a call of the policy; those of one turn are reported together.
 void UpstreamConnection::end(Outgoing& out, Result result, std::string value) {
   if (out.attempt->ended) return;
-  ended_.push_back({std::move(out.attempt), result, std::move(value), nullptr});
+  pending_events_.push_back({std::move(out.attempt), result, std::move(value), nullptr});
   if (in_handler_ || deliver_posted_) return;
   deliver_posted_ = true;
   asio::post(socket_.get_executor(), [self = shared_from_this()] {
@@ -357,10 +362,10 @@
 void UpstreamConnection::deliver() {
   in_handler_ = false;
   const auto self = shared_from_this();
-  std::vector<Ended> ended;
-  while (!ended_.empty()) {
-    ended.swap(ended_);
-    for (Ended& e : ended) {
+  std::vector<PendingEvent> ended;
+  while (!pending_events_.empty()) {
+    ended.swap(pending_events_);
+    for (PendingEvent& e : ended) {
       if (e.stream) {
         events_.on_stream_started(e.attempt, e.stream);
       } else {
@@ -377,7 +382,7 @@
       std::any_of(queue_.begin() + static_cast<std::ptrdiff_t>(first_unsent_), queue_.end(),
                   [&attempt](const Outgoing& out) { return out.attempt == attempt; });
   withdraw_unsendable();
-  // With nothing in flight it goes on connecting, for the next attempt.
+  // An empty connection that is still connecting is kept for the next attempt.
   if (!queue_.empty() && std::all_of(queue_.begin(), queue_.end(),
                                      [](const Outgoing& out) { return out.attempt->ended; }))
     fail();
@@ -390,7 +395,7 @@
 
 void UpstreamConnection::fail(Result sent_result) {
   if (closed_) return;
-  const auto self = shared_from_this();  // its owner drops its reference below
+  const auto self = shared_from_this();  // the owner drops its reference in on_closed()
   closed_ = true;
   error_code ignored;
   connect_timer_.cancel();
--- a/src/net/upstream_connection.h
+++ b/src/net/upstream_connection.h
@@ -21,20 +21,23 @@
  public:
   virtual ~UpstreamOwner() = default;
   virtual void on_connected(UpstreamConnection& connection) = 0;
-  // The front attempt's answer is complete, read at `now`. `reusable`: more answers may follow.
+  // The answer to the front attempt is complete; its last bytes were read at `now`. `reusable`: the
+  // connection can be used for further attempts.
   virtual void on_answered(UpstreamConnection& connection, Time now, bool reusable) = 0;
-  // The attempt at this place in the queue was withdrawn before it was written whole.
+  // The attempt at this place in the queue was withdrawn before it was completely written.
   virtual void on_withdrawn(UpstreamConnection& connection, std::size_t place) = 0;
-  virtual void on_retired(UpstreamConnection& connection) = 0;  // takes nothing more
+  // The connection accepts no further attempts.
+  virtual void on_retired(UpstreamConnection& connection) = 0;
   virtual void on_closed(UpstreamConnection& connection) = 0;
 };
 
-// A connection to a cache host or the origin: connects, writes attempts in order, reads answers in
-// the same order, and turns its own end into the outcomes of what is in flight. Subclasses encode
-// requests and decode answers of one protocol.
+// A connection to a cache host or the origin. Connects, writes attempts in order, reads answers in
+// the same order, and ends the attempts in flight when the connection ends. Subclasses encode the
+// requests and decode the answers of one protocol. Owned by its UpstreamPool and by pending
+// handlers.
 //
-// Attempts that were written whole end as kReset when the connection breaks, as they may have run;
-// all others as kConnectFailed. Outcomes are reported from the event loop only.
+// When the connection breaks, attempts that were completely written end as kReset, as they may have
+// been executed, and all others as kConnectFailed. Outcomes are reported from the event loop only.
 class UpstreamConnection : public std::enable_shared_from_this<UpstreamConnection> {
  public:
   UpstreamConnection(boost::asio::io_context& io, Limits& limits, AttemptEvents& events,
@@ -42,29 +45,31 @@
   virtual ~UpstreamConnection() = default;
 
   void connect(const Endpoint& endpoint, Duration timeout);
-  // Puts the attempt behind those in flight; flush() writes it.
+  // Appends the attempt to the queue; flush() writes it.
   void enqueue(AttemptPtr attempt);
-  // Writes the unsent requests, many in one system call.
+  // Writes the unsent requests, as many as possible in one system call.
   void flush();
-  // The attempt has ended, its answer is not wanted; the connection closes unless other attempts
-  // are in flight on it. Returns whether the request had not been written whole, so that it has not
-  // run.
+  // Gives up an attempt that has ended and whose answer is not wanted. Closes the connection unless
+  // other attempts are in flight on it. Returns whether the request was not completely written, and
+  // so cannot have been executed.
   bool abandon(const AttemptPtr& attempt);
-  // Withdraws the attempts that AttemptEvents::may_send() does not let out. Those written whole
-  // stay in flight, and their outcomes count.
+  // Withdraws the attempts that AttemptEvents::may_send() does not permit. Completely written
+  // attempts stay in flight, and their outcomes are still reported.
   void withdraw_unsendable();
-  // The host is another, or at another address: takes nothing more, and closes once what is in
-  // flight has been answered.
+  // Accepts no further attempts, and closes once those in flight have been answered. Called when
+  // the host has restarted, has moved to another address or is no longer listed.
   void retire();
-  // Periodic: resumes reading when there is memory, and ends answers that have stopped coming.
+  // Called periodically. Resumes reading when memory is available, and fails the connection if an
+  // answer has stopped arriving.
   void tick();
-  void close();  // if nothing is in flight
+  // Closes the connection if nothing is in flight.
+  void close();
 
   bool is_connecting() const { return !connected_ && !closed_; }
-  // Whether attempts may be written behind others.
+  // Whether attempts may be written before earlier ones have been answered.
   virtual bool can_pipeline() const = 0;
-  // Of an idle connection: false if the host has closed it, or has sent bytes that belong to no
-  // answer. Asks the socket, as the event may not have been handled yet.
+  // For an idle connection: returns false if the host has closed it, or has sent bytes that belong
+  // to no answer. Checks the socket itself, as the event may not have been handled yet.
   bool is_alive();
 
   connection_pool::ConnectionId connection_id = 0;  // set by its owner
@@ -82,43 +87,44 @@
   };
 
   virtual void encode(Outgoing& out) = 0;
-  // False: the bytes are no answer, and the connection closes.
+  // Decodes input. Returns false if the bytes are malformed; the connection is then closed.
   virtual bool on_bytes(std::string_view bytes) = 0;
-  // The peer has closed its side in order. May complete an answer that the close ends.
+  // The peer has shut down its side. May complete an answer that is terminated by the close.
   virtual void on_end_of_input() {}
-  // The longest value of an answer.
+  // Returns the maximum length in bytes of a value that is collected.
   virtual std::size_t max_value() const { return kMaxCollectedValue; }
-  // Whether nothing of a further answer has come yet.
+  // Whether no part of a further answer has been received.
   virtual bool between_answers() const = 0;
 
   Time now() const { return events_.now(); }
   const AttemptPtr& current() const { return queue_.front().attempt; }
   bool expecting() const { return !queue_.empty() && queue_.front().encoded; }
-  // The current answer's value begins, of this length in bytes. One that is too long to be
-  // collected is streamed from here on.
+  // Announces the value of the current answer, with its length in bytes. A value longer than
+  // kMaxCollectedValue is streamed.
   void begin_value(std::size_t length);
-  // A piece of the value; `length`: of the complete value, if it is known. False: it is too long.
+  // Adds a piece of the value. `length`: length of the complete value, if known. Returns false if
+  // the value is too long.
   bool take_value(std::string_view piece, std::optional<std::size_t> length);
-  // Reserves bytes for the current answer, where the subclass collects it itself.
+  // Reserves bytes for the current answer if the subclass collects it itself.
   void reserve_bytes(std::size_t bytes) { bytes_.resize(bytes); }
-  // The current answer is complete. False: the connection cannot go on.
+  // Completes the current answer. Returns false if the connection cannot be used any further.
   bool complete(Result result, std::string receipt = {});
-  bool reusable_ = true;  // further answers may follow
+  bool reusable_ = true;  // the protocol allows further answers on this connection
 
  private:
-  struct Ended {
+  struct PendingEvent {
     AttemptPtr attempt;
     Result result;
     std::string value;
-    StreamPtr stream;  // set: the attempt's value has started to stream; it has not ended
+    StreamPtr stream;  // if set, the attempt's value has started to stream, and it has not ended
   };
 
   void on_connect(const boost::system::error_code& error);
-  std::optional<Result> denied_result(const Outgoing& out) const;
+  std::optional<Result> result_if_denied(const Outgoing& out) const;
   bool prepare_to_write(std::size_t place);
   void withdraw(std::size_t place, Result result);
   void remove(std::size_t place, Result result);
-  void cut_off(std::size_t place, Result result);
+  void withdraw_partly_written(std::size_t place, Result result);
   std::string_view gather();
   void on_written(std::size_t bytes);
   void arm_read();
@@ -127,7 +133,7 @@
   void on_stream_room();
   bool may_read() const;
   bool handle_input(std::string_view bytes);
-  // `sent_result`: the outcome of attempts that were written whole.
+  // Closes the connection. `sent_result`: the outcome of attempts that were completely written.
   void fail(Result sent_result = Result::kReset);
   void close_or_read();
   void end(Outgoing& out, Result result, std::string value = {});
@@ -143,18 +149,18 @@
   bool connected_ = false;
   bool closed_ = false;
   bool retired_ = false;
-  bool read_pending_ = false;   // a wait for input is pending
-  bool write_pending_ = false;  // a wait for room is pending
+  bool read_pending_ = false;   // an async wait for input is pending
+  bool write_pending_ = false;  // an async wait for writability is pending
   bool memory_full_ = false;
   std::deque<Outgoing> queue_;
-  std::size_t first_unsent_ = 0;  // place in the queue of the first that is not written whole
-  std::vector<Ended> ended_;      // to be delivered from the event loop
+  std::size_t first_unsent_ = 0;  // queue index of the first attempt that is not completely written
+  std::vector<PendingEvent> pending_events_;  // to be reported from the event loop
   bool deliver_posted_ = false;
-  bool in_handler_ = false;  // deliver() follows in this turn
-  std::string value_;        // collected so far
-  StreamPtr stream_;         // of a long value
+  bool in_handler_ = false;  // in a handler that calls deliver() before it returns
+  std::string value_;        // value of the current answer, collected so far
+  StreamPtr stream_;         // set while a long value is being read
   Time last_read_{0};
-  std::optional<Time> partial_since_;  // an answer has begun and is not complete
+  std::optional<Time> partial_since_;  // when the current, incomplete answer began
 };
 
 }  // namespace balancer
--- a/src/net/upstream_pool.cc
+++ b/src/net/upstream_pool.cc
@@ -25,8 +25,8 @@
       selector_(settings.selector) {}
 
 void UpstreamPool::set_host(const ListedHost& host) {
-  // The connections lead to the old process or the old address, those that are connecting or have
-  // attempts in flight too. An address may have passed to another host.
+  // All connections, including those that are connecting or have attempts in flight, lead to the
+  // old process or the old address. That address may now belong to another host.
   const bool moved =
       (host.dial && endpoint_ && host.dial != endpoint_) || host.born != host_started_;
   if (host.dial) endpoint_ = host.dial;
@@ -56,7 +56,7 @@
   queued_.push_back({std::move(attempt), give_up_at});
 }
 
-// An attempt does not overtake queued ones of its order group that it must follow.
+// Whether the attempt must wait because an earlier attempt of its order group is still queued.
 bool UpstreamPool::must_wait_behind(const std::deque<QueuedAttempt>& queue,
                                     const Attempt& attempt) {
   const AttemptTraits& traits = attempt.payload->traits;
@@ -74,12 +74,12 @@
 AttemptTraits UpstreamPool::traits_of(const Attempt& attempt) const {
   AttemptTraits traits = attempt.payload->traits;
   traits.non_idempotent = attempt.non_idempotent;
-  traits.answer_lacks_id = is_origin_;  // over HTTP
+  traits.answer_lacks_id = is_origin_;  // origins are accessed over HTTP
   return traits;
 }
 
-// Where no connection can be opened and none of this host is idle, an idle connection of another
-// host is closed to make room.
+// Chooses a connection for the attempt. If no connection can be opened and none to this host is
+// idle, closes an idle connection to another host to free a descriptor.
 ConnectionSelector::Choice UpstreamPool::choose(const AttemptTraits& traits, Time now,
                                                 bool may_open) {
   const auto choice = selector_.choose(now, traits, may_open);
@@ -137,7 +137,7 @@
   }
 }
 
-// Attempts that start in one turn of the event loop leave in one write.
+// Defers the flush so that attempts that start in one turn of the event loop share one write.
 void UpstreamPool::schedule_flush(const std::shared_ptr<UpstreamConnection>& connection) {
   if (std::find(unflushed_.begin(), unflushed_.end(), connection) != unflushed_.end()) return;
   unflushed_.push_back(connection);
@@ -158,19 +158,21 @@
   });
 }
 
-// The outcome of an attempt that must not wait any longer.
+// Returns the outcome of a queued attempt that must not wait any longer, or nullopt.
 std::optional<Result> UpstreamPool::outcome_of_queued(const QueuedAttempt& queued) const {
   const SendPermission permission = events_.may_send(*queued.attempt);
   if (permission != SendPermission::kGranted) return unsent_result(permission);
   if (events_.now() < queued.give_up_at) return std::nullopt;
-  // With a connection up the host is not at fault: the attempt found no place on one in time.
+  // If a connection is established, the host is not at fault: the attempt only found no free place
+  // on a connection in time.
   const bool is_connected = std::any_of(
       connections_.begin(), connections_.end(),
       [](const auto& connection) { return connection && !connection->is_connecting(); });
   return settings_.selector.shared && is_connected ? Result::kNotSent : Result::kConnectFailed;
 }
 
-// In order of arrival. An attempt that waits for its order holds up only those that must follow it.
+// Starts queued attempts in order of arrival. An attempt that waits for its order group delays only
+// the attempts that must follow it.
 void UpstreamPool::start_queued() {
   std::deque<QueuedAttempt> waiting;
   bool has_connection = true;
@@ -189,7 +191,7 @@
     }
     waiting.push_back(std::move(queued));
   }
-  // Attempts that were queued meanwhile stand behind.
+  // Attempts that were queued meanwhile are appended.
   for (QueuedAttempt& queued : queued_) waiting.push_back(std::move(queued));
   queued_ = std::move(waiting);
 }
--- a/src/net/upstream_pool.h
+++ b/src/net/upstream_pool.h
@@ -13,47 +13,49 @@
 namespace balancer {
 
 struct UpstreamSettings {
-  // From the start of a connect to its failure; also the longest that an attempt waits for a
-  // connection. No default.
+  // Time after which a connect fails; also the maximum time that an attempt waits for a connection.
+  // No default.
   Duration connect_timeout{0};
-  // Connections to all hosts together. Default: unbounded.
+  // Maximum number of connections to all hosts together. Default: unbounded.
   std::size_t max_connections = SIZE_MAX;
   connection_pool::ConnectionSelectorSettings selector;
 };
 
-// Makes a connection of the pool's dialect, to the origin or to another server.
+// Creates a connection for the pool's dialect, to the origin or to another server.
 using Dial = std::function<std::shared_ptr<UpstreamConnection>(bool origin, AttemptEvents& events,
                                                                UpstreamOwner& owner)>;
 
-// The connections to one host, and the attempts that wait for one: carries out what its
-// ConnectionSelector decides, and reports to it what became of each connection.
+// Owns the connections to one host and the queue of attempts that wait for a connection. Carries
+// out the decisions of its ConnectionSelector, and reports the events of the connections to it.
 class UpstreamPool : public UpstreamOwner {
  public:
-  // Closes an idle connection to some host; returns whether a connection can be opened now.
+  // Closes an idle connection to any host. Returns whether a connection can be opened now.
   using FreeDescriptor = std::function<bool()>;
 
-  // `open_connections` counts the connections to all hosts. All references outlive the pool.
+  // `open_connections` counts the connections to all hosts. All references must outlive the pool.
   UpstreamPool(boost::asio::io_context& io, Limits& limits, AttemptEvents& events,
                const UpstreamSettings& settings, const Dial& dial, std::size_t& open_connections,
                FreeDescriptor free_descriptor);
 
   void set_host(const ListedHost& host);
-  // Puts the attempt on a connection, or queues it for one. An attempt that finds none within the
-  // connect timeout ends as kConnectFailed; as kNotSent only where the pool shares connections and
-  // the host is connected.
+  // Assigns the attempt to a connection, or queues it. An attempt that gets no connection within
+  // the connect timeout ends as kConnectFailed, or as kNotSent if clients share connections in this
+  // pool and a connection to the host is established.
   void start(AttemptPtr attempt);
   void close_idle();
-  // The host has left the endpoint list: no connection takes anything more.
+  // Retires all connections; they accept no further attempts. Called when the host is no longer
+  // listed, has restarted or has moved.
   void retire();
-  // Withdraws the attempts whose first or next byte may not go out any more.
+  // Withdraws the attempts whose first or next byte must not be written any more.
   void withdraw_unsendable();
-  // Periodic: closes connections that have been idle for too long, and starts what waits.
+  // Called periodically. Closes connections that have been idle for too long, and starts queued
+  // attempts.
   void tick();
-  // Whether nothing refers to the pool any more, handlers posted to the event loop included.
+  // Whether the pool has no connections or attempts, and no handlers posted to the event loop.
   bool empty() const {
     return selector_.open() == 0 && queued_.empty() && !start_posted_ && unflushed_.empty();
   }
-  // When its least recently used idle connection became idle.
+  // Returns when the least recently used idle connection became idle; nullopt if none is idle.
   std::optional<Time> oldest_idle() const;
   void close_oldest_idle();
   const connection_pool::ConnectionSelector& selector() const { return selector_; }
@@ -65,8 +67,8 @@
   };
   enum class StartResult {
     kStarted,
-    kNoConnection,  // none is free for any attempt
-    kMustWait,      // this one waits for its order; others may start
+    kNoConnection,  // no connection can take any attempt
+    kMustWait,      // waits for its order group; other attempts may start
   };
 
   // UpstreamOwner
@@ -103,7 +105,7 @@
   connection_pool::ConnectionSelector selector_;
   std::vector<std::shared_ptr<UpstreamConnection>> connections_;  // by ConnectionId
   std::vector<std::shared_ptr<UpstreamConnection>> unflushed_;
-  std::deque<QueuedAttempt> queued_;  // for a connection, oldest first
+  std::deque<QueuedAttempt> queued_;  // waiting for a connection, oldest first
   bool start_posted_ = false;
 };
 
--- a/src/net/upstreams.cc
+++ b/src/net/upstreams.cc
@@ -79,8 +79,8 @@
   return it == hosts_.end() ? 0 : it->second.pool->selector().shared_depth();
 }
 
-// Closes the connection that has been idle for longest, whatever its host. Returns whether one was
-// closed and a connection can be opened now.
+// Closes the connection that has been idle for the longest time among all hosts. Returns whether a
+// connection was closed and another can be opened now.
 bool Upstreams::free_descriptor() {
   UpstreamPool* oldest = nullptr;
   for (auto& [id, host] : hosts_) {
@@ -104,7 +104,7 @@
 void Upstreams::tick() {
   for (auto it = hosts_.begin(); it != hosts_.end();) {
     const HostPool& host = it->second;
-    // Most hosts of a large fleet have neither connections nor attempts here.
+    // In a large fleet most hosts have neither connections nor attempts in this process.
     if (!host.pool->empty()) host.pool->tick();
     it = host.is_retired && host.pool->empty() ? hosts_.erase(it) : std::next(it);
   }
--- a/src/net/upstreams.h
+++ b/src/net/upstreams.h
@@ -17,16 +17,18 @@
   Upstreams(boost::asio::io_context& io, Limits& limits, AttemptEvents& events,
             const UpstreamSettings& settings, Dial dial);
 
-  // Adds, moves and retires hosts as the endpoint list says.
+  // Applies the endpoint list: adds, updates and retires hosts.
   void apply(const HostList& list);
-  // What is known of hosts has changed: withdraws attempts that may not go out any more.
+  // Withdraws attempts that must not be written any more. Called when the state of hosts has
+  // changed.
   void withdraw_unsendable();
-  // Sends the attempt to this host; ends it as kConnectFailed if the host is not listed.
+  // Starts the attempt at this host. Ends it as kConnectFailed if the host is not listed.
   void start(AttemptPtr attempt, std::string_view host);
   void close_idle(std::string_view host);
   // Closes idle connections while more descriptors are in use than the limit allows.
   void close_excess();
-  // How many attempts of clients one connection to the host carries at once; 0 if it is not listed.
+  // Returns how many client attempts one connection to the host carries at once; 0 if the host is
+  // not listed.
   std::size_t shared_depth(std::string_view host) const;
 
  private:
--- a/src/net/value_stream.h
+++ b/src/net/value_stream.h
@@ -11,25 +11,25 @@
 
 namespace balancer {
 
-// A long value that passes from a connection that reads it to one that writes it, through a window
-// that is reserved from the byte budget. With the window full nothing more is read; with it empty
-// there is nothing to write. One thread; handlers may be called from inside a call.
+// Streams a long value from the connection that reads it to the connection that writes it, through
+// a window that is reserved from the byte budget. Reading pauses while the window is full, and
+// writing while it is empty. Not thread-safe; handlers may be called from inside a member function.
 class ValueStream {
  public:
-  // Bytes buffered at most.
+  // Maximum bytes buffered.
   static constexpr std::size_t kWindow = 128u << 10;
 
-  // `length`: of the complete value, in bytes. Reserves the window whether or not the budget has
+  // `length`: length of the complete value in bytes. Reserves the window even if the budget has no
   // room.
   ValueStream(std::size_t length, Budget& budget)
       : length_(length), reservation_(budget, kWindow) {}
 
   std::size_t length() const { return length_; }
 
-  // ---- the reading side
+  // ---- called by the connection that reads the value
 
   std::size_t room() const { return abandoned_ ? kWindow : kWindow - buffered(); }
-  // At most room() bytes and, with what came before, length().
+  // Appends a piece. It may have at most room() bytes, and all pieces together at most length().
   void push(std::string_view piece) {
     pushed_ += piece.size();
     if (abandoned_) return;
@@ -41,20 +41,21 @@
     buffer_ += piece;
     if (on_data) on_data();
   }
-  // Nothing more comes; a value that is not complete by now is broken.
+  // Ends the stream; no more data will be pushed. A value that is incomplete at this point is
+  // broken.
   void finish() {
     if (std::exchange(finished_, true)) return;
     on_room = nullptr;
     if (on_data) on_data();
   }
-  // Called when there is room again, or the value has been abandoned.
+  // Called when the window has room again, or the value has been abandoned.
   std::function<void()> on_room;
 
-  // ---- the writing side
+  // ---- called by the connection that writes the value
 
-  // The next bytes; valid until the next call.
+  // Returns the next bytes to write; valid until the next call.
   std::string_view front() const { return std::string_view(buffer_).substr(at_); }
-  // `n` bytes of front() have been written.
+  // Consumes `n` bytes of front() that have been written.
   void take(std::size_t n) {
     at_ += n;
     if (at_ == buffer_.size()) {
@@ -65,7 +66,7 @@
   }
   bool is_complete() const { return pushed_ == length_; }
   bool is_broken() const { return finished_ && !is_complete(); }
-  // The rest is not wanted; what comes is dropped.
+  // Gives up the rest of the value; data pushed afterwards is dropped.
   void abandon() {
     if (std::exchange(abandoned_, true)) return;
     on_data = nullptr;
@@ -73,7 +74,7 @@
     at_ = 0;
     if (on_room) on_room();
   }
-  // Called when more has come, or the end.
+  // Called when more data has arrived, or the stream has ended.
   std::function<void()> on_data;
 
   bool abandoned() const { return abandoned_; }
@@ -85,7 +86,7 @@
   const std::size_t length_;
   Reservation reservation_;
   std::string buffer_;
-  std::size_t at_ = 0;  // bytes of buffer_ that were taken
+  std::size_t at_ = 0;  // bytes of buffer_ already consumed
   std::size_t pushed_ = 0;
   bool finished_ = false;
   bool abandoned_ = false;
--- a/tests/client_session_test.cc
+++ b/tests/client_session_test.cc
@@ -227,7 +227,7 @@
     ASSERT_TRUE(wait([&] { return !regular->in.empty(); }));
   }
   std::vector<std::shared_ptr<Peer>> crowd;
-  while (!limits->clients_short()) {
+  while (!limits->are_client_descriptors_short()) {
     crowd.push_back(client());
     crowd.back()->send(get("k", "c" + std::to_string(crowd.size())));
     ASSERT_TRUE(wait([&] { return !crowd.back()->in.empty() || crowd.back()->closed; }));
