--- a/tests/accept_fault_test.cc
+++ b/tests/accept_fault_test.cc
@@ -1,5 +1,6 @@
-// Connections that are reset while they wait to be accepted: accept() says ECONNABORTED, and nobody
-// else is there. Whoever has a connection must not have to wait for the next one that comes.
+// Connections that are reset while they wait in the backlog: accept() fails with ECONNABORTED, and
+// no further connection is waiting. Guards against an event loop that blocks in accept() until the
+// next client connects, while established clients get no answers.
 #include "program_harness.h"
 
 namespace balancer::node {
@@ -7,7 +8,7 @@
 
 class AcceptFaultTest : public ProcessTest {};
 
-TEST_F(AcceptFaultTest, ServesOthersAfterAnAbortedConnection) {
+TEST_F(AcceptFaultTest, ServesOtherClientsAfterAnAbortedConnection) {
   FakeCache cache(io, [](const auto&, const auto& id) { return FakeCache::value(id, "v"); });
   discovery.hosts = host_entry("h", cache.server.dial());
   faults = "aborted_accepts=3";
--- a/tests/address_set_test.cc
+++ b/tests/address_set_test.cc
@@ -40,7 +40,7 @@
     std::mt19937 random(seed);
     AddressSet set;
     std::vector<ip::network_v4> list;
-    // Few leading bits, so that networks lie in each other and branch.
+    // Addresses differ in few leading bits, so that networks are nested and branches occur.
     const auto draw = [&random] {
       return ip::address_v4((random() % 4) << 30 | (random() % 8) << 20 | (random() & 0xff));
     };
--- a/tests/client_session_test.cc
+++ b/tests/client_session_test.cc
@@ -1,4 +1,4 @@
-// Clients of every kind at a real balancer.
+// Client connections to a real balancer: malformed, silent, slow, pipelining and draining clients.
 #include <algorithm>
 
 #include "node_harness.h"
@@ -18,9 +18,9 @@
   bool silent_ = false;  // the cache leaves commands unanswered
 };
 
-// What makes no sense gets one error and a close, and never reaches a host. Before, some of it was
-// passed on, and hosts broke off what else waited on the connection.
-TEST_F(ClientSessionTest, AnswersMalformedInputWithOneErrorAndAClose) {
+// Malformed input gets one error response and a close, and is never forwarded. Earlier versions
+// forwarded some of it, and hosts then closed the connection with other requests in flight on it.
+TEST_F(ClientSessionTest, AnswersMalformedInputWithOneErrorAndCloses) {
   const std::string read = " v O1 Pc=read,t=acme,d=500\r\n";
   for (const std::string& text :
        {std::string("frob k\r\n"), std::string("\r\n"), std::string("\x01\xff\x02\r\n"),
@@ -46,7 +46,8 @@
   EXPECT_TRUE(cache.ids.empty());
 }
 
-// What follows a fault may be the rest of it, and is not run; what came before it is answered.
+// Input after a malformed command may be a part of it and is not executed; requests before it are
+// answered.
 TEST_F(ClientSessionTest, RunsNothingAfterMalformedInput) {
   auto c = client();
   c->send(get("k", "1") + "mg k v O2 P=\r\n" + get("k", "3"));
@@ -55,19 +56,19 @@
   EXPECT_EQ(cache.ids, std::vector<std::string>{"1"});
 }
 
-// A client that sent nonsense is held for a moment before it hears of it. That delays no answer to
-// anything valid that it sent before: those go out as they come, also long behind the fault.
+// The error response to malformed input is delayed. The delay does not apply to answers to earlier
+// valid requests: they are written as they arrive, even long after the malformed input.
 TEST_F(ClientSessionTest, WritesEarlierAnswersWithoutDelayAfterMalformedInput) {
   silent_ = true;
   auto c = client();
   c->send(get("k", "1") + "frob\r\n");
   ASSERT_TRUE(wait([&] { return cache.ids.size() == 1; }));
-  run_for(io, std::chrono::milliseconds(400));  // the hold would be over
-  EXPECT_EQ(c->in, "") << "an error went ahead of an answer";
+  run_for(io, std::chrono::milliseconds(400));  // longer than the delay of the error response
+  EXPECT_EQ(c->in, "") << "the error response was written before an earlier answer";
   cache.server.peers.at(0)->send(FakeCache::value("1", "val"));
   ASSERT_TRUE(wait([&] { return c->closed; }));
   EXPECT_TRUE(c->in.starts_with("VA 3 O1\r\nval\r\nCLIENT_ERROR ")) << c->in;
-  // And with a host that answers at once the answer comes while the fault is still held.
+  // If the host answers at once, the answer arrives while the error response is still delayed.
   silent_ = false;
   bool ahead = false;
   for (int i = 0; i < 20 && !ahead; ++i) {
@@ -80,8 +81,8 @@
   EXPECT_TRUE(ahead);
 }
 
-// An open request's answer must not go to another client that names its id.
-TEST_F(ClientSessionTest, RejectsASecondRequestWithAnOpenId) {
+// The answer to a request in flight must not go to another client that uses the same id.
+TEST_F(ClientSessionTest, RejectsARequestWhoseIdIsInFlight) {
   silent_ = true;
   auto first = client(), second = client();
   first->send(get("k", "7"));
@@ -91,15 +92,15 @@
   EXPECT_TRUE(second->in.starts_with("CLIENT_ERROR ")) << second->in;
   cache.server.peers.at(0)->send(FakeCache::value("7", "mine"));
   ASSERT_TRUE(wait([&] { return first->in == "VA 4 O7\r\nmine\r\n"; }));
-  // It is free again.
+  // The id can be used again.
   silent_ = false;
   first->send(get("k", "7"));
   ASSERT_TRUE(wait([&] { return first->in.ends_with("val-7\r\n"); }));
 }
 
-// Connections on which no request is open have an end, also such that say nothing or stop within a
-// command. Before, silent ones stayed until descriptors ran out.
-TEST_F(ClientSessionTest, ClosesSilentAndHalfWrittenConnections) {
+// Connections without a request in flight time out, including those that send nothing or stop in
+// the middle of a command. Earlier, silent connections stayed open until descriptors ran out.
+TEST_F(ClientSessionTest, ClosesSilentConnectionsAndThoseWithAPartialCommand) {
   std::vector<std::shared_ptr<Peer>> crowd;
   for (const std::string& text : {std::string(), std::string("m"), get("k", "1").substr(0, 20),
                                   std::string("ms k 50 O1 Pc=book,t=acme,d=5\r\nabc")}) {
@@ -112,26 +113,26 @@
   EXPECT_EQ(limits->clients.used(), 0u);
 }
 
-// Half-sent bodies are paid for like all else that is held: many of them must not fill the memory.
+// Partly received bodies count against the byte budget: many of them must not exhaust the memory.
 TEST_F(ClientSessionTest, KeepsHalfReadBodiesWithinTheByteBudget) {
   constexpr std::size_t kBody = 60'000;
   std::vector<std::shared_ptr<Peer>> crowd;
-  std::size_t most = 0;
+  std::size_t max_used = 0;
   for (int i = 0; i < 20; ++i) {
     crowd.push_back(client());
     crowd.back()->send("ms k " + std::to_string(kBody) + " O" + std::to_string(i) +
                        " Pc=book,t=acme,d=500\r\n" + std::string(kBody / 2, 'b'));
   }
-  ASSERT_TRUE(wait([&] { return (most = limits->bytes.used()) >= 20 * kBody; }));
+  ASSERT_TRUE(wait([&] { return (max_used = limits->bytes.used()) >= 20 * kBody; }));
   ASSERT_TRUE(wait([&] {
-    most = std::max(most, limits->bytes.used());
+    max_used = std::max(max_used, limits->bytes.used());
     return limits->clients.used() == 0;
   }));
-  EXPECT_LE(most, limits->bytes.max());
+  EXPECT_LE(max_used, limits->bytes.max());
   EXPECT_EQ(limits->bytes.used(), 0u);
 }
 
-// Many commands at once are all answered, in their order.
+// Many pipelined commands are all answered, in order.
 TEST_F(ClientSessionTest, AnswersPipelinedCommandsInOrder) {
   auto c = client();
   std::string text, expected;
@@ -145,8 +146,8 @@
   EXPECT_EQ(c->in, expected);
 }
 
-// While draining, a client that has just connected is about to ask: it is heard. Those that were
-// served before are closed between requests, one that said nothing is closed.
+// During a drain, the first request of a client that has just connected is still answered. Clients
+// that were served before are closed between requests, and silent clients are closed.
 TEST_F(ClientSessionTest, AnswersNewClientsDuringADrain) {
   auto old = client();
   old->send(get("k", "1"));
@@ -159,16 +160,16 @@
   EXPECT_EQ(fresh->in, FakeCache::value("2", "val-2"));
 }
 
-// Before, a drain closed all connections at once though their clients went on using them, and each
-// needed another balancer at that moment. Now they are given back one by one, and until then each
-// request gets its answer.
-TEST_F(ClientSessionTest, SpreadsTheClosesOfADrain) {
+// Connections are closed one by one during a drain, and every request is answered until then.
+// Earlier, a drain closed all connections at once although they were in use, and all their clients
+// needed another balancer at the same moment.
+TEST_F(ClientSessionTest, SpreadsConnectionClosesOverADrain) {
   constexpr int kClients = 8;
   std::vector<std::shared_ptr<Peer>> clients;
-  std::vector<int> asked(kClients), answered(kClients);
+  std::vector<int> sent(kClients), answered(kClients);
   int next = 1;
-  const auto ask = [&](int i) {
-    ++asked[i];
+  const auto send_request = [&](int i) {
+    ++sent[i];
     clients[i]->send(get("k" + std::to_string(i), std::to_string(next++)));
   };
   for (int i = 0; i < kClients; ++i) {
@@ -179,33 +180,33 @@
       p.in.clear();
       ++answered[i];
     };
-    ask(i);
+    send_request(i);
   }
   ASSERT_TRUE(wait([&] { return answered == std::vector<int>(kClients, 1); }));
   balancer->drain();
-  std::vector<int> open_at_close;  // how many were open still, each time that one was closed
-  std::vector<bool> gone(kClients);
+  std::vector<int> open_at_close;  // connections still open after each close
+  std::vector<bool> is_closed(kClients);
   int open = kClients;
   ASSERT_TRUE(wait([&] {
     for (int i = 0; i < kClients; ++i) {
-      if (gone[i]) continue;
+      if (is_closed[i]) continue;
       if (clients[i]->closed) {
-        gone[i] = true;
+        is_closed[i] = true;
         open_at_close.push_back(--open);
-      } else if (answered[i] == asked[i] && asked[i] < 3) {
-        ask(i);
+      } else if (answered[i] == sent[i] && sent[i] < 3) {
+        send_request(i);
       }
     }
     return open == 0;
   }));
-  EXPECT_EQ(asked, std::vector<int>(kClients, 3)) << "closed before it was used again";
-  EXPECT_EQ(answered, asked) << "a request taken in the drain had no answer";
+  EXPECT_EQ(sent, std::vector<int>(kClients, 3)) << "a connection was closed before it was reused";
+  EXPECT_EQ(answered, sent) << "a request received during the drain was not answered";
   EXPECT_EQ(open_at_close.size(), static_cast<std::size_t>(kClients));
 }
 
-// The balancer's end stops the loop that its peers run on as well: what has come for them by then,
-// an answer and a close, is read behind it all the same.
-TEST_F(ClientSessionTest, AnswersRequestsThatCameBeforeTheEndOfADrain) {
+// When the drain ends, the balancer stops the event loop that its peers run on too. The answer and
+// the close that were sent before that are read afterwards.
+TEST_F(ClientSessionTest, AnswersRequestsReceivedBeforeTheEndOfADrain) {
   auto late = std::make_shared<Peer>(tcp::socket(io));
   late->socket.connect(balancer->local());
   late->send(get("k", "1"));
@@ -217,9 +218,9 @@
   EXPECT_EQ(late->in, FakeCache::value("1", "val-1"));
 }
 
-// Where descriptors run short, clients that asked once and stay make room for others; those that
-// came back keep their connection.
-TEST_F(ClientSessionTest, ClosesOnceUsedConnectionsWhereDescriptorsAreShort) {
+// When descriptors are short, idle clients that have sent only one request are closed; clients that
+// have reused their connection keep it.
+TEST_F(ClientSessionTest, ClosesSingleUseConnectionsWhenDescriptorsAreShort) {
   auto regular = client();
   for (const char* id : {"1", "2"}) {
     regular->in.clear();
@@ -239,7 +240,7 @@
   EXPECT_FALSE(regular->closed);
 }
 
-// A host that can't use one command says so; the next on that connection is answered as ever.
+// A host that reports an error for one command still answers the next one on the same connection.
 TEST_F(ClientSessionTest, ServesOtherRequestsWhenAHostReportsAnError) {
   silent_ = true;
   auto a = client();
@@ -251,7 +252,7 @@
   a->in.clear();
   a->send(get("k", "2"));
   ASSERT_TRUE(wait([&] { return a->in == "VA 5 O2\r\nval-2\r\n"; }));
-  EXPECT_EQ(cache.server.peers.size(), 1u) << "the connection was given up";
+  EXPECT_EQ(cache.server.peers.size(), 1u) << "the connection was replaced";
 }
 
 }  // namespace
--- a/tests/descriptor_test.cc
+++ b/tests/descriptor_test.cc
@@ -1,5 +1,6 @@
-// Idle clients come until a process with few descriptors takes no more, while discovery is away: on
-// its return the list is still fetched within 6 s, hosts are reached and requests served.
+// Idle clients use up the client descriptors of a process with a low limit while discovery is
+// unavailable. Once discovery is back, the endpoint list must still be fetched within 6 s, and
+// hosts reached and requests served.
 #include <sys/socket.h>
 
 #include "program_harness.h"
@@ -10,35 +11,36 @@
 using State = SwitchableDiscovery::State;
 
 constexpr int kDescriptors = 256;
-constexpr std::size_t kCrowd = 400;  // more than the process may hold
-constexpr std::chrono::seconds kListWithin{6};
+constexpr std::size_t kIdleClients = 400;  // more clients than the process has descriptors
+constexpr std::chrono::seconds kMaxFetchTime{6};
 
-// The parameter: how discovery is away.
+// Parameter: how discovery is unavailable.
 class DescriptorTest : public ProcessTest, public ::testing::WithParamInterface<State> {
  protected:
-  // Each idle client whose connection was ended comes again.
-  void keep_crowd() {
-    for (auto& idle : crowd_) {
+  // Reconnects each idle client whose connection was closed.
+  void reconnect_closed_clients() {
+    for (auto& idle : idle_clients_) {
       if (!idle->closed) continue;
       idle = client();
-      ++came_again_;
+      ++reconnects_;
     }
   }
-  ::testing::AssertionResult wait_in_crowd(const std::function<bool()>& done,
-                                           std::chrono::seconds limit = std::chrono::seconds(30)) {
+  ::testing::AssertionResult wait_with_idle_clients(
+      const std::function<bool()>& done, std::chrono::seconds limit = std::chrono::seconds(30)) {
     return wait(
         [&] {
-          keep_crowd();
+          reconnect_closed_clients();
           return done();
         },
         limit);
   }
-  // A new client is served by that host, over a connection that the host has not had before.
+  // Expects that a new client's request is served by the host `by`, with exactly one attempt.
   void expect_served(const std::string& id, FakeCache& by) {
     const auto before = by.ids.size();
     auto c = client();
     c->send("mg k v O" + id + " Pc=read,t=acme,d=5000\r\n");
-    EXPECT_TRUE(wait_in_crowd([&] { return c->in == FakeCache::value(id, "v"); }, kListWithin))
+    EXPECT_TRUE(
+        wait_with_idle_clients([&] { return c->in == FakeCache::value(id, "v"); }, kMaxFetchTime))
         << c->in;
     EXPECT_EQ(by.ids.size(), before + 1);
   }
@@ -47,8 +49,8 @@
     return processes[0]->figures().samples.back().descriptors;
   }
 
-  std::vector<std::shared_ptr<Peer>> crowd_;
-  int came_again_ = 0;
+  std::vector<std::shared_ptr<Peer>> idle_clients_;
+  int reconnects_ = 0;
 };
 INSTANTIATE_TEST_SUITE_P(Kinds, DescriptorTest,
                          ::testing::Values(State::kSilent, State::kResetting));
@@ -66,28 +68,29 @@
   }
   ASSERT_TRUE(wait([&] { return ready && discovery.watches > 0; }));
   discovery.set(GetParam());
-  while (crowd_.size() < kCrowd) crowd_.push_back(client());
-  ASSERT_TRUE(wait_in_crowd([&] { return open_descriptors() > kDescriptors / 2; }));
+  while (idle_clients_.size() < kIdleClients) idle_clients_.push_back(client());
+  ASSERT_TRUE(wait_with_idle_clients([&] { return open_descriptors() > kDescriptors / 2; }));
   expect_served("1", before);
-  int most = 0;
-  const Time fills_until = context.now() + std::chrono::milliseconds(2500);
-  ASSERT_TRUE(wait_in_crowd([&] {
-    most = std::max(most, open_descriptors());
-    return context.now() > fills_until;
+  int max_descriptors = 0;
+  const Time fill_end = context.now() + std::chrono::milliseconds(2500);
+  ASSERT_TRUE(wait_with_idle_clients([&] {
+    max_descriptors = std::max(max_descriptors, open_descriptors());
+    return context.now() > fill_end;
   }));
 
   discovery.hosts = host_entry("h2", after.server.dial());
   discovery.set(State::kUp);
   const int calls = discovery.answered;
   const Time back = context.now();
-  ASSERT_TRUE(wait_in_crowd([&] { return discovery.answered > calls; }, kListWithin));
+  ASSERT_TRUE(wait_with_idle_clients([&] { return discovery.answered > calls; }, kMaxFetchTime));
   const double fetched = seconds(context.now() - back);
   const int watches = discovery.watches;
-  ASSERT_TRUE(wait_in_crowd([&] { return discovery.watches > watches; }, kListWithin));
+  ASSERT_TRUE(wait_with_idle_clients([&] { return discovery.watches > watches; }, kMaxFetchTime));
   expect_served("2", after);
   EXPECT_EQ(after.server.peers.size(), 1u);
-  std::printf("%zu idle clients (%d came again), up to %d of %d descriptors open; list in %.2f s\n",
-              crowd_.size(), came_again_, most, kDescriptors, fetched);
+  std::printf(
+      "%zu idle clients (%d reconnected), up to %d of %d descriptors open; fetch took %.2f s\n",
+      idle_clients_.size(), reconnects_, max_descriptors, kDescriptors, fetched);
 }
 
 }  // namespace
--- a/tests/leaving_client_test.cc
+++ b/tests/leaving_client_test.cc
@@ -1,34 +1,31 @@
-// A client that has closed its connection has gone: no attempt of its request, first or further,
-// begins more than 0.1 s after the close. Each wait a request may be in when its client leaves:
+// No attempt of a request, first or further, starts more than 0.1 s after its client has closed the
+// connection. The tests cover each state in which a request may wait when its client disconnects.
 //
-// | the request waits                         | test                                             |
-// | ----------------------------------------- | ------------------------------------------------ |
-// | for a connection that comes up            | LeavingClientTest.BehindAConnectionThatComesUp,  |
-// |                                           | .InTheTurnInWhichTheConnectionComesUp            |
-// | for a place at its host                   | LeavingClientTest.BehindAnotherForAPlace         |
-// | behind another on its connection          | LeavingClientTest.BehindAnotherOnItsConnection   |
-// | behind another's fetch, or as its leader  | LeavingClientTest.BehindAnothersFetch,           |
-// |                                           | .AsTheLeaderOfAFetchThatWaits                    |
-// | for the back-off of a write               | LeavingClientTest.DuringABackOff                 |
-// | parked behind a standstill                | LeavingClientTest.HeldBackBehindAStandstill      |
-// | half written to its host                  | LeavingClientTest.PartlyWrittenToAPeerThat...    |
-// | unread, with its client's end behind it   | LeavingClientTest.WithItsCommandUnread,          |
-// |                                           | .WhileItWaitsToBeAccepted                        |
-// | behind a full pipeline, a fault, memory   | UnreadClientTest.IsHeardToLeave                  |
-// | unread behind those taken in one turn     | ClosedClientTest.BehindThoseTakenInOneTurn | | half
-// written by its client                | ClosedClientTest.HalfWrittenByItsClient            | | for
-// an answer that turns out a miss       | ClosedClientTest.GetsNoFetchForAMissAfterTheClose | | for
-// an answer, and the connection breaks  | ClosedClientTest.GetsNoRetryForAResetAfterTheClose | |
-// for its slow-copy timer                   | ClosedClientTest.GetsNoHedgedRequestDueAfterTheClose
-// | | for a connection that times out           |
-// ClosedClientTest.ItsConnectionTimesOutBehindThe... | | RESP: for an answer that sends it on |
-// ClosedRespClientTest.IsNotForwardedAfterARedirection             | | RESP: for an answer, the
-// connection breaks| ClosedRespClientTest.IsNotRetriedAfterAReset         | | any, and the loop is
-// late: what lets the  | UnreadCloseTest, all                          | | request go on is read
-// before the close    |                                                  |
+// Covered by LeavingClientTest and UnreadClientTest in tests/crossings_test.cc:
+// - waiting for a connection to its host that is being established,
+// - waiting for a free connection to its host,
+// - queued after another request on its connection,
+// - waiting for a coalesced fetch of another request, or being the leader of such a fetch,
+// - in the back-off of a write,
+// - held back after a process stall,
+// - partly written to its host,
+// - unread, with the client's close after it in the socket or in the backlog,
+// - unread because of a full pipeline, a protocol error or a lack of memory.
 //
-// The tests of LeavingClientTest and UnreadClientTest stand in tests/crossings_test.cc. Under load:
-// tests/leaving_load_test.cc.
+// Covered by ClosedClientTest, where the close has been read:
+// - received but not processed in the same turn as the commands before it,
+// - partly written by its client,
+// - waiting for an answer that is a miss, or whose connection breaks,
+// - waiting for the timer of its hedged request,
+// - waiting for a connection whose connect times out.
+//
+// Covered by ClosedRespClientTest, for RESP: waiting for an answer that is a redirection, or whose
+// connection breaks.
+//
+// Covered by UnreadCloseTest, where the event loop is late: the event that lets the request
+// continue is read before the close.
+//
+// For the same under load see tests/leaving_load_test.cc.
 #include <algorithm>
 #include <thread>
 
@@ -42,18 +39,19 @@
 using std::chrono::milliseconds;
 using Ids = std::vector<std::string>;
 
-// Closes the client's side. What the balancer has to hear of it has come to its system by then.
-void leave(Peer& c, bool by_reset) {
+// Closes the client's connection. On return the close has arrived at the balancer's socket.
+void close_connection(Peer& c, bool by_reset) {
   if (by_reset) c.socket.set_option(asio::socket_base::linger(true, 0));
   c.close();
 }
 
-// ---- the leaving has been heard
+// ---- the close has been read
 
 class ClosedClientTest : public DispatchTest, public ::testing::WithParamInterface<bool> {
  protected:
-  // A host and an origin; the client of the first request leaves once the host has it.
-  void begin_and_leave() {
+  // Starts a pool with a host and an origin. A client sends the first request, and disconnects once
+  // the host has received it.
+  void begin_and_disconnect() {
     begin();
     list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
     auto c = client();
@@ -67,7 +65,7 @@
 };
 INSTANTIATE_TEST_SUITE_P(ByFinAndReset, ClosedClientTest, ::testing::Bool());
 
-TEST_P(ClosedClientTest, BehindThoseTakenInOneTurn) {
+TEST_P(ClosedClientTest, StartsNoCommandLeftUnprocessedAtTheClose) {
   site.max_connections = 1;
   begin();
   list({listed("h", cache.server.local())});
@@ -78,10 +76,11 @@
   c->send(text);
   while (pool->open_requests() == 0) io.run_one();
   const std::size_t taken = pool->open_requests();
-  ASSERT_LT(taken, 100u) << "all taken in one turn";
-  leave(*c, GetParam());
+  ASSERT_LT(taken, 100u) << "all commands were processed in one turn";
+  close_connection(*c, GetParam());
   ASSERT_TRUE(wait([&] { return limits->clients.used() == 0 && pool->open_requests() == 0; }));
-  // The first of them may have gone out before, and holds the only place until it is answered.
+  // The first command may have been sent before the close, and occupies the only connection until
+  // it is answered.
   for (const std::string& id : cache.ids) cache.answer(id, "v");
   cache.on_command = [&](Peer&, const std::string& id) { cache.answer(id, "v"); };
   auto last = client();
@@ -90,7 +89,7 @@
   EXPECT_TRUE(cache.ids == Ids{"last"} || cache.ids == (Ids{"c0", "last"}));
 }
 
-TEST_P(ClosedClientTest, HalfWrittenByItsClient) {
+TEST_P(ClosedClientTest, ForwardsNoPartlyWrittenCommand) {
   begin();
   list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
   auto other = client();
@@ -106,8 +105,8 @@
   EXPECT_TRUE(origin.ids.empty());
 }
 
-TEST_P(ClosedClientTest, GetsNoFetchForAMissAfterTheClose) {
-  begin_and_leave();
+TEST_P(ClosedClientTest, StartsNoFetchForAMissAfterTheClose) {
+  begin_and_disconnect();
   auto other = client();
   cache.miss("1");
   other->send(get("k", "2"));
@@ -117,8 +116,8 @@
   EXPECT_EQ(origin.ids, Ids{"2"});
 }
 
-TEST_P(ClosedClientTest, GetsNoRetryForAResetAfterTheClose) {
-  begin_and_leave();
+TEST_P(ClosedClientTest, StartsNoRetryForAResetAfterTheClose) {
+  begin_and_disconnect();
   auto other = client();
   cache.from.at("1")->close();
   other->send(get("k", "2"));
@@ -129,19 +128,19 @@
   EXPECT_TRUE(origin.ids.empty());
 }
 
-TEST_P(ClosedClientTest, GetsNoHedgedRequestDueAfterTheClose) {
+TEST_P(ClosedClientTest, StartsNoHedgedRequestAfterTheClose) {
   site.policy.hedging = true;
   for (RequestClass& c : site.policy.classes)
-    c.latency_objective = milliseconds(800);  // slow behind the half
-  begin_and_leave();
+    c.latency_objective = milliseconds(800);  // the hedged request is due after half of this
+  begin_and_disconnect();
   auto other = client();
-  other->send(get("j", "2"));  // later, and so is its copy
+  other->send(get("j", "2"));  // its hedged request is due after that of the first request
   ASSERT_TRUE(wait([&] { return origin.saw("2"); }));
   EXPECT_EQ(origin.ids, Ids{"2"});
   EXPECT_EQ(cache.ids, (Ids{"1", "2"}));
 }
 
-TEST_P(ClosedClientTest, GetsNoRetryOfAConnectTimeoutAfterTheClose) {
+TEST_P(ClosedClientTest, StartsNoRetryOfAConnectTimeoutAfterTheClose) {
   site.connect_timeout = milliseconds(200);
   begin();
   list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
@@ -155,14 +154,15 @@
   EXPECT_EQ(origin.ids, Ids{"2"});
 }
 
-// ---- the loop is late: the close has come, and lies unread behind what lets the request go on
+// ---- the event loop is late: the close is unread, after the event that lets the request continue
 
 class UnreadCloseTest : public ClosedClientTest {
  protected:
-  // Longer than an attempt may begin behind a close.
+  // Longer than the time after a close within which an attempt may still start.
   static constexpr milliseconds kLate{150};
 
-  // So many connections rest at the host and at the origin: what goes on goes out at once.
+  // Opens idle connections to the host and to the origin, so that further attempts are sent at
+  // once.
   void begin_warm(int at_each = 2) {
     begin();
     list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
@@ -181,18 +181,19 @@
       ASSERT_TRUE(wait([&] { return !c->in.empty(); }));
       ASSERT_TRUE(gone(c));
     }
-    run_for(io, milliseconds(30));  // one to the origin rests for a while before it is used again
+    // An origin connection is not reused for a short time after an answer.
+    run_for(io, milliseconds(30));
     cache.ids.clear();
     origin.ids.clear();
   }
-  // The client leaves, and this process stands still. Whatever was written to the balancer before
-  // this is read before it.
-  void leave_unheard(Peer& c) {
-    leave(c, GetParam());
+  // Closes the client's connection and blocks the event loop. Whatever was written to the balancer
+  // before is read before the close.
+  void close_unread(Peer& c) {
+    close_connection(c, GetParam());
     std::this_thread::sleep_for(kLate);
   }
-  // Something asked for by another behind all that came of the leaving.
-  ::testing::AssertionResult ask_another() {
+  // Sends a request from another client, which arrives after everything caused by the close.
+  ::testing::AssertionResult send_from_another_client() {
     auto last = client();
     last->send(get("another", "last"));
     return wait([&] { return cache.saw("last"); });
@@ -200,30 +201,30 @@
 };
 INSTANTIATE_TEST_SUITE_P(ByFinAndReset, UnreadCloseTest, ::testing::Bool());
 
-TEST_P(UnreadCloseTest, BehindAMiss) {
+TEST_P(UnreadCloseTest, StartsNoFetchForAMissReadBeforeTheClose) {
   begin_warm();
   auto c = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return cache.saw("1"); }));
   cache.miss("1");
-  leave_unheard(*c);
-  ASSERT_TRUE(ask_another());
+  close_unread(*c);
+  ASSERT_TRUE(send_from_another_client());
   EXPECT_TRUE(origin.ids.empty());
 }
 
-TEST_P(UnreadCloseTest, BehindAReset) {
+TEST_P(UnreadCloseTest, StartsNoRetryForAResetReadBeforeTheClose) {
   begin_warm();
   auto c = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return cache.saw("1"); }));
   cache.from.at("1")->close();
-  leave_unheard(*c);
-  ASSERT_TRUE(ask_another());
+  close_unread(*c);
+  ASSERT_TRUE(send_from_another_client());
   EXPECT_EQ(cache.ids, (Ids{"1", "last"}));
   EXPECT_TRUE(origin.ids.empty());
 }
 
-TEST_P(UnreadCloseTest, BehindAPlaceThatComesFree) {
+TEST_P(UnreadCloseTest, StartsNoAttemptOnAConnectionFreedBeforeTheClose) {
   site.max_connections = 1;
   begin();
   list({listed("h", cache.server.local())});
@@ -232,14 +233,14 @@
   ASSERT_TRUE(wait([&] { return cache.saw("1"); }));
   c->send(get("k", "2"));
   ASSERT_TRUE(wait([&] { return pool->open_requests() == 2; }));
-  run_for(io, kLate);  // it was there when it was last looked for, long ago
+  run_for(io, kLate);  // the last check that the client is connected is no longer recent
   cache.answer("1", "v");
-  leave_unheard(*c);
-  ASSERT_TRUE(ask_another());
+  close_unread(*c);
+  ASSERT_TRUE(send_from_another_client());
   EXPECT_EQ(cache.ids, (Ids{"1", "last"}));
 }
 
-TEST_P(UnreadCloseTest, BehindAnothersFetch) {
+TEST_P(UnreadCloseTest, StartsNoAttemptAfterACoalescedFetchEndsBeforeTheClose) {
   begin_warm();
   cache.on_command = [&](Peer&, const std::string& id) { cache.miss(id); };
   auto leader = client(), c = client();
@@ -247,21 +248,21 @@
   ASSERT_TRUE(wait([&] { return origin.saw("1"); }));
   c->send(get("k", "2"));
   ASSERT_TRUE(wait([&] { return cache.saw("2"); }));
-  run_for(io, kLate);  // its miss is read
+  run_for(io, kLate);  // long enough for the miss to be read
   origin.answer("1", "v");
-  leave_unheard(*c);
-  ASSERT_TRUE(ask_another());
+  close_unread(*c);
+  ASSERT_TRUE(send_from_another_client());
   EXPECT_EQ(cache.ids, (Ids{"1", "2", "last"}));
 }
 
-TEST_P(UnreadCloseTest, BehindABreakOfAKeyedWrite) {
+TEST_P(UnreadCloseTest, StartsNoRetryOfAKeyedWriteResetBeforeTheClose) {
   begin_warm();
   auto c = client();
   c->send(put("k", "1", 2, "c=save,k=key"));
   ASSERT_TRUE(wait([&] { return origin.saw("1"); }));
-  origin.from.at("1")->close();  // a keyed one may go out again at once
-  leave_unheard(*c);
-  ASSERT_TRUE(ask_another());
+  origin.from.at("1")->close();  // a write with an idempotency key may be retried at once
+  close_unread(*c);
+  ASSERT_TRUE(send_from_another_client());
   EXPECT_EQ(origin.ids, Ids{"1"});
 }
 
@@ -273,7 +274,7 @@
     for (ScriptedNode* node : {&a, &b})
       node->on_command = [this](Peer& p, const ScriptedNode::Words& w) {
         if (w[1] == "waits") {
-          asked = p.shared_from_this();
+          waiting_at = p.shared_from_this();
         } else {
           p.send("$1\r\nv\r\n");
         }
@@ -289,45 +290,46 @@
   }
   ::testing::AssertionResult wait(const std::function<bool()>& done) {
     if (run_until(io, done)) return ::testing::AssertionSuccess();
-    return ::testing::AssertionFailure() << "it never came to that";
+    return ::testing::AssertionFailure() << "condition not reached in time";
   }
-  // Two connections rest at each node: what goes on goes out at once.
+  // Opens two idle connections to each node, so that further attempts are sent at once.
   void warm() {
-    std::vector<std::pair<std::shared_ptr<Peer>, std::string>> asking;
+    std::vector<std::pair<std::shared_ptr<Peer>, std::string>> requests;
     const auto answer = a.on_command;
     a.on_command = b.on_command = [&](Peer& p, const ScriptedNode::Words& w) {
-      asking.emplace_back(p.shared_from_this(), w[1]);
+      requests.emplace_back(p.shared_from_this(), w[1]);
     };
     std::vector<std::unique_ptr<RespClient>> clients;
     for (const char* key : {"x", "y"}) {
       clients.push_back(std::make_unique<RespClient>(io, balancer->local(0)));
       clients.back()->send(wire({"GET", key}));
-      ASSERT_TRUE(wait([&] { return asking.size() == clients.size(); }));
+      ASSERT_TRUE(wait([&] { return requests.size() == clients.size(); }));
     }
-    for (const auto& [node, key] : std::exchange(asking, {})) node->send(moved(key));
-    ASSERT_TRUE(wait([&] { return asking.size() == clients.size(); }));
-    for (const auto& [node, key] : asking) node->send("$1\r\nv\r\n");
+    for (const auto& [node, key] : std::exchange(requests, {})) node->send(moved(key));
+    ASSERT_TRUE(wait([&] { return requests.size() == clients.size(); }));
+    for (const auto& [node, key] : requests) node->send("$1\r\nv\r\n");
     for (const auto& c : clients) ASSERT_EQ(c->next(), "$1\r\nv\r\n");
     a.on_command = b.on_command = answer;
   }
-  // Sends the request on from the first node to the second.
+  // Returns a redirection of the key from the first node to the second.
   std::string moved(const std::string& key) const {
     return "-MOVED " + std::to_string(cluster::slot_of(key)) + " " + b.server.dial() + "\r\n";
   }
-  // `goes_on` lets the request of a client go on that has left, unheard as the loop is late.
-  void leave_behind(const std::function<void(Peer& node)>& goes_on) {
+  // Runs `send_event`, which lets the request of a client continue, and closes that client's
+  // connection while the event loop is late, so that the close is read last.
+  void close_after(const std::function<void(Peer& node)>& send_event) {
     warm();
     RespClient c(io, balancer->local(0));
     c.send(wire({"GET", "waits"}));
-    ASSERT_TRUE(wait([&] { return asked != nullptr; }));
-    goes_on(*std::exchange(asked, nullptr));
-    leave(c.peer(), GetParam());
+    ASSERT_TRUE(wait([&] { return waiting_at != nullptr; }));
+    send_event(*std::exchange(waiting_at, nullptr));
+    close_connection(c.peer(), GetParam());
     std::this_thread::sleep_for(milliseconds(150));
     RespClient last(io, balancer->local(0));
     EXPECT_EQ(last.ask({"GET", "last"}), "$1\r\nv\r\n");
   }
-  // How often the request that waits came to a node.
-  static std::ptrdiff_t begun(const ScriptedNode& node) {
+  // Returns how often the waiting request was received by the node.
+  static std::ptrdiff_t attempts_at(const ScriptedNode& node) {
     return std::count(node.commands.begin(), node.commands.end(),
                       ScriptedNode::Words{"GET", "waits"});
   }
@@ -337,20 +339,20 @@
   FakeDiscovery discovery{io};
   Config config = test_config(discovery.server.local());
   ScriptedNode a{io}, b{io};
-  std::shared_ptr<Peer> asked;  // where the request that waits has come
+  std::shared_ptr<Peer> waiting_at;  // connection on which the waiting request was received
   std::unique_ptr<Balancer> balancer;
 };
 INSTANTIATE_TEST_SUITE_P(ByFinAndReset, ClosedRespClientTest, ::testing::Bool());
 
-TEST_P(ClosedRespClientTest, IsNotForwardedAfterARedirection) {
-  leave_behind([&](Peer& node) { node.send(moved("waits")); });
-  EXPECT_EQ(begun(a), 1);
-  EXPECT_EQ(begun(b), 0);
+TEST_P(ClosedRespClientTest, FollowsNoRedirectionReadBeforeTheClose) {
+  close_after([&](Peer& node) { node.send(moved("waits")); });
+  EXPECT_EQ(attempts_at(a), 1);
+  EXPECT_EQ(attempts_at(b), 0);
 }
 
-TEST_P(ClosedRespClientTest, IsNotRetriedAfterAReset) {
-  leave_behind([](Peer& node) { node.close(); });
-  EXPECT_EQ(begun(a), 1);
+TEST_P(ClosedRespClientTest, StartsNoRetryForAResetReadBeforeTheClose) {
+  close_after([](Peer& node) { node.close(); });
+  EXPECT_EQ(attempts_at(a), 1);
 }
 
 }  // namespace
--- a/tests/leaving_load_test.cc
+++ b/tests/leaving_load_test.cc
@@ -1,5 +1,5 @@
-// The built program under load, with clients that leave at any moment and the process late now and
-// then: attempts begin no later than 0.1 s behind their client's close.
+// The balancer process under load, with clients that disconnect at random moments while the process
+// is stopped repeatedly: no attempt may start more than 0.1 s after its client's close.
 #include <signal.h>
 #include <sys/socket.h>
 #include <sys/time.h>
@@ -17,18 +17,18 @@
 using std::chrono::milliseconds;
 using WallTime = std::chrono::system_clock::time_point;
 
-constexpr milliseconds kMaxBehindClose{100};
-constexpr int kMaxLate = 2;  // the third is a break
-constexpr milliseconds kLoadFor{5000};
+constexpr milliseconds kMaxStartAfterClose{100};
+constexpr int kMaxLateAttempts = 2;  // tolerated late attempts; a third fails the test
+constexpr milliseconds kLoadDuration{5000};
 constexpr milliseconds kBetweenRequests{4};
 constexpr milliseconds kMaxServerTime{150};
-// Clients that leave do so within this.
-constexpr milliseconds kMaxStay{250};
-// The process stands still for so long, and runs for so long in between.
+// Time within which clients that disconnect do so.
+constexpr milliseconds kMaxTimeToDisconnect{250};
+// The process is stopped for kStopFor, and runs for kRunFor in between.
 constexpr milliseconds kStopFor{200}, kRunFor{300};
 
-// A server that tells with each request when the system took its last bytes in: however late the
-// test is, that is when the attempt began. One request is out on a connection at a time.
+// A server that reports for each request when the kernel received its last bytes. That is when the
+// attempt started, however late the test reads them. Each connection carries one request at a time.
 class StampingServer {
  public:
   struct Connection {
@@ -37,16 +37,17 @@
     std::string in;
   };
   using ConnectionPtr = std::shared_ptr<Connection>;
-  // Takes a whole request off the front of `in` and gives its id; empty if there is none yet.
+  // Removes a complete request from the front of `in` and returns its id; empty if there is none
+  // yet.
   using TakeRequest = std::function<std::string(std::string& in)>;
   using OnRequest =
-      std::function<void(const ConnectionPtr&, const std::string& id, WallTime begun)>;
+      std::function<void(const ConnectionPtr&, const std::string& id, WallTime started)>;
 
   StampingServer(asio::io_context& io, TakeRequest take, OnRequest on_request)
       : acceptor_(io, Endpoint(asio::ip::make_address("127.0.0.1"), 0)),
         take_(std::move(take)),
         on_request_(std::move(on_request)) {
-    const int on = 1;  // connections take it over
+    const int on = 1;  // accepted connections inherit the option
     ::setsockopt(acceptor_.native_handle(), SOL_SOCKET, SO_TIMESTAMPNS, &on, sizeof on);
     accept();
   }
@@ -54,7 +55,7 @@
     return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port());
   }
 
-  int unstamped = 0;  // requests
+  int unstamped = 0;  // requests without a kernel timestamp
 
  private:
   void accept() {
@@ -72,7 +73,7 @@
       watch(c);
     });
   }
-  // False: the connection has ended.
+  // Returns false if the connection has ended.
   bool read(const ConnectionPtr& c) {
     char bytes[4096];
     alignas(cmsghdr) char control[256];
@@ -90,7 +91,8 @@
       on_request_(c, id, stamp_of(message));
     return c->socket.is_open();
   }
-  // Where the system gives no time, this moment, which is no earlier.
+  // Returns the kernel's timestamp of the message; without one, the current time, which is not
+  // earlier.
   WallTime stamp_of(msghdr& message) {
     for (cmsghdr* c = CMSG_FIRSTHDR(&message); c; c = CMSG_NXTHDR(&message, c)) {
       if (c->cmsg_level != SOL_SOCKET || c->cmsg_type != SCM_TIMESTAMPNS) continue;
@@ -138,9 +140,9 @@
   }
   void after(Duration delay, std::function<void()> then) { context.after(delay, std::move(then)); }
 
-  void begun(const std::string& id, WallTime at) { begins[id].push_back(at); }
-  // Breaks the connection off, or answers on it, somewhat later.
-  void later(const ConnectionPtr& c, const std::string& answer) {
+  void record_start(const std::string& id, WallTime at) { attempt_starts[id].push_back(at); }
+  // Closes the connection or sends the answer after a random delay.
+  void respond_later(const ConnectionPtr& c, const std::string& answer) {
     const bool breaks = chance(0.1);
     after(time_up_to(kMaxServerTime), [c, answer, breaks] {
       boost::system::error_code ignored;
@@ -152,51 +154,54 @@
     });
   }
   void on_command(const ConnectionPtr& c, const std::string& id, WallTime at) {
-    begun(id, at);
+    record_start(id, at);
     if (chance(0.15)) return;  // hangs
-    later(c, chance(0.5) ? FakeCache::value(id, "v") : "EN O" + id + "\r\n");
+    respond_later(c, chance(0.5) ? FakeCache::value(id, "v") : "EN O" + id + "\r\n");
   }
   void on_http(const ConnectionPtr& c, const std::string& id, WallTime at) {
-    begun(id, at);
-    later(c, chance(0.2) ? "HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
+    record_start(id, at);
+    respond_later(c, chance(0.2)
+                         ? "HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
                          : "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv");
   }
 
-  void ask() {
-    const std::string id = std::to_string(++asked);
+  void send_request() {
+    const std::string id = std::to_string(++requests_sent);
     const std::string key = "k" + std::to_string(random() % 200);
     auto c = client();
     c->send(chance(0.2) ? "ms " + key + " 2 O" + id + " Pc=book,t=acme,d=2000\r\nxx\r\n"
                         : "mg " + key + " v O" + id + " Pc=read,t=acme,d=2000\r\n");
     if (!chance(0.6)) return after(milliseconds(2500), [c] { c->close(); });
-    after(time_up_to(kMaxStay), [this, c, id, by_reset = chance(0.5)] {
+    after(time_up_to(kMaxTimeToDisconnect), [this, c, id, by_reset = chance(0.5)] {
       if (!c->in.empty() || c->closed) return c->close();
       if (by_reset) c->socket.set_option(asio::socket_base::linger(true, 0));
       c->close();
       closed[id] = std::chrono::system_clock::now();
     });
   }
-  void keep_asking(Time until) {
+  void send_requests_until(Time until) {
     if (context.now() > until) return;
-    ask();
-    after(time_up_to(2 * kBetweenRequests), [this, until] { keep_asking(until); });
+    send_request();
+    after(time_up_to(2 * kBetweenRequests), [this, until] { send_requests_until(until); });
   }
-  void keep_stopping(Time until) {
+  void stop_repeatedly_until(Time until) {
     if (context.now() > until) return;
     processes[0]->signal(SIGSTOP);
     after(kStopFor, [this, until] {
       processes[0]->signal(SIGCONT);
-      after(kRunFor, [this, until] { keep_stopping(until); });
+      after(kRunFor, [this, until] { stop_repeatedly_until(until); });
     });
   }
 
   std::mt19937 random;
-  int asked = 0;
-  std::map<std::string, WallTime> closed;               // of clients that left with no answer
-  std::map<std::string, std::vector<WallTime>> begins;  // of attempts, by id
+  int requests_sent = 0;
+  // Close times of clients that disconnected without an answer, by request id.
+  std::map<std::string, WallTime> closed;
+  // Start times of attempts, by request id.
+  std::map<std::string, std::vector<WallTime>> attempt_starts;
 };
 
-TEST_F(LeavingLoadTest, BeginsNoAttemptForClientsThatHaveClosed) {
+TEST_F(LeavingLoadTest, StartsNoAttemptForDisconnectedClients) {
   const unsigned seed = std::random_device()();
   std::printf("seed %u\n", seed);
   random.seed(seed);
@@ -214,32 +219,32 @@
   processes[0]->start([&] { ready = true; });
   ASSERT_TRUE(wait([&] { return ready && discovery.answered > 0; }));
 
-  const Time until = context.now() + kLoadFor;
-  keep_asking(until);
-  keep_stopping(until);
+  const Time until = context.now() + kLoadDuration;
+  send_requests_until(until);
+  stop_repeatedly_until(until);
   ASSERT_TRUE(wait([&] { return context.now() > until + milliseconds(1000); }));
 
   int late = 0, further = 0;
   std::size_t attempts = 0;
   double latest = -1;
-  for (const auto& [id, at] : begins) {
+  for (const auto& [id, at] : attempt_starts) {
     attempts += at.size();
     further += at.size() > 1;
-    const auto left = closed.find(id);
-    if (left == closed.end()) continue;
+    const auto closed_at = closed.find(id);
+    if (closed_at == closed.end()) continue;
     for (const WallTime begin : at) {
-      latest = std::max(latest, std::chrono::duration<double>(begin - left->second).count());
-      late += begin - left->second > kMaxBehindClose;
+      latest = std::max(latest, std::chrono::duration<double>(begin - closed_at->second).count());
+      late += begin - closed_at->second > kMaxStartAfterClose;
     }
   }
   std::printf(
-      "%d requests, %zu attempts, %d with further ones; %zu clients left; %d attempts began "
-      "over 0.1 s behind the close, the last %.3f s; %d without the system's time\n",
-      asked, attempts, further, closed.size(), late, latest,
+      "%d requests, %zu attempts, %d with further ones; %zu clients disconnected; %d attempts "
+      "started over 0.1 s after the close, the latest %.3f s; %d without a kernel timestamp\n",
+      requests_sent, attempts, further, closed.size(), late, latest,
       one.unstamped + two.unstamped + origin.unstamped);
   EXPECT_GT(closed.size(), 100u);
   EXPECT_GT(further, 50);
-  EXPECT_LE(late, kMaxLate) << "seed " << seed;
+  EXPECT_LE(late, kMaxLateAttempts) << "seed " << seed;
 }
 
 }  // namespace
--- a/tests/long_value_test.cc
+++ b/tests/long_value_test.cc
@@ -1,4 +1,5 @@
-// Values of up to 4 MiB through a balancer of little memory, at the pace of the slower side.
+// Values of up to 4 MiB through a balancer with little memory, streamed at the rate of the slower
+// side.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,36 +20,36 @@
   return text;
 }
 
-// A cache host that writes as fast as it is read from, and does what the test says with a command.
+// A cache host that writes as fast as its peer reads, and answers each command as the test decides.
 class LongHost {
  public:
-  struct Does {
-    std::string text;  // of the answer
+  struct Reply {
+    std::string text;
     bool then_close = false;
   };
-  using Answer = std::function<Does(const std::string& line, const std::string& id)>;
+  using Answer = std::function<Reply(const std::string& line, const std::string& id)>;
 
   LongHost(asio::io_context& io, Answer answer)
       : server(io,
                [this](Peer& p) {
                  for (std::string line = p.take_line(); !line.empty(); line = p.take_line()) {
                    const auto at = line.find(" O") + 2;
-                   ++asked;
-                   auto does = std::make_shared<Does>(
+                   ++commands;
+                   auto reply = std::make_shared<Reply>(
                        answer_(line, line.substr(at, line.find(' ', at) - at)));
-                   asio::async_write(p.socket, asio::buffer(does->text),
-                                     [this, does, peer = p.shared_from_this()](auto e, auto n) {
+                   asio::async_write(p.socket, asio::buffer(reply->text),
+                                     [this, reply, peer = p.shared_from_this()](auto e, auto n) {
                                        written += n;
                                        failed += static_cast<bool>(e);
                                        boost::system::error_code ignored;
-                                       if (does->then_close)
+                                       if (reply->then_close)
                                          peer->socket.shutdown(tcp::socket::shutdown_send, ignored);
                                      });
                  }
                }),
         answer_(std::move(answer)) {}
 
-  int asked = 0, failed = 0;
+  int commands = 0, failed = 0;
   std::size_t written = 0;
   Server server;
 
@@ -56,7 +57,8 @@
   Answer answer_;
 };
 
-// A client that takes no more than it is told to.
+// A client with a small receive buffer that reads only after read(), at most `piece` bytes at a
+// time.
 class SlowReader : public std::enable_shared_from_this<SlowReader> {
  public:
   SlowReader(asio::io_context& io, const Endpoint& at, std::size_t piece)
@@ -99,28 +101,30 @@
   static std::string answer(const std::string& id, const std::string& value) {
     return FakeCache::value(id, value);
   }
-  // All that was taken is given back.
-  ::testing::AssertionResult all_given_back() {
+  // Waits until all byte and client reservations have been released.
+  ::testing::AssertionResult all_released() {
     return wait([&] { return limits->bytes.used() == 0 && limits->clients.used() == 0; });
   }
 };
 
-// Short requests go on beside one that takes 1 KiB at a time, and the budget holds one window.
-TEST_F(LongValueTest, ServesOthersBesideASlowClient) {
+// Short requests are served while another client reads a long value 1 KiB at a time, and no more
+// than two stream windows are reserved.
+TEST_F(LongValueTest, ServesOtherClientsDuringASlowRead) {
   const std::string value = bytes_of(kLong);
-  LongHost host(io, [&](const std::string& line, const std::string& id) -> LongHost::Does {
+  LongHost host(io, [&](const std::string& line, const std::string& id) -> LongHost::Reply {
     return {answer(id, line.starts_with("mg long") ? value : "v")};
   });
   begin_with({&host});
   auto slow = reader();
   slow->send(get("long", "1"));
-  ASSERT_TRUE(wait([&] { return slow->socket.available() > 0; })) << "first bytes go at once";
+  ASSERT_TRUE(wait([&] { return slow->socket.available() > 0; }))
+      << "the first bytes were not sent immediately";
   slow->read();
   auto quick = client();
-  std::size_t most = 0;
+  std::size_t max_used = 0;
   int id = 1, served = 0;
   ASSERT_TRUE(wait([&] {
-    most = std::max(most, limits->bytes.used());
+    max_used = std::max(max_used, limits->bytes.used());
     if (quick->in == FakeCache::value(std::to_string(id), "v")) ++served;
     if (quick->in.empty() ? id == 1 : true) {
       quick->in.clear();
@@ -132,16 +136,16 @@
   }));
   EXPECT_TRUE(slow->in == answer("1", value));
   EXPECT_GT(served, 20);
-  EXPECT_LE(most, 2 * ValueStream::kWindow);
+  EXPECT_LE(max_used, 2 * ValueStream::kWindow);
 }
 
-// Three times what the process may hold.
-TEST_F(LongValueTest, StreamsAHundredAtOnceInLittleMemory) {
+// 100 values of 1 MiB, three times the memory limit of the process.
+TEST_F(LongValueTest, StreamsAHundredValuesWithinTheMemoryLimit) {
   const std::string value = bytes_of(1u << 20);
-  LongHost host(io, [&](const std::string&, const std::string& id) -> LongHost::Does {
+  LongHost host(io, [&](const std::string&, const std::string& id) -> LongHost::Reply {
     return {answer(id, value)};
   });
-  config.sockets = 512;  // a connection to the host for each
+  config.sockets = 512;  // enough for one host connection per client
   begin_with({&host});
   ASSERT_EQ(config.memory_mb, 32u);
   std::vector<std::shared_ptr<SlowReader>> readers;
@@ -150,11 +154,11 @@
     readers.back()->send(get("k" + std::to_string(i), std::to_string(i)));
     readers.back()->read();
   }
-  std::size_t most = 0;
+  std::size_t max_used = 0;
   ASSERT_TRUE(run_until(
       io,
       [&] {
-        most = std::max(most, limits->bytes.used());
+        max_used = std::max(max_used, limits->bytes.used());
         return std::all_of(readers.begin(), readers.end(), [&](const auto& r) {
           return r->closed || r->in.size() >= value.size() + 20;
         });
@@ -164,13 +168,14 @@
   int whole = 0;
   for (int i = 0; i < 100; ++i) whole += readers[i]->in == answer(std::to_string(i), value);
   EXPECT_EQ(whole, 100);
-  EXPECT_LE(most, limits->bytes.max());
+  EXPECT_LE(max_used, limits->bytes.max());
 }
 
-// The client can tell: it gets what came, and a close.
-TEST_F(LongValueTest, ClosesWithoutPaddingWhenTheHostDies) {
+// If the host closes in the middle of a value, the client gets the bytes received so far and a
+// close.
+TEST_F(LongValueTest, ClosesWithoutPaddingWhenTheHostCloses) {
   const std::string value = bytes_of(kLong);
-  LongHost host(io, [&](const std::string&, const std::string& id) -> LongHost::Does {
+  LongHost host(io, [&](const std::string&, const std::string& id) -> LongHost::Reply {
     return {answer(id, value).substr(0, 1000000), true};
   });
   begin_with({&host});
@@ -179,15 +184,16 @@
   c->read();
   ASSERT_TRUE(wait([&] { return c->closed; }));
   EXPECT_TRUE(c->in == answer("1", value).substr(0, 1000000)) << c->in.size();
-  EXPECT_EQ(host.asked, 1) << "a second attempt after the first byte had gone";
-  EXPECT_TRUE(all_given_back());
+  EXPECT_EQ(host.commands, 1) << "a second attempt was started after the first byte was sent";
+  EXPECT_TRUE(all_released());
 }
 
-// Nothing of an answer passes whose first line is another request's, or says more than may be: the
-// origin is asked, whose long answer passes, unless it names another request.
-TEST_F(LongValueTest, RetriesElsewhereAfterAWrongFirstLine) {
+// An answer whose first line has another request's id, or a length above the limit, is not
+// forwarded. The request is retried at the origin, whose long answer is forwarded unless it has
+// another request's id.
+TEST_F(LongValueTest, RetriesAtTheOriginAfterAnInvalidFirstLine) {
   const std::string value = bytes_of(100000);
-  LongHost host(io, [&](const std::string& line, const std::string& id) -> LongHost::Does {
+  LongHost host(io, [&](const std::string& line, const std::string& id) -> LongHost::Reply {
     if (line.starts_with("mg long")) return {"VA 4194305 O" + id + "\r\n" + value};
     return {answer(id + "x", value)};
   });
@@ -210,19 +216,19 @@
     ASSERT_TRUE(wait([&] { return c->in.size() == answer(key, value).size() || c->closed; }));
     EXPECT_TRUE(c->in == answer(key, value)) << key;
   }
-  EXPECT_EQ(host.asked, 2);
+  EXPECT_EQ(host.commands, 2);
   EXPECT_EQ(fetched, 2);
   auto c = reader(64u << 10);
   c->send(get("other", "3"));
   c->read();
   ASSERT_TRUE(wait([&] { return c->in.ends_with("\r\n") || c->closed; }));
-  EXPECT_FALSE(c->in.starts_with("VA")) << "another request's value was passed on";
+  EXPECT_FALSE(c->in.starts_with("VA")) << "another request's value was forwarded";
 }
 
-// A client that leaves ends the transfer; nothing is kept for it.
-TEST_F(LongValueTest, EndsTheHostsSideWhenTheClientCloses) {
+// When the client disconnects, the transfer from the host ends and all reservations are released.
+TEST_F(LongValueTest, ClosesTheHostConnectionWhenTheClientCloses) {
   const std::string value = bytes_of(kLong);
-  LongHost host(io, [&](const std::string&, const std::string& id) -> LongHost::Does {
+  LongHost host(io, [&](const std::string&, const std::string& id) -> LongHost::Reply {
     return {answer(id, value)};
   });
   begin_with({&host});
@@ -231,32 +237,32 @@
   c->read();
   ASSERT_TRUE(wait([&] { return c->in.size() > 10000; }));
   c->socket.close();
-  ASSERT_TRUE(wait([&] { return host.failed == 1; })) << "its host goes on writing";
+  ASSERT_TRUE(wait([&] { return host.failed == 1; })) << "the host can still write";
   EXPECT_LT(host.written, kLong);
-  EXPECT_TRUE(all_given_back());
+  EXPECT_TRUE(all_released());
 }
 
-// A client that takes nothing at all has an end, and so has a host that stops in the middle.
+// Connections time out if the client reads nothing, or if the host stops in the middle of a value.
 TEST_F(LongValueTest, ClosesConnectionsThatMakeNoProgress) {
   const std::string value = bytes_of(kLong);
-  LongHost host(io, [&](const std::string& line, const std::string& id) -> LongHost::Does {
+  LongHost host(io, [&](const std::string& line, const std::string& id) -> LongHost::Reply {
     const bool stops = line.starts_with("mg stops");
     return {answer(id, value).substr(0, stops ? 500000 : kLong)};
   });
   begin_with({&host});
-  auto takes_nothing = reader(), waits = reader(64u << 10);
-  takes_nothing->send(get("k", "1"));
+  auto idle_reader = reader(), waits = reader(64u << 10);
+  idle_reader->send(get("k", "1"));
   waits->send(get("stops", "2"));
   waits->read();
   ASSERT_TRUE(wait([&] { return waits->closed; }));
   EXPECT_EQ(waits->in.size(), 500000u);
-  EXPECT_TRUE(all_given_back());
+  EXPECT_TRUE(all_released());
 }
 
-// Answers keep their order behind a long one.
-TEST_F(LongValueTest, WritesLaterAnswersAfterTheLongOne) {
+// Answers after a streamed value keep their order.
+TEST_F(LongValueTest, WritesAnswersInOrderAroundLongValues) {
   const std::string value = bytes_of(300000);
-  LongHost host(io, [&](const std::string& line, const std::string& id) -> LongHost::Does {
+  LongHost host(io, [&](const std::string& line, const std::string& id) -> LongHost::Reply {
     return {answer(id, line.starts_with("mg long") ? value : "v")};
   });
   begin_with({&host});
@@ -269,9 +275,9 @@
   EXPECT_TRUE(c->in == want);
 }
 
-// A body that is cut one byte before its end never ran; cut right behind it, it may have, and runs
-// once.
-TEST_F(LongValueTest, ForwardsNoLongWriteThatIsCut) {
+// A write whose body ends one byte short is not forwarded. If the client closes right after the
+// complete body, the write may be executed, but at most once.
+TEST_F(LongValueTest, ForwardsNoTruncatedLongWrite) {
   const std::string body = bytes_of(1000000);
   int puts = 0;
   std::size_t got = 0;
@@ -291,7 +297,7 @@
   cut->send(head + body.substr(0, body.size() - 1));
   ASSERT_TRUE(wait([&] { return limits->bytes.used() >= body.size(); }));
   cut->close();
-  ASSERT_TRUE(all_given_back());
+  ASSERT_TRUE(all_released());
   EXPECT_EQ(puts, 0);
   auto after = client();
   after->send(head + body + "\r\n");
--- a/tests/pipeline_test.cc
+++ b/tests/pipeline_test.cc
@@ -1,4 +1,4 @@
-// Pipelines over shared connections, when the server behind them stalls, breaks off or sends on.
+// Pipelines over shared connections whose server stalls, closes the connection or redirects.
 #include <algorithm>
 #include <map>
 #include <set>
@@ -10,8 +10,9 @@
 namespace balancer::node {
 namespace {
 
-// What is shared, and for how long, follows from measured times. Here only what takes this long is
-// slow: far more than an instrumented program on a busy machine takes for an answer.
+// The pool decides from measured response times which connections are shared. In these tests only
+// answers that take this long count as slow: far more than an instrumented build on a busy machine
+// needs for an answer.
 constexpr std::chrono::milliseconds kSlow{400};
 
 std::string bulk(const std::string& text) {
@@ -42,7 +43,7 @@
       return balancer->cluster_pool(0).router().table().assigned() == cluster::kSlots;
     }));
   }
-  // GET gives the key back; a booking counts its runs.
+  // Answers a GET with its key. Counts the executions of each RPUSH, by its value.
   void answer(Peer& p, const Words& w) {
     if (w[0] == "RPUSH") {
       ++runs[w[2]];
@@ -54,9 +55,8 @@
   std::unique_ptr<RespClient> client() {
     return std::make_unique<RespClient>(io, balancer->local(0));
   }
-  // Answers in quick succession until the pool has learnt that nothing is slow, and lets so many
-  // requests of clients share a connection. On a busy machine some answers are slow, and it takes
-  // longer.
+  // Sends requests that are answered immediately until the pool lets `depth` client requests share
+  // a connection. This takes longer on a busy machine, where some answers are slow.
   ::testing::AssertionResult warm(std::size_t depth) {
     auto c = client();
     for (int batch = 0; batch < 1000; ++batch) {
@@ -70,24 +70,25 @@
       if (!run_until(io, [&] { return c->replies.size() == 100; })) break;
       c->replies.clear();
     }
-    return ::testing::AssertionFailure() << "clients never came to share";
+    return ::testing::AssertionFailure() << "the pool did not reach the required sharing depth";
   }
   ::testing::AssertionResult wait(const std::function<bool()>& done) {
     if (run_until(io, done)) return ::testing::AssertionSuccess();
-    return ::testing::AssertionFailure() << "it never came to that";
+    return ::testing::AssertionFailure() << "condition not reached in time";
   }
   std::unique_ptr<Limits> limits;  // outlives the loop
   asio::io_context io{1};
   FakeDiscovery discovery{io};
   Config config = test_config(discovery.server.local());
   ScriptedNode a{io}, b{io};
-  std::map<std::string, int> runs;  // by booking
+  std::map<std::string, int> runs;  // executions of writes, by value
   std::unique_ptr<Balancer> balancer;
 };
 
-// 40 requests out on one connection, 3 of them bookings, and it breaks at each byte of the last
-// booking, after the node has run what came whole. Reads go out again; a booking never does.
-TEST_F(PipelineTest, ABreakAtAnyByteReplaysNoBooking) {
+// 40 requests are in flight on one connection, 3 of them non-idempotent writes, and the connection
+// breaks at each byte of the last write, after the node has executed all complete requests. Reads
+// are retried; a write never is.
+TEST_F(PipelineTest, ReplaysNoWriteWhenTheConnectionBreaksAtAnyByte) {
   const auto booking = [](int round, int i) {
     return "b" + std::to_string(1000 + round) + std::to_string(i);
   };
@@ -130,7 +131,7 @@
   }
 }
 
-TEST_F(PipelineTest, AStallKeepsNobodyElseWaiting) {
+TEST_F(PipelineTest, SendsNothingMoreOnAStalledConnection) {
   ASSERT_TRUE(warm(8));
   Peer* stalled = nullptr;
   std::vector<Words> held;
@@ -144,15 +145,15 @@
   for (int i = 0; i < 10; ++i) out += wire({"GET", i == 2 ? "slow" : "k" + std::to_string(i)});
   c->send(out);
   ASSERT_TRUE(wait([&] { return held.size() == 8 && c->replies.size() == 2; }));
-  run_for(io, kSlow + std::chrono::milliseconds(50));  // overdue by now
-  // Neither another client nor this one's next request goes there.
+  run_for(io, kSlow + std::chrono::milliseconds(50));  // the answer is overdue
+  // Neither another client's requests nor this client's next one are sent on that connection.
   for (int i = 0; i < 10; ++i) {
     const std::string key = "x" + std::to_string(i);
     EXPECT_EQ(other->ask({"GET", key}), bulk(key));
   }
   c->send(wire({"GET", "late"}));
   run_for(io, std::chrono::milliseconds(20));
-  EXPECT_EQ(held.size(), 8u) << "more was written behind the stall";
+  EXPECT_EQ(held.size(), 8u) << "further requests were written to the stalled connection";
   EXPECT_EQ(c->replies.size(), 2u) << "answers out of order";
   a.on_command = [this](Peer& p, const Words& w) { answer(p, w); };
   for (const auto& w : held) stalled->send(bulk(w[1]));
@@ -162,18 +163,19 @@
   EXPECT_EQ(c->replies[10], bulk("late"));
 }
 
-// Half of a pipeline answered, then MOVED for the rest but two, then a close.
-TEST_F(PipelineTest, HalfAnsweredThenSentOnThenBrokenOff) {
-  int came = 0;
+// Half of a pipeline is answered, the rest but two is redirected by MOVED, and the connection
+// closes.
+TEST_F(PipelineTest, AnswersEachRequestOnceAcrossRedirectionsAndAClose) {
+  int received = 0;
   a.on_command = [&](Peer& p, const Words& w) {
-    if (++came <= 6) return answer(p, w);
-    if (came <= 10 || came > 12) {
+    if (++received <= 6) return answer(p, w);
+    if (received <= 10 || received > 12) {
       a.owner = b.owner = b.server.dial();
       return p.send("-MOVED " + std::to_string(cluster::slot_of(w[1])) + " " + b.server.dial() +
                     "\r\n");
     }
     if (w[0] == "RPUSH") ++runs[w[2]];
-    if (came == 12) p.close();
+    if (received == 12) p.close();
   };
   auto c = client();
   std::string out;
@@ -191,9 +193,9 @@
   EXPECT_EQ(runs["booking2"], 1);
 }
 
-// Clients on shared connections, every second one of which goes away before its answer: the others
-// get theirs, each its own.
-TEST_F(PipelineTest, ClientsThatLeaveTakeNoAnswerOfOthers) {
+// Every second client on shared connections disconnects before its answer arrives. Each of the
+// others still gets its own answer.
+TEST_F(PipelineTest, MatchesAnswersToClientsWhenOthersDisconnect) {
   ASSERT_TRUE(warm(24));
   for (int round = 0; round < 20; ++round) {
     std::vector<std::pair<Peer*, std::string>> held;
@@ -205,7 +207,7 @@
     ASSERT_TRUE(wait([&] { return held.size() == 24; }));
     std::set<Peer*> used;
     for (const auto& [peer, key] : held) used.insert(peer);
-    EXPECT_LT(used.size(), 12u) << "they did not share";
+    EXPECT_LT(used.size(), 12u) << "the clients did not share connections";
     for (std::size_t i = 1; i < all.size(); i += 2) all[i].reset();
     run_for(io, std::chrono::milliseconds(5));
     for (const auto& [peer, key] : held) peer->send(bulk(key));
@@ -214,9 +216,9 @@
   }
 }
 
-// Noise behind an answer, in a packet of its own that comes while the event loop is elsewhere: the
-// next attempt must not take it for its answer.
-TEST(UpstreamNoiseTest, OnAnIdleConnectionIsNobodysAnswer) {
+// Extra bytes after an answer arrive in a separate packet while the event loop is busy. The next
+// attempt must not take them for its answer.
+TEST(UnexpectedInputTest, ClosesAnIdleConnectionWithUnexpectedBytes) {
   struct Events : AttemptEvents {
     Clock clock;
     std::vector<std::pair<Result, std::string>> ends;
@@ -260,15 +262,15 @@
   ASSERT_TRUE(run_until(io, [&] { return events.ends.size() == 1; }));
   ASSERT_EQ(node.server.peers.size(), 1u);
   used->send("$5\r\nwrong\r\n");
-  std::this_thread::sleep_for(std::chrono::milliseconds(5));  // the loop does not run
+  std::this_thread::sleep_for(std::chrono::milliseconds(5));  // the event loop is not running
   ask("second");
   ASSERT_TRUE(run_until(io, [&] { return events.ends.size() == 2; }));
   EXPECT_EQ(events.ends[1], std::pair(Result::kOk, bulk("second")));
-  EXPECT_EQ(node.server.peers.size(), 2u) << "the connection with noise on it was used again";
+  EXPECT_EQ(node.server.peers.size(), 2u) << "the connection with unexpected bytes was reused";
 }
 
-// Nodes that do not tell their map in the words asked for first. By SHARDS a replica that is still
-// loading is known as such and asked nothing.
+// Nodes that do not support the CLUSTER subcommand that is tried first for the slot map. SHARDS
+// also reports that a replica is still loading, and such a replica gets no requests.
 class MapCommandTest : public PipelineTest,
                        public ::testing::WithParamInterface<std::vector<std::string>> {
   void SetUp() override {
@@ -277,7 +279,7 @@
   }
 };
 
-TEST_P(MapCommandTest, IsAskedForInTheWordsThatTheNodeHas) {
+TEST_P(MapCommandTest, UsesASubcommandThatTheNodeSupports) {
   auto c = client();
   EXPECT_EQ(c->ask({"GET", "k"}), bulk("k"));
   for (int i = 0; i < 10; ++i) EXPECT_EQ(c->ask({"HGET", "k", "f"}), bulk("k"));
@@ -288,10 +290,10 @@
                                            std::vector<std::string>{"SHARDS", "SLOTS"},
                                            std::vector<std::string>{"SLOTS"}));
 
-// A script that the promoted replica has never heard of: NOSCRIPT is the client's answer, as it
-// proves that nothing ran and the client has the text. What had been sent to the old owner is not
-// replayed.
-TEST_F(PipelineTest, AScriptUnknownOnThePromotedReplica) {
+// A script that the promoted replica does not know: NOSCRIPT is returned to the client, as it
+// proves that nothing was executed and the client has the script's text. Requests that were sent to
+// the old primary are not replayed.
+TEST_F(PipelineTest, ReturnsNoScriptOfAPromotedReplicaToTheClient) {
   int ran_at_a = 0, ran_at_b = 0;
   bool breaks = false;
   a.on_command = [&](Peer& p, const Words& w) {
@@ -321,14 +323,14 @@
   EXPECT_TRUE(c->ask({"EVAL", "return 2", "x"}).starts_with("-ERR syntax error"));
 }
 
-// A write and a read of its key in one pipeline do not wait for each other and keep their order.
-TEST_F(PipelineTest, AWriteAndAReadOfItsKeyTravelTogether) {
+// Writes and reads of one key in a pipeline are sent without waiting for each other, in order.
+TEST_F(PipelineTest, PipelinesWritesAndReadsOfOneKeyInOrder) {
   std::vector<std::pair<Peer*, Words>> held;
   a.on_command = [&](Peer& p, const Words& w) { held.emplace_back(&p, w); };
   auto c = client();
   c->send(wire({"SET", "k", "1"}) + wire({"GET", "k"}) + wire({"SET", "k", "2"}) +
           wire({"GET", "k"}));
-  ASSERT_TRUE(wait([&] { return held.size() == 4; })) << "they were sent one by one";
+  ASSERT_TRUE(wait([&] { return held.size() == 4; })) << "the requests were sent one at a time";
   for (std::size_t i = 0; i < 4; ++i) {
     EXPECT_EQ(held[i].first, held[0].first);
     EXPECT_EQ(held[i].second[0], i % 2 ? "GET" : "SET");
@@ -339,23 +341,24 @@
   EXPECT_EQ(c->replies[3], "$1\r\n2\r\n");
 }
 
-// 10,000 commands from a client that reads nothing: what it may hold is bounded, others are served,
-// and all of it comes back when it goes.
-TEST_F(PipelineTest, AClientThatReadsNothingHoldsNoMoreThanItsShare) {
+// A client sends 10,000 commands and reads no answer. The memory that it occupies is bounded, other
+// clients are served, and the memory is released when the client disconnects.
+TEST_F(PipelineTest, BoundsTheMemoryOfAClientThatReadsNothing) {
   const std::string value(10'000, 'v');
   a.on_command = [&](Peer& p, const Words& w) { p.send(bulk(w[1] == "big" ? value : w[1])); };
-  tcp::socket deaf(io);
-  deaf.connect(balancer->local(0));
-  deaf.set_option(asio::socket_base::receive_buffer_size(4096));
+  tcp::socket silent_reader(io);
+  silent_reader.connect(balancer->local(0));
+  silent_reader.set_option(asio::socket_base::receive_buffer_size(4096));
   std::string out;
   for (int i = 0; i < 10'000; ++i) out += wire({"GET", "big"});
-  asio::async_write(deaf, asio::buffer(out), [](auto, auto) {});
+  asio::async_write(silent_reader, asio::buffer(out), [](auto, auto) {});
   run_for(io, std::chrono::milliseconds(300));
-  EXPECT_LT(a.commands.size(), 2'000u) << "it went on asking for what nobody reads";
+  EXPECT_LT(a.commands.size(), 2'000u)
+      << "commands were forwarded though their answers are not read";
   EXPECT_LT(limits->bytes.used(), 4u << 20);
   auto c = client();
   EXPECT_EQ(c->ask({"GET", "x"}), bulk("x"));
-  deaf.close();
+  silent_reader.close();
   c.reset();
   EXPECT_TRUE(wait([&] { return limits->bytes.used() == 0; })) << limits->bytes.used();
 }
--- a/tests/storm_test.cc
+++ b/tests/storm_test.cc
@@ -1,6 +1,6 @@
-// Client, host and list events in random order against the real core, from a printed seed, with an
-// auditor that counts sends, effects and answers; and defects planted at the core's borders, which
-// it has to catch.
+// Random client, host and endpoint-list events against the real core, from a printed seed. An
+// auditor checks sends, executions and answers. Further tests plant defects at the core's
+// interfaces, which the auditor must detect.
 #include <netinet/tcp.h>
 
 #include <algorithm>
@@ -18,26 +18,26 @@
 
 enum class Defect {
   kNone,
-  kLosesARequest,      // rule 1: one in so many is taken and forgotten
-  kCallsAResetUnsent,  // rule 2: what may have run counts as never sent
-  kGoesOnToDrained,    // rule 3: what was decided before a list goes out behind it
-  kForgetsLeavings,    // the client has gone, and its request goes on
+  kLosesRequests,          // rule 1: one request in 50 is accepted and lost
+  kReportsResetAsNotSent,  // rule 2: a reset attempt, which may have run, counts as not sent
+  kSendsToDrainingHosts,   // rule 3: attempts decided before a list change are sent after it
+  kIgnoresDisconnects,     // requests of a disconnected client continue
 };
 
-// The core's requests with a defect.
-class Sink : public RequestSink {
+// Passes requests to the core, with a defect.
+class DefectiveSink : public RequestSink {
  public:
-  Sink(RequestSink& core, Defect defect) : core_(core), defect_(defect) {}
-  void submit(const std::shared_ptr<ResponseSink>& caller, ResponseSlot ticket,
-              RequestSpec ask) override {
-    // The core keeps what it has taken until it says that its name is free; so does one that
-    // forgets.
-    if (defect_ == Defect::kLosesARequest && ++taken_ % 50 == 0)
-      return lost_.push_back(std::move(ask.payload));
-    core_.submit(caller, ticket, std::move(ask));
+  DefectiveSink(RequestSink& core, Defect defect) : core_(core), defect_(defect) {}
+  void submit(const std::shared_ptr<ResponseSink>& sink, ResponseSlot slot,
+              RequestSpec spec) override {
+    // Keeps the payload of a lost request, as the core keeps every payload until it has called
+    // on_released() and the request's id may be reused.
+    if (defect_ == Defect::kLosesRequests && ++taken_ % 50 == 0)
+      return lost_.push_back(std::move(spec.payload));
+    core_.submit(sink, slot, std::move(spec));
   }
-  void withdraw(ResponseSink& caller) override {
-    if (defect_ != Defect::kForgetsLeavings) core_.withdraw(caller);
+  void withdraw(ResponseSink& sink) override {
+    if (defect_ != Defect::kIgnoresDisconnects) core_.withdraw(sink);
   }
 
  private:
@@ -47,14 +47,14 @@
   std::vector<RequestPayloadPtr> lost_;
 };
 
-// The core's attempts with a defect.
-class Events : public AttemptEvents {
+// Passes attempt events to the core, with a defect.
+class DefectiveEvents : public AttemptEvents {
  public:
-  Events(AttemptEvents& core, Defect defect) : core_(core), defect_(defect) {}
+  DefectiveEvents(AttemptEvents& core, Defect defect) : core_(core), defect_(defect) {}
   Time now() const override { return core_.now(); }
   SendPermission may_send(const Attempt& a) const override {
     const SendPermission p = core_.may_send(a);
-    return defect_ == Defect::kGoesOnToDrained && p == SendPermission::kHostChanged
+    return defect_ == Defect::kSendsToDrainingHosts && p == SendPermission::kHostChanged
                ? SendPermission::kGranted
                : p;
   }
@@ -62,7 +62,7 @@
     core_.on_stream_started(a, s);
   }
   void on_attempt_ended(const AttemptPtr& a, Result result, std::string value) override {
-    if (defect_ == Defect::kCallsAResetUnsent && result == Result::kReset)
+    if (defect_ == Defect::kReportsResetAsNotSent && result == Result::kReset)
       result = Result::kNotSent;
     core_.on_attempt_ended(a, result, std::move(value));
   }
@@ -72,23 +72,25 @@
   const Defect defect_;
 };
 
-class Storm : public DispatchTest {
+class RandomEventRun : public DispatchTest {
  public:
   void TestBody() override {}
 
-  // What broke, in words; empty if nothing did. `tight`: with few descriptors and little memory, so
-  // that clients wait to be accepted and to be read, or are closed for others.
-  std::vector<std::string> play(std::uint64_t with_seed, Defect defect, bool tight = false) {
+  // Runs the scenario and returns descriptions of the violations; empty if there are none.
+  // `scarce_resources`: with few descriptors and little memory, so that clients wait to be accepted
+  // and read, or are closed to make room for others.
+  std::vector<std::string> run_scenario(std::uint64_t with_seed, Defect defect,
+                                        bool scarce_resources = false) {
     seed = with_seed;
     defect_ = defect;
     random_.seed(with_seed);
-    tight_ = tight;
-    if (tight) {
-      sockets = static_cast<std::size_t>(34 + below(20));
+    scarce_resources_ = scarce_resources;
+    if (scarce_resources) {
+      sockets = static_cast<std::size_t>(34 + random_below(20));
       memory_mb = 1;
     }
     between = [this, defect](AttemptEvents& core) -> AttemptEvents& {
-      if (!events_) events_ = std::make_unique<Events>(core, defect);
+      if (!events_) events_ = std::make_unique<DefectiveEvents>(core, defect);
       return *events_;
     };
     site = settings(R"({"balancers":1,"classes":[
@@ -105,40 +107,40 @@
     for (int i = 0; i < 3; ++i) add_cache("h" + std::to_string(i));
     origin_ = std::make_unique<ScriptedOrigin>(io);
     origin_->on_request = [this](Peer&, const std::string& id) { at_origin(id); };
-    tell();
-    for (int step = 0; step < 500 && broken.empty(); ++step) act();
-    heal();
-    return broken;
+    publish_list();
+    for (int step = 0; step < 500 && violations.empty(); ++step) perform_random_step();
+    finish_all_requests();
+    return violations;
   }
 
-  int answered = 0, sent = 0, left = 0, lists = 0, closed = 0;
+  int answered = 0, sent = 0, disconnects = 0, lists = 0, closed = 0;
 
  private:
   RequestSink& core() override {
-    sink_ = std::make_unique<Sink>(*pool, defect_);
+    sink_ = std::make_unique<DefectiveSink>(*pool, defect_);
     return *sink_;
   }
 
-  struct Asked {
+  struct PendingRequest {
     std::string id;
     char request_class;
   };
   struct Client {
     std::shared_ptr<Peer> peer;
-    std::deque<Asked> open;
+    std::deque<PendingRequest> open;
   };
   struct Cache {
     std::unique_ptr<ScriptedCache> script;
     std::deque<std::string> waiting;
     HostState state = HostState::kServing;
     std::optional<UnixTime> started;
-    bool held = false;
+    bool accepting_paused = false;
   };
 
-  int below(int n) { return static_cast<int>(random_() % static_cast<std::uint64_t>(n)); }
-  bool chance(int percent) { return below(100) < percent; }
-  std::size_t some_client() { return random_() % clients_.size(); }
-  void breach(const std::string& what) { broken.push_back(what); }
+  int random_below(int n) { return static_cast<int>(random_() % static_cast<std::uint64_t>(n)); }
+  bool chance(int percent) { return random_below(100) < percent; }
+  std::size_t random_client() { return random_() % clients_.size(); }
+  void report_violation(const std::string& what) { violations.push_back(what); }
 
   void add_cache(const std::string& name) {
     Cache& c = caches_[name];
@@ -147,8 +149,9 @@
       ++sent;
       sent_.insert(id);
       if (caches_[name].state != HostState::kServing)
-        breach(id + " begun at " + name + " behind the list that it drains");
-      if (gone_.count(id)) breach(id + " sent to " + name + " behind its client's leaving");
+        report_violation(id + " started at " + name + " after the list that drains it");
+      if (disconnected_.count(id))
+        report_violation(id + " sent to " + name + " after its client disconnected");
       caches_[name].waiting.push_back(id);
     };
   }
@@ -156,14 +159,16 @@
   void at_origin(const std::string& id) {
     ++sent;
     sent_.insert(id);
-    if (gone_.count(id)) breach(id + " sent to the origin behind its client's leaving");
-    if (id[0] == 'b' && may_have_run_.count(id)) breach(id + " has come twice, and may run twice");
+    if (disconnected_.count(id))
+      report_violation(id + " sent to the origin after its client disconnected");
+    if (id[0] == 'b' && may_have_run_.count(id))
+      report_violation(id + " was received twice, and may run twice");
     may_have_run_.insert(id);
     at_origin_.push_back(id);
   }
 
-  // Reads what the balancer has written up to now, without letting it run.
-  void catch_up() {
+  // Reads everything that the balancer has written so far, without running it.
+  void read_all_written() {
     for (auto& [name, c] : caches_) read_now(c.script->server);
     read_now(origin_->server);
   }
@@ -172,11 +177,12 @@
     for (const auto& p : server.peers) PausableServer::read_now(*p);
   }
 
-  // What was written before the list has come when it does, so that all that comes later was
-  // written behind it. The state is the auditor's from the moment that the core is told.
-  void tell(Cache* changed = nullptr, HostState to = HostState::kServing) {
+  // Applies an endpoint list, with the state of one host changed. Reads everything written before
+  // the list first, so that whatever arrives later was written after it. The auditor's state
+  // changes at the same time as the core's.
+  void publish_list(Cache* changed = nullptr, HostState to = HostState::kServing) {
     ++lists;
-    catch_up();
+    read_all_written();
     if (changed) changed->state = to;
     std::vector<ListedHost> hosts;
     for (auto& [name, c] : caches_) {
@@ -188,12 +194,12 @@
     list(std::move(hosts));
   }
 
-  void ask(Client& c) {
-    const char request_class = "rrrsb"[below(5)];
+  void send_request(Client& c) {
+    const char request_class = "rrrsb"[random_below(5)];
     const std::string id = std::string(1, request_class) + std::to_string(++last_);
-    const std::string key = "k" + std::to_string(below(6));
+    const std::string key = "k" + std::to_string(random_below(6));
     c.open.push_back({id, request_class});
-    const std::size_t size = tight_ ? static_cast<std::size_t>(below(60'000)) : 2;
+    const std::size_t size = scarce_resources_ ? static_cast<std::size_t>(random_below(60'000)) : 2;
     c.peer->send(request_class == 'r'   ? get(key, id)
                  : request_class == 's' ? put(key, id, size, "c=save,k=" + id)
                                         : put(key, id, size));
@@ -204,38 +210,41 @@
     c->peer = client();
     c->peer->on_data = [this, c = c.get()](Peer& p) {
       for (std::string line = p.take_line(); !line.empty(); line = p.take_line()) {
-        if (line == "v") continue;  // a value
-        if (c->open.empty()) return breach("an answer more than requests: " + line);
-        const Asked asked = c->open.front();
+        if (line == "v") continue;  // the value of a VA answer
+        if (c->open.empty()) return report_violation("an answer without a request: " + line);
+        const PendingRequest request = c->open.front();
         c->open.pop_front();
         ++answered;
-        const bool names_it = line.starts_with("VA ") || line.starts_with("HD ");
-        if (names_it && (line + " ").find(" O" + asked.id + " ") == std::string::npos)
-          breach(asked.id + " was answered with " + line);
-        if (line.starts_with("SERVER_ERROR busy") && asked.request_class == 'b' &&
-            may_have_run_.count(asked.id))
-          breach(asked.id + " was refused though it may have run");
+        const bool is_served = line.starts_with("VA ") || line.starts_with("HD ");
+        if (is_served && (line + " ").find(" O" + request.id + " ") == std::string::npos)
+          report_violation(request.id + " was answered with " + line);
+        if (line.starts_with("SERVER_ERROR busy") && request.request_class == 'b' &&
+            may_have_run_.count(request.id))
+          report_violation(request.id + " was rejected though it may have run");
       }
     };
     clients_.push_back(c);
     return *c;
   }
 
-  // A connection may be closed between two requests, also with the next one unread.
-  void reap() {
-    catch_up();
+  // Removes clients whose connection was closed. That is allowed between requests, even if the next
+  // request is unread, but not after a request has been forwarded.
+  void remove_closed_clients() {
+    read_all_written();
     std::erase_if(clients_, [this](const auto& c) {
       if (!c->peer->closed) return false;
       ++closed;
-      for (const Asked& a : c->open)
-        if (sent_.count(a.id)) breach(a.id + " was sent on, and its client closed with no answer");
+      for (const PendingRequest& a : c->open)
+        if (sent_.count(a.id))
+          report_violation(a.id + " was forwarded, and its client closed without an answer");
       return true;
     });
   }
 
-  // Ends the client's side. False where the end stands behind bytes for which the balancer's side
-  // has no room: it is still the client's, and cannot be heard by who does not read.
-  static bool end_has_come(Peer& p) {
+  // Shuts down the client's side. Returns false if the close is queued after bytes for which the
+  // balancer's socket has no room: it has not left the client, and the balancer cannot notice it
+  // without reading.
+  static bool close_has_arrived(Peer& p) {
     boost::system::error_code ignored;
     p.socket.shutdown(tcp::socket::shutdown_send, ignored);
     for (int i = 0; i < 20; ++i) {
@@ -248,33 +257,33 @@
     return false;
   }
 
-  // Behind every tick that was due by now.
-  void pass_a_tick() {
+  // Runs the event loop until every tick that was due has run.
+  void wait_for_tick() {
     bool passed = false;
     asio::steady_timer timer(io, milliseconds(60));
     timer.async_wait([&](auto) { asio::post(io, [&] { passed = true; }); });
-    if (!wait([&] { return passed; })) breach("the loop stands still");
+    if (!wait([&] { return passed; })) report_violation("the event loop makes no progress");
   }
 
-  void leave(std::size_t i) {
-    if (!tight_ && !wait([&] { return limits->clients.used() == clients_.size(); }))
-      return breach("a client was never taken");
+  void disconnect_client(std::size_t i) {
+    if (!scarce_resources_ && !wait([&] { return limits->clients.used() == clients_.size(); }))
+      return report_violation("a client was never accepted");
     const auto c = clients_[i];
     clients_.erase(clients_.begin() + static_cast<std::ptrdiff_t>(i));
     const bool by_reset = chance(50);
     if (by_reset) c->peer->socket.set_option(asio::socket_base::linger(true, 0));
-    const bool can_be_heard = by_reset || !tight_ || end_has_come(*c->peer);
+    const bool is_noticeable = by_reset || !scarce_resources_ || close_has_arrived(*c->peer);
     c->peer->close();
     const std::size_t rest = clients_.size();
-    if (tight_) {
-      pass_a_tick();
+    if (scarce_resources_) {
+      wait_for_tick();
     } else if (!wait([&] { return limits->clients.used() == rest; })) {
-      return breach("a leaving was never heard");
+      return report_violation("a disconnect was never noticed");
     }
-    catch_up();
-    if (!can_be_heard) return;
-    for (const Asked& a : c->open) gone_.insert(a.id);
-    left += !c->open.empty();
+    read_all_written();
+    if (!is_noticeable) return;
+    for (const PendingRequest& a : c->open) disconnected_.insert(a.id);
+    disconnects += !c->open.empty();
   }
 
   void answer_cache(Cache& c) {
@@ -282,10 +291,10 @@
     c.waiting.pop_front();
     const auto peer = c.script->from.at(id);
     if (peer->closed) return;
-    const int how = below(10);
-    if (how < 5) return c.script->miss(id);
-    if (how < 8) return c.script->answer(id, "v");
-    if (how < 9) return peer->send("SERVER_ERROR busy\r\n");
+    const int choice = random_below(10);
+    if (choice < 5) return c.script->miss(id);
+    if (choice < 8) return c.script->answer(id, "v");
+    if (choice < 9) return peer->send("SERVER_ERROR busy\r\n");
     peer->close();
   }
 
@@ -294,126 +303,127 @@
     at_origin_.pop_front();
     const auto peer = origin_->from.at(id);
     if (peer->closed) return;
-    const int how = below(10);
-    if (how < 6) return origin_->answer(id, "v");
-    if (how < 8) {
+    const int choice = random_below(10);
+    if (choice < 6) return origin_->answer(id, "v");
+    if (choice < 8) {
       may_have_run_.erase(id);
       return origin_->never_ran(id);
     }
     peer->close();
   }
 
-  void act() {
-    if (tight_) reap();
+  void perform_random_step() {
+    if (scarce_resources_) remove_closed_clients();
     auto any = caches_.begin();
-    std::advance(any, below(static_cast<int>(caches_.size())));
+    std::advance(any, random_below(static_cast<int>(caches_.size())));
     Cache& c = any->second;
-    const int what = below(100);
+    const int what = random_below(100);
     if (what < 50) {
       if (clients_.size() < 10 && chance(40)) connect();
-      if (!clients_.empty()) ask(*clients_[some_client()]);
+      if (!clients_.empty()) send_request(*clients_[random_client()]);
     } else if (what < 75) {
       if (!c.waiting.empty()) answer_cache(c);
     } else if (what < 85) {
       if (!at_origin_.empty()) answer_origin();
     } else if (what < 92) {
-      if (!clients_.empty()) leave(some_client());
+      if (!clients_.empty()) disconnect_client(random_client());
     } else if (what < 98) {
-      change(c);
+      change_host_state(c);
     } else {
-      c.held ? c.script->server.resume_accepting() : c.script->server.pause_accepting();
-      c.held = !c.held;
+      c.accepting_paused ? c.script->server.resume_accepting() : c.script->server.pause_accepting();
+      c.accepting_paused = !c.accepting_paused;
     }
-    for (int i = below(6); i > 0; --i) io.poll_one();
+    for (int i = random_below(6); i > 0; --i) io.poll_one();
   }
 
-  void change(Cache& c) {
+  void change_host_state(Cache& c) {
     if (c.state != HostState::kServing || chance(30)) {
       c.started = UnixTime(clock.now());
-      return tell(&c, HostState::kServing);
+      return publish_list(&c, HostState::kServing);
     }
     const auto serving = std::count_if(caches_.begin(), caches_.end(), [](const auto& x) {
       return x.second.state == HostState::kServing;
     });
-    if (serving > 1) tell(&c, chance(70) ? HostState::kDraining : HostState::kGone);
+    if (serving > 1) publish_list(&c, chance(70) ? HostState::kDraining : HostState::kGone);
   }
 
-  // Everybody answers, and every request that a client still waits for has its end.
-  void heal() {
+  // Lets all servers answer, and expects that every request in flight is answered.
+  void finish_all_requests() {
     for (auto& [name, c] : caches_)
-      if (c.held) c.script->server.resume_accepting();
+      if (c.accepting_paused) c.script->server.resume_accepting();
     const bool all = run_until(
         io,
         [this] {
           for (auto& [name, c] : caches_)
             while (!c.waiting.empty()) answer_cache(c);
           while (!at_origin_.empty()) answer_origin();
-          if (tight_) reap();
+          if (scarce_resources_) remove_closed_clients();
           return std::all_of(clients_.begin(), clients_.end(),
                              [](const auto& c) { return c->open.empty(); });
         },
         std::chrono::seconds(3));
-    if (!all) breach("a request has no answer, long behind its time");
+    if (!all) report_violation("a request has no answer long after its deadline");
   }
 
  public:
-  std::vector<std::string> broken;
+  std::vector<std::string> violations;
 
  private:
   Defect defect_ = Defect::kNone;
-  bool tight_ = false;
+  bool scarce_resources_ = false;
   std::mt19937_64 random_;
-  std::unique_ptr<Events> events_;
-  std::unique_ptr<Sink> sink_;
+  std::unique_ptr<DefectiveEvents> events_;
+  std::unique_ptr<DefectiveSink> sink_;
   std::map<std::string, Cache> caches_;
   std::unique_ptr<ScriptedOrigin> origin_;
   std::vector<std::shared_ptr<Client>> clients_;
   std::deque<std::string> at_origin_;
-  std::set<std::string> may_have_run_, gone_, sent_;
+  std::set<std::string> may_have_run_, disconnected_, sent_;
   int last_ = 0;
 };
 
-class StormTest : public ::testing::TestWithParam<std::uint64_t> {};
-INSTANTIATE_TEST_SUITE_P(Seeds, StormTest, ::testing::Range<std::uint64_t>(1, 9));
+class RandomEventTest : public ::testing::TestWithParam<std::uint64_t> {};
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomEventTest, ::testing::Range<std::uint64_t>(1, 9));
 
-TEST_P(StormTest, BreaksNothing) {
-  Storm storm;
-  for (const auto& what : storm.play(GetParam(), Defect::kNone))
+TEST_P(RandomEventTest, ViolatesNoInvariant) {
+  RandomEventRun run;
+  for (const auto& what : run.run_scenario(GetParam(), Defect::kNone))
     ADD_FAILURE() << "seed " << GetParam() << ": " << what;
-  EXPECT_GT(storm.answered, 20) << "seed " << GetParam();
-  EXPECT_GT(storm.sent, 20) << "seed " << GetParam();
-  EXPECT_GT(storm.left, 0) << "seed " << GetParam();
-  EXPECT_GT(storm.lists, 5) << "seed " << GetParam();
+  EXPECT_GT(run.answered, 20) << "seed " << GetParam();
+  EXPECT_GT(run.sent, 20) << "seed " << GetParam();
+  EXPECT_GT(run.disconnects, 0) << "seed " << GetParam();
+  EXPECT_GT(run.lists, 5) << "seed " << GetParam();
 }
 
-class TightStormTest : public ::testing::TestWithParam<std::uint64_t> {};
-INSTANTIATE_TEST_SUITE_P(Seeds, TightStormTest, ::testing::Range<std::uint64_t>(101, 107));
+class ScarceResourcesTest : public ::testing::TestWithParam<std::uint64_t> {};
+INSTANTIATE_TEST_SUITE_P(Seeds, ScarceResourcesTest, ::testing::Range<std::uint64_t>(101, 107));
 
-TEST_P(TightStormTest, BreaksNothing) {
-  Storm storm;
-  for (const auto& what : storm.play(GetParam(), Defect::kNone, true))
+TEST_P(ScarceResourcesTest, ViolatesNoInvariant) {
+  RandomEventRun run;
+  for (const auto& what : run.run_scenario(GetParam(), Defect::kNone, true))
     ADD_FAILURE() << "seed " << GetParam() << ": " << what;
-  EXPECT_GT(storm.answered, 20) << "seed " << GetParam();
-  EXPECT_GT(storm.sent, 20) << "seed " << GetParam();
-  EXPECT_GT(storm.left, 0) << "seed " << GetParam();
-  RecordProperty("closed", storm.closed);
+  EXPECT_GT(run.answered, 20) << "seed " << GetParam();
+  EXPECT_GT(run.sent, 20) << "seed " << GetParam();
+  EXPECT_GT(run.disconnects, 0) << "seed " << GetParam();
+  RecordProperty("closed", run.closed);
 }
 
-class PlantedStormTest : public ::testing::TestWithParam<Defect> {};
-INSTANTIATE_TEST_SUITE_P(Defects, PlantedStormTest,
-                         ::testing::Values(Defect::kLosesARequest, Defect::kCallsAResetUnsent,
-                                           Defect::kGoesOnToDrained, Defect::kForgetsLeavings));
+class PlantedDefectTest : public ::testing::TestWithParam<Defect> {};
+INSTANTIATE_TEST_SUITE_P(Defects, PlantedDefectTest,
+                         ::testing::Values(Defect::kLosesRequests, Defect::kReportsResetAsNotSent,
+                                           Defect::kSendsToDrainingHosts,
+                                           Defect::kIgnoresDisconnects));
 
-TEST_P(PlantedStormTest, IsCaught) {
+TEST_P(PlantedDefectTest, IsDetected) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Storm storm;
-    const auto broken = storm.play(seed, GetParam());
-    if (broken.empty()) continue;
+    RandomEventRun run;
+    const auto violations = run.run_scenario(seed, GetParam());
+    if (violations.empty()) continue;
     RecordProperty("seed", static_cast<int>(seed));
-    std::printf("seed %d: %s\n", static_cast<int>(seed), broken.front().c_str());
+    std::printf("seed %d: %s\n", static_cast<int>(seed), violations.front().c_str());
     return;
   }
-  FAIL() << "no seed of 1 to 20 shows it";
+  FAIL() << "no seed from 1 to 20 detects the defect";
 }
 
 }  // namespace
--- a/tests/upstream_test.cc
+++ b/tests/upstream_test.cc
@@ -1,4 +1,5 @@
-// Cache hosts and origins of every kind behind a real balancer.
+// Misbehaving cache hosts and origins behind a real balancer: malformed, truncated and extra
+// answers, and early closes.
 #include <algorithm>
 
 #include "node_harness.h"
@@ -11,7 +12,7 @@
   static std::string put(const std::string& id) {
     return "ms k 2 O" + id + " Pc=book,t=acme,d=5000\r\nab\r\n";
   }
-  // An origin that sends `answer` for every request.
+  // Returns the handler of an origin that sends `answer` for every request.
   static std::function<void(Peer&)> origin(std::function<std::string(const std::string&)> answer) {
     return [answer](Peer& p) {
       for (auto end = p.in.find("\r\n\r\n"); end != std::string::npos;
@@ -27,9 +28,9 @@
   }
 };
 
-// A good answer with noise behind it, cut off without a line's end: the noise must not become the
-// start of the next answer on that connection.
-TEST_F(UpstreamTest, ServesTheNextRequestWhereNoiseFollowedAnAnswer) {
+// A valid answer is followed by extra bytes without a line end. These must not become the start of
+// the next answer on that connection.
+TEST_F(UpstreamTest, ServesTheNextRequestAfterAnAnswerWithExtraBytes) {
   FakeCache cache(io, [](const auto&, const auto& id) {
     return FakeCache::value(id, "val-" + id) + (id == "1" ? "noise" : "");
   });
@@ -42,14 +43,14 @@
   c->send(get("k", "2"));
   ASSERT_TRUE(wait([&] { return !c->in.empty(); }));
   EXPECT_EQ(c->in, FakeCache::value("2", "val-2"));
-  EXPECT_EQ(cache.ids.size(), 2u) << "the second went out more than once";
+  EXPECT_EQ(cache.ids.size(), 2u) << "the second request was sent more than once";
 }
 
-// Answers that can't be read fail their attempt; the host is not taken for one that is away, and
-// reads are served by another host.
+// A malformed answer fails its attempt, and reads are retried at another host. The host is not
+// treated as unreachable.
 class CorruptAnswerTest : public UpstreamTest, public ::testing::WithParamInterface<std::string> {};
 
-TEST_P(CorruptAnswerTest, IsRetriedAtAnotherHost) {
+TEST_P(CorruptAnswerTest, RetriesTheReadAtAnotherHost) {
   int answers = 0;
   const auto answer = [&](const auto&, const auto& id) {
     return ++answers == 1 ? GetParam() : FakeCache::value(id, "good");
@@ -63,11 +64,12 @@
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return !c->in.empty(); }));
   EXPECT_EQ(c->in, FakeCache::value("1", "good"));
-  // The next request of the key goes to its owner as before.
+  // The next request for the key goes to the same host as before.
   c->in.clear();
   c->send(get("k", "2"));
   ASSERT_TRUE(wait([&] { return c->in == FakeCache::value("2", "good"); }));
-  EXPECT_EQ(std::max(a.ids.size(), b.ids.size()), 2u) << "one spoilt answer ejected its host";
+  EXPECT_EQ(std::max(a.ids.size(), b.ids.size()), 2u)
+      << "a single malformed answer ejected its host";
   EXPECT_EQ(std::min(a.ids.size(), b.ids.size()), 0u);
 }
 
@@ -77,9 +79,10 @@
                                            "VA -1 O1\r\n", "VA 5 O1\r\nab", "VA 2 O1\r\nabcdef\r\n",
                                            "VA 2"));
 
-// A host that closes as soon as it has answered: a write that must not run twice goes out on a
-// connection that has rested for a moment, or on a new one, never right behind an answer.
-TEST_F(UpstreamTest, SendsNonIdempotentWritesOnNoJustUsedConnection) {
+// A host may close a connection as soon as it has answered. Therefore a non-idempotent write is
+// sent on a connection that has been idle for a moment or on a new one, never directly after an
+// answer.
+TEST_F(UpstreamTest, SendsNoNonIdempotentWriteDirectlyAfterAnAnswer) {
   std::vector<Peer*> seen;
   Server store(io, [&](Peer& p) {
     if (p.in.find("\r\n\r\nab") == std::string::npos) return;
@@ -90,20 +93,21 @@
   discovery.hosts = host_entry("o", store.dial(), "origin");
   begin();
   auto c = client();
-  c->on_data = [&](Peer& p) {  // asks again at the very moment of the answer
+  c->on_data = [&](Peer& p) {  // sends the next request as soon as the answer arrives
     if (seen.size() < 30) p.send(put(std::to_string(seen.size() + 1)));
   };
   c->send(put("1"));
   ASSERT_TRUE(wait([&] { return seen.size() == 30; }));
-  // On a slow machine some may have rested in between, but hardly all.
+  // On a slow machine some connections may have been idle for long enough, but hardly all.
   int others = 0;
   for (std::size_t i = 1; i < seen.size(); ++i) others += seen[i] != seen[i - 1];
   EXPECT_GT(others, 0);
 }
 
-// A reset is no end: a body that breaks off by one is not served, whether or not it states a
-// length. A read is asked for again; a write that may have run is failed and not sent twice.
-TEST_F(UpstreamTest, ServesNoBodyThatBreaksOff) {
+// A reset does not terminate a body: a body truncated by one is not served, whether or not the
+// answer announces that the connection closes. Reads are retried; a write that may have been
+// executed fails and is not sent again.
+TEST_F(UpstreamTest, ServesNoBodyTruncatedByAReset) {
   int gets = 0, puts = 0;
   FakeCache cache(io, [](const auto&, const auto& id) { return "EN O" + id + "\r\n"; });
   Server store(io, [&](Peer& p) {
@@ -138,9 +142,8 @@
   EXPECT_EQ(puts, 1);
 }
 
-// An answer that states no length ends where the origin ends the connection in order, and is then
-// as whole as any other.
-TEST_F(UpstreamTest, TakesTheCloseAsTheEndOfAnAnswerWithoutALength) {
+// An answer without a length is terminated by an orderly close of the origin, and is then complete.
+TEST_F(UpstreamTest, EndsAnAnswerWithoutALengthAtAnOrderlyClose) {
   int calls = 0;
   FakeCache cache(io, [](const auto&, const auto& id) { return "EN O" + id + "\r\n"; });
   Server store(io, [&](Peer& p) {
@@ -168,11 +171,12 @@
   c->send(put("3"));
   ASSERT_TRUE(wait([&] { return !c->in.empty(); }));
   EXPECT_EQ(c->in, "HD O3 creceipt\r\n");
-  EXPECT_EQ(calls, 3) << "an answer that was whole was asked for again";
+  EXPECT_EQ(calls, 3) << "a request with a complete answer was retried";
 }
 
-// 1xx ahead, chunks and a second copy behind are legal or harmless: the answer is served once.
-TEST_F(UpstreamTest, ServesGoodAnswersWithNoiseAroundThem) {
+// 1xx responses before an answer and a second copy after it are legal or harmless: the answer is
+// served once.
+TEST_F(UpstreamTest, ServesValidAnswersWithExtraResponsesAroundThem) {
   FakeCache cache(io, [](const auto&, const auto& id) { return "EN O" + id + " Lx=,=,7\r\n"; });
   Server store(io, origin([](const std::string& head) {
                  if (head.find("X-Trace-Id: 1") != std::string::npos)
