--- a/src/net/attempt.h
+++ b/src/net/attempt.h
@@ -32,7 +32,7 @@
   bool asking = false;          // the host does not own the slot yet, but is to accept the request
   bool replica = false;         // the host is a replica, and is to serve the read
   bool non_idempotent = false;  // must never be executed twice
-  bool ended = false;           // the outcome has been reported
+  bool ended = false;           // its outcome is known; later events are ignored
   bool held = false;            // held back after a process stall; not sent to its host yet
   bool assigned = false;        // to a connection
   // Start time of the host process for which the attempt was decided. If the host has restarted
@@ -53,9 +53,11 @@
 // Whether the next byte of an attempt may be written.
 enum class SendPermission {
   kGranted,
-  kRequestFinished,  // client gone, deadline or deduplication window passed, or lease lost: write
-                     // nothing
-  kHostChanged,      // host accepts nothing new or has restarted: finish, but do not start
+  // The client has disconnected, the deadline or the deduplication window has passed, or the lease
+  // is lost: no further byte.
+  kRequestFinished,
+  // The host accepts no new requests or has restarted: no first byte.
+  kHostChanged,
 };
 
 // Returns the outcome of an attempt whose first byte was not permitted.
--- a/src/net/client_session.h
+++ b/src/net/client_session.h
@@ -110,7 +110,7 @@
   bool has_disconnected() const;
   void close();
   // Closes the connection as soon as it is between requests at or after `close_at`. A client that
-  // has sent no request is closed 300 ms after it was accepted.
+  // has sent no request is closed once 300 ms have passed since it was accepted.
   void drain(Time close_at);
   void cancel_drain() { drain_at_.reset(); }
   void tick(Time now);
--- a/src/net/descriptor_link.h
+++ b/src/net/descriptor_link.h
@@ -56,7 +56,7 @@
  public:
   struct Handlers {
     std::function<void(Packet)> on_packet;
-    // The peer has closed the connection or exceeded the bounds, or the queue for it is full.
+    // The peer has closed the connection or exceeded the bounds, or a packet could not be sent.
     // Called once, from the event loop only.
     std::function<void()> on_lost;
   };
--- a/src/net/response_queue.h
+++ b/src/net/response_queue.h
@@ -55,7 +55,8 @@
   bool is_streaming() const { return !slots_.empty() && slots_.front().stream; }
   // Returns the bytes that are ready but not written, not counting streamed values.
   std::size_t unwritten_bytes() const { return unwritten_bytes_; }
-  // Returns when bytes were last written, or when the queue last had nothing to write.
+  // Returns when bytes were last written or, if none have been since, when the first of the
+  // unwritten bytes became ready.
   Time last_progress() const { return last_progress_; }
 
  private:
--- a/src/net/upstream_connection.cc
+++ b/src/net/upstream_connection.cc
@@ -17,8 +17,8 @@
 
 constexpr std::size_t kReadSize = 64u << 10;   // bytes read in one call
 constexpr std::size_t kWriteSize = 64u << 10;  // bytes gathered for one write call
-constexpr std::size_t kLargePiece =
-    16u << 10;  // pieces of at least this size are written without a copy
+// Pieces of at least this size, in bytes, are written without a copy.
+constexpr std::size_t kLargePiece = 16u << 10;
 // An answer that has begun and then makes no progress for this time is given up: its stated length
 // is wrong, or its host has died. Hosts write an answer in one piece.
 constexpr Duration kAnswerIdleTimeout = std::chrono::milliseconds(250);
