--- a/src/proto/bgp.h
+++ b/src/proto/bgp.h
@@ -8,16 +8,16 @@
 #include <variant>
 #include <vector>
 
-// Messages of BGP-4 (RFC 4271), IPv4 unicast, with communities (RFC 1997), four-octet AS numbers
-// (RFC 6793) and the words of an administrative shutdown (RFC 9003). No I/O. Bytes may be cut
-// anywhere.
+// Codec of BGP-4 messages (RFC 4271) for IPv4 unicast, with communities (RFC 1997), four-octet AS
+// numbers (RFC 6793) and the administrative shutdown communication (RFC 9003). Input may be split
+// at any byte. Performs no I/O.
 namespace balancer::bgp {
 
-inline constexpr std::size_t kMaxMessage = 4096, kHeaderSize = 19;
-inline constexpr std::uint32_t kAsTrans = 23456;
+inline constexpr std::size_t kMaxMessage = 4096, kHeaderSize = 19;  // bytes
+inline constexpr std::uint32_t kAsTrans = 23456;  // RFC 6793: stands for a four-octet AS number
 
 struct Prefix {
-  std::uint32_t address = 0;  // host order; bits behind the length are 0
+  std::uint32_t address = 0;  // host byte order; bits beyond `length` are 0
   std::uint8_t length = 32;
   bool operator==(const Prefix&) const = default;
   auto operator<=>(const Prefix&) const = default;
@@ -25,30 +25,30 @@
 
 struct Open {
   std::uint32_t as = 0;
-  std::uint16_t hold_time = 90;  // seconds; 0: none, else 3 at least
+  std::uint16_t hold_time = 90;  // seconds; 0 (no hold timer) or at least 3
   std::uint32_t id = 0;
-  bool four_octets = true;  // says so, and so AS numbers of four octets are used if both do
+  bool four_octets = true;  // capability; AS numbers have four octets if both sides have it
 };
 
-// The attributes of RFC 4271 that have a meaning here; others are read and left out.
+// The path attributes of RFC 4271 that this program uses; others are parsed and dropped.
 struct Attributes {
   std::uint8_t origin = 0;             // 0: IGP
-  std::vector<std::uint32_t> as_path;  // one sequence
+  std::vector<std::uint32_t> as_path;  // encoded as one AS_SEQUENCE
   std::uint32_t next_hop = 0;
   std::optional<std::uint32_t> med, local_pref;
   std::vector<std::uint32_t> communities;
   bool operator==(const Attributes&) const = default;
 };
-// RFC 8326: routes that carry it are about to go.
+// GRACEFUL_SHUTDOWN community (RFC 8326): marks routes that are about to be withdrawn.
 inline constexpr std::uint32_t kGracefulShutdown = 0xffff0000;
 
 struct Update {
   std::vector<Prefix> withdrawn;
-  std::optional<Attributes> attributes;  // of what is announced
+  std::optional<Attributes> attributes;  // of the announced prefixes
   std::vector<Prefix> announced;
 };
 
-// Error codes and subcodes of RFC 4271, section 4.5, and of RFC 4486.
+// Error codes (RFC 4271, section 4.5) and the subcodes of kCease (RFC 4486).
 enum class Code : std::uint8_t {
   kHeader = 1,
   kOpen = 2,
@@ -57,7 +57,7 @@
   kStates = 5,
   kCease = 6
 };
-inline constexpr std::uint8_t kShutdown = 2, kCollision = 7;  // of kCease
+inline constexpr std::uint8_t kShutdown = 2, kCollision = 7;  // subcodes of kCease
 
 struct Notification {
   Code code = Code::kCease;
@@ -65,8 +65,8 @@
   std::string data;
 };
 struct Keepalive {};
-// What a peer has sent wrongly, as the notification that it is to be sent; nothing behind it can be
-// read.
+// A protocol error of the peer, with the NOTIFICATION to send to it. The input after it cannot be
+// parsed.
 struct Fault {
   Notification notification;
   std::string reason;
@@ -74,27 +74,29 @@
 
 using Message = std::variant<Open, Update, Notification, Keepalive>;
 
-// Reads messages of one connection.
+// Parses the messages of one connection.
 class Reader {
  public:
-  void feed(std::string_view bytes) { in_.append(bytes); }
-  // How long AS numbers are in updates, as both sides' OPEN has settled.
+  void feed(std::string_view bytes) { buffer_.append(bytes); }
+  // Sets whether AS numbers in UPDATE messages have four octets, as negotiated by the OPEN
+  // messages.
   void set_four_octets(bool on) { four_octets_ = on; }
-  // The next message or fault, or nothing until more has come.
+  // Returns the next message or fault, or nullopt if more input is needed.
   std::optional<std::variant<Message, Fault>> next();
-  std::size_t buffered() const { return in_.size(); }
+  std::size_t buffered() const { return buffer_.size(); }
 
  private:
-  std::string in_;
+  std::string buffer_;
   bool four_octets_ = false;
 };
 
 std::string encode(const Open& open);
-// At most as many prefixes as fit one message; the caller's are few.
+// The caller must pass no more prefixes than fit into one message.
 std::string encode(const Update& update, bool four_octets);
 std::string encode(const Notification& notification);
 std::string encode(const Keepalive&);
-// The data of an administrative shutdown: a text of up to 255 bytes, cut if need be.
+// Returns the data of an administrative shutdown NOTIFICATION: `text`, truncated to 255 bytes, with
+// its length.
 std::string shutdown_text(std::string_view text);
 
 }  // namespace balancer::bgp
--- a/src/proto/group_wire.cc
+++ b/src/proto/group_wire.cc
@@ -27,10 +27,11 @@
 constexpr int kMaxGrants = 256;
 constexpr std::size_t kMaxMetaBytes = 1024;
 constexpr std::size_t kMaxReasonBytes = 256;
-// Bounds what a faulty voter can make an instance wait for: one hour.
+// One hour. Limits how long a faulty voter can make an instance wait.
 constexpr std::uint64_t kMaxRemainingUs = 3'600'000'000;
 
-// Printable ASCII without spaces, quotes and backslashes, so that names need no escapes anywhere.
+// Accepts printable ASCII without spaces, double quotes and backslashes, so that names never need
+// escaping.
 bool is_name(const std::string& text) {
   return !text.empty() && text.size() <= kMaxName &&
          std::all_of(text.begin(), text.end(),
@@ -66,7 +67,7 @@
   out.set_version(voters.version);
   for (const auto& name : voters.names) out.add_names(name);
 }
-// A set without names stands for none.
+// An empty list of names means that there is no set.
 bool from_wire(const wire::VoterSet& in, VoterSet& voters) {
   voters.version = in.version();
   voters.names.assign(in.names().begin(), in.names().end());
@@ -214,7 +215,7 @@
 
 // ---- datagrams
 
-// Where a datagram has a body of the type.
+// Returns the field of the datagram that holds a body of the given type.
 auto& body_of(wire::Datagram& d, const GossipMessage&) { return *d.mutable_gossip(); }
 auto& body_of(wire::Datagram& d, const VoteRequest&) { return *d.mutable_vote_request(); }
 auto& body_of(wire::Datagram& d, const VoteReply&) { return *d.mutable_vote_reply(); }
@@ -253,7 +254,8 @@
 
 template <typename WireMessage>
 bool parse(std::string_view bytes, WireMessage& out) {
-  // Once: the library would otherwise log a line for each malformed message, at a peer's will.
+  // Installed once: otherwise the library logs a line for each malformed message, and a peer could
+  // flood the log.
   static auto* const previous_handler = google::protobuf::SetLogHandler(nullptr);
   static_cast<void>(previous_handler);
   return out.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
@@ -285,7 +287,7 @@
   return datagram;
 }
 
-// ---- what a member says of itself
+// ---- metadata of a member
 
 std::string encode(const MemberMeta& meta) {
   wire::MemberMeta out;
@@ -312,7 +314,7 @@
   return meta;
 }
 
-// ---- the record of a voter
+// ---- voter record
 
 std::string encode(const lease::VoterRecord& record) {
   wire::VoterRecord out;
--- a/src/proto/hot_restart_wire.cc
+++ b/src/proto/hot_restart_wire.cc
@@ -10,20 +10,20 @@
 namespace balancer::hot_restart {
 namespace {
 
-// ---- writing
+// ---- encoding
 
-void put(const ResourceShare& s, pb::ResourceShare& to) {
+void write(const ResourceShare& s, pb::ResourceShare& to) {
   to.set_descriptors(s.descriptors);
   to.set_bytes(s.bytes);
 }
 
-void put(const OperatorOverride& w, pb::OperatorOverride& to) {
-  to.set_host(w.host);
-  to.set_out_of_service(w.out_of_service);
-  to.set_age(w.age.count());
+void write(const OperatorOverride& o, pb::OperatorOverride& to) {
+  to.set_host(o.host);
+  to.set_out_of_service(o.out_of_service);
+  to.set_age(o.age.count());
 }
 
-void put(const HostRecord& h, pb::HostRecord& to) {
+void write(const HostRecord& h, pb::HostRecord& to) {
   to.set_id(h.id);
   to.set_address(h.address);
   to.set_port(h.port);
@@ -37,7 +37,7 @@
   to.set_load_factor(h.load_factor);
 }
 
-struct Writer {
+struct MessageWriter {
   pb::Message& to;
 
   void operator()(const Hello& m) const {
@@ -48,22 +48,22 @@
     pb::Snapshot& s = *to.mutable_snapshot();
     s.set_version(m.version);
     s.set_has_more(m.has_more);
-    for (const HostRecord& h : m.hosts) put(h, *s.add_hosts());
-    for (const OperatorOverride& w : m.overrides) put(w, *s.add_overrides());
+    for (const HostRecord& h : m.hosts) write(h, *s.add_hosts());
+    for (const OperatorOverride& o : m.overrides) write(o, *s.add_overrides());
     s.set_list_sequence(m.list_sequence);
     s.set_has_list(m.has_list);
     s.set_client_drain(m.client_drain);
     s.set_work_rate(m.work_rate);
     s.set_origin_admit_fraction(m.origin_admit_fraction);
     s.set_caches_admit_fraction(m.caches_admit_fraction);
-    put(m.resources_held, *s.mutable_resources_held());
+    write(m.resources_held, *s.mutable_resources_held());
     for (const auto& l : m.listeners) s.add_listeners(l);
   }
   void operator()(const Busy&) const { to.set_busy(true); }
   void operator()(const Serving&) const { to.set_serving(true); }
-  void operator()(const OperatorOverride& m) const { put(m, *to.mutable_operator_override()); }
+  void operator()(const OperatorOverride& m) const { write(m, *to.mutable_operator_override()); }
   void operator()(const ClientDrain& m) const { to.set_client_drain(m.enabled); }
-  void operator()(const ResourceShare& m) const { put(m, *to.mutable_resource_share()); }
+  void operator()(const ResourceShare& m) const { write(m, *to.mutable_resource_share()); }
   void operator()(const PassedConnection& m) const {
     to.mutable_connection()->set_listener(m.listener);
     to.mutable_connection()->set_input(m.input);
@@ -71,29 +71,29 @@
   }
 };
 
-// ---- reading
+// ---- decoding
 
-constexpr double kMaxWork = 1e6;  // seconds a second
+constexpr double kMaxWorkRate = 1e6;  // seconds of work per second
 
 bool is_fraction(double x) { return x >= 0 && x <= 1; }
 
-ResourceShare share_of(const pb::ResourceShare& s) { return {s.descriptors(), s.bytes()}; }
+ResourceShare parse_share(const pb::ResourceShare& s) { return {s.descriptors(), s.bytes()}; }
 
-bool is_age(std::int64_t ns) { return ns >= 0 && ns <= kMaxAge.count(); }
+bool is_valid_age(std::int64_t ns) { return ns >= 0 && ns <= kMaxAge.count(); }
 
-std::optional<OperatorOverride> override_of(const pb::OperatorOverride& w) {
-  if (w.host().empty() || w.host().size() > kMaxId || !is_age(w.age())) return std::nullopt;
-  return OperatorOverride{w.host(), w.out_of_service(), Duration(w.age())};
+std::optional<OperatorOverride> parse_override(const pb::OperatorOverride& o) {
+  if (o.host().empty() || o.host().size() > kMaxId || !is_valid_age(o.age())) return std::nullopt;
+  return OperatorOverride{o.host(), o.out_of_service(), Duration(o.age())};
 }
 
-std::optional<HostRecord> host_of(const pb::HostRecord& h) {
+std::optional<HostRecord> parse_host(const pb::HostRecord& h) {
   if (h.id().empty() || h.id().size() > kMaxId || h.port() > 65535 || h.state() > 2)
     return std::nullopt;
   if (!h.address().empty() && h.address().size() != 4 && h.address().size() != 16)
     return std::nullopt;
   if (h.zone() < 0 || h.cell() < 0 || !std::isfinite(h.weight())) return std::nullopt;
   if (h.has_started_at() && h.started_at() < 0) return std::nullopt;
-  if (h.has_time_since_start() && (!h.has_started_at() || !is_age(h.time_since_start())))
+  if (h.has_time_since_start() && (!h.has_started_at() || !is_valid_age(h.time_since_start())))
     return std::nullopt;
   HostRecord host;
   host.id = h.id();
@@ -111,12 +111,12 @@
   return host;
 }
 
-std::optional<Snapshot> snapshot_of(const pb::Snapshot& s) {
+std::optional<Snapshot> parse_snapshot(const pb::Snapshot& s) {
   Snapshot m;
   m.version = s.version();
   if (m.version == 0) return std::nullopt;
   m.has_more = s.has_more();
-  m.resources_held = share_of(s.resources_held());
+  m.resources_held = parse_share(s.resources_held());
   if (static_cast<std::size_t>(s.listeners_size()) > kMaxDescriptors) return std::nullopt;
   m.listeners.assign(s.listeners().begin(), s.listeners().end());
   if (m.version > kVersion) return m;
@@ -124,12 +124,12 @@
       static_cast<std::size_t>(s.overrides_size()) > kEntriesPerPart)
     return std::nullopt;
   for (const pb::HostRecord& h : s.hosts()) {
-    auto host = host_of(h);
+    auto host = parse_host(h);
     if (!host) return std::nullopt;
     m.hosts.push_back(std::move(*host));
   }
-  for (const pb::OperatorOverride& w : s.overrides()) {
-    auto parsed = override_of(w);
+  for (const pb::OperatorOverride& o : s.overrides()) {
+    auto parsed = parse_override(o);
     if (!parsed) return std::nullopt;
     m.overrides.push_back(std::move(*parsed));
   }
@@ -140,7 +140,7 @@
   if (s.has_origin_admit_fraction()) m.origin_admit_fraction = s.origin_admit_fraction();
   if (s.has_caches_admit_fraction()) m.caches_admit_fraction = s.caches_admit_fraction();
   if (!is_fraction(m.origin_admit_fraction) || !is_fraction(m.caches_admit_fraction) ||
-      !(m.work_rate >= 0) || !(m.work_rate < kMaxWork))
+      !(m.work_rate >= 0) || !(m.work_rate < kMaxWorkRate))
     return std::nullopt;
   return m;
 }
@@ -155,7 +155,7 @@
 
 std::string encode(const Message& message) {
   pb::Message m;
-  std::visit(Writer{m}, message);
+  std::visit(MessageWriter{m}, message);
   return m.SerializeAsString();
 }
 
@@ -168,17 +168,17 @@
       if (m.hello().version() == 0 || m.hello().name().size() > kMaxId) return std::nullopt;
       return Hello{m.hello().version(), m.hello().name()};
     case pb::Message::kSnapshot:
-      return to_message(snapshot_of(m.snapshot()));
+      return to_message(parse_snapshot(m.snapshot()));
     case pb::Message::kBusy:
       return Busy{};
     case pb::Message::kServing:
       return Serving{};
     case pb::Message::kOperatorOverride:
-      return to_message(override_of(m.operator_override()));
+      return to_message(parse_override(m.operator_override()));
     case pb::Message::kClientDrain:
       return ClientDrain{m.client_drain()};
     case pb::Message::kResourceShare:
-      return share_of(m.resource_share());
+      return parse_share(m.resource_share());
     case pb::Message::kConnection:
       if (m.connection().input().size() > kMaxInput) return std::nullopt;
       return PassedConnection{m.connection().listener(), m.connection().input(),
@@ -188,12 +188,12 @@
   }
 }
 
-std::vector<Snapshot> split(Snapshot whole) {
+std::vector<Snapshot> split(Snapshot snapshot) {
   std::vector<Snapshot> parts;
-  const auto cut = [&](auto& from, auto Snapshot::*to) {
+  const auto split_list = [&](auto& from, auto Snapshot::*to) {
     for (std::size_t at = 0; at < from.size(); at += kEntriesPerPart) {
       Snapshot part;
-      part.version = whole.version;
+      part.version = snapshot.version;
       part.has_more = true;
       const auto first = from.begin() + static_cast<std::ptrdiff_t>(at);
       const auto last =
@@ -203,22 +203,22 @@
     }
     from.clear();
   };
-  cut(whole.hosts, &Snapshot::hosts);
-  cut(whole.overrides, &Snapshot::overrides);
-  whole.has_more = false;
-  parts.push_back(std::move(whole));
+  split_list(snapshot.hosts, &Snapshot::hosts);
+  split_list(snapshot.overrides, &Snapshot::overrides);
+  snapshot.has_more = false;
+  parts.push_back(std::move(snapshot));
   return parts;
 }
 
-bool append(Snapshot& whole, Snapshot part) {
-  if (whole.hosts.size() + part.hosts.size() > kMaxHosts ||
-      whole.overrides.size() + part.overrides.size() > kMaxOverrides)
+bool append(Snapshot& snapshot, Snapshot part) {
+  if (snapshot.hosts.size() + part.hosts.size() > kMaxHosts ||
+      snapshot.overrides.size() + part.overrides.size() > kMaxOverrides)
     return false;
-  std::move(part.hosts.begin(), part.hosts.end(), std::back_inserter(whole.hosts));
-  std::move(part.overrides.begin(), part.overrides.end(), std::back_inserter(whole.overrides));
-  part.hosts = std::move(whole.hosts);
-  part.overrides = std::move(whole.overrides);
-  whole = std::move(part);
+  std::move(part.hosts.begin(), part.hosts.end(), std::back_inserter(snapshot.hosts));
+  std::move(part.overrides.begin(), part.overrides.end(), std::back_inserter(snapshot.overrides));
+  part.hosts = std::move(snapshot.hosts);
+  part.overrides = std::move(snapshot.overrides);
+  snapshot = std::move(part);
   return true;
 }
 
--- a/src/proto/hot_restart_wire.h
+++ b/src/proto/hot_restart_wire.h
@@ -10,38 +10,38 @@
 
 #include "structures/time.h"
 
-// Codec of the messages between a balancer process and its successor: protocol buffers, validated
-// like those of any peer. No I/O.
+// Codec of the messages between a balancer process and its successor. The messages are protocol
+// buffers and are validated like untrusted input. Performs no I/O.
 namespace balancer::hot_restart {
 
-// Of the protocol. A snapshot of a later version is read in part; see decode().
+// Protocol version. A snapshot of a later version is decoded in part; see decode().
 inline constexpr std::uint32_t kVersion = 1;
-// Bounds of one packet, of one part of a snapshot, and of a complete snapshot.
+// Limits of one packet, of one part of a snapshot, and of a complete snapshot.
 inline constexpr std::size_t kMaxMessage = 128u << 10;  // bytes
 inline constexpr std::size_t kEntriesPerPart = 256;
 inline constexpr std::size_t kMaxHosts = 16384;
 inline constexpr std::size_t kMaxOverrides = 4096;
-inline constexpr std::size_t kMaxDescriptors = 16;   // beside one message
+inline constexpr std::size_t kMaxDescriptors = 16;   // attached to one message
 inline constexpr std::size_t kMaxInput = 16u << 10;  // bytes
 inline constexpr std::size_t kMaxId = 256;           // bytes
 inline constexpr Duration kMaxAge = std::chrono::hours(24 * 365 * 100);
 
-// The most that a process holds of the limits that both processes share.
+// Upper bounds on one process's usage of the resource limits that both processes share.
 struct ResourceShare {
   std::uint64_t descriptors = 0, bytes = 0;
   bool operator==(const ResourceShare&) const = default;
 };
 
-// A host of the endpoint list, with what the sender has learnt about it.
+// A host of the endpoint list, with its state as known to the sender.
 struct HostRecord {
   std::string id;
-  std::string address;  // 4 or 16 bytes in network order; empty: it could not be read
+  std::string address;  // 4 or 16 bytes in network order; empty if it could not be parsed
   std::uint16_t port = 0;
-  std::optional<UnixTime> started_at;        // its last start, as discovery states it
-  std::optional<Duration> time_since_start;  // as far as the sender knows
+  std::optional<UnixTime> started_at;        // its last start, as reported by discovery
+  std::optional<Duration> time_since_start;  // on the sender's clock, if known
   bool is_origin = false;
   int zone = 0, cell = 0;
-  int state = 0;  // 0 to 2, as balancer::HostState
+  int state = 0;  // 0 to 2, the numeric value of balancer::HostState
   double weight = 1;
   double load_factor = 1;  // 0 to 1
   bool operator==(const HostRecord&) const = default;
@@ -58,11 +58,11 @@
 // First message of a successor.
 struct Hello {
   std::uint32_t version = kVersion;
-  std::string name;  // of the balancer; a process with another name is not answered
+  std::string name;  // of the balancer; a process with another name gets no reply
   bool operator==(const Hello&) const = default;
 };
 
-// The predecessor's state.
+// State that the predecessor passes to its successor.
 struct Snapshot {
   std::uint32_t version = kVersion;
   bool has_more = false;  // another part follows
@@ -71,13 +71,13 @@
   std::uint64_t list_sequence = 0;              // of the endpoint list
   bool has_list = false, client_drain = false;  // a list was received; clients are being drained
   ResourceShare resources_held;
-  double work_rate = 0;  // seconds of work that the cache hosts receive in a second
+  double work_rate = 0;  // work sent to the cache hosts, in seconds of work per second
   double origin_admit_fraction = 1, caches_admit_fraction = 1;  // 0 to 1
-  std::vector<std::string> listeners;  // addresses, in the order of the descriptors
+  std::vector<std::string> listeners;  // addresses, in the order of the attached descriptors
   bool operator==(const Snapshot&) const = default;
 };
 
-// The process is still taking over from its own predecessor: query again.
+// Reply of a process that is still replacing its own predecessor; the successor retries.
 struct Busy {
   bool operator==(const Busy&) const = default;
 };
@@ -85,15 +85,15 @@
 struct Serving {
   bool operator==(const Serving&) const = default;
 };
-// Whether clients are asked to reconnect elsewhere, by an operator's call.
+// Whether clients are asked, at an operator's request, to reconnect to another balancer.
 struct ClientDrain {
   bool enabled = false;
   bool operator==(const ClientDrain&) const = default;
 };
-// A client's connection between two requests; its descriptor is sent beside the message.
+// A client connection without a request in flight; its descriptor is attached to the message.
 struct PassedConnection {
   std::string listener;  // address at which the client connected
-  std::string input;     // read from the client and not parsed yet
+  std::string input;     // bytes read from the client and not parsed yet
   std::uint64_t requests_answered = 0;
   bool operator==(const PassedConnection&) const = default;
 };
@@ -102,14 +102,16 @@
                              ResourceShare, PassedConnection>;
 
 std::string encode(const Message& message);
-// Returns nothing if the bytes are no message, hold values that are not allowed, or exceed the
-// bounds above. A snapshot of a later version is read for its version, share and listeners alone.
+// Returns nullopt if `bytes` is not a valid message, contains a value out of range or exceeds the
+// limits above. Of a snapshot of a later version, only `version`, `has_more`, `resources_held` and
+// `listeners` are decoded.
 std::optional<Message> decode(std::string_view bytes);
 
-// Splits a snapshot into parts that each fit a packet. Fields that are not lists, and the
-// listeners, stand in the last part.
-std::vector<Snapshot> split(Snapshot whole);
-// Appends a part. Returns false if the result would exceed the bounds.
-bool append(Snapshot& whole, Snapshot part);
+// Splits a snapshot into parts that each fit into a packet. Scalar fields and the listeners are in
+// the last part.
+std::vector<Snapshot> split(Snapshot snapshot);
+// Appends the hosts and overrides of `part` to `snapshot`, and replaces its other fields by those
+// of `part`. Returns false if the result would exceed kMaxHosts or kMaxOverrides.
+bool append(Snapshot& snapshot, Snapshot part);
 
 }  // namespace balancer::hot_restart
--- a/src/proto/memcache.cc
+++ b/src/proto/memcache.cc
@@ -8,21 +8,21 @@
 namespace balancer::memcache {
 namespace {
 
-constexpr std::size_t kMaxProps = 32;
+constexpr std::size_t kMaxProperties = 32;
 
-std::vector<std::string_view> split(std::string_view text, char by) {
+std::vector<std::string_view> split(std::string_view text, char separator) {
   std::vector<std::string_view> parts;
   while (!text.empty()) {
-    const auto end = std::min(text.find(by), text.size());
+    const auto end = std::min(text.find(separator), text.size());
     if (end > 0) parts.push_back(text.substr(0, end));
     text.remove_prefix(std::min(end + 1, text.size()));
   }
   return parts;
 }
 
-// Where the value of `name` stands in a list of names and values.
-std::optional<std::pair<std::size_t, std::size_t>> find_prop(std::string_view props,
-                                                             std::string_view name) {
+// Returns offset and length of the value of `name` in a list of properties.
+std::optional<std::pair<std::size_t, std::size_t>> find_property(std::string_view props,
+                                                                 std::string_view name) {
   for (std::size_t at = 0; at < props.size();) {
     const auto end = std::min(props.find(',', at), props.size());
     const auto item = props.substr(at, end - at);
@@ -39,15 +39,16 @@
   return u < 0x20 || u == 0x7f;
 }
 
-bool is_id(std::string_view text) {
+bool is_valid_id(std::string_view text) {
   return !text.empty() && text.size() <= kMaxId &&
          std::all_of(text.begin(), text.end(), [](char c) {
            return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z');
          });
 }
 
-// Names and values, each name once: where one stands twice, two readers might take different ones.
-bool are_props(std::string_view text) {
+// Accepts name=value properties with unique names: given a duplicate name, two parsers might use
+// different values.
+bool is_valid_property_list(std::string_view text) {
   const auto items = split(text, ',');
   for (std::size_t i = 0; i < items.size(); ++i) {
     const auto name = items[i].substr(0, items[i].find('='));
@@ -55,13 +56,13 @@
     for (std::size_t j = 0; j < i; ++j)
       if (items[j].substr(0, items[j].find('=')) == name) return false;
   }
-  return items.size() <= kMaxProps;
+  return items.size() <= kMaxProperties;
 }
 
 }  // namespace
 
-bool is_token(std::string_view text, std::size_t longest) {
-  return !text.empty() && text.size() <= longest &&
+bool is_token(std::string_view text, std::size_t max_length) {
+  return !text.empty() && text.size() <= max_length &&
          std::none_of(text.begin(), text.end(), [](char c) { return c == ' ' || is_control(c); });
 }
 
@@ -73,15 +74,15 @@
 }
 
 std::string_view Command::prop(std::string_view name) const {
-  const auto at = find_prop(props, name);
-  return at ? std::string_view(props).substr(at->first, at->second) : std::string_view{};
+  const auto found = find_property(props, name);
+  return found ? std::string_view(props).substr(found->first, found->second) : std::string_view{};
 }
 
 std::string Command::props_with_deadline(std::chrono::milliseconds remaining) const {
-  std::string told = props;
-  if (const auto d = find_prop(props, "d"))
-    told.replace(d->first, d->second, std::to_string(remaining.count()));
-  return told;
+  std::string updated = props;
+  if (const auto d = find_property(props, "d"))
+    updated.replace(d->first, d->second, std::to_string(remaining.count()));
+  return updated;
 }
 
 std::string Command::encode(std::chrono::milliseconds remaining) const {
@@ -106,18 +107,19 @@
 }
 
 void CommandReader::compact() {
-  if (at_ == in_.size()) {
-    in_.clear();
-    if (in_.capacity() > 4 * kMaxLine) in_.shrink_to_fit();  // an idle client keeps no buffer
-    at_ = 0;
-  } else if (at_ > in_.size() / 2) {
-    in_.erase(0, at_);
-    at_ = 0;
+  if (consumed_ == buffer_.size()) {
+    buffer_.clear();
+    if (buffer_.capacity() > 4 * kMaxLine)
+      buffer_.shrink_to_fit();  // an idle client must not keep a large buffer
+    consumed_ = 0;
+  } else if (consumed_ > buffer_.size() / 2) {
+    buffer_.erase(0, consumed_);
+    consumed_ = 0;
   }
 }
 
 std::optional<CommandReader::Item> CommandReader::take_line() {
-  const std::string_view rest = std::string_view(in_).substr(at_);
+  const std::string_view rest = std::string_view(buffer_).substr(consumed_);
   const auto end = rest.substr(0, kMaxLine).find('\n');
   if (end == std::string_view::npos) {
     if (rest.size() >= kMaxLine) return ClientError{"line too long"};
@@ -125,53 +127,53 @@
   }
   std::string_view line = rest.substr(0, end);
   if (line.ends_with('\r')) line.remove_suffix(1);
-  at_ += end + 1;
-  auto item = begin(line);
+  consumed_ += end + 1;
+  auto item = parse_line(line);
   if (!item && body_left_) return take_body();
   return item;
 }
 
-// Strict on purpose: a line that a host reads otherwise than we do could break off what else waits
-// on the connection to it, or be run as something that no client asked for.
-std::optional<CommandReader::Item> CommandReader::begin(std::string_view line) {
+// Parsing is strict: a line that a cache host interprets differently could fail the other requests
+// on the connection to the host, or be executed as a command that no client sent.
+std::optional<CommandReader::Item> CommandReader::parse_line(std::string_view line) {
   if (std::any_of(line.begin(), line.end(), is_control))
     return ClientError{"control character in the line"};
-  const auto words = split(line, ' ');
-  if (words.empty()) return ClientError{"empty line"};
+  const auto tokens = split(line, ' ');
+  if (tokens.empty()) return ClientError{"empty line"};
   Command c;
-  if (words[0] == "mn" && words.size() == 1) return c;
-  const bool set = words[0] == "ms";
-  if (!set && words[0] != "mg") return ClientError{"unknown command"};
-  c.kind = set ? Command::Kind::kSet : Command::Kind::kGet;
-  if (words.size() < 2 || !is_token(words[1], kMaxKey)) return ClientError{"bad key"};
-  c.key = words[1];
+  if (tokens[0] == "mn" && tokens.size() == 1) return c;
+  const bool is_set = tokens[0] == "ms";
+  if (!is_set && tokens[0] != "mg") return ClientError{"unknown command"};
+  c.kind = is_set ? Command::Kind::kSet : Command::Kind::kGet;
+  if (tokens.size() < 2 || !is_token(tokens[1], kMaxKey)) return ClientError{"bad key"};
+  c.key = tokens[1];
   std::size_t length = 0;
-  if (set) {
-    const auto n = words.size() > 2 ? parse_number(words[2]) : std::nullopt;
+  if (is_set) {
+    const auto n = tokens.size() > 2 ? parse_number(tokens[2]) : std::nullopt;
     if (!n) return ClientError{"bad length"};
     if (*n > kMaxValue) return ClientError{"value too large"};
     length = static_cast<std::size_t>(*n);
   }
-  bool value = false;
-  for (std::size_t i = set ? 3 : 2; i < words.size(); ++i) {
-    const auto word = words[i];
-    if (word[0] == 'O' && c.id.empty()) {
-      c.id = word.substr(1);
-      if (!is_id(c.id)) return ClientError{"bad id"};
-    } else if (word[0] == 'P' && c.props.empty()) {
-      c.props = word.substr(1);
-      c.props_offset = static_cast<std::size_t>(word.data() - line.data()) + 1;
-      if (!are_props(c.props)) return ClientError{"bad properties"};
-    } else if (word == "v" && !set && !value) {
-      value = true;
+  bool wants_value = false;
+  for (std::size_t i = is_set ? 3 : 2; i < tokens.size(); ++i) {
+    const auto token = tokens[i];
+    if (token[0] == 'O' && c.id.empty()) {
+      c.id = token.substr(1);
+      if (!is_valid_id(c.id)) return ClientError{"bad id"};
+    } else if (token[0] == 'P' && c.props.empty()) {
+      c.props = token.substr(1);
+      c.props_offset = static_cast<std::size_t>(token.data() - line.data()) + 1;
+      if (!is_valid_property_list(c.props)) return ClientError{"bad properties"};
+    } else if (token == "v" && !is_set && !wants_value) {
+      wants_value = true;
     } else {
       return ClientError{"bad flag"};
     }
   }
   if (c.id.empty()) return ClientError{"bad id"};
-  if (!set && !value) return ClientError{"no value asked for"};
+  if (!is_set && !wants_value) return ClientError{"no value asked for"};
   c.line = line;
-  if (!set) return c;
+  if (!is_set) return c;
   command_ = std::move(c);
   body_length_ = length;
   body_left_ = length;
@@ -179,54 +181,54 @@
 }
 
 std::optional<CommandReader::Item> CommandReader::take_body() {
-  const auto n = std::min(*body_left_, in_.size() - at_);
-  command_.body.append(in_, at_, n);
-  at_ += n;
+  const auto n = std::min(*body_left_, buffer_.size() - consumed_);
+  command_.body.append(buffer_, consumed_, n);
+  consumed_ += n;
   *body_left_ -= n;
-  if (*body_left_ > 0 || in_.size() - at_ < 2) return std::nullopt;
-  const bool ended = in_.compare(at_, 2, "\r\n") == 0;
-  at_ += 2;
+  if (*body_left_ > 0 || buffer_.size() - consumed_ < 2) return std::nullopt;
+  const bool terminated = buffer_.compare(consumed_, 2, "\r\n") == 0;
+  consumed_ += 2;
   body_left_.reset();
   Command c = std::exchange(command_, {});
-  if (!ended) return ClientError{"bad data chunk"};
+  if (!terminated) return ClientError{"bad data chunk"};
   return c;
 }
 
-// ---- answers
+// ---- replies
 
 std::optional<AnswerHead> parse_answer(std::string_view line) {
   AnswerHead head;
   if (std::any_of(line.begin(), line.end(), is_control)) return std::nullopt;
   if (line.starts_with("SERVER_ERROR")) {
-    const auto words = split(line, ' ');
-    const bool busy = words.size() >= 2 && words[0] == "SERVER_ERROR" && words[1] == "busy";
+    const auto tokens = split(line, ' ');
+    const bool busy = tokens.size() >= 2 && tokens[0] == "SERVER_ERROR" && tokens[1] == "busy";
     head.kind = busy ? AnswerHead::Kind::kBusy : AnswerHead::Kind::kFailed;
-    if (busy && words.size() > 2) head.retry_after_ms = parse_number(words[2]).value_or(0);
+    if (busy && tokens.size() > 2) head.retry_after_ms = parse_number(tokens[2]).value_or(0);
     return head;
   }
-  // A host that can't use one command says so and has kept its place in the stream: to break the
-  // connection, and to hold it against the host, would make others pay for that command.
+  // A host that rejects a single command remains in step with the stream. Closing the connection
+  // and counting a failure of the host would affect the other requests on it.
   if (line.starts_with("CLIENT_ERROR ") || line == "ERROR") return head;
-  const auto words = split(line, ' ');
-  if (words.empty()) return std::nullopt;
-  std::size_t flags_at = 1;
-  if (words[0] == "VA") {
-    const auto n = words.size() > 1 ? parse_number(words[1]) : std::nullopt;
+  const auto tokens = split(line, ' ');
+  if (tokens.empty()) return std::nullopt;
+  std::size_t first_flag = 1;
+  if (tokens[0] == "VA") {
+    const auto n = tokens.size() > 1 ? parse_number(tokens[1]) : std::nullopt;
     if (!n || *n > kMaxValue) return std::nullopt;
     head.kind = AnswerHead::Kind::kValue;
     head.length = static_cast<std::size_t>(*n);
-    flags_at = 2;
-  } else if (words[0] == "HD") {
+    first_flag = 2;
+  } else if (tokens[0] == "HD") {
     head.kind = AnswerHead::Kind::kStored;
-  } else if (words[0] == "EN") {
+  } else if (tokens[0] == "EN") {
     head.kind = AnswerHead::Kind::kMiss;
   } else {
     return std::nullopt;
   }
-  // Other flags, of hits and load, tell the module nothing and are skipped.
-  for (std::size_t i = flags_at; i < words.size(); ++i) {
-    if (words[i][0] == 'O' && head.id.empty()) head.id = words[i].substr(1);
-    if (words[i][0] == 'c' && head.receipt.empty()) head.receipt = words[i].substr(1);
+  // Other flags, such as those about hits and load, are not used.
+  for (std::size_t i = first_flag; i < tokens.size(); ++i) {
+    if (tokens[i][0] == 'O' && head.id.empty()) head.id = tokens[i].substr(1);
+    if (tokens[i][0] == 'c' && head.receipt.empty()) head.receipt = tokens[i].substr(1);
   }
   if (head.id.empty()) return std::nullopt;
   if (head.kind == AnswerHead::Kind::kStored && head.receipt.empty()) return std::nullopt;
@@ -238,7 +240,7 @@
     state_ = State::kLine;
     return Event::kEnd;
   }
-  if (input.empty() && !(state_ == State::kValue && left_ == 0)) return Event::kMore;
+  if (input.empty() && !(state_ == State::kValue && bytes_left_ == 0)) return Event::kMore;
   switch (state_) {
     case State::kLine: {
       const auto end = input.find('\n');
@@ -253,24 +255,24 @@
       line_.clear();
       if (!head) return Event::kMalformed;
       head_ = std::move(*head);
-      left_ = head_.length;
+      bytes_left_ = head_.length;
       state_ = head_.kind == AnswerHead::Kind::kValue ? State::kValue : State::kDone;
       return Event::kHead;
     }
     case State::kValue:
-      if (left_ == 0) {
+      if (bytes_left_ == 0) {
         state_ = State::kValueEnd;
-        left_ = 2;
+        bytes_left_ = 2;
         return next(input);
       }
-      data_ = input.substr(0, left_);
+      data_ = input.substr(0, bytes_left_);
       input.remove_prefix(data_.size());
-      left_ -= data_.size();
+      bytes_left_ -= data_.size();
       return Event::kData;
-    default:  // the value's line end
-      if (input[0] != (left_ == 2 ? '\r' : '\n')) return Event::kMalformed;
+    default:  // kValueEnd: the line end after the value
+      if (input[0] != (bytes_left_ == 2 ? '\r' : '\n')) return Event::kMalformed;
       input.remove_prefix(1);
-      if (--left_ > 0) return next(input);
+      if (--bytes_left_ > 0) return next(input);
       state_ = State::kLine;
       return Event::kEnd;
   }
--- a/src/proto/memcache.h
+++ b/src/proto/memcache.h
@@ -8,58 +8,63 @@
 #include <string_view>
 #include <variant>
 
-// The meta commands of the memcache text protocol, as far as this protocol uses them. Incremental:
-// input may be cut at any byte. No sockets.
+// Codec of the subset of the memcache meta commands that clients and cache hosts use here. The
+// parsers are incremental: input may be split at any byte. Performs no I/O.
 namespace balancer::memcache {
 
-// The longest legal line is far shorter: a key of 250 bytes, an id and a dozen short properties.
+// Bytes. The longest legal line is far shorter: a key of 250 bytes, an id and a dozen short
+// properties.
 inline constexpr std::size_t kMaxLine = 4096;
 inline constexpr std::size_t kMaxKey = 250;
 inline constexpr std::size_t kMaxId = 32;
 inline constexpr std::size_t kMaxValue = 4u << 20;
-inline constexpr std::uint64_t kMaxDeadlineMs = 3'600'000;  // more is no client's patience
+inline constexpr std::uint64_t kMaxDeadlineMs = 3'600'000;  // one hour; no client waits longer
 
+// A client's command: get (mg), set (ms) or no-op (mn).
 struct Command {
   enum class Kind { kGet, kSet, kNoop };
 
   Kind kind = Kind::kNoop;
-  std::string line;  // as it came, without its end
+  std::string line;  // as received, without the line end
   std::string key;
-  std::string id;                // the opaque token
-  std::string props;             // the list of names and values
-  std::size_t props_offset = 0;  // where it stands in `line`
+  std::string id;                // the opaque token (flag O)
+  std::string props;             // list of name=value properties, comma-separated (flag P)
+  std::size_t props_offset = 0;  // offset of `props` in `line`
   std::string body;
 
-  std::string_view prop(std::string_view name) const;  // empty if there is none
-  // The list of names and values with the value of `d`, where the client sent one, replaced by
-  // `remaining`. Every other byte is the client's.
+  std::string_view prop(std::string_view name) const;  // empty if absent
+  // Returns `props` with the value of the deadline property `d`, if the client sent one, replaced
+  // by `remaining`. All other bytes are unchanged.
   std::string props_with_deadline(std::chrono::milliseconds remaining) const;
-  // The line to a cache host, with its line end and with the list as props_with_deadline() has it.
+  // Returns the line to send to a cache host, with its line end and props_with_deadline().
   std::string encode(std::chrono::milliseconds remaining) const;
 };
 
-// What a client has sent wrongly. What follows it may be the rest of it, and is not read.
+// A protocol error of a client. The input after it may belong to the malformed command and is not
+// parsed.
 struct ClientError {
   std::string_view reason;
 };
 
+// Parses the commands of one client connection.
 class CommandReader {
  public:
-  void feed(std::string_view bytes) { in_ += bytes; }
-  // The next command or error, or nothing until more has come.
+  void feed(std::string_view bytes) { buffer_ += bytes; }
+  // Returns the next command or error, or nullopt if more input is needed.
   std::optional<std::variant<Command, ClientError>> next();
 
-  // Read ahead of the commands taken; a body under way is not counted.
-  std::size_t buffered() const { return in_.size(); }
-  // Nothing while a body is under way.
+  // Returns the number of bytes held in the input buffer; a body that is being read is not counted.
+  std::size_t buffered() const { return buffer_.size(); }
+  // Returns the unparsed input, or nullopt while a body is being read.
   std::optional<std::string> unread() const {
     if (body_left_) return std::nullopt;
-    return in_.substr(at_);
+    return buffer_.substr(consumed_);
   }
-  bool between_commands() const { return !body_left_ && in_.size() == at_; }
-  // How long the body under way will be; 0 if there is none.
+  bool between_commands() const { return !body_left_ && buffer_.size() == consumed_; }
+  // Returns the length of the body that is being read; 0 if there is none.
   std::size_t body_length() const { return body_left_ ? body_length_ : 0; }
-  // What the command of that body has as `d`; nothing if it has none that can be read.
+  // Returns the deadline property `d` of the command whose body is being read; nullopt if there is
+  // no such command, or no valid deadline.
   std::optional<std::chrono::milliseconds> body_deadline() const;
 
  private:
@@ -67,33 +72,34 @@
 
   std::optional<Item> take_line();
   std::optional<Item> take_body();
-  std::optional<Item> begin(std::string_view line);
+  std::optional<Item> parse_line(std::string_view line);
   void compact();
 
-  std::string in_;
-  std::size_t at_ = 0;  // consumed up to here
-  Command command_;     // whose body is under way
+  std::string buffer_;
+  std::size_t consumed_ = 0;  // bytes of buffer_ already parsed
+  Command command_;           // the command whose body is being read
   std::size_t body_length_ = 0;
-  std::optional<std::size_t> body_left_;  // without the line end behind it
+  std::optional<std::size_t> body_left_;  // without the line end
 };
 
-// An answer's first line.
+// First line of a cache host's reply.
 struct AnswerHead {
   enum class Kind { kValue, kStored, kMiss, kBusy, kFailed };
 
   Kind kind = Kind::kFailed;
-  std::size_t length = 0;  // of the value
-  std::string id;          // empty for those that carry none
-  std::string receipt;
-  std::uint64_t retry_after_ms = 0;  // of a busy one; 0: it says none
+  std::size_t length = 0;            // of the value
+  std::string id;                    // empty if the reply carries none
+  std::string receipt;               // flag c of a stored value
+  std::uint64_t retry_after_ms = 0;  // of kBusy; 0: not given
 };
 
+// Parses the replies on one connection to a cache host.
 class AnswerReader {
  public:
   enum class Event { kMore, kHead, kData, kEnd, kMalformed };
 
-  // Consumes from the front of `input`. kHead tells that head() is set, kData that data() views a
-  // piece of the value, kEnd that the answer is complete.
+  // Consumes bytes from the front of `input`. kHead: head() is set; kData: data() is the next piece
+  // of the value; kEnd: the reply is complete.
   Event next(std::string_view& input);
   const AnswerHead& head() const { return head_; }
   std::string_view data() const { return data_; }
@@ -106,12 +112,15 @@
   std::string line_;
   AnswerHead head_;
   std::string_view data_;
-  std::size_t left_ = 0;
+  std::size_t bytes_left_ = 0;  // of the value, or of its line end
 };
 
+// Parses the first line of a reply, without its line end. Returns nullopt if it is malformed.
 std::optional<AnswerHead> parse_answer(std::string_view line);
-// A token that can stand in a line: no spaces, no control characters.
-bool is_token(std::string_view text, std::size_t longest);
+// Returns whether `text` is a valid token of a line: 1 to `max_length` bytes without spaces and
+// control characters.
+bool is_token(std::string_view text, std::size_t max_length);
+// Parses an unsigned decimal number. Returns nullopt if `text` is anything else.
 std::optional<std::uint64_t> parse_number(std::string_view text);
 
 }  // namespace balancer::memcache
--- a/src/proto/resp.cc
+++ b/src/proto/resp.cc
@@ -13,12 +13,12 @@
 }
 
 void Command::push_back(std::string_view arg) {
-  const std::string head = "*" + std::to_string(args_.size() + 1) + "\r\n";
-  const std::size_t moved = head.size() - head_;  // the count may have one digit more now
-  wire_.replace(0, head_, head);
-  head_ = head.size();
-  if (moved > 0)
-    for (Arg& a : args_) a.at += moved;
+  const std::string header = "*" + std::to_string(args_.size() + 1) + "\r\n";
+  const std::size_t shift = header.size() - header_length_;  // 1 if the count gained a digit
+  wire_.replace(0, header_length_, header);
+  header_length_ = header.size();
+  if (shift > 0)
+    for (Arg& a : args_) a.offset += shift;
   wire_ += "$" + std::to_string(arg.size()) + "\r\n";
   args_.push_back({wire_.size(), arg.size()});
   wire_ += arg;
--- a/src/proto/resp_reply_reader.cc
+++ b/src/proto/resp_reply_reader.cc
@@ -3,7 +3,7 @@
 
 #include "proto/resp.h"
 
-// Replies as servers send them: where they end, and whole ones as a tree.
+// Parsing of server replies: finding their ends, and building the tree of a complete reply.
 namespace balancer::resp {
 namespace {
 
@@ -40,13 +40,13 @@
   return text.empty();
 }
 
-// Of a string or aggregate: -1 is RESP2's null.
+// Parses the length of a string or the count of an aggregate; -1 is the null of RESP2.
 std::optional<std::int64_t> parse_length(std::string_view text) {
   if (text != "-1" && !all_digits(text)) return std::nullopt;
   return parse_integer(text);
 }
 
-// Whether a line, without its type, is a value of this type that has no more lines.
+// Returns whether `line`, without its type byte, is a valid single-line value of the type.
 bool is_scalar(Type type, std::string_view line) {
   switch (type) {
     case Type::kSimple:
@@ -67,39 +67,39 @@
   }
 }
 
-// The format of a verbatim string and its colon: "txt:".
+// Bytes of a verbatim string's format and its colon: "txt:".
 constexpr std::int64_t kVerbatimPrefix = 4;
 
 }  // namespace
 
-bool ReplyReader::open(std::uint64_t count, bool attribute) {
+bool ReplyReader::open_aggregate(std::uint64_t count, bool attribute) {
   if (count > bounds_.elements || elements_ + count > bounds_.elements) return false;
   elements_ += count;
   if (count == 0) {
     if (!attribute) close_value();
     return true;
   }
-  if (open_.size() >= bounds_.depth) return false;
-  open_.push_back({count, attribute});
+  if (open_aggregates_.size() >= bounds_.depth) return false;
+  open_aggregates_.push_back({count, attribute});
   return true;
 }
 
 void ReplyReader::close_value() {
-  while (!open_.empty() && --open_.back().left == 0) {
-    const bool attribute = open_.back().attribute;
-    open_.pop_back();
-    if (attribute) return;  // the value that it belongs to is still to come
+  while (!open_aggregates_.empty() && --open_aggregates_.back().elements_left == 0) {
+    const bool attribute = open_aggregates_.back().attribute;
+    open_aggregates_.pop_back();
+    if (attribute) return;  // the value that it belongs to follows
   }
-  ended_ = open_.empty();
+  complete_ = open_aggregates_.empty();
 }
 
-bool ReplyReader::on_line(std::string_view line) {
+bool ReplyReader::parse_line(std::string_view line) {
   if (line.empty()) return false;
   const Type type = static_cast<Type>(line.front());
   line.remove_prefix(1);
-  if (!typed_ && type != Type::kAttribute && open_.empty()) {
+  if (!has_type_ && type != Type::kAttribute && open_aggregates_.empty()) {
     type_ = type;
-    typed_ = true;
+    has_type_ = true;
   }
   switch (type) {
     case Type::kBulk:
@@ -147,21 +147,21 @@
   }
   const auto n = static_cast<std::uint64_t>(*count);
   if (n > bounds_.elements) return false;
-  if (type == Type::kPush && (n == 0 || !open_.empty())) return false;
+  if (type == Type::kPush && (n == 0 || !open_aggregates_.empty())) return false;
   const bool pairs = type == Type::kMap || type == Type::kAttribute;
-  return open(pairs ? 2 * n : n, type == Type::kAttribute);
+  return open_aggregate(pairs ? 2 * n : n, type == Type::kAttribute);
 }
 
 ReplyReader::Event ReplyReader::next(std::string_view& input) {
   if (state_ == State::kDone) {
     state_ = State::kLine;
-    typed_ = ended_ = false;
+    has_type_ = complete_ = false;
     elements_ = bytes_ = 0;
     return Event::kEnd;
   }
   if (input.empty()) return Event::kMore;
   const std::string_view all = input;
-  while (!input.empty() && !ended_) {
+  while (!input.empty() && !complete_) {
     if (state_ == State::kLine) {
       const auto end = input.find('\n');
       const auto piece = input.substr(0, end == std::string_view::npos ? end : end + 1);
@@ -171,24 +171,24 @@
         line_ += piece;
         break;
       }
-      std::string held = std::exchange(line_, {});
+      std::string buffered = std::exchange(line_, {});
       std::string_view line = piece;
-      if (!held.empty()) line = held += piece;
+      if (!buffered.empty()) line = buffered += piece;
       if (!line.ends_with(kLineEnd)) return Event::kMalformed;
       line.remove_suffix(kLineEnd.size());
-      if (!on_line(line)) return Event::kMalformed;
+      if (!parse_line(line)) return Event::kMalformed;
       continue;
     }
     const auto piece = input.substr(0, bulk_left_);
-    // Kept of the string: the place of a verbatim's colon, and its line end.
+    // Checks only the colon of a verbatim string and the line end; skips the other bytes.
     for (std::size_t i = 0; i < piece.size();) {
-      const std::size_t at = bulk_length_ + 2 - bulk_left_ + i;
-      if (bulk_type_ == Type::kVerbatim && at == 3 && piece[i] != ':') return Event::kMalformed;
-      if (at >= bulk_length_) {
-        if (piece[i] != kLineEnd[at - bulk_length_]) return Event::kMalformed;
+      const std::size_t offset = bulk_length_ + 2 - bulk_left_ + i;
+      if (bulk_type_ == Type::kVerbatim && offset == 3 && piece[i] != ':') return Event::kMalformed;
+      if (offset >= bulk_length_) {
+        if (piece[i] != kLineEnd[offset - bulk_length_]) return Event::kMalformed;
         ++i;
       } else {
-        i += bulk_type_ == Type::kVerbatim && at < 3 ? 3 - at : bulk_length_ - at;
+        i += bulk_type_ == Type::kVerbatim && offset < 3 ? 3 - offset : bulk_length_ - offset;
       }
     }
     bulk_left_ -= piece.size();
@@ -201,7 +201,7 @@
   data_ = all.substr(0, all.size() - input.size());
   bytes_ += data_.size();
   if (bytes_ > bounds_.total) return Event::kMalformed;
-  if (ended_) state_ = State::kDone;
+  if (complete_) state_ = State::kDone;
   return Event::kData;
 }
 
@@ -212,15 +212,16 @@
 
 namespace {
 
-// `wire` was read by a ReplyReader: it is well formed, and its depth is bounded.
-std::size_t build(std::string_view wire, Value& value) {
+// Builds the tree of the first value in `wire` and returns the number of bytes used. A ReplyReader
+// must have accepted `wire`, so that it is well formed and of bounded depth.
+std::size_t build_value(std::string_view wire, Value& value) {
   const auto line_end = wire.find(kLineEnd);
   std::size_t used = line_end + 2;
   const auto line = wire.substr(1, line_end - 1);
   value.type = static_cast<Type>(wire.front());
-  const auto items = [&](std::size_t n) {
+  const auto build_items = [&](std::size_t n) {
     value.items.resize(n);
-    for (Value& item : value.items) used += build(wire.substr(used), item);
+    for (Value& item : value.items) used += build_value(wire.substr(used), item);
   };
   switch (value.type) {
     case Type::kBulk:
@@ -245,16 +246,16 @@
         value.null = true;
         break;
       }
-      items(static_cast<std::size_t>(count) * (value.type == Type::kMap ? 2 : 1));
+      build_items(static_cast<std::size_t>(count) * (value.type == Type::kMap ? 2 : 1));
       break;
     }
     case Type::kAttribute: {
       Value skipped;
       for (auto n = 2 * parse_integer(line).value_or(0); n > 0; --n)
-        used += build(wire.substr(used), skipped = {});
+        used += build_value(wire.substr(used), skipped = {});
       value = {};
-      used += build(wire.substr(used), value);
-      return used;  // its wire is that of the value without the attribute
+      used += build_value(wire.substr(used), value);
+      return used;  // value.wire does not include the attribute
     }
     case Type::kNull:
       value.null = true;
@@ -278,7 +279,7 @@
     break;
   }
   Value value;
-  build(wire, value);
+  build_value(wire, value);
   return value;
 }
 
--- a/src/proto/seal.cc
+++ b/src/proto/seal.cc
@@ -19,9 +19,9 @@
 static_assert(kHeaderBytes + kNonceBytes + kTagBytes == kSealedOverhead);
 constexpr std::size_t kMaxKeys = 8;
 
-void begin_sodium() {
+void init_sodium() {
   static const bool ready = ::sodium_init() >= 0;
-  if (!ready) throw std::runtime_error("libsodium cannot be used");
+  if (!ready) throw std::runtime_error("libsodium failed to initialize");
 }
 
 unsigned char* bytes_of(std::string& s) { return reinterpret_cast<unsigned char*>(s.data()); }
@@ -40,40 +40,42 @@
 }
 
 std::vector<Key> read_keys(const std::string& file) {
-  begin_sodium();
+  init_sodium();
   std::ifstream in(file);
   if (!in) throw FileError(file + ": cannot be read");
   std::vector<Key> keys;
-  int number = 0;
+  int line_number = 0;
   for (std::string line; std::getline(in, line);) {
-    ++number;
+    ++line_number;
     if (!line.empty() && line.back() == '\r') line.pop_back();
     if (line.empty() || line.front() == '#') continue;
     Key key;
     std::size_t length = 0;
     const char* end = nullptr;
-    const bool good = ::sodium_hex2bin(key.bytes.data(), key.bytes.size(), line.data(), line.size(),
-                                       nullptr, &length, &end) == 0 &&
-                      length == key.bytes.size() && end == line.data() + line.size();
+    const bool valid = ::sodium_hex2bin(key.bytes.data(), key.bytes.size(), line.data(),
+                                        line.size(), nullptr, &length, &end) == 0 &&
+                       length == key.bytes.size() && end == line.data() + line.size();
     ::sodium_memzero(line.data(), line.size());
-    if (!good)
-      throw FileError(file + ":" + std::to_string(number) + ": is no key of 64 hexadecimal digits");
+    if (!valid)
+      throw FileError(file + ":" + std::to_string(line_number) +
+                      ": expected a key of 64 hexadecimal digits");
     if (keys.size() >= kMaxKeys)
-      throw FileError(file + ":" + std::to_string(number) + ": is one key too many");
+      throw FileError(file + ":" + std::to_string(line_number) +
+                      ": too many keys, at most 8 are allowed");
     keys.push_back(key);
   }
-  if (keys.empty()) throw FileError(file + ": holds no key");
+  if (keys.empty()) throw FileError(file + ": contains no keys");
   return keys;
 }
 
 KeyRing::KeyRing(std::vector<Key> keys, Duration change_time)
     : change_time_(change_time), keys_(std::move(keys)) {
-  begin_sodium();
+  init_sodium();
 }
 
 void KeyRing::reload(Time now, const std::vector<Key>& keys) {
   if (keys.empty() || keys == keys_) return;
-  std::erase_if(retired_keys_, [now](const RetiredKey& o) { return o.until <= now; });
+  std::erase_if(retired_keys_, [now](const RetiredKey& retired) { return retired.until <= now; });
   for (const Key& k : keys_)
     if (std::find(keys.begin(), keys.end(), k) == keys.end())
       retired_keys_.push_back({k, now + 2 * change_time_});
@@ -116,9 +118,9 @@
   };
   for (const Key& key : keys_)
     if (auto plain = try_key(key)) return plain;
-  for (const RetiredKey& old : retired_keys_)
-    if (old.until > now)
-      if (auto plain = try_key(old.key)) return plain;
+  for (const RetiredKey& retired : retired_keys_)
+    if (retired.until > now)
+      if (auto plain = try_key(retired.key)) return plain;
   return std::nullopt;
 }
 
@@ -126,16 +128,16 @@
                          std::uint64_t sequence) {
   const auto known = by_name_.find(sender);
   if (known == by_name_.end()) {
-    remember(sender, {incarnation, sequence, {1, 0}});
+    add_sender(sender, {incarnation, sequence, {1, 0}});
     return true;
   }
   const Senders::iterator entry = known->second;
-  if (!is_new(entry->second, incarnation, sequence)) return false;
+  if (!mark_if_new(entry->second, incarnation, sequence)) return false;
   senders_.splice(senders_.begin(), senders_, entry);
   return true;
 }
 
-void ReplayGuard::remember(const std::string& sender, const SenderWindow& window) {
+void ReplayGuard::add_sender(const std::string& sender, const SenderWindow& window) {
   if (senders_.size() >= max_senders_) {
     by_name_.erase(senders_.back().first);
     senders_.pop_back();
@@ -144,32 +146,33 @@
   by_name_.emplace(senders_.front().first, senders_.begin());
 }
 
-bool ReplayGuard::is_new(SenderWindow& window, std::uint64_t incarnation, std::uint64_t sequence) {
+bool ReplayGuard::mark_if_new(SenderWindow& window, std::uint64_t incarnation,
+                              std::uint64_t sequence) {
   if (incarnation < window.incarnation) return false;
   if (incarnation > window.incarnation) {
     window = {incarnation, sequence, {1, 0}};
     return true;
   }
   if (sequence > window.newest) {
-    const std::uint64_t by = sequence - window.newest;
-    if (by >= kWindow) {
+    const std::uint64_t shift = sequence - window.newest;
+    if (shift >= kWindow) {
       window.seen[0] = window.seen[1] = 0;
-    } else if (by >= 64) {
-      window.seen[1] = by == 64 ? window.seen[0] : window.seen[0] << (by - 64);
+    } else if (shift >= 64) {
+      window.seen[1] = shift == 64 ? window.seen[0] : window.seen[0] << (shift - 64);
       window.seen[0] = 0;
     } else {
-      window.seen[1] = window.seen[1] << by | window.seen[0] >> (64 - by);
-      window.seen[0] <<= by;
+      window.seen[1] = window.seen[1] << shift | window.seen[0] >> (64 - shift);
+      window.seen[0] <<= shift;
     }
     window.seen[0] |= 1;
     window.newest = sequence;
     return true;
   }
-  const std::uint64_t behind = window.newest - sequence;
-  if (behind >= kWindow) return false;
-  const std::uint64_t bit = std::uint64_t{1} << (behind % 64);
-  if (window.seen[behind / 64] & bit) return false;
-  window.seen[behind / 64] |= bit;
+  const std::uint64_t age = window.newest - sequence;
+  if (age >= kWindow) return false;
+  const std::uint64_t bit = std::uint64_t{1} << (age % 64);
+  if (window.seen[age / 64] & bit) return false;
+  window.seen[age / 64] |= bit;
   return true;
 }
 
--- a/tests/fuzz/bgp_fuzz.cc
+++ b/tests/fuzz/bgp_fuzz.cc
@@ -1,6 +1,6 @@
-// Any bytes, cut anywhere, through the reader of BGP messages and a session that is up. What must
-// hold: no crash, an end, the same messages however the input is cut, and updates that read the
-// same again.
+// Feeds arbitrary bytes, split at arbitrary positions, to the parser of BGP messages and to an
+// established session. Invariants: no crash; parsing terminates; the messages do not depend on how
+// the input is split; updates survive encoding and parsing.
 #include <algorithm>
 #include <cstdint>
 #include <cstdlib>
@@ -16,27 +16,27 @@
 using namespace balancer::bgp;
 using balancer::Time;
 
-void must(bool holds) {
-  if (!holds) std::abort();
+void require(bool condition) {
+  if (!condition) std::abort();
 }
 
-std::string text_of(const Message& m, bool four_octets) {
+std::string describe(const Message& m, bool four_octets) {
   if (const auto* u = std::get_if<Update>(&m)) {
     const std::string wire = encode(*u, four_octets);
     if (wire.size() <= kMaxMessage) {
-      Reader again;
-      again.set_four_octets(four_octets);
-      again.feed(wire);
-      const auto item = again.next();
-      must(item && std::holds_alternative<Message>(*item));
+      Reader second_reader;
+      second_reader.set_four_octets(four_octets);
+      second_reader.feed(wire);
+      const auto item = second_reader.next();
+      require(item && std::holds_alternative<Message>(*item));
       const auto& v = std::get<Update>(std::get<Message>(*item));
-      must(v.withdrawn == u->withdrawn && v.announced == u->announced);
+      require(v.withdrawn == u->withdrawn && v.announced == u->announced);
     }
     return "update " + std::to_string(u->withdrawn.size()) + " " +
            std::to_string(u->announced.size());
   }
   if (const auto* o = std::get_if<Open>(&m)) {
-    must(o->hold_time == 0 || o->hold_time >= 3);
+    require(o->hold_time == 0 || o->hold_time >= 3);
     return "open " + std::to_string(o->as);
   }
   return "other " + std::to_string(m.index());
@@ -49,12 +49,12 @@
   while (true) {
     while (auto item = reader.next()) {
       if (const auto* fault = std::get_if<Fault>(&*item)) {
-        must(!fault->reason.empty());
+        require(!fault->reason.empty());
         out.push_back("fault " + std::to_string(static_cast<int>(fault->notification.code)) + "/" +
                       std::to_string(fault->notification.subcode));
         return out;
       }
-      out.push_back(text_of(std::get<Message>(*item), four_octets));
+      out.push_back(describe(std::get<Message>(*item), four_octets));
     }
     if (bytes.empty()) return out;
     reader.feed(bytes.substr(0, step));
@@ -62,7 +62,7 @@
   }
 }
 
-void drive(std::string_view bytes) {
+void feed_session(std::string_view bytes) {
   SessionSettings s;
   s.local_as = s.remote_as = 64512;
   s.id = 1;
@@ -72,14 +72,14 @@
   session.on_timer(now);
   session.on_connected(now, Session::Way::kOut);
   session.on_bytes(now, Session::Way::kOut, encode(Open{64512, 9, 2, true}) + encode(Keepalive{}));
-  must(session.established());
+  require(session.established());
   for (std::size_t at = 0; at < bytes.size(); at += 7) {
     session.on_bytes(now, Session::Way::kOut, bytes.substr(at, 7));
     now += std::chrono::milliseconds(500);
     session.on_timer(now);
-    for (const auto& a : session.take_actions()) must(a.bytes.size() <= 2 * kMaxMessage);
+    for (const auto& a : session.take_actions()) require(a.bytes.size() <= 2 * kMaxMessage);
   }
-  must(session.next() > Time{0});
+  require(session.next() > Time{0});
 }
 
 }  // namespace
@@ -89,8 +89,8 @@
   for (const bool four_octets : {true, false}) {
     const auto all = read(bytes, size + 1, four_octets);
     for (const std::size_t step : {std::size_t{1}, std::size_t{13}})
-      must(read(bytes, step, four_octets) == all);
+      require(read(bytes, step, four_octets) == all);
   }
-  drive(bytes);
+  feed_session(bytes);
   return 0;
 }
--- a/tests/fuzz/group_fuzz.cc
+++ b/tests/fuzz/group_fuzz.cc
@@ -1,6 +1,6 @@
-// Arbitrary bytes as a group's datagram, as a member's meta and as a voter's record. Invariants: no
-// crash; what is decoded is within its bounds, encodes to the same again, and a node can process
-// it.
+// Decodes arbitrary bytes as a group's datagram, as a member's metadata and as a voter's record.
+// Invariants: no crash; decoded values are within their bounds and survive encoding and decoding; a
+// node can process a decoded datagram.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -15,8 +15,8 @@
 using namespace balancer;
 using namespace balancer::group;
 
-void must(bool holds) {
-  if (!holds) std::abort();
+void require(bool condition) {
+  if (!condition) std::abort();
 }
 
 struct DiscardingRecordStore : VoterRecordStore {
@@ -39,12 +39,12 @@
     instance.on_datagram(now, "127.0.0.1:2", d);
     now += std::chrono::milliseconds(137);
     instance.on_timer(now);
-    for (const auto& out : instance.take_datagrams()) must(out.endpoint.size() <= 64);
+    for (const auto& out : instance.take_datagrams()) require(out.endpoint.size() <= 64);
     instance.take_route_actions();
     instance.take_log_lines();
   }
-  must(instance.membership().members().size() <= s.membership.max_members);
-  must(lease::is_valid(instance.voters()));
+  require(instance.membership().members().size() <= s.membership.max_members);
+  require(lease::is_valid(instance.voters()));
 }
 
 }  // namespace
@@ -52,14 +52,14 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
   if (const auto d = decode(bytes)) {
-    must(!d->sender.empty() && d->sender.size() <= kMaxName && d->sequence > 0);
-    const auto again = decode(encode(*d));
-    must(again && encode(*again) == encode(*d));
+    require(!d->sender.empty() && d->sender.size() <= kMaxName && d->sequence > 0);
+    const auto decoded_again = decode(encode(*d));
+    require(decoded_again && encode(*decoded_again) == encode(*d));
     process(*d);
   }
-  if (const auto m = decode_meta(bytes)) must(decode_meta(encode(*m)).has_value());
-  if (const auto r = decode_record(bytes)) must(decode_record(encode(*r)) == r);
+  if (const auto m = decode_meta(bytes)) require(decode_meta(encode(*m)).has_value());
+  if (const auto r = decode_record(bytes)) require(decode_record(encode(*r)) == r);
   static const KeyRing keys({Key{}}, std::chrono::seconds(1));
-  must(!keys.open(Time{0}, bytes));
+  require(!keys.open(Time{0}, bytes));
   return 0;
 }
--- a/tests/fuzz/hot_restart_fuzz.cc
+++ b/tests/fuzz/hot_restart_fuzz.cc
@@ -1,6 +1,6 @@
-// Any bytes as a message between a process and the one that takes its place. What must hold: no
-// crash; what is taken is within its bounds and reads the same again; a snapshot put together from
-// any parts stays bounded.
+// Decodes arbitrary bytes as a message between a process and its successor. Invariants: no crash;
+// decoded messages are within their bounds and survive encoding and decoding; a snapshot assembled
+// from any parts is within its bounds.
 #include <cstdint>
 #include <cstdlib>
 #include <string_view>
@@ -12,8 +12,8 @@
 
 using namespace balancer::hot_restart;
 
-void must(bool holds) {
-  if (!holds) std::abort();
+void require(bool condition) {
+  if (!condition) std::abort();
 }
 
 }  // namespace
@@ -21,19 +21,19 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const auto message = decode({reinterpret_cast<const char*>(data), size});
   if (!message) return 0;
-  const std::string again = encode(*message);
-  must(decode(again) == message);
+  const std::string encoded = encode(*message);
+  require(decode(encoded) == message);
   if (const auto* s = std::get_if<Snapshot>(&*message)) {
-    must(s->hosts.size() <= kEntriesPerPart && s->overrides.size() <= kEntriesPerPart);
-    must(s->listeners.size() <= kMaxDescriptors);
-    Snapshot whole;
+    require(s->hosts.size() <= kEntriesPerPart && s->overrides.size() <= kEntriesPerPart);
+    require(s->listeners.size() <= kMaxDescriptors);
+    Snapshot assembled;
     for (int i = 0; i < 100; ++i)
-      if (!append(whole, *s)) break;
-    must(whole.hosts.size() <= kMaxHosts && whole.overrides.size() <= kMaxOverrides);
+      if (!append(assembled, *s)) break;
+    require(assembled.hosts.size() <= kMaxHosts && assembled.overrides.size() <= kMaxOverrides);
     HotRestartState state({1000, 1000000});
     state.on_predecessor(s->resources_held);
     const ResourceShare share = state.share(std::chrono::seconds(1), {}, {});
-    must(share.descriptors <= 1000 && share.bytes <= 1000000);
+    require(share.descriptors <= 1000 && share.bytes <= 1000000);
   }
   return 0;
 }
--- a/tests/fuzz/memcache_fuzz.cc
+++ b/tests/fuzz/memcache_fuzz.cc
@@ -1,6 +1,6 @@
-// Any bytes, cut anywhere, through both readers of the memcache codec. What must hold: no crash, an
-// end, the same items however the input is cut, bounds kept, and commands that read the same again
-// once they are written out.
+// Feeds arbitrary bytes, split at arbitrary positions, to both parsers of the memcache codec.
+// Invariants: no crash; parsing terminates; the items do not depend on how the input is split;
+// items are within their bounds; commands survive encoding and parsing.
 #include <algorithm>
 #include <cstdint>
 #include <cstdlib>
@@ -14,11 +14,11 @@
 
 using namespace balancer::memcache;
 
-void must(bool holds) {
-  if (!holds) std::abort();
+void require(bool condition) {
+  if (!condition) std::abort();
 }
 
-// Reads all of it in pieces of `step` bytes; what came out, as text.
+// Parses `bytes` in pieces of `step` bytes. Returns the commands as text.
 std::vector<std::string> commands(std::string_view bytes, std::size_t step) {
   std::vector<std::string> out;
   CommandReader reader;
@@ -26,21 +26,21 @@
     while (auto item = reader.next()) {
       if (const auto* error = std::get_if<ClientError>(&*item)) {
         out.push_back("error " + std::string(error->reason));
-        return out;  // nothing behind a fault is read
+        return out;  // input after an error is not parsed
       }
       const Command& c = std::get<Command>(*item);
-      must(c.key.size() <= kMaxKey && c.id.size() <= kMaxId && c.body.size() <= kMaxValue);
-      must(c.line.size() <= kMaxLine);
+      require(c.key.size() <= kMaxKey && c.id.size() <= kMaxId && c.body.size() <= kMaxValue);
+      require(c.line.size() <= kMaxLine);
       out.push_back(c.line + "|" + c.key + "|" + c.id + "|" + c.props + "|" + c.body);
       if (c.kind != Command::Kind::kNoop) {
-        const std::string again = c.encode(std::chrono::milliseconds(7));
-        must(again.ends_with("\r\n") && again.find('\n') == again.size() - 1);
+        const std::string encoded = c.encode(std::chrono::milliseconds(7));
+        require(encoded.ends_with("\r\n") && encoded.find('\n') == encoded.size() - 1);
         CommandReader second;
-        second.feed(again);
+        second.feed(encoded);
         if (c.kind == Command::Kind::kSet) second.feed(c.body + "\r\n");
         const auto read = second.next();
-        must(read && std::holds_alternative<Command>(*read));
-        must(std::get<Command>(*read).key == c.key && std::get<Command>(*read).id == c.id);
+        require(read && std::holds_alternative<Command>(*read));
+        require(std::get<Command>(*read).key == c.key && std::get<Command>(*read).id == c.id);
       }
     }
     if (bytes.empty()) return out;
@@ -49,7 +49,7 @@
   }
 }
 
-std::string answers(std::string_view bytes, std::size_t step) {
+std::string replies(std::string_view bytes, std::size_t step) {
   std::string out;
   AnswerReader reader;
   for (std::size_t at = 0; at < bytes.size(); at += step) {
@@ -57,11 +57,11 @@
     for (bool more = true; more;) {
       switch (reader.next(piece)) {
         case AnswerReader::Event::kMore:
-          must(piece.empty());
+          require(piece.empty());
           more = false;
           break;
         case AnswerReader::Event::kHead:
-          must(reader.head().length <= kMaxValue);
+          require(reader.head().length <= kMaxValue);
           out += "head " + std::to_string(reader.head().length) + reader.head().id + "\n";
           break;
         case AnswerReader::Event::kData:
@@ -82,10 +82,11 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
-  const auto whole = commands(bytes, size + 1);
+  const auto all_commands = commands(bytes, size + 1);
   for (const std::size_t step : {std::size_t{1}, std::size_t{7}})
-    must(commands(bytes, step) == whole);
-  const auto all = answers(bytes, size + 1);
-  for (const std::size_t step : {std::size_t{1}, std::size_t{5}}) must(answers(bytes, step) == all);
+    require(commands(bytes, step) == all_commands);
+  const auto all_replies = replies(bytes, size + 1);
+  for (const std::size_t step : {std::size_t{1}, std::size_t{5}})
+    require(replies(bytes, step) == all_replies);
   return 0;
 }
--- a/tests/fuzz/replay.cc
+++ b/tests/fuzz/replay.cc
@@ -1,5 +1,6 @@
-// Feeds a fuzz target with the files of its corpus, and with cuts and flips of them drawn from
-// printed seeds. Without libFuzzer; for every test run.
+// Runs a fuzz target on each file of its corpus with 50 seeds, which are printed. Each seed applies
+// 0 to 4 random mutations: one byte is replaced, or up to 8 bytes are deleted. Needs no libFuzzer
+// and is part of every test run.
 #include <algorithm>
 #include <cstdint>
 #include <cstdio>
--- a/tests/fuzz/resp_fuzz.cc
+++ b/tests/fuzz/resp_fuzz.cc
@@ -1,5 +1,6 @@
-// Any bytes, cut anywhere, through both readers of the RESP codec. What must hold: no crash, an
-// end, the same items however the input is cut, bounds kept, and commands that read the same again.
+// Feeds arbitrary bytes, split at arbitrary positions, to both parsers of the RESP codec.
+// Invariants: no crash; parsing terminates; the items do not depend on how the input is split;
+// items are within their bounds; the encoding of a command parses to the same command.
 #include <algorithm>
 #include <cstdint>
 #include <cstdlib>
@@ -15,10 +16,11 @@
 
 const Bounds kBounds{.bulk = 256, .elements = 64, .total = 2048, .line = 128, .depth = 5};
 
-void must(bool holds) {
-  if (!holds) std::abort();
+void require(bool condition) {
+  if (!condition) std::abort();
 }
 
+// Parses `bytes` in pieces of `step` bytes. Returns the encoded commands.
 std::vector<std::string> commands(std::string_view bytes, std::size_t step) {
   std::vector<std::string> out;
   CommandReader reader(kBounds);
@@ -29,24 +31,26 @@
         return out;
       }
       const Command& c = std::get<Command>(*item);
-      must(c.size() > 0 && c.size() <= std::max(kBounds.elements, kBounds.line));
-      CommandReader again(Bounds{});
-      again.feed(c.wire());
-      const auto second = again.next();
-      must(second && std::holds_alternative<Command>(*second) && again.between_commands());
+      require(c.size() > 0 && c.size() <= std::max(kBounds.elements, kBounds.line));
+      CommandReader second_reader(Bounds{});
+      second_reader.feed(c.wire());
+      const auto second = second_reader.next();
+      require(second && std::holds_alternative<Command>(*second) &&
+              second_reader.between_commands());
       const Command& d = std::get<Command>(*second);
-      must(d.size() == c.size());
-      for (std::size_t i = 0; i < c.size(); ++i) must(c[i] == d[i]);
+      require(d.size() == c.size());
+      for (std::size_t i = 0; i < c.size(); ++i) require(c[i] == d[i]);
       out.push_back(c.wire());
     }
-    must(reader.buffered() <= bytes.size() + kBounds.total + 4096 + step);
+    require(reader.buffered() <= bytes.size() + kBounds.total + 4096 + step);
     if (bytes.empty()) return out;
     reader.feed(bytes.substr(0, step));
     bytes.remove_prefix(std::min(step, bytes.size()));
   }
 }
 
-// Every whole reply, and at the end whether the rest made no sense.
+// Parses `bytes` in pieces of `step` bytes. Returns the complete replies, and "malformed" if the
+// rest is.
 std::vector<std::string> replies(std::string_view bytes, std::size_t step) {
   std::vector<std::string> out;
   std::string current;
@@ -56,17 +60,17 @@
     for (bool more = true; more;) {
       switch (reader.next(piece)) {
         case ReplyReader::Event::kMore:
-          must(piece.empty());
+          require(piece.empty());
           more = false;
           break;
         case ReplyReader::Event::kData:
           current += reader.data();
-          must(current.size() <= kBounds.total);
+          require(current.size() <= kBounds.total);
           break;
         case ReplyReader::Event::kEnd: {
           const auto tree = parse_reply(current, kBounds);
-          must(tree.has_value());
-          must(tree->type == reader.type());
+          require(tree.has_value());
+          require(tree->type == reader.type());
           out.push_back(current);
           current.clear();
           break;
@@ -84,11 +88,11 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
-  const auto all = commands(bytes, size + 1);
+  const auto all_commands = commands(bytes, size + 1);
   for (const std::size_t step : {std::size_t{1}, std::size_t{7}})
-    must(commands(bytes, step) == all);
-  const auto whole = replies(bytes, size + 1);
+    require(commands(bytes, step) == all_commands);
+  const auto all_replies = replies(bytes, size + 1);
   for (const std::size_t step : {std::size_t{1}, std::size_t{5}})
-    must(replies(bytes, step) == whole);
+    require(replies(bytes, step) == all_replies);
   return 0;
 }
--- a/tests/resp_test.cc
+++ b/tests/resp_test.cc
@@ -1,4 +1,4 @@
-// The RESP codec: every type, every cut, every bound.
+// Tests of the RESP codec: every type, with the input split at every position, and every limit.
 #include "proto/resp.h"
 
 #include <gtest/gtest.h>
@@ -11,10 +11,12 @@
 namespace balancer::resp {
 namespace {
 
-Bounds small() { return {.bulk = 64, .elements = 32, .total = 400, .line = 80, .depth = 4}; }
+Bounds small_bounds() { return {.bulk = 64, .elements = 32, .total = 400, .line = 80, .depth = 4}; }
 
-// What a reader makes of `bytes` fed in pieces of `step`: each command's words in brackets.
-std::string commands(std::string_view bytes, std::size_t step, const Bounds& bounds = small()) {
+// Parses `bytes` fed in pieces of `step` bytes. Returns the arguments of each command in brackets,
+// and the reason of a fault after '!'.
+std::string commands(std::string_view bytes, std::size_t step,
+                     const Bounds& bounds = small_bounds()) {
   CommandReader reader(bounds);
   std::string out;
   for (std::size_t at = 0; at <= bytes.size(); at += step) {
@@ -35,7 +37,7 @@
     EXPECT_EQ(commands(bytes, step), expected) << "in pieces of " << step;
 }
 
-TEST(RespCommands, ArraysOfStrings) {
+TEST(RespCommandReaderTest, ParsesArraysOfBulkStrings) {
   expect_commands("*2\r\n$3\r\nGET\r\n$1\r\nk\r\n", "[GET|k]");
   expect_commands("*1\r\n$4\r\nPING\r\n*2\r\n$4\r\nECHO\r\n$0\r\n\r\n", "[PING][ECHO|]");
   const std::string binary("\r\n\0x", 4);
@@ -44,7 +46,7 @@
   expect_commands("*0\r\n*-1\r\n*1\r\n$4\r\nPING\r\n", "[PING]");
 }
 
-TEST(RespCommands, InlineOnesWithQuotes) {
+TEST(RespCommandReaderTest, ParsesInlineCommandsWithQuotes) {
   expect_commands("PING\r\n", "[PING]");
   expect_commands("PING\n\r\n  \r\nGET  k \r\n", "[PING][GET|k]");
   expect_commands("SET k \"a b\\x41\\n\\\"\" 'c\\'d\\n'\r\n", "[SET|k|a bA\n\"|c'd\\n]");
@@ -54,7 +56,7 @@
   expect_commands(std::string(100, 'x') + "\r\n", "!Protocol error: too big inline request");
 }
 
-TEST(RespCommands, FaultsInTheServersWords) {
+TEST(RespCommandReaderTest, ReportsFaultsWithRedisErrorMessages) {
   expect_commands("*33\r\n", "!Protocol error: invalid multibulk length");
   expect_commands("*x\r\n", "!Protocol error: invalid multibulk length");
   expect_commands("*99999999999999999999\r\n", "!Protocol error: invalid multibulk length");
@@ -66,20 +68,21 @@
                   "!Protocol error: a bulk string does not end where its length says");
   expect_commands("*" + std::string(40, '1'), "!Protocol error: too big mbulk count string");
   expect_commands("*1\r\n$" + std::string(40, '1'), "!Protocol error: too big bulk count string");
-  // A command before a fault is still taken.
+  // A command before a fault is still returned.
   expect_commands("*1\r\n$4\r\nPING\r\n*1\r\n:1\r\n",
                   "[PING]!Protocol error: expected '$', got ':'");
 }
 
-TEST(RespCommands, ManySmallStringsHaveABoundInSum) {
+TEST(RespCommandReaderTest, LimitsTheTotalSizeOfACommand) {
   std::string text = "*20\r\n";
   for (int i = 0; i < 20; ++i) text += "$40\r\n" + std::string(40, 'x') + "\r\n";
   EXPECT_EQ(commands(text, 7), "!Protocol error: invalid bulk length");
 }
 
-// What is announced can be paid for ahead, and is not counted twice.
-TEST(RespCommands, WhatIsUnderWayIsTold) {
-  CommandReader reader(small());
+// A session reserves memory for the announced size of a command, so the bytes that expected()
+// covers must not be counted in buffered() as well.
+TEST(RespCommandReaderTest, ReportsExpectedSizeOfThePartialCommand) {
+  CommandReader reader(small_bounds());
   reader.feed("*2\r\n$3\r\nGET\r\n$50\r\nabc");
   EXPECT_FALSE(reader.next());
   EXPECT_EQ(reader.expected(), 4u + 9 + 5 + 52);
@@ -91,8 +94,8 @@
   EXPECT_EQ(reader.buffered(), 2u);
 }
 
-TEST(RespCommands, AreSentOnAsTheyCame) {
-  CommandReader reader(small());
+TEST(RespCommandReaderTest, PreservesArgumentsForForwarding) {
+  CommandReader reader(small_bounds());
   reader.feed("*0002\r\n$3\r\nGET\r\n$1\r\nk\r\nset a 'b c'\r\n");
   auto first = reader.next();
   ASSERT_TRUE(first);
@@ -102,20 +105,22 @@
   EXPECT_EQ(std::get<Command>(*second).wire(), "*3\r\n$3\r\nset\r\n$1\r\na\r\n$3\r\nb c\r\n");
 }
 
-TEST(RespCommands, AreBuiltOverTheTurnOfDigits) {
+TEST(RespCommandTest, AppendsArgumentsWhenTheCountGainsADigit) {
   Command c;
-  std::string words;
+  std::string arguments;
   for (int i = 0; i < 12; ++i) {
     c.push_back("w" + std::to_string(i));
-    words += c[static_cast<std::size_t>(i)];
+    arguments += c[static_cast<std::size_t>(i)];
   }
-  EXPECT_EQ(words, "w0w1w2w3w4w5w6w7w8w9w10w11");
+  EXPECT_EQ(arguments, "w0w1w2w3w4w5w6w7w8w9w10w11");
   EXPECT_EQ(c[0], "w0");
   EXPECT_EQ(commands(c.wire(), 5), "[w0|w1|w2|w3|w4|w5|w6|w7|w8|w9|w10|w11]");
 }
 
-// The replies in `bytes`, each in brackets with its type; `*` at the end if it is malformed.
-std::string replies(std::string_view bytes, std::size_t step, const Bounds& bounds = small()) {
+// Parses `bytes` fed in pieces of `step` bytes. Returns each reply in brackets with its type, and
+// `malformed` or `unfinished` at the end if the input is.
+std::string replies(std::string_view bytes, std::size_t step,
+                    const Bounds& bounds = small_bounds()) {
   ReplyReader reader(bounds);
   std::string out, current;
   for (std::size_t at = 0; at < bytes.size(); at += step) {
@@ -141,7 +146,7 @@
   return out + (current.empty() ? "" : "unfinished");
 }
 
-const std::vector<std::string>& whole_replies() {
+const std::vector<std::string>& valid_replies() {
   static const std::vector<std::string> all = {
       "+OK\r\n",
       "-ERR no\r\n",
@@ -174,21 +179,21 @@
   return all;
 }
 
-TEST(RespReplies, EveryTypeCutAnywhere) {
-  for (const auto& text : whole_replies()) {
+TEST(RespReplyReaderTest, ParsesEveryTypeSplitAnywhere) {
+  for (const auto& text : valid_replies()) {
     const char type = text[0] == '|' ? '$' : text[0];
     const std::string expected = std::string("[") + type + " " + text + "]";
     for (std::size_t step = 1; step <= text.size(); ++step) {
       EXPECT_EQ(replies(text, step), expected) << "in pieces of " << step;
       EXPECT_EQ(replies(text + text, step), expected + expected) << "in pieces of " << step;
     }
-    EXPECT_TRUE(parse_reply(text, small())) << text;
-    EXPECT_FALSE(parse_reply(text + "+", small())) << text;
-    EXPECT_FALSE(parse_reply(text.substr(0, text.size() - 1), small())) << text;
+    EXPECT_TRUE(parse_reply(text, small_bounds())) << text;
+    EXPECT_FALSE(parse_reply(text + "+", small_bounds())) << text;
+    EXPECT_FALSE(parse_reply(text.substr(0, text.size() - 1), small_bounds())) << text;
   }
 }
 
-TEST(RespReplies, WhatMakesNoSenseIsMalformed) {
+TEST(RespReplyReaderTest, RejectsMalformedReplies) {
   for (const std::string text : {"hello\r\n",
                                  "\r\n",
                                  ":x\r\n",
@@ -224,7 +229,7 @@
                                  "*99999999999999999999\r\n"}) {
     for (std::size_t step = 1; step <= text.size(); ++step)
       EXPECT_EQ(replies(text, step), "malformed") << text << " in pieces of " << step;
-    EXPECT_FALSE(parse_reply(text, small())) << text;
+    EXPECT_FALSE(parse_reply(text, small_bounds())) << text;
   }
   EXPECT_EQ(replies("+" + std::string(200, 'x'), 9), "malformed");
   std::string sum = "*20\r\n";
@@ -232,8 +237,9 @@
   EXPECT_EQ(replies(sum, 9), "malformed");
 }
 
-TEST(RespReplies, AsATree) {
-  const auto v = parse_reply("*4\r\n$3\r\nabc\r\n:-5\r\n%1\r\n+k\r\n_\r\n!5\r\nERR x\r\n", small());
+TEST(RespReplyTest, ParsesAReplyIntoATree) {
+  const auto v =
+      parse_reply("*4\r\n$3\r\nabc\r\n:-5\r\n%1\r\n+k\r\n_\r\n!5\r\nERR x\r\n", small_bounds());
   ASSERT_TRUE(v);
   ASSERT_EQ(v->items.size(), 4u);
   EXPECT_EQ(v->items[0].text, "abc");
@@ -243,14 +249,14 @@
   EXPECT_TRUE(v->items[2].items[1].null);
   EXPECT_TRUE(v->items[3].is_error());
   EXPECT_EQ(v->items[3].text, "ERR x");
-  EXPECT_EQ(parse_reply("=7\r\ntxt:abc\r\n", small())->text, "abc");
-  const auto attributed = parse_reply("|1\r\n+ttl\r\n:9\r\n$1\r\nx\r\n", small());
+  EXPECT_EQ(parse_reply("=7\r\ntxt:abc\r\n", small_bounds())->text, "abc");
+  const auto attributed = parse_reply("|1\r\n+ttl\r\n:9\r\n$1\r\nx\r\n", small_bounds());
   ASSERT_TRUE(attributed);
   EXPECT_EQ(attributed->text, "x");
   EXPECT_EQ(attributed->wire, "$1\r\nx\r\n");
 }
 
-TEST(RespReplies, WhatIsWrittenIsRead) {
+TEST(RespReplyTest, ParsesSerializedValues) {
   for (const int version : {2, 3}) {
     std::string out;
     append_map(out, 2, version);
@@ -260,7 +266,7 @@
     append_array(out, 2);
     append_null(out, version);
     append_error(out, "ERR one\r\nline");
-    const auto v = parse_reply(out, small());
+    const auto v = parse_reply(out, small_bounds());
     ASSERT_TRUE(v) << version;
     EXPECT_EQ(v->type, version == 2 ? Type::kArray : Type::kMap);
     ASSERT_EQ(v->items.size(), 4u);
@@ -270,15 +276,15 @@
   }
 }
 
-// Trees drawn at random are read back as they were written, however they are cut.
-TEST(RespReplies, RandomTrees) {
+// Random trees are parsed as they were serialized, regardless of how the input is split.
+TEST(RespReplyTest, ParsesRandomTrees) {
   const Bounds bounds{.bulk = 64, .elements = 4096, .total = 1 << 20, .line = 80, .depth = 8};
   for (std::uint32_t seed = 1; seed <= 300; ++seed) {
     SCOPED_TRACE(seed);
     std::mt19937 random(seed);
     std::string all;
     std::size_t values = 0;
-    const std::function<void(int)> draw = [&](int depth) {
+    const std::function<void(int)> append_random = [&](int depth) {
       ++values;
       switch (random() % (depth > 0 ? 9u : 6u)) {
         case 0:
@@ -299,25 +305,25 @@
           const int version = random() % 2 ? 2 : 3;
           if (random() % 2) {
             append_array(all, n);
-            for (auto i = n; i > 0; --i) draw(depth - 1);
+            for (auto i = n; i > 0; --i) append_random(depth - 1);
           } else {
             append_map(all, n, version);
-            for (auto i = 2 * n; i > 0; --i) draw(depth - 1);
+            for (auto i = 2 * n; i > 0; --i) append_random(depth - 1);
           }
         }
       }
     };
-    draw(6);
-    const auto whole = parse_reply(all, bounds);
-    ASSERT_TRUE(whole);
+    append_random(6);
+    const auto root = parse_reply(all, bounds);
+    ASSERT_TRUE(root);
     std::size_t counted = 0;
     const std::function<void(const Value&)> count = [&](const Value& v) {
       ++counted;
       for (const Value& item : v.items) count(item);
     };
-    count(*whole);
+    count(*root);
     EXPECT_EQ(counted, values);
-    EXPECT_EQ(whole->wire, all);
+    EXPECT_EQ(root->wire, all);
     EXPECT_EQ(replies(all, 1 + random() % 13, bounds), replies(all, all.size(), bounds));
   }
 }
--- a/tests/seal_test.cc
+++ b/tests/seal_test.cc
@@ -1,4 +1,4 @@
-// Keys, seals and replays; and the datagrams inside.
+// Tests of sealing, key rotation and replay protection, and of the codec of group datagrams.
 #include "proto/seal.h"
 
 #include <gtest/gtest.h>
@@ -30,7 +30,7 @@
   EXPECT_EQ(sealed.size(), 4 + kSealedOverhead);
   EXPECT_EQ(ring.open(now, sealed), "text");
   EXPECT_EQ(other.open(now, sealed), std::nullopt);
-  EXPECT_NE(ring.seal(now, "text"), sealed) << "the same nonce twice";
+  EXPECT_NE(ring.seal(now, "text"), sealed) << "a nonce was used twice";
   for (std::size_t i = 0; i < sealed.size(); ++i) {
     std::string changed = sealed;
     changed[i] ^= 1;
@@ -41,9 +41,9 @@
   EXPECT_EQ(ring.open(now, ring.seal(now, "")), "");
 }
 
-// Members read the new key one after the other within the time for it: nobody is ever not
-// understood.
-TEST(SealTest, OpensEveryDatagramWhileMembersChangeTheKeyInTurn) {
+// Members read the new key one after the other within the change time. At no time may a member
+// reject another member's datagram.
+TEST(SealTest, AcceptsEveryDatagramDuringAKeyRotation) {
   const Duration change = seconds(30);
   std::vector<KeyRing> members(5, KeyRing({key(1)}, change));
   for (int t = 0; t < 120; ++t) {
@@ -56,25 +56,24 @@
   const KeyRing old({key(1)}, change);
   const Time later{seconds(100 + 120)};
   EXPECT_EQ(members[0].open(later, old.seal(later, "x")), std::nullopt)
-      << "the old key still opens";
+      << "the old key is still accepted";
 }
 
-// Half of the group never hears of the new key: they part when the old one's time is over, not
-// before.
-TEST(SealTest, SeparatesMembersThatLackTheNewKeyOnlyAfterTheChange) {
-  KeyRing with({key(1)}, seconds(30)), without({key(1)}, seconds(30));
+// A member that never reads the new key can communicate with the others until the old key expires.
+TEST(SealTest, RejectsMembersWithoutTheNewKeyOnlyAfterTheChangeTime) {
+  KeyRing updated({key(1)}, seconds(30)), outdated({key(1)}, seconds(30));
   const Time at{seconds(100)};
-  with.reload(at, {key(2)});
-  EXPECT_TRUE(without.open(at + seconds(29), with.seal(at + seconds(29), "x")));
-  EXPECT_FALSE(without.open(at + seconds(31), with.seal(at + seconds(31), "x")));
-  EXPECT_TRUE(with.open(at + seconds(59), without.seal(at, "x")));
-  EXPECT_FALSE(with.open(at + seconds(61), without.seal(at, "x")));
+  updated.reload(at, {key(2)});
+  EXPECT_TRUE(outdated.open(at + seconds(29), updated.seal(at + seconds(29), "x")));
+  EXPECT_FALSE(outdated.open(at + seconds(31), updated.seal(at + seconds(31), "x")));
+  EXPECT_TRUE(updated.open(at + seconds(59), outdated.seal(at, "x")));
+  EXPECT_FALSE(updated.open(at + seconds(61), outdated.seal(at, "x")));
 }
 
-TEST(SealTest, ReadsKeyFilesAndNamesTheLineOfAnError) {
+TEST(SealTest, ReadsKeyFilesAndReportsTheLineOfAnError) {
   char name[] = "/tmp/balancer-keys-XXXXXX";
   ::close(::mkstemp(name));
-  const auto fault = [&](const std::string& text) {
+  const auto result = [&](const std::string& text) {
     std::ofstream(name, std::ios::trunc) << text;
     try {
       return std::to_string(read_keys(name).size());
@@ -83,14 +82,14 @@
     }
   };
   const std::string good(64, 'a');
-  EXPECT_EQ(fault("# ours\n" + good + "\r\n\n" + std::string(64, '0') + "\n"), "2");
-  EXPECT_EQ(fault(""), ": holds no key");
-  EXPECT_EQ(fault(good + "\n" + good + "b\n"), ":2: is no key of 64 hexadecimal digits");
-  EXPECT_EQ(fault(std::string(62, 'a')), ":1: is no key of 64 hexadecimal digits");
-  EXPECT_EQ(fault(std::string(64, 'x')), ":1: is no key of 64 hexadecimal digits");
+  EXPECT_EQ(result("# comment\n" + good + "\r\n\n" + std::string(64, '0') + "\n"), "2");
+  EXPECT_EQ(result(""), ": contains no keys");
+  EXPECT_EQ(result(good + "\n" + good + "b\n"), ":2: expected a key of 64 hexadecimal digits");
+  EXPECT_EQ(result(std::string(62, 'a')), ":1: expected a key of 64 hexadecimal digits");
+  EXPECT_EQ(result(std::string(64, 'x')), ":1: expected a key of 64 hexadecimal digits");
   std::string many;
   for (int i = 0; i < 9; ++i) many += good + "\n";
-  EXPECT_EQ(fault(many), ":9: is one key too many");
+  EXPECT_EQ(result(many), ":9: too many keys, at most 8 are allowed");
   std::remove(name);
   EXPECT_THROW(read_keys(name), FileError);
 }
@@ -103,14 +102,14 @@
   EXPECT_TRUE(guard.accept("a", 1, 999));
   EXPECT_FALSE(guard.accept("a", 1, 999));
   EXPECT_TRUE(guard.accept("a", 1, 874));
-  EXPECT_FALSE(guard.accept("a", 1, 873)) << "behind the window";
+  EXPECT_FALSE(guard.accept("a", 1, 873)) << "older than the window";
   EXPECT_TRUE(guard.accept("b", 1, 1000)) << "another sender";
   EXPECT_FALSE(guard.accept("a", 0, 5000)) << "an earlier incarnation";
   EXPECT_TRUE(guard.accept("a", 2, 1));
   EXPECT_FALSE(guard.accept("a", 1, 1002));
 }
 
-TEST(ReplayGuardTest, AcceptsInAnyOrderWhatASetWouldAccept) {
+TEST(ReplayGuardTest, MatchesAReferenceModelForRandomSequences) {
   for (unsigned seed = 1; seed <= 50; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(seed);
@@ -122,28 +121,28 @@
     for (int i = 0; i < 3000; ++i) {
       const std::uint64_t n = random() % 3 == 0 ? newest + random() % 150
                                                 : newest - std::min(newest - 1, random() % 140);
-      const bool fresh = (n > newest || newest - n < 128) && seen.count(n) == 0;
-      ASSERT_EQ(guard.accept("a", 1, n), fresh) << n << " after " << newest;
+      const bool is_new = (n > newest || newest - n < 128) && seen.count(n) == 0;
+      ASSERT_EQ(guard.accept("a", 1, n), is_new) << n << " after " << newest;
       seen.insert(n);
       newest = std::max(newest, n);
     }
   }
 }
 
-// A group's members are replaced all the time. Those that have gone must not keep new ones out, and
-// those that still speak must not be forgotten for them.
-TEST(ReplayGuardTest, ForgetsTheSenderThatWasSilentForLongest) {
+// Members of a group are replaced over time. Former members must not keep new members out, and
+// active members must not be evicted in their place.
+TEST(ReplayGuardTest, EvictsTheSenderThatWasSilentForLongest) {
   ReplayGuard guard(3);
   EXPECT_TRUE(guard.accept("a", 1, 1));
   EXPECT_TRUE(guard.accept("b", 1, 1));
   EXPECT_TRUE(guard.accept("c", 1, 1));
   EXPECT_TRUE(guard.accept("a", 1, 2)) << "b has been silent for longest now";
-  EXPECT_FALSE(guard.accept("b", 1, 1)) << "a replay is no sign of incarnation";
+  EXPECT_FALSE(guard.accept("b", 1, 1)) << "a replay must not count as activity";
   EXPECT_TRUE(guard.accept("d", 1, 1));
   EXPECT_FALSE(guard.accept("a", 1, 2));
   EXPECT_FALSE(guard.accept("c", 1, 1));
   EXPECT_FALSE(guard.accept("d", 1, 1));
-  EXPECT_TRUE(guard.accept("b", 1, 1)) << "forgotten, and taken as it comes";
+  EXPECT_TRUE(guard.accept("b", 1, 1)) << "evicted, so accepted like an unknown sender";
 }
 
 TEST(ReplayGuardTest, RemembersEveryMemberOfTheLargestGroup) {
@@ -200,11 +199,11 @@
                                   {8, "n2"},
                                   {7, "n1"},
                                   {2, {"a", "b"}},
-                                  "because"});
+                                  "a reason"});
   return all;
 }
 
-TEST(GroupWireTest, DecodesWhatItEncoded) {
+TEST(GroupWireTest, RoundTripsEveryType) {
   for (const Datagram& d : samples()) {
     const auto read = decode(encode(d));
     ASSERT_TRUE(read);
@@ -234,19 +233,20 @@
 TEST(GroupWireTest, RejectsMalformedInput) {
   EXPECT_FALSE(decode(""));
   EXPECT_FALSE(decode("nonsense"));
-  auto bad = [](auto&& change) {
+  auto is_rejected = [](auto&& change) {
     Datagram d = samples()[1];
     change(d, std::get<lease::VoteRequest>(d.body));
     return !decode(encode(d)).has_value();
   };
-  EXPECT_FALSE(bad([](auto&, auto&) {}));
-  EXPECT_TRUE(bad([](auto& d, auto&) { d.sender.clear(); }));
-  EXPECT_TRUE(bad([](auto& d, auto&) { d.sender = "a\nb"; }));
-  EXPECT_TRUE(bad([](auto& d, auto&) { d.sequence = 0; }));
-  EXPECT_TRUE(bad([](auto&, auto& a) { a.address.clear(); }));
-  EXPECT_TRUE(bad([](auto&, auto& a) { a.address = std::string(65, 'x'); }));
-  EXPECT_TRUE(bad([](auto&, auto& a) { a.kind = static_cast<lease::VoteRequest::Kind>(9); }));
-  EXPECT_TRUE(bad([](auto&, auto& a) { a.successor = "\x7f"; }));
+  EXPECT_FALSE(is_rejected([](auto&, auto&) {}));
+  EXPECT_TRUE(is_rejected([](auto& d, auto&) { d.sender.clear(); }));
+  EXPECT_TRUE(is_rejected([](auto& d, auto&) { d.sender = "a\nb"; }));
+  EXPECT_TRUE(is_rejected([](auto& d, auto&) { d.sequence = 0; }));
+  EXPECT_TRUE(is_rejected([](auto&, auto& a) { a.address.clear(); }));
+  EXPECT_TRUE(is_rejected([](auto&, auto& a) { a.address = std::string(65, 'x'); }));
+  EXPECT_TRUE(
+      is_rejected([](auto&, auto& a) { a.kind = static_cast<lease::VoteRequest::Kind>(9); }));
+  EXPECT_TRUE(is_rejected([](auto&, auto& a) { a.successor = "\x7f"; }));
   Datagram unsorted = samples()[5];
   std::get<lease::ReconfigurationReply>(unsorted.body).voters.names = {"b", "a"};
   EXPECT_FALSE(decode(encode(unsorted)));
