--- a/tests/mixed_versions_test.cc
+++ b/tests/mixed_versions_test.cc
@@ -155,7 +155,7 @@
     for (std::size_t i = 1; i < programs.size(); ++i) {
       auto next = start(programs[i], std::to_string(i));
       ASSERT_TRUE(next);
-      EXPECT_NE(next->log().find("takes the place of a process that serves"), std::string::npos)
+      EXPECT_NE(next->log().find("hot restart: predecessor answered"), std::string::npos)
           << next->log();
       current->terminate();
       ASSERT_TRUE(run_until(io, [&] { return current->exited(); })) << current->log();
