--- a/src/cluster/commands.h
+++ b/src/cluster/commands.h
@@ -7,47 +7,48 @@
 
 #include "proto/resp.h"
 
-// The data commands of the public reference (redis.io/docs/latest/commands): how many words each
-// has, which of them are keys, and whether it writes.
+// The commands of the public reference (redis.io/docs/latest/commands): arity, positions of the
+// keys, and whether a command writes. A command's words are its name and its arguments.
 namespace balancer::cluster {
 
 enum class Kind {
   kRead,
   kWrite,
-  kBlocking,   // holds the connection until something happens
-  kSubscribe,  // turns the connection into a stream of messages
-  kAdmin,      // of a server, not of keys
+  kBlocking,   // occupies the connection until an event occurs
+  kSubscribe,  // publishes messages, or turns the connection into a stream of them
+  kAdmin,      // concerns the server rather than keys
 };
 
+// How the replies of a command that is split by slot are joined.
 enum class Split {
-  kNone,
-  kGet,
-  kSet,
-  kCount
-};  // how its answers are joined, if it is split by slot
+  kNone,  // the command is not split
+  kGet,   // arrays, joined in the order of the keys
+  kSet,   // the first reply stands for all
+  kCount  // integers, added up
+};
 
 struct CommandInfo {
   std::string_view name;  // upper case
   Kind kind;
-  int arity;  // words, its name included; negative: at least so many
-  int first_key = 0, last_key = 0, step = 0;  // word numbers; last negative: from the end
-  int count_at = 0;  // the word that tells how many keys follow it; 0: none
+  int arity;  // number of words, as in COMMAND INFO; negative: the minimum
+  int first_key = 0, last_key = 0, step = 0;  // word indexes; last_key < 0: from the end
+  int key_count_index = 0;  // index of the word with the number of keys that follow it; 0: none
   Split split = Split::kNone;
 };
 
-// Nothing if the command is not known.
+// Returns nullptr for an unknown command.
 const CommandInfo* find_command(std::string_view name);
 const std::vector<CommandInfo>& all_commands();
 
-// Whether the command has as many words as it may.
+// Whether the command may have this number of words, its name included.
 bool arity_fits(const CommandInfo& info, std::size_t words);
-// The word numbers of its keys; nothing if they cannot be told.
+// Returns the word indexes of the command's keys; nullopt if its syntax is invalid.
 std::optional<std::vector<std::size_t>> keys_of(const CommandInfo& info,
                                                 const resp::Command& command);
-// Whether this command, though not of the blocking kind, would wait (XREAD with BLOCK).
-bool blocks(const CommandInfo& info, const resp::Command& command);
+// Whether a command that is not of Kind::kBlocking would block (XREAD and XREADGROUP with BLOCK).
+bool would_block(const CommandInfo& info, const resp::Command& command);
 
-// ASCII only, as names of commands are.
+// Compares without regard to ASCII case; `upper` must be in upper case.
 bool same_word(std::string_view word, std::string_view upper);
 
 }  // namespace balancer::cluster
--- a/src/cluster/router.cc
+++ b/src/cluster/router.cc
@@ -13,13 +13,13 @@
 
 std::string_view first_word(std::string_view text) { return text.substr(0, text.find(' ')); }
 
-struct Named {
+struct Redirection {
   Slot slot;
   std::string address;
 };
 
 // "3999 127.0.0.1:6381"
-std::optional<Named> read_redirection(std::string_view text, std::string_view from) {
+std::optional<Redirection> parse_redirection(std::string_view text, std::string_view from) {
   std::uint32_t slot = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), slot);
   if (error != std::errc{} || slot >= kSlots) return std::nullopt;
@@ -29,9 +29,9 @@
   const auto colon = text.rfind(':');
   if (colon == std::string_view::npos || text.find(' ') != std::string_view::npos)
     return std::nullopt;
-  std::string address = address_of(text.substr(0, colon), text.substr(colon + 1), from);
+  std::string address = node_address(text.substr(0, colon), text.substr(colon + 1), from);
   if (address.empty()) return std::nullopt;
-  return Named{static_cast<Slot>(slot), std::move(address)};
+  return Redirection{static_cast<Slot>(slot), std::move(address)};
 }
 
 }  // namespace
@@ -44,34 +44,35 @@
 // ---- requests
 
 void Router::begin(RequestId request, Slot slot, Reads reads) {
-  trips_[request] = {slot, reads, std::nullopt, false, false, {}};
+  routes_[request] = {slot, reads, std::nullopt, false, false, {}};
 }
 
-void Router::begin_at(RequestId request, std::string_view node) {
+void Router::begin_at_node(RequestId request, std::string_view node) {
   begin(request, 0, Reads::kPrimary);
-  Trip& trip = trips_[request];
-  trip.next = table_.find(node);
-  trip.nowhere = !trip.next;
+  RequestRoute& route = routes_[request];
+  route.next = table_.find(node);
+  route.unavailable = !route.next;
 }
 
-Router::Verdict Router::later(Trip* trip) {
-  if (trip) trip->nowhere = true;
-  ++counters_.later;
-  return Verdict::kLater;
+Router::Verdict Router::mark_unavailable(RequestRoute* route) {
+  if (route) route->unavailable = true;
+  ++counters_.unavailable;
+  return Verdict::kUnavailable;
 }
 
-Router::Verdict Router::redirect(Trip& trip, NodeIndex from, NodeIndex to, bool ask) {
+Router::Verdict Router::redirect(RequestRoute& route, NodeIndex from, NodeIndex to, bool ask) {
   const std::pair hop(from, to);
-  const bool again = std::find(trip.hops.begin(), trip.hops.end(), hop) != trip.hops.end();
-  // One that names itself, or the same way a second time: to go on would only go round.
-  if (from == to || again) {
+  const bool repeated = std::find(route.hops.begin(), route.hops.end(), hop) != route.hops.end();
+  // A node that names itself, or a hop that repeats, is a redirection loop.
+  if (from == to || repeated) {
     ++counters_.loops;
-    return later(&trip);
+    return mark_unavailable(&route);
   }
-  if (trip.hops.size() >= static_cast<std::size_t>(settings_.max_redirections)) return later(&trip);
-  trip.hops.push_back(hop);
-  trip.next = to;
-  trip.ask = ask;
+  if (route.hops.size() >= static_cast<std::size_t>(settings_.max_redirections))
+    return mark_unavailable(&route);
+  route.hops.push_back(hop);
+  route.next = to;
+  route.ask = ask;
   return Verdict::kRedirected;
 }
 
@@ -79,52 +80,54 @@
                                  std::string_view error) {
   const auto word = first_word(error);
   const bool moved = word == "MOVED", ask = word == "ASK";
-  const bool wait = word == "TRYAGAIN" || word == "CLUSTERDOWN" || word == "LOADING";
-  const bool elsewhere = word == "READONLY" || word == "MASTERDOWN";
-  if (!moved && !ask && !wait && !elsewhere) return Verdict::kAnswer;
-  if (word != "TRYAGAIN" && !ask) want_refresh();
-  const auto it = trips_.find(request);
+  const bool unavailable_now = word == "TRYAGAIN" || word == "CLUSTERDOWN" || word == "LOADING";
+  const bool is_replica = word == "READONLY" || word == "MASTERDOWN";
+  if (!moved && !ask && !unavailable_now && !is_replica) return Verdict::kAnswer;
+  if (word != "TRYAGAIN" && !ask) request_refresh();
+  const auto it = routes_.find(request);
   const auto at = table_.find(from);
-  if (it == trips_.end()) return later(nullptr);
-  Trip& trip = it->second;
-  if (wait || !at) return later(&trip);
-  if (elsewhere) {
-    // A replica that does not take this: the owner does, where it is another by now.
-    const auto owner = table_.owner(trip.slot);
-    if (!owner || *owner == *at) return later(&trip);
-    return redirect(trip, *at, *owner, false);
+  if (it == routes_.end()) return mark_unavailable(nullptr);
+  RequestRoute& route = it->second;
+  if (unavailable_now || !at) return mark_unavailable(&route);
+  if (is_replica) {
+    // The node is a replica and rejects the command. Goes to the slot's owner if that is another
+    // node.
+    const auto owner = table_.owner(route.slot);
+    if (!owner || *owner == *at) return mark_unavailable(&route);
+    return redirect(route, *at, *owner, false);
   }
-  const auto named = read_redirection(error.substr(std::min(error.size(), word.size() + 1)), from);
-  if (!named) return Verdict::kSpoilt;
+  const auto redirection =
+      parse_redirection(error.substr(std::min(error.size(), word.size() + 1)), from);
+  if (!redirection) return Verdict::kMalformed;
   const std::size_t before = nodes().size();
-  const auto to = table_.add(named->address);
+  const auto to = table_.add(redirection->address);
   if (nodes().size() != before) ++revision_;
   if (moved) {
     ++counters_.moved;
-    best_informed_ = named->address;
-    // Only the owner's own word moves a slot; others may be behind.
-    if (to && named->slot == trip.slot) table_.moved(trip.slot, *at, *to);
+    last_moved_target_ = redirection->address;
+    // Only MOVED from the slot's known owner reassigns the slot; other nodes may be outdated.
+    if (to && redirection->slot == route.slot) table_.on_moved(route.slot, *at, *to);
   } else {
-    ++counters_.asked;
+    ++counters_.ask;
   }
-  if (!to) return later(&trip);
-  return redirect(trip, *at, *to, ask);
+  if (!to) return mark_unavailable(&route);
+  return redirect(route, *at, *to, ask);
 }
 
-void Router::on_broken(std::string_view node) {
-  if (table_.find(node)) want_refresh();
+void Router::on_attempt_failed(std::string_view node) {
+  if (table_.find(node)) request_refresh();
 }
 
 bool Router::asking(RequestId request, std::string_view node) const {
-  const auto it = trips_.find(request);
-  if (it == trips_.end() || !it->second.ask) return false;
+  const auto it = routes_.find(request);
+  if (it == routes_.end() || !it->second.ask) return false;
   const auto at = table_.find(node);
   return at && it->second.next == at;
 }
 
 bool Router::reads_replica(RequestId request, std::string_view node) const {
-  const auto it = trips_.find(request);
-  if (it == trips_.end() || it->second.reads == Reads::kPrimary) return false;
+  const auto it = routes_.find(request);
+  if (it == routes_.end() || it->second.reads == Reads::kPrimary) return false;
   const auto at = table_.find(node);
   return at && table_.owner(it->second.slot) != at;
 }
@@ -158,13 +161,13 @@
     const auto host = host_of(node);
     return host && accept(*host);
   };
-  const auto it = trips_.find(request);
-  if (it != trips_.end() && it->second.nowhere) return false;
-  if (it != trips_.end() && it->second.next) return offer(*it->second.next);
+  const auto it = routes_.find(request);
+  if (it != routes_.end() && it->second.unavailable) return false;
+  if (it != routes_.end() && it->second.next) return offer(*it->second.next);
   const Slot slot = static_cast<Slot>(point & kSlotMask);
   const auto owner = table_.owner(slot);
   if (!owner) {
-    // Nobody knows yet: any node names the owner, or says that there is none.
+    // The owner is unknown: any node redirects to it or reports that the slot is unassigned.
     const auto& nodes = table_.nodes();
     for (std::size_t i = 0; i < nodes.size(); ++i) {
       const auto n = static_cast<NodeIndex>((request + i) % nodes.size());
@@ -172,10 +175,10 @@
     }
     return false;
   }
-  const Reads reads = it == trips_.end() ? Reads::kPrimary : it->second.reads;
+  const Reads reads = it == routes_.end() ? Reads::kPrimary : it->second.reads;
   const auto& replicas = table_.nodes()[*owner].replicas;
   if (reads == Reads::kPrimary || replicas.empty()) return offer(*owner);
-  // In turn by the request's number.
+  // Rotates the nodes by the request's id.
   std::vector<NodeIndex> order = replicas;
   if (reads == Reads::kAny) order.push_back(*owner);
   std::rotate(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(request % order.size()),
@@ -189,8 +192,8 @@
 
 std::optional<Time> Router::refresh_at() const {
   if (refreshing_) return std::nullopt;
-  Duration wait =
-      wanted_ || failed_refreshes_ > 0 ? settings_.refresh_interval : settings_.refresh_every;
+  Duration wait = refresh_requested_ || failed_refreshes_ > 0 ? settings_.refresh_interval
+                                                              : settings_.refresh_every;
   for (int i = 0; i < failed_refreshes_ && wait < settings_.refresh_backoff; ++i) wait *= 2;
   if (failed_refreshes_ > 0) wait = std::min(wait, settings_.refresh_backoff);
   return last_refresh_ + wait;
@@ -198,16 +201,16 @@
 
 std::string Router::begin_refresh(Time now) {
   refreshing_ = true;
-  wanted_ = false;
+  refresh_requested_ = false;
   last_refresh_ = now;
   ++counters_.refreshes;
-  // The node that the last MOVED named knows most; else each in turn, and the seeds where all that
-  // was learnt since does not answer.
-  if (!best_informed_.empty()) return std::exchange(best_informed_, {});
+  // The node that the last MOVED named is likely to have the newest slot map. Otherwise queries the
+  // known nodes and the seeds in turn; the seeds help if none of the known nodes answers.
+  if (!last_moved_target_.empty()) return std::exchange(last_moved_target_, {});
   const auto known = nodes();
   const std::size_t all = known.size() + settings_.seeds.size();
   if (all == 0) return {};
-  const std::size_t i = turn_++ % all;
+  const std::size_t i = next_refresh_index_++ % all;
   return i < known.size() ? known[i] : settings_.seeds[i - known.size()];
 }
 
@@ -223,8 +226,8 @@
   const auto before = nodes();
   table_.merge(*view);
   if (nodes() != before) ++revision_;
-  // Slots that nobody is known to own are asked for again, where the cluster has any.
-  if (table_.assigned() == 0) wanted_ = true;
+  // As long as no slot has an owner, requests the next refresh after the minimum interval.
+  if (table_.assigned() == 0) refresh_requested_ = true;
 }
 
 std::vector<std::string> Router::nodes() const {
--- a/src/cluster/router.h
+++ b/src/cluster/router.h
@@ -15,104 +15,108 @@
 namespace balancer::cluster {
 
 struct RouterSettings {
-  std::vector<std::string> seeds;  // "host:port"; asked for the slots first
+  std::vector<std::string> seeds;  // "host:port"; queried for the slots first
   std::size_t max_nodes = 2048;
   int max_redirections = 5;  // per request
-  // Between two refreshes of the slots, at least; after failed ones it doubles, up to the other.
+  // Minimum time between two refreshes of the slots. Doubles after each failed refresh, up to
+  // `refresh_backoff`.
   Duration refresh_interval = std::chrono::milliseconds(100);
   Duration refresh_backoff = std::chrono::seconds(5);
-  Duration refresh_every = std::chrono::seconds(10);  // where nothing calls for one
+  Duration refresh_every = std::chrono::seconds(10);  // if nothing requests one earlier
 };
 
 // Which nodes may serve a request.
 enum class Reads {
-  kPrimary,  // its slot's owner
-  kReplica,  // its replicas in turn; the owner only where none is known
+  kPrimary,  // the owner of its slot
+  kReplica,  // the owner's replicas in turn; the owner only if no replica is known
   kAny,      // owner and replicas in turn
 };
 
-// The placement of a cluster: a slot table, the redirections of the requests under way, and when
-// the table is to be asked for again. Follows the redirections of the public cluster specification.
+// The placement of a cluster. Holds the slot table and the redirections of the requests in flight,
+// and determines when the table is refreshed. Follows redirections as the public cluster
+// specification defines.
 class Router : public Placement {
  public:
   explicit Router(RouterSettings settings);
 
-  // ---- requests, by the number that the policy knows them by
+  // ---- requests, identified by the policy's request id
 
   void begin(RequestId request, Slot slot, Reads reads);
-  // One that is for this node and no other.
-  void begin_at(RequestId request, std::string_view node);
-  void end(RequestId request) { trips_.erase(request); }
+  // Begins a request that only this node may serve.
+  void begin_at_node(RequestId request, std::string_view node);
+  void end(RequestId request) { routes_.erase(request); }
 
   enum class Verdict {
-    kAnswer,      // not the cluster's: the client's answer
-    kRedirected,  // nothing ran; walk() now offers the node that was named, and only that
-    kLater,       // nothing ran, and there is nowhere to go on to now: walk() offers nothing
-    kSpoilt,      // a redirection that cannot be read: proves nothing
+    kAnswer,       // not a cluster error: the client's answer
+    kRedirected,   // nothing ran; walk() now offers only the node that was named
+    kUnavailable,  // nothing ran, and no node can serve it now; walk() offers none
+    kMalformed,    // a redirection that cannot be parsed: it may have run
   };
-  // A whole error reply of `from`, without its type and line end.
+  // Interprets a complete error reply of `from`, given without its type byte and line end.
   Verdict on_error(Time now, RequestId request, std::string_view from, std::string_view error);
-  // An attempt at `node` found no connection, broke off or timed out: its slots may have moved.
-  void on_broken(std::string_view node);
-  // Whether the request's attempt at `node` must say ASKING first.
+  // Requests a refresh after an attempt at `node` failed to connect, was reset or timed out: its
+  // slots may have moved.
+  void on_attempt_failed(std::string_view node);
+  // Whether ASKING must be sent before the request's attempt at `node`.
   bool asking(RequestId request, std::string_view node) const;
-  // Whether it must say READONLY first.
+  // Whether READONLY must be sent before it.
   bool reads_replica(RequestId request, std::string_view node) const;
 
   // ---- Placement
 
   void insert(const std::vector<PlacedHost>& members) override;
   void erase(const std::set<Host>& hosts) override;
-  std::uint64_t point(std::string_view key) const override;  // its slot in the low 14 bits
+  std::uint64_t point(std::string_view key) const override;  // the key's slot in the low 14 bits
   bool keys_are_sticky() const override { return true; }
   bool walk(std::uint64_t point, RequestId request, Accept accept) const override;
 
   // ---- the slots
 
-  // When the next refresh may begin; nothing while one is under way.
+  // Returns when the next refresh is due; nullopt while one is in progress.
   std::optional<Time> refresh_at() const;
-  // Returns the node to ask.
+  // Returns the address of the node to query; empty if no node is known.
   std::string begin_refresh(Time now);
-  // `view`: nothing if the node could not be asked.
+  // Merges the view that the node returned; nullopt if the query failed.
   void end_refresh(Time now, const std::optional<View>& view);
 
-  // Goes up whenever nodes came or went.
+  // Increases whenever a node is added or removed.
   std::uint64_t revision() const { return revision_; }
   std::vector<std::string> nodes() const;
   const SlotTable& table() const { return table_; }
 
   struct Counters {
-    std::uint64_t moved = 0, asked = 0, later = 0, loops = 0, refreshes = 0, refreshes_failed = 0;
+    std::uint64_t moved = 0, ask = 0, unavailable = 0, loops = 0, refreshes = 0,
+                  refreshes_failed = 0;
   };
   const Counters& counters() const { return counters_; }
 
  private:
-  struct Trip {
+  struct RequestRoute {
     Slot slot;
     Reads reads;
-    std::optional<NodeIndex> next;  // named by a redirection
-    bool ask = false;               // and by ASK
-    bool nowhere = false;           // there is nowhere to go on to
+    std::optional<NodeIndex> next;  // named by the last redirection
+    bool ask = false;               // that redirection was ASK
+    bool unavailable = false;       // no node can serve the request now
     std::vector<std::pair<NodeIndex, NodeIndex>> hops;
   };
 
-  Verdict redirect(Trip& trip, NodeIndex from, NodeIndex to, bool ask);
-  Verdict later(Trip* trip);
-  void want_refresh() { wanted_ = true; }
+  Verdict redirect(RequestRoute& route, NodeIndex from, NodeIndex to, bool ask);
+  Verdict mark_unavailable(RequestRoute* route);
+  void request_refresh() { refresh_requested_ = true; }
   std::optional<Host> host_of(NodeIndex node) const;
 
   const RouterSettings settings_;
   SlotTable table_;
-  std::vector<std::optional<Host>> hosts_;  // the policy's, by node
-  std::unordered_map<RequestId, Trip> trips_;
+  std::vector<std::optional<Host>> hosts_;  // the policy's host, by node index
+  std::unordered_map<RequestId, RequestRoute> routes_;
   std::uint64_t revision_ = 1;
 
-  bool wanted_ = true;
+  bool refresh_requested_ = true;
   bool refreshing_ = false;
   Time last_refresh_{0};
-  int failed_refreshes_ = 0;   // in a row
-  std::size_t turn_ = 0;       // whom to ask next
-  std::string best_informed_;  // named by the last MOVED
+  int failed_refreshes_ = 0;            // consecutive
+  std::size_t next_refresh_index_ = 0;  // round-robin position for the next refresh
+  std::string last_moved_target_;       // node named by the last MOVED; queried by the next refresh
   Counters counters_;
 };
 
--- a/src/cluster/slot_table.cc
+++ b/src/cluster/slot_table.cc
@@ -48,7 +48,7 @@
   bool changed = false;
   for (Node& n : nodes_) n.listed = false;
   std::vector<NodeIndex> primaries(view.shards.size(), kNone);
-  // All nodes first: whether a claimant knows an owner is asked below.
+  // Adds all nodes first: the slot loop below checks whether this view lists a slot's owner.
   for (std::size_t i = 0; i < view.shards.size(); ++i) {
     const Shard& shard = view.shards[i];
     const std::size_t before = by_address_.size();
@@ -87,8 +87,8 @@
   return drop_unlisted(view) || changed;
 }
 
-// A view that has heard of all that is known here, and names a node no more, tells that it has
-// gone.
+// Removes the nodes that own no slots and that the view does not list. Only a view whose epoch is
+// at least as new as that of every merged claim shows that they have left the cluster.
 bool SlotTable::drop_unlisted(const View& view) {
   if (view.epoch < epoch_ || view.shards.empty()) return false;
   bool dropped = false;
@@ -103,9 +103,9 @@
   return dropped;
 }
 
-bool SlotTable::moved(Slot slot, NodeIndex from, NodeIndex to) {
+bool SlotTable::on_moved(Slot slot, NodeIndex from, NodeIndex to) {
   if (slots_[slot].owner != from || from == to) return false;
-  // Its epoch is kept: what was claimed with it for the old owner does not come back.
+  // Keeps the slot's epoch, so that the old owner's claim with the same epoch does not win again.
   return assign(slot, to, slots_[slot].epoch);
 }
 
--- a/src/cluster/slot_table.h
+++ b/src/cluster/slot_table.h
@@ -12,32 +12,33 @@
 
 namespace balancer::cluster {
 
-// A node's place in the table; used again once the node is gone.
+// Index of a node in the table; reused after the node is removed.
 using NodeIndex = std::uint16_t;
 
-// Who owns which slot, as far as is known. Merges the claims of nodes that disagree: per slot the
-// newest configuration epoch wins, and an older one never overwrites it, unless its claimant has
-// heard of an epoch as new and does not know the owner any more. Where no epochs are told (0), the
-// last view wins.
+// The known owner of each slot. Merges the claims of nodes that disagree: per slot the claim with
+// the newest configuration epoch wins. A claim with an older epoch replaces it only if the claiming
+// view has seen an epoch at least as new and no longer lists the owner. Between claims without
+// epochs (0) the last view wins.
 class SlotTable {
  public:
-  // `max_nodes`: what is beyond is left out.
+  // Nodes beyond `max_nodes` are ignored.
   explicit SlotTable(std::size_t max_nodes) : max_nodes_(max_nodes) {}
 
   struct Node {
-    std::string address;  // empty: the place is free
+    std::string address;  // empty: the entry is unused
     std::vector<NodeIndex> replicas;
-    std::uint64_t epoch = 0;  // of what is known of it as a primary
-    std::uint32_t owned = 0;  // slots
-    bool listed = false;      // in the last view
+    std::uint64_t epoch = 0;  // newest configuration epoch reported for it as a primary
+    std::uint32_t owned = 0;  // number of slots that it owns
+    bool listed = false;      // by the view that was merged last
   };
 
-  // True if a slot changed its owner or a node came or went.
+  // Merges a view. Returns true if a slot changed its owner or a node was added or removed.
   bool merge(const View& view);
-  // The owner of the slot, asked, has named another. False if it was not its owner, or is the one
-  // that is named: then nothing is learnt from it.
-  bool moved(Slot slot, NodeIndex from, NodeIndex to);
-  // A node that no view has named yet; nothing if there is no room.
+  // Reassigns a slot after `from` answered MOVED and named `to`. Returns false and changes nothing
+  // if `from` does not own the slot or named itself.
+  bool on_moved(Slot slot, NodeIndex from, NodeIndex to);
+  // Adds a node that no view has named yet. Returns its index, or that of the known node; nullopt
+  // if the address is empty or the table is full.
   std::optional<NodeIndex> add(std::string_view address);
   std::optional<NodeIndex> find(std::string_view address) const;
 
@@ -61,7 +62,7 @@
   std::vector<Node> nodes_;
   std::map<std::string, NodeIndex, std::less<>> by_address_;
   std::size_t assigned_ = 0;
-  std::uint64_t epoch_ = 0;  // the newest of any claim taken
+  std::uint64_t epoch_ = 0;  // newest configuration epoch of all merged claims
 };
 
 }  // namespace balancer::cluster
--- a/src/cluster/view.cc
+++ b/src/cluster/view.cc
@@ -32,7 +32,7 @@
   return Range{static_cast<Slot>(*first), static_cast<Slot>(*last)};
 }
 
-// A number, which RESP2 may also have as a string.
+// Parses a number, which RESP2 may also send as a string.
 std::optional<std::uint64_t> count_of(const resp::Value& v) {
   if (v.null || !v.items.empty()) return std::nullopt;
   return number(v.text);
@@ -50,19 +50,19 @@
 
 }  // namespace
 
-std::string address_of(std::string_view host, std::string_view port, std::string_view from) {
+std::string node_address(std::string_view host, std::string_view port, std::string_view from) {
   const auto p = number(port);
   if (!p || *p == 0 || *p > 65535 || host == "?") return {};
   if (host.empty()) host = host_of(from);
   std::string address(host);
-  // An IPv6 address stands without brackets in answers.
+  // Replies contain IPv6 addresses without brackets.
   if (host.find(':') != std::string_view::npos && host.front() != '[')
     address = "[" + address + "]";
   return address + ":" + std::to_string(*p);
 }
 
 // Each line: id ip:port@cport[,name] flags primary ping pong epoch link slot...
-std::optional<View> read_nodes(std::string_view text, std::string_view from) {
+std::optional<View> parse_cluster_nodes(std::string_view text, std::string_view from) {
   View view;
   view.from = from;
   std::map<std::string_view, std::size_t> by_id;
@@ -76,7 +76,7 @@
     const auto colon = place.rfind(':');
     const auto epoch = number(words[6]);
     if (colon == std::string_view::npos || !epoch) continue;
-    const auto address = address_of(place.substr(0, colon), place.substr(colon + 1), from);
+    const auto address = node_address(place.substr(0, colon), place.substr(colon + 1), from);
     const auto flags = split(words[2], ',');
     const auto has = [&flags](std::string_view flag) {
       return std::find(flags.begin(), flags.end(), flag) != flags.end();
@@ -90,7 +90,7 @@
     if (!has("master") && !has("primary")) continue;
     Shard shard{address, {}, {}, *epoch};
     for (std::size_t i = 8; i < words.size(); ++i) {
-      if (words[i].empty() || words[i].front() == '[') continue;  // on its way to or from elsewhere
+      if (words[i].empty() || words[i].front() == '[') continue;  // a slot that is being migrated
       const auto dash = words[i].find('-');
       const auto range =
           dash == std::string_view::npos
@@ -109,8 +109,8 @@
 }
 
 // Each item: first, last, [host, port, id, ...] of the primary, then of each replica.
-std::optional<View> read_slots(const resp::Value& answer, std::string_view from,
-                               std::uint64_t epoch) {
+std::optional<View> parse_cluster_slots(const resp::Value& answer, std::string_view from,
+                                        std::uint64_t epoch) {
   if (answer.type != resp::Type::kArray || answer.null) return std::nullopt;
   View view{std::string(from), epoch, {}};
   std::map<std::string, std::size_t> by_primary;
@@ -121,7 +121,7 @@
     std::vector<std::string> nodes;
     for (std::size_t i = 2; i < item.items.size(); ++i) {
       const auto& node = item.items[i].items;
-      if (node.size() >= 2) nodes.push_back(address_of(text_of(&node[0]), node[1].text, from));
+      if (node.size() >= 2) nodes.push_back(node_address(text_of(&node[0]), node[1].text, from));
     }
     if (nodes.empty() || nodes.front().empty()) continue;
     const auto [it, fresh] = by_primary.try_emplace(nodes.front(), view.shards.size());
@@ -137,8 +137,8 @@
 }
 
 // Each item a map: slots [first, last, ...], nodes [maps with ip, port, role, health].
-std::optional<View> read_shards(const resp::Value& answer, std::string_view from,
-                                std::uint64_t epoch) {
+std::optional<View> parse_cluster_shards(const resp::Value& answer, std::string_view from,
+                                         std::uint64_t epoch) {
   if (answer.type != resp::Type::kArray || answer.null) return std::nullopt;
   View view{std::string(from), epoch, {}};
   for (const resp::Value& item : answer.items) {
@@ -152,14 +152,14 @@
     for (const resp::Value& node : nodes->items) {
       const auto port = field(node, "port");
       std::string address =
-          address_of(text_of(field(node, "ip")), port ? port->text : std::string_view(), from);
+          node_address(text_of(field(node, "ip")), port ? port->text : std::string_view(), from);
       if (address.empty()) continue;
       const auto role = text_of(field(node, "role"));
       if (role == "master" || role == "primary") {
         shard.primary = std::move(address);
       } else if (const auto health = text_of(field(node, "health"));
                  health.empty() || health == "online") {
-        // Others have failed, or are still loading what they would answer with.
+        // Replicas in any other state have failed or are still loading their data.
         shard.replicas.push_back(std::move(address));
       }
     }
@@ -168,7 +168,7 @@
   return view;
 }
 
-std::uint64_t read_epoch(std::string_view info) {
+std::uint64_t parse_current_epoch(std::string_view info) {
   constexpr std::string_view kName = "cluster_current_epoch:";
   for (std::string_view line : split(info, '\n')) {
     if (line.ends_with('\r')) line.remove_suffix(1);
--- a/src/cluster/view.h
+++ b/src/cluster/view.h
@@ -9,39 +9,41 @@
 #include "cluster/slots.h"
 #include "proto/resp.h"
 
-// What one node says of its cluster. Nodes may be behind, cut off, or lie: a view is a claim.
+// One node's view of its cluster. The node may be outdated, partitioned or wrong, so a view is a
+// claim.
 namespace balancer::cluster {
 
 struct Range {
-  Slot first = 0, last = 0;  // both included
+  Slot first = 0, last = 0;  // both inclusive
 };
 
-// A primary and what it holds, as the viewer has it.
+// A primary with its replicas and slots, as the reporting node sees them.
 struct Shard {
-  std::string primary;  // "host:port"; empty: none is known
+  std::string primary;  // "host:port"; empty: unknown
   std::vector<std::string> replicas;
   std::vector<Range> slots;
-  std::uint64_t epoch = 0;  // its configuration's; the view's own where that is not told
+  std::uint64_t epoch = 0;  // configuration epoch; the epoch of the view if the reply has none
 };
 
 struct View {
-  std::string from;         // the viewer's address
-  std::uint64_t epoch = 0;  // the newest that the viewer has heard of
+  std::string from;         // address of the reporting node
+  std::uint64_t epoch = 0;  // newest epoch that the reporting node has seen
   std::vector<Shard> shards;
 };
 
-// An address as it stands in answers; the viewer's own host where none is given, as the
-// specification has it. Empty if it makes no sense: "?", no port, or port 0.
-std::string address_of(std::string_view host, std::string_view port, std::string_view from);
-
-// Answers of CLUSTER NODES, SLOTS and SHARDS. Nothing if the answer as such cannot be read; entries
-// that make no sense are left out. The latter two tell no epochs, and take `epoch`.
-std::optional<View> read_nodes(std::string_view text, std::string_view from);
-std::optional<View> read_slots(const resp::Value& answer, std::string_view from,
-                               std::uint64_t epoch);
-std::optional<View> read_shards(const resp::Value& answer, std::string_view from,
-                                std::uint64_t epoch);
-// `cluster_current_epoch` of CLUSTER INFO; 0 if it is not there.
-std::uint64_t read_epoch(std::string_view info);
+// Returns the address "host:port" of a node that is named in a reply of `from`. An empty host
+// stands for the host of `from`, as the specification defines. Returns an empty string if the host
+// is "?" or the port is missing, 0 or out of range.
+std::string node_address(std::string_view host, std::string_view port, std::string_view from);
+
+// Parse replies to CLUSTER NODES, SLOTS and SHARDS. Return nullopt if the reply as a whole cannot
+// be parsed, and skip invalid entries. SLOTS and SHARDS report no epochs; their shards get `epoch`.
+std::optional<View> parse_cluster_nodes(std::string_view text, std::string_view from);
+std::optional<View> parse_cluster_slots(const resp::Value& answer, std::string_view from,
+                                        std::uint64_t epoch);
+std::optional<View> parse_cluster_shards(const resp::Value& answer, std::string_view from,
+                                         std::uint64_t epoch);
+// Returns `cluster_current_epoch` of a CLUSTER INFO reply; 0 if it is missing.
+std::uint64_t parse_current_epoch(std::string_view info);
 
 }  // namespace balancer::cluster
--- a/src/frontend/resp/cluster_commands.cc
+++ b/src/frontend/resp/cluster_commands.cc
@@ -2,8 +2,8 @@
 
 #include "frontend/resp/conversation.h"
 
-// What clients in cluster mode ask of the cluster and of its commands. Balancers that share a
-// listener's name tell clients that they are the cluster's nodes.
+// CLUSTER and COMMAND, which clients in cluster mode send. The balancer and the peers of its
+// listener present themselves to clients as the nodes of the cluster.
 namespace balancer {
 
 using cluster::CommandInfo;
@@ -25,7 +25,7 @@
   const auto is = [&](std::string_view word, std::size_t words) {
     return same_word(command[1], word) && command.size() == words;
   };
-  if (is("MYID", 2)) return bulk(front_.members_[front_.self_].id);
+  if (is("MYID", 2)) return bulk(front_.advertised_nodes_[front_.self_index_].id);
   if (is("KEYSLOT", 3)) return integer(cluster::slot_of(command[2]));
   if (is("INFO", 2)) return cluster_info();
   if (is("SLOTS", 2)) return cluster_slots();
@@ -35,7 +35,7 @@
 }
 
 std::string RespFront::Conversation::cluster_info() const {
-  const std::string nodes = std::to_string(front_.members_.size());
+  const std::string nodes = std::to_string(front_.advertised_nodes_.size());
   return bulk(
       "cluster_enabled:1\r\ncluster_state:ok\r\ncluster_slots_assigned:16384\r\n"
       "cluster_slots_ok:16384\r\ncluster_slots_pfail:0\r\ncluster_slots_fail:0\r\n"
@@ -46,8 +46,8 @@
 
 std::string RespFront::Conversation::cluster_slots() const {
   std::string out;
-  resp::append_array(out, front_.members_.size());
-  for (const Member& m : front_.members_) {
+  resp::append_array(out, front_.advertised_nodes_.size());
+  for (const AdvertisedNode& m : front_.advertised_nodes_) {
     resp::append_array(out, 3);
     resp::append_integer(out, m.first);
     resp::append_integer(out, m.last);
@@ -62,8 +62,8 @@
 
 std::string RespFront::Conversation::cluster_shards() const {
   std::string out;
-  resp::append_array(out, front_.members_.size());
-  for (const Member& m : front_.members_) {
+  resp::append_array(out, front_.advertised_nodes_.size());
+  for (const AdvertisedNode& m : front_.advertised_nodes_) {
     resp::append_map(out, 2, version_);
     resp::append_bulk(out, "slots");
     resp::append_array(out, 2);
@@ -72,29 +72,29 @@
     resp::append_bulk(out, "nodes");
     resp::append_array(out, 1);
     resp::append_map(out, 7, version_);
-    const auto pair = [&out](std::string_view key, std::string_view value) {
+    const auto append_pair = [&out](std::string_view key, std::string_view value) {
       resp::append_bulk(out, key);
       resp::append_bulk(out, value);
     };
-    pair("id", m.id);
+    append_pair("id", m.id);
     resp::append_bulk(out, "port");
     resp::append_integer(out, m.port);
-    pair("ip", m.host);
-    pair("endpoint", m.host);
-    pair("role", "master");
+    append_pair("ip", m.host);
+    append_pair("endpoint", m.host);
+    append_pair("role", "master");
     resp::append_bulk(out, "replication-offset");
     resp::append_integer(out, 0);
-    pair("health", "online");
+    append_pair("health", "online");
   }
   return out;
 }
 
 std::string RespFront::Conversation::cluster_nodes() const {
   std::string text;
-  for (std::size_t i = 0; i < front_.members_.size(); ++i) {
-    const Member& m = front_.members_[i];
+  for (std::size_t i = 0; i < front_.advertised_nodes_.size(); ++i) {
+    const AdvertisedNode& m = front_.advertised_nodes_[i];
     text += m.id + " " + m.host + ":" + std::to_string(m.port) + "@" + std::to_string(m.port) +
-            (i == front_.self_ ? " myself,master" : " master") + " - 0 0 1 connected " +
+            (i == front_.self_index_ ? " myself,master" : " master") + " - 0 0 1 connected " +
             std::to_string(m.first) + "-" + std::to_string(m.last) + "\n";
   }
   return bulk(text);
@@ -105,9 +105,9 @@
   resp::append_array(out, 6);
   resp::append_bulk(out, lower(info.name));
   resp::append_integer(out, info.arity);
-  resp::append_array(out, info.count_at > 0 && info.first_key == 0 ? 2 : 1);
+  resp::append_array(out, info.key_count_index > 0 && info.first_key == 0 ? 2 : 1);
   resp::append_simple(out, info.kind == Kind::kRead ? "readonly" : "write");
-  if (info.count_at > 0 && info.first_key == 0) resp::append_simple(out, "movablekeys");
+  if (info.key_count_index > 0 && info.first_key == 0) resp::append_simple(out, "movablekeys");
   resp::append_integer(out, info.first_key);
   resp::append_integer(out, info.last_key);
   resp::append_integer(out, info.step);
@@ -127,9 +127,9 @@
   if (same_word(command[1], "COUNT") && command.size() == 2)
     return integer(static_cast<std::int64_t>(data.size()));
   if (same_word(command[1], "INFO")) {
-    const std::size_t asked = command.size() - 2;
-    resp::append_array(out, asked > 0 ? asked : data.size());
-    for (std::size_t i = 0; i < asked; ++i) {
+    const std::size_t requested = command.size() - 2;
+    resp::append_array(out, requested > 0 ? requested : data.size());
+    for (std::size_t i = 0; i < requested; ++i) {
       const auto* info = cluster::find_command(command[i + 2]);
       if (info && (info->kind == Kind::kRead || info->kind == Kind::kWrite)) {
         out += describe(*info);
@@ -137,10 +137,10 @@
         out += version_ < 3 ? "*-1\r\n" : "_\r\n";
       }
     }
-    for (std::size_t i = 0; asked == 0 && i < data.size(); ++i) out += describe(*data[i]);
+    for (std::size_t i = 0; requested == 0 && i < data.size(); ++i) out += describe(*data[i]);
     return out;
   }
-  // Documentation of commands is not kept: clients take an empty map as that.
+  // No documentation of commands is available; clients accept an empty map.
   if (same_word(command[1], "DOCS")) {
     resp::append_map(out, 0, version_);
     return out;
--- a/src/frontend/resp/cluster_pool.cc
+++ b/src/frontend/resp/cluster_pool.cc
@@ -14,16 +14,17 @@
 using boost::system::error_code;
 using cluster::View;
 
-// A node that has not told its slots by then is asked no longer.
-constexpr Duration kProbe = std::chrono::milliseconds(500);
-// As many ranges as there are slots fit in.
+// Time limit of one slot query to a node, connection set-up included.
+constexpr Duration kProbeTimeout = std::chrono::milliseconds(500);
+// Large enough for a reply with one range per slot.
 constexpr resp::Bounds kProbeBounds{
     .bulk = 4u << 20, .elements = 1u << 20, .total = 16u << 20, .line = 64u << 10, .depth = 8};
 
 }  // namespace
 
-// One question for the slots to one node. CLUSTER NODES is preferred, as it tells epochs; where a
-// node does not know or allow it, SHARDS does, which tells health, or else SLOTS.
+// One slot query to one node. Prefers CLUSTER NODES, whose reply has epochs. If the node does not
+// know or allow that command, falls back to SHARDS, whose reply has the nodes' health, then to
+// SLOTS.
 class ClusterPool::Probe : public std::enable_shared_from_this<Probe> {
  public:
   Probe(ClusterPool& pool, std::string node)
@@ -37,20 +38,20 @@
   void start() {
     const auto to = parse_endpoint(node_);
     if (!to) return finish_soon();
-    timer_.expires_after(kProbe);
+    timer_.expires_after(kProbeTimeout);
     timer_.async_wait([self = shared_from_this()](const error_code& e) {
       if (!e) self->finish(std::nullopt);
     });
     socket_.async_connect(*to, [self = shared_from_this()](const error_code& e) {
       if (e) return self->finish(std::nullopt);
       const std::string out = login_command(self->pool_->login_);
-      if (!out.empty()) self->skip_ = 1;
+      if (!out.empty()) self->replies_to_skip_ = 1;
       self->send(out + resp::Command::of({"CLUSTER", "NODES"}).wire() +
                  resp::Command::of({"CLUSTER", "INFO"}).wire());
       self->read();
     });
   }
-  // Nothing is reported any more.
+  // Closes the connection without reporting a result.
   void cancel() {
     pool_ = nullptr;
     close();
@@ -91,24 +92,25 @@
     return true;
   }
   bool on_reply(const std::string& reply) {
-    if (skip_ > 0) return --skip_, true;
+    if (replies_to_skip_ > 0) return --replies_to_skip_, true;
     const auto value = resp::parse_reply(reply, kProbeBounds);
     if (!value) return false;
     switch (replies_++) {
       case 0:
-        if (!value->is_error()) view_ = cluster::read_nodes(value->text, node_);
+        if (!value->is_error()) view_ = cluster::parse_cluster_nodes(value->text, node_);
         return true;
       case 1:
         if (view_) return finish(view_), true;
-        epoch_ = cluster::read_epoch(value->text);
+        epoch_ = cluster::parse_current_epoch(value->text);
         send(resp::Command::of({"CLUSTER", "SHARDS"}).wire());
         return true;
       case 2:
-        if (!value->is_error()) return finish(cluster::read_shards(*value, node_, epoch_)), true;
+        if (!value->is_error())
+          return finish(cluster::parse_cluster_shards(*value, node_, epoch_)), true;
         send(resp::Command::of({"CLUSTER", "SLOTS"}).wire());
         return true;
       default:
-        return finish(cluster::read_slots(*value, node_, epoch_)), true;
+        return finish(cluster::parse_cluster_slots(*value, node_, epoch_)), true;
     }
   }
   void finish_soon() {
@@ -126,7 +128,7 @@
     bytes_.resize(0);
   }
 
-  ClusterPool* pool_;  // null once it has ended
+  ClusterPool* pool_;  // null once the query has ended
   const std::string node_;
   asio::ip::tcp::socket socket_;
   asio::steady_timer timer_;
@@ -135,7 +137,7 @@
   std::array<char, 16384> chunk_;
   std::string reply_;
   std::optional<View> view_;
-  int skip_ = 0, replies_ = 0;
+  int replies_to_skip_ = 0, replies_ = 0;
   std::uint64_t epoch_ = 0;
 };
 
@@ -179,7 +181,7 @@
 
 void ClusterPool::on_request(RequestId id, const RequestPayload& payload) {
   const auto& p = static_cast<const RespPayload&>(payload);
-  if (!p.node.empty()) return router_.begin_at(id, p.node);
+  if (!p.node.empty()) return router_.begin_at_node(id, p.node);
   router_.begin(id, p.slot, settings_.classes[static_cast<std::size_t>(p.request_class)].reads);
 }
 
@@ -188,39 +190,40 @@
   attempt.replica = router_.reads_replica(attempt.request, attempt.host);
 }
 
-// A redirection counts only as a whole reply. What broke off, wherever, proves nothing.
+// Follows a redirection only if its reply is complete. After a partial reply the request may have
+// run.
 Result ClusterPool::interpret(const Attempt& attempt, Result result, const std::string& value) {
   using Verdict = cluster::Router::Verdict;
   if (result == Result::kConnectFailed || result == Result::kReset || result == Result::kTimeout) {
-    router_.on_broken(attempt.host);
+    router_.on_attempt_failed(attempt.host);
   } else if (result == Result::kOk && value.starts_with('-')) {
     std::string_view text = value;
     text.remove_prefix(1);
     text.remove_suffix(2);
     if (text.starts_with("TRYAGAIN"))
-      static_cast<const RespPayload&>(*attempt.payload).scattered = true;
+      static_cast<const RespPayload&>(*attempt.payload).got_tryagain = true;
     if (text.starts_with("NOAUTH")) {
-      result = Result::kRejected;  // our login's fault, not the client's
+      result = Result::kRejected;  // the pool's credentials are wrong, not the client's
     } else {
       switch (router_.on_error(clock_.now(), attempt.request, attempt.host, text)) {
         case Verdict::kAnswer:
           break;
         case Verdict::kRedirected:
-        case Verdict::kLater:  // and there is no further candidate: it will be refused
+        case Verdict::kUnavailable:  // walk() offers no further node, so the request is rejected
           result = Result::kRedirected;
           break;
-        case Verdict::kSpoilt:
+        case Verdict::kMalformed:
           result = Result::kError;
       }
     }
   }
-  if (router_.revision() != applied_) apply_nodes();
+  if (router_.revision() != applied_revision_) apply_nodes();
   schedule();
   return result;
 }
 
 void ClusterPool::apply_nodes() {
-  applied_ = router_.revision();
+  applied_revision_ = router_.revision();
   HostList list;
   list.whole = true;
   for (const auto& node : router_.nodes()) {
@@ -260,7 +263,7 @@
 void ClusterPool::on_refreshed(const std::optional<View>& view) {
   probe_ = nullptr;
   router_.end_refresh(clock_.now(), view);
-  if (router_.revision() != applied_) apply_nodes();
+  if (router_.revision() != applied_revision_) apply_nodes();
   schedule();
 }
 
--- a/src/frontend/resp/cluster_pool.h
+++ b/src/frontend/resp/cluster_pool.h
@@ -12,25 +12,26 @@
 
 namespace balancer {
 
-// A pool whose servers are a RESP cluster: carries out what the router decides. Asks nodes for the
-// slots, one at a time, and tells requests' redirections from answers.
+// A pool whose servers form a RESP cluster. Routes requests as the router decides, queries one node
+// at a time for the slot map, and tells redirections from responses.
 class ClusterPool : private RoutingExtension {
  public:
-  // `settings`, `clock` and `limits` outlive it. `settings` may change its password.
+  // `io`, `clock`, `settings` and `limits` must outlive the pool. The credentials in `settings` may
+  // change; the next refresh applies them.
   ClusterPool(boost::asio::io_context& io, const Clock& clock, const RespPool& settings,
               std::uint64_t seed, Limits& limits);
   ~ClusterPool() override;
 
   ServerPool& servers() { return servers_; }
   const cluster::Router& router() const { return router_; }
-  // How many attempts of clients one connection to the node takes at once.
+  // Returns how many attempts of clients one connection to the node carries at once.
   std::size_t shared_depth(std::string_view node) const { return servers_.shared_depth(node); }
   void stop();
 
  private:
   class Probe;
 
-  // Steering
+  // RoutingExtension
   Placement& placement() override { return router_; }
   void on_request(RequestId id, const RequestPayload& payload) override;
   void on_forgotten(RequestId id) override { router_.end(id); }
@@ -51,7 +52,7 @@
   ServerPool servers_;
   boost::asio::steady_timer timer_;
   Time timer_at_ = Time::max();
-  std::uint64_t applied_ = 0;  // revision of the router's nodes
+  std::uint64_t applied_revision_ = 0;  // revision of the router's nodes that was applied last
   std::shared_ptr<Probe> probe_;
   bool stopped_ = false;
 };
--- a/src/frontend/resp/data_commands.cc
+++ b/src/frontend/resp/data_commands.cc
@@ -13,7 +13,7 @@
 using resp::Command;
 using namespace reply;
 
-// By command: what takes long mostly does so by its name.
+// Returns the command kind, which is the command's index: service time depends mostly on the name.
 std::uint8_t kind_of(const CommandInfo& info) {
   return static_cast<std::uint8_t>(&info - cluster::all_commands().data());
 }
@@ -22,15 +22,17 @@
 
 // ---- requests
 
-bool RespFront::Conversation::may_follow(Slot slot, int request_class) const {
-  const auto it = open_.find(slot);
-  return front_.primary_only(request_class) && (it == open_.end() || it->second.replicas == 0);
+bool RespFront::Conversation::may_pipeline(Slot slot, int request_class) const {
+  const auto it = open_by_slot_.find(slot);
+  return front_.primary_only(request_class) &&
+         (it == open_by_slot_.end() || it->second.replicas == 0);
 }
 
-void RespFront::Conversation::submit(ClientSession& session, ResponseSlot ticket, std::string wire,
-                                     std::size_t replies, Slot slot, int request_class, bool write,
-                                     std::string_view key, std::uint8_t kind,
-                                     std::optional<Duration> budget, std::string node) {
+void RespFront::Conversation::submit(ClientSession& session, ResponseSlot response_slot,
+                                     std::string wire, std::size_t replies, Slot slot,
+                                     int request_class, bool write, std::string_view key,
+                                     std::uint8_t kind, std::optional<Duration> budget,
+                                     std::string node) {
   auto payload = std::make_shared<RespPayload>();
   payload->node = std::move(node);
   payload->wire = std::move(wire);
@@ -40,105 +42,109 @@
   payload->request_class = request_class;
   payload->write = write;
   payload->bytes = Reservation(front_.limits_.bytes, payload->wire.size());
-  // This object's address names its client, and has no more than 47 bits.
+  // The address of this object identifies the client; it has at most 47 bits.
   payload->traits.client_id = reinterpret_cast<std::uintptr_t>(this);
   payload->traits.order_group = payload->traits.client_id ^ (slot + 1ull) << 48;
   payload->traits.must_follow_group = conflicts(slot, write);
   payload->traits.command_kind = kind;
-  Open& open = open_[slot];
+  OpenRequests& open = open_by_slot_[slot];
   ++open.requests;
   ++open_requests_;
   open.writes += write;
   open.replicas += !front_.primary_only(request_class);
-  RequestSpec ask;
-  ask.request_class = request_class;
-  ask.tenant = tenant_;
-  ask.write = write;
-  if (payload->node.empty()) ask.key = key;
-  ask.time_left = budget.value_or(deadline_of(request_class));
-  ask.payload = std::move(payload);
-  front_.core_.submit(session.shared_from_this(), ticket, std::move(ask));
+  RequestSpec spec;
+  spec.request_class = request_class;
+  spec.tenant = tenant_;
+  spec.write = write;
+  if (payload->node.empty()) spec.key = key;
+  spec.time_left = budget.value_or(deadline_of(request_class));
+  spec.payload = std::move(payload);
+  front_.core_.submit(session.shared_from_this(), response_slot, std::move(spec));
 }
 
-void RespFront::Conversation::on_response(ClientSession& session, ResponseSlot ticket,
+void RespFront::Conversation::on_response(ClientSession& session, ResponseSlot response_slot,
                                           const RequestPayload& payload, Response final) {
   const auto& p = static_cast<const RespPayload&>(payload);
   --open_requests_;
-  if (const auto it = open_.find(p.slot); it != open_.end()) {
+  if (const auto it = open_by_slot_.find(p.slot); it != open_by_slot_.end()) {
     it->second.writes -= p.write;
     it->second.replicas -= !front_.primary_only(p.request_class);
-    if (--it->second.requests == 0) open_.erase(it);
+    if (--it->second.requests == 0) open_by_slot_.erase(it);
   }
   std::string reply = final.kind == Response::Kind::kServed     ? std::move(final.value)
                       : final.kind == Response::Kind::kRejected ? refused(final.retry_after)
                                                                 : failed();
-  const auto it = joins_.find(ticket.slot);
-  if (const auto page = pages_.extract(ticket.slot); page && final.kind == Response::Kind::kServed)
-    reply = turn_page(session.now(), std::move(page.mapped()), std::move(reply));
-  if (it == joins_.end()) {
-    session.answer(ticket.slot, std::move(reply));
+  const auto it = split_commands_.find(response_slot.slot);
+  if (const auto page = scan_pages_.extract(response_slot.slot);
+      page && final.kind == Response::Kind::kServed)
+    reply = advance_scan(session.now(), std::move(page.mapped()), std::move(reply));
+  if (it == split_commands_.end()) {
+    session.answer(response_slot.slot, std::move(reply));
     return session.wake();
   }
-  Join& j = it->second;
-  if (final.kind == Response::Kind::kRejected && p.scattered && j.keys[ticket.part].size() > 1) {
-    // The core may be in the middle of telling this: asked again from the event loop.
-    session.later([this, &session, ticket, slot = p.slot, request_class = p.request_class] {
-      ask_one_by_one(session, ticket, slot, request_class);
+  SplitCommand& j = it->second;
+  if (final.kind == Response::Kind::kRejected && p.got_tryagain &&
+      j.keys[response_slot.part].size() > 1) {
+    // Resubmits from the event loop, as the core may still be processing this response.
+    session.later([this, &session, response_slot, slot = p.slot, request_class = p.request_class] {
+      resubmit_per_key(session, response_slot, slot, request_class);
     });
     return;
   }
-  end_part(session, ticket, std::move(reply), final.kind, final.retry_after);
+  complete_part(session, response_slot, std::move(reply), final.kind, final.retry_after);
 }
 
-void RespFront::Conversation::end_part(ClientSession& session, ResponseSlot ticket,
-                                       std::string reply, Response::Kind kind,
-                                       Duration retry_after) {
-  const auto it = joins_.find(ticket.slot);
-  Join& j = it->second;
-  j.replies[ticket.part] = std::move(reply);
-  j.kinds[ticket.part] = kind;
+void RespFront::Conversation::complete_part(ClientSession& session, ResponseSlot response_slot,
+                                            std::string reply, Response::Kind kind,
+                                            Duration retry_after) {
+  const auto it = split_commands_.find(response_slot.slot);
+  SplitCommand& j = it->second;
+  j.replies[response_slot.part] = std::move(reply);
+  j.kinds[response_slot.part] = kind;
   j.retry_after = std::max(j.retry_after, retry_after);
-  if (--j.left > 0) return;
-  session.answer(ticket.slot, join(j));
-  joins_.erase(it);
+  if (--j.pending_parts > 0) return;
+  session.answer(response_slot.slot, join(j));
+  split_commands_.erase(it);
   session.wake();
 }
 
-// A slot on its way: a node has told that the keys of this part of an MGET lie on two nodes, and so
-// takes none of them together. Each goes where it is. Not where a later write of this client's may
-// have overtaken it: the answer would tell of what was asked for after it.
-void RespFront::Conversation::ask_one_by_one(ClientSession& session, ResponseSlot ticket, Slot slot,
-                                             int request_class) {
-  Join& j = joins_.at(ticket.slot);
-  const std::vector<std::string> keys = std::move(j.keys[ticket.part]);
-  const auto open = open_.find(slot);
-  if ((open != open_.end() && open->second.writes > 0) || session.now() >= j.until ||
-      open_requests_ + keys.size() > kMaxOpen)
-    return end_part(session, ticket, refused(Duration{0}), Response::Kind::kRejected, Duration{0});
-  // The first key keeps the part's number, the others get new ones.
+// Resubmits a part of an MGET as one request per key after a node answered TRYAGAIN: the slot is
+// being migrated and the keys lie on two nodes, neither of which can serve them together. Rejects
+// the part instead if a later write of this client to the slot is in flight, as the reply could
+// otherwise show the effect of a command that follows the MGET.
+void RespFront::Conversation::resubmit_per_key(ClientSession& session, ResponseSlot response_slot,
+                                               Slot slot, int request_class) {
+  SplitCommand& j = split_commands_.at(response_slot.slot);
+  const std::vector<std::string> keys = std::move(j.keys[response_slot.part]);
+  const auto open = open_by_slot_.find(slot);
+  if ((open != open_by_slot_.end() && open->second.writes > 0) || session.now() >= j.deadline ||
+      open_requests_ + keys.size() > kMaxOpenRequests)
+    return complete_part(session, response_slot, refused(Duration{0}), Response::Kind::kRejected,
+                         Duration{0});
+  // The first key keeps the part's index, the others get new ones.
   const std::size_t first_new = j.replies.size() - 1;
-  const auto part_of = [&](std::size_t i) { return i == 0 ? ticket.part : first_new + i; };
-  for (auto& [part, place] : j.places)
-    if (part == ticket.part) {
-      part = part_of(place);
-      place = 0;
+  const auto part_of = [&](std::size_t i) { return i == 0 ? response_slot.part : first_new + i; };
+  for (auto& [part, index] : j.key_positions)
+    if (part == response_slot.part) {
+      part = part_of(index);
+      index = 0;
     }
-  j.left += keys.size() - 1;
+  j.pending_parts += keys.size() - 1;
   j.replies.resize(j.replies.size() + keys.size() - 1);
   j.kinds.resize(j.replies.size());
   j.keys.resize(j.replies.size());
-  const Duration budget = j.until - session.now();
+  const Duration budget = j.deadline - session.now();
   const CommandInfo* info = cluster::find_command("MGET");
-  // The last one's answer may come before this returns, and ends the join.
+  // The last response may arrive before submit() returns, and erases the split command.
   for (std::size_t i = 0; i < keys.size(); ++i)
-    submit(session, {ticket.slot, static_cast<std::uint32_t>(part_of(i))},
+    submit(session, {response_slot.slot, static_cast<std::uint32_t>(part_of(i))},
            Command::of({"MGET", keys[i]}).wire(), 1, slot, request_class, false, keys[i],
            kind_of(*info), budget);
 }
 
-// What all parts together come to. One that failed makes the whole fail; it says what ran, so that
-// nobody takes a part for the whole.
-std::string RespFront::Conversation::join(Join& j) const {
+// Joins the replies of all parts. If a part failed, the whole command fails. The error states how
+// many parts have run, so that no client takes a partial result for a complete one.
+std::string RespFront::Conversation::join(SplitCommand& j) const {
   std::size_t ran = 0, refusals = 0;
   for (const auto kind : j.kinds) {
     ran += kind == Response::Kind::kServed;
@@ -165,24 +171,23 @@
     for (const auto& v : values) sum += v.integer().value_or(0);
     return integer(sum);
   }
-  resp::append_array(out, j.places.size());
-  for (const auto& [part, place] : j.places) {
-    if (place >= values[part].items.size()) return failed();
-    out += values[part].items[place].wire;
+  resp::append_array(out, j.key_positions.size());
+  for (const auto& [part, index] : j.key_positions) {
+    if (index >= values[part].items.size()) return failed();
+    out += values[part].items[index].wire;
   }
   return out;
 }
 
-Dialect::Step RespFront::Conversation::take_split(ClientSession& session, const CommandInfo& info,
-                                                  const Command& command,
-                                                  const std::vector<std::size_t>& keys,
-                                                  const std::map<Slot, std::size_t>& parts) {
+Dialect::Step RespFront::Conversation::handle_split_command(
+    ClientSession& session, const CommandInfo& info, const Command& command,
+    const std::vector<std::size_t>& keys, const std::map<Slot, std::size_t>& parts) {
   const bool write = info.kind == Kind::kWrite;
   std::vector<std::string> heads(parts.size());
   std::vector<std::vector<std::string_view>> words(parts.size(), {command[0]});
-  Join j;
+  SplitCommand j;
   j.split = info.split;
-  j.left = parts.size();
+  j.pending_parts = parts.size();
   j.replies.resize(parts.size());
   j.kinds.resize(parts.size());
   j.keys.resize(parts.size());
@@ -191,65 +196,67 @@
   for (const std::size_t k : keys) {
     const std::size_t part = parts.at(cluster::slot_of(command[k]));
     if (count[part] == 0) first[part] = command[k];
-    j.places.emplace_back(part, count[part]++);
+    j.key_positions.emplace_back(part, count[part]++);
     words[part].push_back(command[k]);
     if (info.split == Split::kGet) j.keys[part].emplace_back(command[k]);
     if (info.step == 2) words[part].push_back(command[k + 1]);
   }
-  j.until = session.now() + deadline_of(front_.class_of(info, first[0]));
-  const auto place = session.open_slot();
-  joins_.emplace(place, std::move(j));
-  // The last part's answer may come before this returns, and ends the join.
+  j.deadline = session.now() + deadline_of(front_.class_of(info, first[0]));
+  const auto response_slot = session.open_slot();
+  split_commands_.emplace(response_slot, std::move(j));
+  // The last response may arrive before submit() returns, and erases the split command.
   for (const auto& [slot, part] : parts) {
     const int request_class = front_.class_of(info, first[part]);
-    submit(session, {place, static_cast<std::uint32_t>(part)}, Command::of(words[part]).wire(), 1,
-           slot, request_class, write, first[part], kind_of(info));
+    submit(session, {response_slot, static_cast<std::uint32_t>(part)},
+           Command::of(words[part]).wire(), 1, slot, request_class, write, first[part],
+           kind_of(info));
   }
   return Step::kTaken;
 }
 
-Dialect::Step RespFront::Conversation::take_data(ClientSession& session, const CommandInfo& info,
-                                                 Command& command) {
+Dialect::Step RespFront::Conversation::handle_data_command(ClientSession& session,
+                                                           const CommandInfo& info,
+                                                           Command& command) {
   const auto keys = cluster::keys_of(info, command);
   if (!keys) {
-    abort_multi();
-    return say(session, error("ERR syntax error"));
+    mark_multi_failed();
+    return reply_with(session, error("ERR syntax error"));
   }
   std::map<Slot, std::size_t> parts;
   for (const std::size_t k : *keys) parts.try_emplace(cluster::slot_of(command[k]), parts.size());
-  if (parts.empty()) parts.emplace(0, 0);  // a script without keys runs anywhere
+  if (parts.empty()) parts.emplace(0, 0);  // a script without keys may run on any node
   const bool write = info.kind == Kind::kWrite;
   const std::string_view key = keys->empty() ? std::string_view() : command[keys->front()];
   const int request_class = front_.class_of(info, key);
   const RespClass& c = front_.pool_.classes[static_cast<std::size_t>(request_class)];
   if (c.key_argument > 0 && write &&
       (c.key_argument >= command.size() || command[c.key_argument].empty())) {
-    abort_multi();
-    return say(session, error("ERR keyed write without a key"));
+    mark_multi_failed();
+    return reply_with(session, error("ERR keyed write without a key"));
   }
   if (in_multi_) {
     if (queued_.size() >= front_.settings_.max_queued ||
         queued_bytes_ + command.wire().size() > front_.bounds_.total) {
-      abort_multi();
-      return say(session, error("ERR too many commands in a transaction"));
+      mark_multi_failed();
+      return reply_with(session, error("ERR too many commands in a transaction"));
     }
     queued_bytes_ += command.wire().size();
     queued_.emplace_back(&info, std::move(command));
-    return say(session, simple("QUEUED"));
+    return reply_with(session, simple("QUEUED"));
   }
   if (parts.size() > 1 && info.split == Split::kNone)
-    return say(session, error("CROSSSLOT Keys in request don't hash to the same slot"));
-  if (parts.size() > kMaxOpen)
-    return say(session, error("ERR keys of more than " + std::to_string(kMaxOpen) +
-                              " slots in one command"));
-  if (open_requests_ + parts.size() > kMaxOpen) return Step::kWait;
+    return reply_with(session, error("CROSSSLOT Keys in request don't hash to the same slot"));
+  if (parts.size() > kMaxOpenRequests)
+    return reply_with(session, error("ERR keys of more than " + std::to_string(kMaxOpenRequests) +
+                                     " slots in one command"));
+  if (open_requests_ + parts.size() > kMaxOpenRequests) return Step::kWait;
   for (const auto& [slot, part] : parts)
-    if (conflicts(slot, write) && (parts.size() > 1 || !may_follow(slot, request_class)))
+    if (conflicts(slot, write) && (parts.size() > 1 || !may_pipeline(slot, request_class)))
       return Step::kWait;
   if (parts.size() > 1 || (info.split == Split::kGet && keys->size() > 1))
-    return take_split(session, info, command, *keys, parts);
+    return handle_split_command(session, info, command, *keys, parts);
   const Slot slot = parts.begin()->first;
-  const std::string held(key);  // it lies in what is handed over
+  const std::string held(key);  // a copy, as the key points into the command that is moved from
   submit(session, {session.open_slot()}, std::move(command).take_wire(), 1, slot, request_class,
          write, held, kind_of(info));
   return Step::kTaken;
--- a/src/frontend/resp/local_commands.cc
+++ b/src/frontend/resp/local_commands.cc
@@ -12,7 +12,8 @@
 using resp::Command;
 using namespace reply;
 
-// One name for all, as clients compare them with what they know of servers.
+// The server version that HELLO and INFO both report, as clients compare it with the releases that
+// they know.
 constexpr std::string_view kVersion = "7.0.0";
 constexpr std::size_t kMaxName = 256;
 
@@ -20,100 +21,107 @@
 
 // ---- commands that the balancer answers
 
-// The order of these groups is part of the dialect: what a client may say before it is
-// authenticated, what ends a transaction, and data before all that the balancer answers itself.
-Dialect::Step RespFront::Conversation::take(ClientSession& session, Command& command) {
-  if (auto step = take_before_authentication(session, command)) return *step;
-  if (!authenticated_) return say(session, error("NOAUTH Authentication required."));
-  if (auto step = take_transaction_command(session, command)) return *step;
+// The order of these groups is part of the dialect: commands allowed before authentication, then
+// commands that control transactions, then data commands, then commands that the balancer answers
+// itself.
+Dialect::Step RespFront::Conversation::handle_command(ClientSession& session, Command& command) {
+  if (auto step = handle_unauthenticated_command(session, command)) return *step;
+  if (!authenticated_) return reply_with(session, error("NOAUTH Authentication required."));
+  if (auto step = handle_transaction_command(session, command)) return *step;
   const CommandInfo* info = cluster::find_command(command[0]);
   if (info && (info->kind == Kind::kRead || info->kind == Kind::kWrite)) {
-    if (!cluster::arity_fits(*info, command.size())) return say_wrong_arity(session, command);
-    if (!cluster::blocks(*info, command)) return take_data(session, *info, command);
+    if (!cluster::arity_fits(*info, command.size())) return reply_wrong_arity(session, command);
+    if (!cluster::would_block(*info, command)) return handle_data_command(session, *info, command);
   }
   if (in_multi_) {
-    // What the balancer answers itself cannot be part of a unit that runs at a server.
-    abort_multi();
-    return say(session, error("ERR '" + lower(command[0].substr(0, 32)) +
-                              "' is not taken in a transaction here"));
+    // A transaction runs on a server and cannot contain commands that the balancer answers itself.
+    mark_multi_failed();
+    return reply_with(session, error("ERR '" + lower(command[0].substr(0, 32)) +
+                                     "' is not taken in a transaction here"));
   }
-  if (auto step = take_local_command(session, command)) return *step;
-  return say(session, unsupported(command, info));
+  if (auto step = handle_local_command(session, command)) return *step;
+  return reply_with(session, unsupported(command, info));
 }
 
-Dialect::Step RespFront::Conversation::say_wrong_arity(ClientSession& session,
-                                                       const Command& command) {
-  abort_multi();
-  return say(session, wrong_arity(command[0]));
+Dialect::Step RespFront::Conversation::reply_wrong_arity(ClientSession& session,
+                                                         const Command& command) {
+  mark_multi_failed();
+  return reply_with(session, wrong_arity(command[0]));
 }
 
-// Answers with `answer()` if the command has a number of words that it may have.
+// Replies with `answer()` if `arity_fits`, otherwise with the error for a wrong arity.
 template <typename Answer>
-Dialect::Step RespFront::Conversation::say_if(bool arity_fits, ClientSession& session,
-                                              const Command& command, Answer&& answer) {
-  return arity_fits ? say(session, answer()) : say_wrong_arity(session, command);
+Dialect::Step RespFront::Conversation::reply_if_arity_fits(bool arity_fits, ClientSession& session,
+                                                           const Command& command,
+                                                           Answer&& answer) {
+  return arity_fits ? reply_with(session, answer()) : reply_wrong_arity(session, command);
 }
 
-std::optional<Dialect::Step> RespFront::Conversation::take_before_authentication(
+std::optional<Dialect::Step> RespFront::Conversation::handle_unauthenticated_command(
     ClientSession& session, const Command& command) {
   const std::string_view name = command[0];
   const std::size_t words = command.size();
   if (same_word(name, "QUIT")) {
-    say(session, simple("OK"));
+    reply_with(session, simple("OK"));
     return Step::kLeave;
   }
-  if (same_word(name, "HELLO")) return say(session, hello(command));
+  if (same_word(name, "HELLO")) return reply_with(session, hello(command));
   if (same_word(name, "AUTH"))
-    return say_if(words == 2 || words == 3, session, command, [&] {
+    return reply_if_arity_fits(words == 2 || words == 3, session, command, [&] {
       return words == 2 ? authenticate("default", command[1])
                         : authenticate(command[1], command[2]);
     });
   return std::nullopt;
 }
 
-std::optional<Dialect::Step> RespFront::Conversation::take_transaction_command(
+std::optional<Dialect::Step> RespFront::Conversation::handle_transaction_command(
     ClientSession& session, const Command& command) {
   const std::string_view name = command[0];
-  const bool alone = command.size() == 1;
+  const bool no_arguments = command.size() == 1;
   if (same_word(name, "RESET"))
-    return say_if(alone, session, command, [this] { return reset_connection(); });
+    return reply_if_arity_fits(no_arguments, session, command,
+                               [this] { return reset_connection(); });
   if (same_word(name, "MULTI"))
-    return say_if(alone, session, command, [this] {
+    return reply_if_arity_fits(no_arguments, session, command, [this] {
       if (in_multi_) return error("ERR MULTI calls can not be nested");
       in_multi_ = true;
       return simple("OK");
     });
   if (same_word(name, "DISCARD"))
-    return say_if(alone, session, command, [this] {
+    return reply_if_arity_fits(no_arguments, session, command, [this] {
       if (!in_multi_) return error("ERR DISCARD without MULTI");
-      reset();
+      discard_transaction();
       return simple("OK");
     });
-  if (same_word(name, "EXEC")) return alone ? exec(session) : say(session, wrong_arity(name));
+  if (same_word(name, "EXEC"))
+    return no_arguments ? exec(session) : reply_with(session, wrong_arity(name));
   return std::nullopt;
 }
 
-std::optional<Dialect::Step> RespFront::Conversation::take_local_command(ClientSession& session,
-                                                                         const Command& command) {
+std::optional<Dialect::Step> RespFront::Conversation::handle_local_command(ClientSession& session,
+                                                                           const Command& command) {
   const std::string_view name = command[0];
   const std::size_t words = command.size();
   const auto is = [name](std::string_view word) { return same_word(name, word); };
   if (is("SCAN")) return scan(session, command);
-  if (is("DBSIZE")) return words == 1 ? dbsize(session) : say(session, wrong_arity(name));
+  if (is("DBSIZE")) return words == 1 ? dbsize(session) : reply_with(session, wrong_arity(name));
   if (is("PING"))
-    return say_if(words <= 2, session, command,
-                  [&] { return words == 2 ? bulk(command[1]) : simple("PONG"); });
-  if (is("ECHO")) return say_if(words == 2, session, command, [&] { return bulk(command[1]); });
+    return reply_if_arity_fits(words <= 2, session, command,
+                               [&] { return words == 2 ? bulk(command[1]) : simple("PONG"); });
+  if (is("ECHO"))
+    return reply_if_arity_fits(words == 2, session, command, [&] { return bulk(command[1]); });
   if (is("SELECT"))
-    return say_if(words == 2, session, command, [&] {
+    return reply_if_arity_fits(words == 2, session, command, [&] {
       return command[1] == "0" ? simple("OK") : error("ERR SELECT is not allowed in cluster mode");
     });
   if (is("READONLY") || is("READWRITE") || is("ASKING") || is("UNWATCH"))
-    return say_if(words == 1, session, command, [] { return simple("OK"); });
-  if (is("CLIENT")) return say_if(words >= 2, session, command, [&] { return client(command); });
-  if (is("COMMAND")) return say(session, command_info(command));
-  if (is("CLUSTER")) return say_if(words >= 2, session, command, [&] { return cluster(command); });
-  if (is("INFO")) return say(session, server_info());
+    return reply_if_arity_fits(words == 1, session, command, [] { return simple("OK"); });
+  if (is("CLIENT"))
+    return reply_if_arity_fits(words >= 2, session, command, [&] { return client(command); });
+  if (is("COMMAND")) return reply_with(session, command_info(command));
+  if (is("CLUSTER"))
+    return reply_if_arity_fits(words >= 2, session, command, [&] { return cluster(command); });
+  if (is("INFO")) return reply_with(session, server_info());
   return std::nullopt;
 }
 
@@ -134,7 +142,7 @@
 }
 
 std::string RespFront::Conversation::reset_connection() {
-  reset();
+  discard_transaction();
   version_ = 2;
   tenant_ = -1;
   user_ = "default";
@@ -168,10 +176,10 @@
   int version = version_;
   std::size_t i = 1;
   if (command.size() > 1) {
-    const auto asked = resp::parse_integer(command[i++]);
-    if (!asked) return error("ERR Protocol version is not an integer or out of range");
-    if (*asked != 2 && *asked != 3) return error("NOPROTO unsupported protocol version");
-    version = static_cast<int>(*asked);
+    const auto requested = resp::parse_integer(command[i++]);
+    if (!requested) return error("ERR Protocol version is not an integer or out of range");
+    if (*requested != 2 && *requested != 3) return error("NOPROTO unsupported protocol version");
+    version = static_cast<int>(*requested);
   }
   std::optional<std::string> name;
   while (i < command.size()) {
@@ -197,18 +205,18 @@
   if (name) name_ = *name;
   std::string out;
   resp::append_map(out, 7, version_);
-  const auto pair = [&out](std::string_view key, std::string_view value) {
+  const auto append_pair = [&out](std::string_view key, std::string_view value) {
     resp::append_bulk(out, key);
     resp::append_bulk(out, value);
   };
-  pair("server", "redis");
-  pair("version", kVersion);
+  append_pair("server", "redis");
+  append_pair("version", kVersion);
   resp::append_bulk(out, "proto");
   resp::append_integer(out, version_);
   resp::append_bulk(out, "id");
   resp::append_integer(out, id_);
-  pair("mode", "cluster");
-  pair("role", "master");
+  append_pair("mode", "cluster");
+  append_pair("role", "master");
   resp::append_bulk(out, "modules");
   resp::append_array(out, 0);
   return out;
@@ -218,7 +226,7 @@
   const auto is = [&](std::string_view word, std::size_t words) {
     return same_word(command[1], word) && command.size() == words;
   };
-  const auto clean = [](std::string_view text) {
+  const auto is_valid_name = [](std::string_view text) {
     return text.size() <= kMaxName &&
            std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c <= '~'; });
   };
@@ -230,7 +238,7 @@
     return out;
   }
   if (is("SETNAME", 3)) {
-    if (!clean(command[2]))
+    if (!is_valid_name(command[2]))
       return error("ERR Client names cannot contain spaces, newlines or special characters.");
     name_ = command[2];
     return simple("OK");
@@ -238,9 +246,10 @@
   if (is("SETINFO", 4)) {
     if (!same_word(command[2], "LIB-NAME") && !same_word(command[2], "LIB-VER"))
       return error("ERR Unrecognized option '" + std::string(command[2].substr(0, 64)) + "'");
-    return clean(command[3]) ? simple("OK")
-                             : error("ERR " + lower(command[2]) +
-                                     " cannot contain spaces, newlines or special characters.");
+    return is_valid_name(command[3])
+               ? simple("OK")
+               : error("ERR " + lower(command[2]) +
+                       " cannot contain spaces, newlines or special characters.");
   }
   if (is("INFO", 2))
     return bulk("id=" + std::to_string(id_) + " name=" + name_ + " user=" + user_ +
--- a/src/frontend/resp/replies.cc
+++ b/src/frontend/resp/replies.cc
@@ -40,14 +40,14 @@
 }
 
 std::string refused(Duration retry_after) {
-  // Client libraries repeat TRYAGAIN by themselves, after a while: nothing has run, so no harm.
+  // Client libraries retry TRYAGAIN after a delay, which is safe because nothing has run.
   const auto ms = std::chrono::ceil<std::chrono::milliseconds>(retry_after).count();
   std::string text = "TRYAGAIN busy, nothing has run";
   if (ms > 0) text += "; come back in " + std::to_string(ms) + " ms";
   return error(text);
 }
 
-// ERR is repeated by none.
+// No client library retries ERR.
 std::string failed() { return error("ERR failed, it may have run"); }
 
 }  // namespace balancer::reply
--- a/src/frontend/resp/replies.h
+++ b/src/frontend/resp/replies.h
@@ -6,7 +6,7 @@
 
 #include "policy/policy.h"
 
-// Replies that the balancer words itself, as bytes of RESP2 and RESP3 alike.
+// Replies that the balancer creates itself, in the encoding that RESP2 and RESP3 share.
 namespace balancer::reply {
 
 std::string lower(std::string_view text);  // ASCII only
@@ -15,9 +15,10 @@
 std::string bulk(std::string_view text);
 std::string integer(std::int64_t value);
 std::string wrong_arity(std::string_view name);
-// A refusal: nothing has run. Client libraries repeat it by themselves, after a while.
+// Returns the reply to a rejected request, of which nothing has run. Client libraries retry it
+// after a delay.
 std::string refused(Duration retry_after);
-// A failure: it may have run. No library repeats it.
+// Returns the reply to a failed request, which may have run. No client library retries it.
 std::string failed();
 
 }  // namespace balancer::reply
--- a/src/frontend/resp/resp_connection.cc
+++ b/src/frontend/resp/resp_connection.cc
@@ -19,59 +19,59 @@
 
 void RespConnection::encode(Outgoing& out) {
   const auto& payload = static_cast<const RespPayload&>(*out.attempt->payload);
-  std::size_t before = 0;
-  const auto say = [&](const std::vector<std::string_view>& words) {
+  std::size_t setup_replies = 0;
+  const auto add_setup = [&](const std::vector<std::string_view>& words) {
     out.head += resp::Command::of(words).wire();
-    ++before;
+    ++setup_replies;
   };
   if (!logged_in_ && !login_.password.empty()) {
     out.head += login_command(login_);
-    ++before;
+    ++setup_replies;
   }
   logged_in_ = true;
   if (payload.version != version_) {
     version_ = payload.version;
-    say({"HELLO", std::to_string(version_)});
+    add_setup({"HELLO", std::to_string(version_)});
   }
   if (out.attempt->replica && !reads_replica_) {
-    reads_replica_ = true;  // it changes nothing for what a primary owns
-    say({"READONLY"});
+    reads_replica_ = true;  // READONLY has no effect on slots that the node owns as a primary
+    add_setup({"READONLY"});
   }
-  if (out.attempt->asking) say({"ASKING"});
+  if (out.attempt->asking) add_setup({"ASKING"});
   out.body = payload.wire;
-  expected_.push_back({before, payload.replies});
+  expected_.push_back({setup_replies, payload.replies});
 }
 
-// Redirections come in the place of any reply. In a transaction a command that was not queued makes
-// EXEC fail as a whole: its error is the answer, as it tells why.
+// Any reply may be a redirection. In a transaction a command that was not queued makes EXEC fail
+// with EXECABORT. The error of that command is then the response, as it states the reason.
 bool RespConnection::on_reply() {
   if (reader_.type() == resp::Type::kPush) {
-    reply_.clear();  // out of band, and nothing was subscribed to
+    reply_.clear();  // out-of-band data; the connection has no subscriptions
     return true;
   }
   if (!expecting() || expected_.empty()) return false;
   Expected& e = expected_.front();
-  if (e.before > 0) {
-    --e.before;
+  if (e.setup_replies > 0) {
+    --e.setup_replies;
     reply_.clear();
     return true;
   }
   if (--e.replies > 0) {
     if (is_error(reply_) && e.error.empty()) {
       e.error = std::move(reply_);
-      e.refused = true;
+      e.had_error = true;
     }
     reply_.clear();
     return true;
   }
   std::string answer = std::exchange(reply_, {});
   std::string error = std::move(e.error);
-  const bool refused = e.refused;
+  const bool had_error = e.had_error;
   expected_.pop_front();
   reserve_bytes(0);
-  if (refused) {
+  if (had_error) {
     if (!answer.starts_with("-EXECABORT")) {
-      // MULTI was refused and what stood behind it was not: it may have run piece by piece.
+      // MULTI was rejected but the commands after it were not: they may have run one by one.
       complete(Result::kError);
       return false;
     }
--- a/src/frontend/resp/resp_connection.h
+++ b/src/frontend/resp/resp_connection.h
@@ -8,30 +8,30 @@
 
 namespace balancer {
 
-// How connections of a pool introduce themselves.
+// Credentials of a pool's connections to its servers.
 struct RespLogin {
-  std::string user, password;  // no password: none is sent
+  std::string user, password;  // empty password: AUTH is not sent
 };
 
-// The AUTH command that says it; empty if there is no password.
+// Returns the AUTH command for these credentials; empty if there is no password.
 std::string login_command(const RespLogin& login);
 
-// A request as it goes to a RESP server.
+// A request to a RESP server.
 struct RespPayload : RequestPayload {
   std::string wire;         // one command, or MULTI, commands and EXEC
-  std::size_t replies = 1;  // that come to it
-  int version = 2;          // of the protocol that the client speaks
+  std::size_t replies = 1;  // number of replies to `wire`
+  int version = 2;          // RESP version of the client
   std::uint16_t slot = 0;
-  std::string node;  // that it is for; empty: the owner of its slot, or who may stand in for it
+  std::string node;  // target node; empty: a node that may serve `slot`
   int request_class = 0;
   bool write = false;
-  mutable bool scattered = false;  // a node has told that its keys lie on two nodes
-  Reservation bytes;               // what `wire` takes of the byte budget
+  mutable bool got_tryagain = false;  // a node answered TRYAGAIN: the keys lie on two nodes
+  Reservation bytes;                  // reservation for `wire` in the byte budget
 };
 
-// A connection to a RESP server. Says what the server must know first (who we are, the version,
-// READONLY, ASKING) in one go with the request, and leaves its replies out. The value of an answer
-// is the reply as it came.
+// A connection to a RESP server. Sends the setup commands (AUTH, HELLO, READONLY, ASKING) that a
+// request needs in the same write as the request, and drops the replies to them. The value of a
+// response is the unmodified reply.
 class RespConnection : public UpstreamConnection {
  public:
   RespConnection(boost::asio::io_context& io, Limits& limits, AttemptEvents& events,
@@ -43,10 +43,10 @@
 
  private:
   struct Expected {
-    std::size_t before;    // replies to what was said first
-    std::size_t replies;   // to the request; the last is its answer
-    std::string error{};   // the first among those that are not the last
-    bool refused = false;  // MULTI itself was
+    std::size_t setup_replies;  // replies to the setup commands
+    std::size_t replies;        // replies to the request; the last is the response
+    std::string error{};        // first error among the replies before the last
+    bool had_error = false;     // an error preceded the last reply
   };
 
   bool can_pipeline() const override { return true; }
@@ -58,7 +58,7 @@
   const RespLogin& login_;
   const resp::Bounds bounds_;
   resp::ReplyReader reader_;
-  std::string reply_;  // the one under way
+  std::string reply_;  // the reply that is being received
   std::deque<Expected> expected_;
   bool logged_in_ = false, reads_replica_ = false;
   int version_ = 2;
--- a/src/frontend/resp/resp_front.cc
+++ b/src/frontend/resp/resp_front.cc
@@ -13,7 +13,7 @@
 using cluster::Kind;
 using cluster::Slot;
 
-// Forty hexadecimal digits, as node names have.
+// Returns a node id of 40 hexadecimal digits, derived from the address.
 std::string node_id(std::string_view address) {
   std::string id;
   for (std::uint64_t i = 0; i < 3; ++i) {
@@ -54,10 +54,10 @@
     std::string host = all[i].substr(0, colon);
     if (host.starts_with('[')) host = host.substr(1, host.size() - 2);
     const auto part = [&all](std::size_t n) { return n * cluster::kSlots / all.size(); };
-    members_.push_back({all[i], std::move(host), node_id(all[i]),
-                        static_cast<std::uint16_t>(std::stoul(all[i].substr(colon + 1))),
-                        static_cast<Slot>(part(i)), static_cast<Slot>(part(i + 1) - 1)});
-    if (all[i] == announce) self_ = i;
+    advertised_nodes_.push_back({all[i], std::move(host), node_id(all[i]),
+                                 static_cast<std::uint16_t>(std::stoul(all[i].substr(colon + 1))),
+                                 static_cast<Slot>(part(i)), static_cast<Slot>(part(i + 1) - 1)});
+    if (all[i] == announce) self_index_ = i;
   }
 }
 
--- a/src/frontend/resp/resp_front.h
+++ b/src/frontend/resp/resp_front.h
@@ -17,13 +17,13 @@
 
 namespace balancer {
 
-// What RESP commands mean: which class and tenant each has, which the balancer answers itself,
-// which are split over slots, and what a final answer looks like. To clients in cluster mode this
-// balancer and its peers are the owners of all slots. One for all clients of a listener; it
-// outlives them.
+// The state that all RESP clients of a listener share: settings, request classes, running SCANs and
+// the cluster nodes that clients in cluster mode see, which are this balancer and its peers.
+// Outlives the clients.
 class RespFront {
  public:
-  // `announce`: the address that clients are told. `settings`, `pool` and `slots` outlive it.
+  // `announce`: the address that clients in cluster mode see. `settings`, `pool` and `slots` must
+  // outlive the object.
   RespFront(const RespListener& settings, const RespPool& pool, const std::string& announce,
             Limits& limits, RequestSink& core, const cluster::SlotTable& slots);
   RespFront(const RespFront&) = delete;
@@ -35,27 +35,27 @@
   class Conversation;
 
   // A balancer as clients in cluster mode see it.
-  struct Member {
+  struct AdvertisedNode {
     std::string address, host, id;
     std::uint16_t port;
     cluster::Slot first, last;
   };
 
-  // Whether none but its slot's owner answers what is of this class.
+  // Whether only the owner of its slot may serve a request of this class.
   bool primary_only(int request_class) const {
     return pool_.classes[static_cast<std::size_t>(request_class)].reads == cluster::Reads::kPrimary;
   }
   int class_of(const cluster::CommandInfo& info, std::string_view key) const;
 
-  // Walks over all nodes by SCAN. A client's cursor names one and its page: any connection to this
-  // listener may go on with it.
+  // A SCAN over all nodes. A client's cursor contains the scan's id and the page number, so that
+  // any connection to this listener may continue the scan.
   struct Scan {
-    cluster::ScanPlan plan, previous;  // for the present page and the one before
+    cluster::ScanPlan plan, previous;  // for the current page and the one before
     std::uint64_t page = 0;
-    Time used{0};
+    Time last_used{0};
   };
   static constexpr std::size_t kMaxScans = 256;
-  static constexpr Duration kScanRests = std::chrono::minutes(10);  // then it is forgotten
+  static constexpr Duration kScanIdleTimeout = std::chrono::minutes(10);  // then a scan is dropped
   std::uint64_t begin_scan(Time now);
   Scan* find_scan(std::uint64_t id, Time now);
 
@@ -66,10 +66,10 @@
   const cluster::SlotTable& slots_;
   std::mt19937_64 random_{std::random_device{}()};
   std::unordered_map<std::uint64_t, Scan> scans_;
-  const resp::Bounds bounds_;        // of what clients send
-  const resp::Bounds reply_bounds_;  // of what servers answer
-  std::vector<Member> members_;      // in the same order at every balancer
-  std::size_t self_ = 0;
+  const resp::Bounds bounds_;                     // for commands of clients
+  const resp::Bounds reply_bounds_;               // for replies of servers
+  std::vector<AdvertisedNode> advertised_nodes_;  // in the same order on every balancer
+  std::size_t self_index_ = 0;
   std::int64_t next_client_ = 1;
 };
 
--- a/src/frontend/resp/transactions.cc
+++ b/src/frontend/resp/transactions.cc
@@ -11,32 +11,34 @@
 using resp::Command;
 using namespace reply;
 
-// Their kind, as far as the time that they take goes.
+// Command kind of transactions; the connection selector records latencies by kind.
 constexpr std::uint8_t kTransaction = 255;
 
 }  // namespace
 
 Dialect::Step RespFront::Conversation::exec(ClientSession& session) {
-  if (!in_multi_) return say(session, error("ERR EXEC without MULTI"));
-  if (multi_broken_) {
-    reset();
-    return say(session, error("EXECABORT Transaction discarded because of previous errors."));
+  if (!in_multi_) return reply_with(session, error("ERR EXEC without MULTI"));
+  if (multi_failed_) {
+    discard_transaction();
+    return reply_with(session,
+                      error("EXECABORT Transaction discarded because of previous errors."));
   }
   if (queued_.empty()) {
-    reset();
-    return say(session, "*0\r\n");
+    discard_transaction();
+    return reply_with(session, "*0\r\n");
   }
   std::optional<Slot> slot;
   std::string wire = Command::of({"MULTI"}).wire();
   std::string_view key;
   const CommandInfo* strictest = queued_.front().first;
   for (const auto& [info, command] : queued_) {
-    const auto keys = cluster::keys_of(*info, command);  // told when it was queued
+    // Has a value, as the keys were checked when the command was queued.
+    const auto keys = cluster::keys_of(*info, command);
     for (const std::size_t k : *keys) {
       const Slot s = cluster::slot_of(command[k]);
       if (slot && *slot != s) {
-        reset();
-        return say(session, error("CROSSSLOT Keys in request don't hash to the same slot"));
+        discard_transaction();
+        return reply_with(session, error("CROSSSLOT Keys in request don't hash to the same slot"));
       }
       if (!slot) key = command[k];
       slot = s;
@@ -46,7 +48,7 @@
   }
   const bool write = strictest->kind == Kind::kWrite;
   wire += Command::of({"EXEC"}).wire();
-  // Of the classes of its commands the one that may be repeated least.
+  // Uses the class of the command with the strictest limits on retries.
   int request_class = front_.class_of(*strictest, key);
   const auto& classes = front_.pool_.site.policy.classes;
   for (const auto& [info, command] : queued_) {
@@ -56,19 +58,19 @@
         classes[static_cast<std::size_t>(request_class)].idempotency)
       request_class = other;
   }
-  if (conflicts(slot.value_or(0), write) && !may_follow(slot.value_or(0), request_class))
+  if (conflicts(slot.value_or(0), write) && !may_pipeline(slot.value_or(0), request_class))
     return Step::kWait;
   const std::string held(key);
   const std::size_t replies = queued_.size() + 2;
-  reset();
+  discard_transaction();
   submit(session, {session.open_slot()}, std::move(wire), replies, slot.value_or(0), request_class,
          write, held, kTransaction);
   return Step::kTaken;
 }
 
-// Ends the transaction that was being gathered.
-void RespFront::Conversation::reset() {
-  in_multi_ = multi_broken_ = false;
+// Discards the queued commands and leaves MULTI.
+void RespFront::Conversation::discard_transaction() {
+  in_multi_ = multi_failed_ = false;
   queued_.clear();
   queued_bytes_ = 0;
 }
--- a/tests/cluster_test.cc
+++ b/tests/cluster_test.cc
@@ -1,5 +1,5 @@
-// Slots, views that disagree, redirections. A cluster of nodes that learn from each other late
-// stands in for the real one; one seed a run.
+// Slots, merging of conflicting views, redirections and scans. A model of a cluster whose nodes
+// learn of slot moves late replaces the real cluster; each run uses one seed.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -17,7 +17,7 @@
 using std::chrono::milliseconds;
 using Verdict = Router::Verdict;
 
-TEST(Slots, AsTheSpecificationHasThem) {
+TEST(SlotOf, MatchesTheClusterSpecification) {
   EXPECT_EQ(crc16("123456789"), 0x31c3);
   EXPECT_EQ(slot_of("foo"), 12182);
   EXPECT_EQ(slot_of("{user1000}.following"), slot_of("{user1000}.followers"));
@@ -36,8 +36,8 @@
     "e7d1 :30001@31001 myself,master - 0 0 1 connected 0-5460 [77->-67ed] 16999\n"
     "aaaa :0@0 master,noaddr - 0 0 9 disconnected\n";
 
-TEST(Views, OfClusterNodes) {
-  const auto view = read_nodes(kNodes, "127.0.0.1:30001");
+TEST(ClusterView, ParsesClusterNodes) {
+  const auto view = parse_cluster_nodes(kNodes, "127.0.0.1:30001");
   ASSERT_TRUE(view);
   ASSERT_EQ(view->shards.size(), 3u);
   EXPECT_EQ(view->epoch, 9u);
@@ -46,11 +46,11 @@
   EXPECT_EQ(view->shards[2].epoch, 1u);
   ASSERT_EQ(view->shards[2].slots.size(), 1u);
   EXPECT_EQ(view->shards[2].slots[0].last, 5460);
-  EXPECT_TRUE(view->shards[0].replicas.empty()) << "its only replica has failed";
-  EXPECT_FALSE(read_nodes("what is this\n", "h:1"));
+  EXPECT_TRUE(view->shards[0].replicas.empty()) << "its only replica is marked as failed";
+  EXPECT_FALSE(parse_cluster_nodes("what is this\n", "h:1"));
 }
 
-TEST(Views, OfClusterSlotsAndShards) {
+TEST(ClusterView, ParsesClusterSlotsAndShards) {
   const resp::Bounds bounds;
   const std::string slots =
       "*3\r\n"
@@ -58,9 +58,9 @@
       "*3\r\n$0\r\n\r\n:30004\r\n$1\r\nb\r\n"
       "*3\r\n:5461\r\n:5461\r\n*2\r\n$-1\r\n:30002\r\n"
       "*3\r\n:9\r\n:3\r\n*2\r\n$1\r\nx\r\n:1\r\n";
-  const auto view = read_slots(*resp::parse_reply(slots, bounds), "127.0.0.1:30009", 7);
+  const auto view = parse_cluster_slots(*resp::parse_reply(slots, bounds), "127.0.0.1:30009", 7);
   ASSERT_TRUE(view);
-  ASSERT_EQ(view->shards.size(), 2u) << "a range that ends before it begins counts as none";
+  ASSERT_EQ(view->shards.size(), 2u) << "a range whose end precedes its start must be skipped";
   EXPECT_EQ(view->shards[0].replicas, std::vector<std::string>{"127.0.0.1:30004"});
   EXPECT_EQ(view->shards[1].primary, "127.0.0.1:30002");
   EXPECT_EQ(view->shards[1].epoch, 7u);
@@ -81,15 +81,15 @@
     resp::append_bulk(shards, "role");
     resp::append_bulk(shards, role);
   }
-  const auto by_shard = read_shards(*resp::parse_reply(shards, bounds), "h:1", 3);
+  const auto by_shard = parse_cluster_shards(*resp::parse_reply(shards, bounds), "h:1", 3);
   ASSERT_TRUE(by_shard);
   ASSERT_EQ(by_shard->shards.size(), 1u);
   EXPECT_EQ(by_shard->shards[0].primary, "10.0.0.1:6379");
   EXPECT_EQ(by_shard->shards[0].replicas, std::vector<std::string>{"10.0.0.2:6379"});
   EXPECT_EQ(by_shard->shards[0].slots.size(), 2u);
-  EXPECT_FALSE(read_slots(*resp::parse_reply("+OK\r\n", bounds), "h:1", 0));
-  EXPECT_EQ(read_epoch("cluster_state:ok\r\ncluster_current_epoch:6\r\n"), 6u);
-  EXPECT_EQ(read_epoch("nothing"), 0u);
+  EXPECT_FALSE(parse_cluster_slots(*resp::parse_reply("+OK\r\n", bounds), "h:1", 0));
+  EXPECT_EQ(parse_current_epoch("cluster_state:ok\r\ncluster_current_epoch:6\r\n"), 6u);
+  EXPECT_EQ(parse_current_epoch("nothing"), 0u);
 }
 
 View view_of(const std::string& from, std::uint64_t epoch,
@@ -100,40 +100,40 @@
   return view;
 }
 
-TEST(SlotTable, AnOlderEpochNeverOverwritesANewer) {
+TEST(SlotTable, IgnoresClaimsWithOlderEpochs) {
   SlotTable table(8);
   EXPECT_TRUE(table.merge(view_of("a:1", 2, {{"a:1", 0, 99, 1}, {"b:1", 100, 199, 2}})));
   EXPECT_TRUE(table.merge(view_of("b:1", 3, {{"a:1", 0, 49, 1}, {"b:1", 50, 199, 3}})));
   EXPECT_EQ(table.owner(50), table.find("b:1"));
-  // One that is behind, and lists both: nothing changes.
+  // An outdated view that lists both nodes changes nothing.
   EXPECT_FALSE(table.merge(view_of("a:1", 2, {{"a:1", 0, 99, 1}, {"b:1", 100, 199, 2}})));
   EXPECT_EQ(table.owner(50), table.find("b:1"));
-  // One that is behind and has never heard of b takes nothing from it either.
+  // Nor does an outdated view that does not know b.
   EXPECT_FALSE(table.merge(view_of("a:1", 2, {{"a:1", 0, 199, 1}})));
   EXPECT_EQ(table.owner(150), table.find("b:1"));
-  // Nor does an empty one.
+  // Nor does an empty view.
   EXPECT_FALSE(table.merge(View{"c:1", 9, {}}));
   EXPECT_EQ(table.assigned(), 200u);
-  // b was forgotten by a cluster that has gone on.
+  // A view with a newer epoch no longer lists b.
   EXPECT_TRUE(table.merge(view_of("a:1", 4, {{"a:1", 0, 199, 1}})));
   EXPECT_EQ(table.owner(150), table.find("a:1"));
-  EXPECT_FALSE(table.find("b:1")) << "and has no place any more";
+  EXPECT_FALSE(table.find("b:1")) << "b should have been removed";
 }
 
-TEST(SlotTable, OnlyTheOwnersWordMovesASlot) {
+TEST(SlotTable, ReassignsASlotOnlyOnMovedFromItsOwner) {
   SlotTable table(8);
   table.merge(view_of("a:1", 1, {{"a:1", 0, 99, 1}}));
   const auto a = *table.find("a:1"), b = *table.add("b:1"), c = *table.add("c:1");
-  EXPECT_FALSE(table.moved(5, b, c));
-  EXPECT_FALSE(table.moved(5, a, a));
-  EXPECT_TRUE(table.moved(5, a, b));
+  EXPECT_FALSE(table.on_moved(5, b, c));
+  EXPECT_FALSE(table.on_moved(5, a, a));
+  EXPECT_TRUE(table.on_moved(5, a, b));
   EXPECT_EQ(table.owner(5), b);
-  // What the old owner claimed with the same epoch does not bring it back.
+  // A claim of the old owner with the same epoch does not restore it.
   table.merge(view_of("a:1", 1, {{"a:1", 0, 99, 1}, {"b:1", 200, 200, 1}, {"c:1", 201, 201, 1}}));
   EXPECT_EQ(table.owner(5), b);
 }
 
-TEST(SlotTable, AsManyRangesAsSlotsAndAsManyNodesAsAllowed) {
+TEST(SlotTable, AcceptsOneRangePerSlotAndBoundsItsNodes) {
   SlotTable table(3);
   View view{"n0:1", 1, {}};
   for (int n = 0; n < 5; ++n) view.shards.push_back({"n" + std::to_string(n) + ":1", {}, {}, 1});
@@ -146,13 +146,13 @@
 
 class RouterTest : public ::testing::Test {
  protected:
-  void learn(const View& view) {
+  void merge(const View& view) {
     router->begin_refresh(now);
     router->end_refresh(now, view);
-    list();
+    insert_new_nodes();
   }
-  // What the pool does when nodes come or go.
-  void list() {
+  // Announces new nodes to the router as hosts, as the pool does.
+  void insert_new_nodes() {
     std::vector<Placement::PlacedHost> joined;
     const auto nodes = router->nodes();
     for (const auto& node : nodes)
@@ -172,7 +172,7 @@
   }
   Verdict error(RequestId request, const std::string& from, const std::string& text) {
     const auto verdict = router->on_error(now, request, from, text);
-    list();
+    insert_new_nodes();
     return verdict;
   }
   using Names = std::vector<std::string>;
@@ -183,8 +183,8 @@
   std::unique_ptr<Router> router = std::make_unique<Router>(RouterSettings{.seeds = {"a:1"}});
 };
 
-TEST_F(RouterTest, MovedGoesOnAndIsLearntAskOnlyGoesOn) {
-  learn(view_of("a:1", 2, {{"a:1", 0, 16383, 1}, {"b:1", 1, 0, 2}}));
+TEST_F(RouterTest, FollowsAskOnceAndMovedForAllRequestsOfTheSlot) {
+  merge(view_of("a:1", 2, {{"a:1", 0, 16383, 1}, {"b:1", 1, 0, 2}}));
   router->begin(1, slot_of(key), Reads::kPrimary);
   EXPECT_EQ(offered(key, 1), Names{"a:1"});
   EXPECT_EQ(error(1, "a:1", "ASK 12182 b:1"), Verdict::kRedirected);
@@ -192,39 +192,40 @@
   EXPECT_TRUE(router->asking(1, "b:1"));
   EXPECT_FALSE(router->asking(1, "a:1"));
   router->begin(2, slot_of(key), Reads::kPrimary);
-  EXPECT_EQ(offered(key, 2), Names{"a:1"}) << "ASK holds for one request";
+  EXPECT_EQ(offered(key, 2), Names{"a:1"}) << "ASK must apply to one request only";
   EXPECT_EQ(error(2, "a:1", "MOVED 12182 b:1"), Verdict::kRedirected);
   EXPECT_FALSE(router->asking(2, "b:1"));
   router->begin(3, slot_of(key), Reads::kPrimary);
-  EXPECT_EQ(offered(key, 3), Names{"b:1"}) << "MOVED holds for the slot";
-  EXPECT_EQ(offered("bar", 3), Names{"a:1"}) << "and for that only";
+  EXPECT_EQ(offered(key, 3), Names{"b:1"}) << "MOVED must apply to the slot";
+  EXPECT_EQ(offered("bar", 3), Names{"a:1"}) << "MOVED must not apply to other slots";
 }
 
-TEST_F(RouterTest, LoopsAreKnownAndChainsAreBounded) {
-  learn(view_of("a:1", 2, {{"a:1", 0, 16383, 1}, {"b:1", 1, 0, 2}}));
+TEST_F(RouterTest, DetectsRedirectionLoopsAndBoundsRedirections) {
+  merge(view_of("a:1", 2, {{"a:1", 0, 16383, 1}, {"b:1", 1, 0, 2}}));
   router->begin(1, 12182, Reads::kPrimary);
-  EXPECT_EQ(error(1, "a:1", "MOVED 12182 a:1"), Verdict::kLater) << "names itself";
+  EXPECT_EQ(error(1, "a:1", "MOVED 12182 a:1"), Verdict::kUnavailable) << "the node names itself";
   EXPECT_TRUE(offered(key, 1).empty());
   router->begin(1, 12182, Reads::kPrimary);
   EXPECT_EQ(error(1, "a:1", "MOVED 12182 b:1"), Verdict::kRedirected);
-  EXPECT_EQ(error(1, "b:1", "MOVED 12182 a:1"), Verdict::kRedirected) << "it may have moved back";
-  EXPECT_EQ(error(1, "a:1", "MOVED 12182 b:1"), Verdict::kLater) << "A says B, B says A";
+  EXPECT_EQ(error(1, "b:1", "MOVED 12182 a:1"), Verdict::kRedirected)
+      << "the slot may have moved back";
+  EXPECT_EQ(error(1, "a:1", "MOVED 12182 b:1"), Verdict::kUnavailable) << "a names b and b names a";
   EXPECT_EQ(router->counters().loops, 2u);
   router->begin(2, 12182, Reads::kPrimary);
   int hops = 0;
   while (error(2, "n" + std::to_string(hops) + ":1",
                "MOVED 12182 n" + std::to_string(hops + 1) + ":1") == Verdict::kRedirected)
     ++hops;
-  EXPECT_EQ(hops, 0) << "from a node that nobody knows";
+  EXPECT_EQ(hops, 0) << "redirected by an unknown node";
   ASSERT_EQ(error(2, "a:1", "ASK 12182 n0:1"), Verdict::kRedirected);
   while (error(2, "n" + std::to_string(hops) + ":1",
                "MOVED 12182 n" + std::to_string(hops + 1) + ":1") == Verdict::kRedirected)
     ++hops;
-  EXPECT_EQ(hops, 4) << "five with the first";
+  EXPECT_EQ(hops, 4) << "five redirections, including the first";
 }
 
-TEST_F(RouterTest, WhatIsNoRedirectionAndWhatCannotBeRead) {
-  learn(view_of("a:1", 2, {{"a:1", 0, 16383, 1}}));
+TEST_F(RouterTest, ClassifiesErrorReplies) {
+  merge(view_of("a:1", 2, {{"a:1", 0, 16383, 1}}));
   router->begin(1, 12182, Reads::kPrimary);
   EXPECT_EQ(error(1, "a:1", "ERR no such key"), Verdict::kAnswer);
   EXPECT_EQ(error(1, "a:1", "WRONGTYPE Operation"), Verdict::kAnswer);
@@ -232,29 +233,31 @@
   for (const std::string text : {"MOVED", "MOVED ", "MOVED x b:1", "MOVED 12182", "MOVED 16384 b:1",
                                  "MOVED 12182 b", "MOVED 12182 b:0", "MOVED 12182 b:70000",
                                  "ASK 12182 ?:1", "ASK 12182 b:1 x", "MOVED -1 b:1"})
-    EXPECT_EQ(error(1, "a:1", text), Verdict::kSpoilt) << text;
+    EXPECT_EQ(error(1, "a:1", text), Verdict::kMalformed) << text;
   for (const std::string text : {"TRYAGAIN x", "CLUSTERDOWN x", "LOADING x", "READONLY x"})
-    EXPECT_EQ(error(1, "a:1", text), Verdict::kLater) << text;
+    EXPECT_EQ(error(1, "a:1", text), Verdict::kUnavailable) << text;
   router->begin(1, 12182, Reads::kPrimary);
-  EXPECT_EQ(offered(key, 1), Names{"a:1"}) << "nothing of it was learnt";
-  EXPECT_EQ(error(1, "a:1", "MOVED 12182 :7"), Verdict::kRedirected) << "the host that answered";
+  EXPECT_EQ(offered(key, 1), Names{"a:1"})
+      << "malformed redirections must not change the slot table";
+  EXPECT_EQ(error(1, "a:1", "MOVED 12182 :7"), Verdict::kRedirected)
+      << "an empty host means the host that answered";
   EXPECT_EQ(offered(key, 1), Names{"a:7"});
 }
 
-// The old owner came back as a replica, or thinks that it is one.
-TEST_F(RouterTest, AReplicaThatIsAskedToWritePointsToTheOwner) {
-  learn(view_of("a:1", 2, {{"a:1", 0, 16383, 1}}));
+// The old owner is now a replica, or believes that it is.
+TEST_F(RouterTest, GoesToTheOwnerAfterReadonlyFromAReplica) {
+  merge(view_of("a:1", 2, {{"a:1", 0, 16383, 1}}));
   router->begin(1, 12182, Reads::kPrimary);
-  learn(view_of("b:1", 3, {{"b:1", 0, 16383, 3}, {"a:1", 1, 0, 1}}));
+  merge(view_of("b:1", 3, {{"b:1", 0, 16383, 3}, {"a:1", 1, 0, 1}}));
   EXPECT_EQ(error(1, "a:1", "READONLY You can't write against a read only replica."),
             Verdict::kRedirected);
   EXPECT_EQ(offered(key, 1), Names{"b:1"});
 }
 
-TEST_F(RouterTest, ReplicasServeWhereTheClassAllows) {
+TEST_F(RouterTest, OffersReplicasIfReadsAllow) {
   View view = view_of("a:1", 2, {{"a:1", 0, 16383, 1}});
   view.shards[0].replicas = {"r:1", "s:1"};
-  learn(view);
+  merge(view);
   router->begin(1, 12182, Reads::kPrimary);
   EXPECT_EQ(offered(key, 1), Names{"a:1"});
   std::set<std::string> first;
@@ -275,15 +278,15 @@
   EXPECT_EQ(first.size(), 3u);
 }
 
-TEST_F(RouterTest, WhereNobodyKnowsAnyNodeIsAsked) {
-  list();
+TEST_F(RouterTest, OffersAnyNodeIfTheOwnerIsUnknown) {
+  insert_new_nodes();
   router->begin(1, 12182, Reads::kPrimary);
   EXPECT_EQ(offered(key, 1), Names{"a:1"});
 }
 
-// A storm of MOVED leads to one refresh at a time, and to so many a second.
-TEST_F(RouterTest, AStormOfMovedAsksSeldom) {
-  learn(view_of("a:1", 2, {{"a:1", 0, 16383, 1}, {"b:1", 1, 0, 2}}));
+// Many MOVED replies must lead to one refresh at a time and to a bounded number per second.
+TEST_F(RouterTest, LimitsRefreshesUnderManyMovedReplies) {
+  merge(view_of("a:1", 2, {{"a:1", 0, 16383, 1}, {"b:1", 1, 0, 2}}));
   const auto before = router->counters().refreshes;
   for (int ms = 0; ms < 1000; ++ms) {
     now += milliseconds(1);
@@ -295,7 +298,7 @@
     const auto at = router->refresh_at();
     if (at && now >= *at) {
       EXPECT_FALSE(router->begin_refresh(now).empty());
-      EXPECT_FALSE(router->refresh_at()) << "one is under way";
+      EXPECT_FALSE(router->refresh_at()) << "a refresh is in progress";
     } else if (!at && ms % 7 == 0) {
       router->end_refresh(now, view_of("a:1", 2, {{"a:1", 0, 16383, 1}, {"b:1", 1, 0, 2}}));
     }
@@ -304,29 +307,30 @@
   EXPECT_GE(router->counters().refreshes - before, 8u);
 }
 
-TEST_F(RouterTest, FailedRefreshesBackOffAndAskEveryNode) {
+TEST_F(RouterTest, BacksOffAfterFailedRefreshesAndQueriesEveryNode) {
   View view = view_of("a:1", 2, {{"a:1", 0, 16383, 1}});
   view.shards[0].replicas = {"r:1", "s:1"};
-  learn(view);
-  std::set<std::string> asked;
+  merge(view);
+  std::set<std::string> queried;
   Time last = now;
   Duration gap{0};
   for (int i = 0; i < 12; ++i) {
-    router->on_broken("a:1");
+    router->on_attempt_failed("a:1");
     const auto at = router->refresh_at();
     ASSERT_TRUE(at);
     EXPECT_GE(*at - last, gap);
     EXPECT_LE(*at - last, std::chrono::seconds(5));
     gap = *at - last;
     last = now = *at;
-    asked.insert(router->begin_refresh(now));
+    queried.insert(router->begin_refresh(now));
     router->end_refresh(now, i % 2 ? std::optional<View>() : View{"r:1", 9, {}});
   }
-  EXPECT_EQ(asked.size(), 3u);
-  EXPECT_EQ(router->table().assigned(), kSlots) << "nothing is forgotten meanwhile";
+  EXPECT_EQ(queried.size(), 3u);
+  EXPECT_EQ(router->table().assigned(), kSlots)
+      << "failed refreshes must not change the slot table";
 }
 
-// ---- a cluster that learns late
+// ---- a cluster whose nodes learn of slot moves late
 
 struct Model {
   struct Claim {
@@ -342,7 +346,8 @@
     for (auto& node : nodes) node.known = truth;
   }
   static std::string name(int n) { return "n" + std::to_string(n) + ":1"; }
-  // The new owner takes a newer epoch, and knows first; the old one is told.
+  // The new owner takes a newer epoch and knows of the move first. The old owner learns of it at
+  // once in three of four cases.
   void move(Slot slot, int to) {
     const int from = truth[slot].owner;
     truth[slot] = {to, ++epoch};
@@ -360,7 +365,7 @@
     View v{name(n), 0, {}};
     for (int i = 0; i < static_cast<int>(nodes.size()); ++i)
       v.shards.push_back({name(i), {}, {}, 0});
-    // Claims of one node with different epochs are told apart, as if each were of its own shard.
+    // Reports each claim as a shard of its own, so that claims of one node may differ in epoch.
     for (const auto& [slot, claim] : at(n).known) {
       v.shards.push_back({name(claim.owner), {}, {{slot, slot}}, claim.epoch});
       v.epoch = std::max(v.epoch, claim.epoch);
@@ -374,7 +379,7 @@
   std::uint64_t epoch = 1;
 };
 
-TEST_F(RouterTest, ManyMovesAmongNodesThatLearnLate) {
+TEST_F(RouterTest, RoutesWhileSlotsMoveAmongNodesThatLearnLate) {
   for (std::uint32_t seed = 1; seed <= 60; ++seed) {
     SCOPED_TRACE(seed);
     std::mt19937 random(seed);
@@ -383,10 +388,11 @@
     router = std::make_unique<Router>(RouterSettings{.seeds = {Model::name(0)}});
     names.clear();
     std::map<Slot, std::uint64_t> highest;
-    learn(model.view(0));
+    merge(model.view(0));
     RequestId id = 0;
     int served = 0;
-    const auto ask = [&](Slot slot) {  // how many nodes it took; 0: none served it
+    // Returns the number of nodes that were tried; 0 if none served the request.
+    const auto send_request = [&](Slot slot) {
       router->begin(++id, slot, Reads::kPrimary);
       int node = -1, hops = 0;
       while (true) {
@@ -399,7 +405,7 @@
         if (target.empty()) break;
         node = std::stoi(target.substr(1));
         ++hops;
-        EXPECT_LE(hops, 6) << "five redirections at the most";
+        EXPECT_LE(hops, 6) << "at most five redirections";
         const auto claim = model.at(node).known[slot];
         if (claim.owner == node) {
           router->end(id);
@@ -418,26 +424,27 @@
       if (random() % 5 == 0)
         model.move(slot, static_cast<int>(random() % static_cast<unsigned>(n)));
       if (random() % 2) model.gossip();
-      served += ask(slot) > 0;
+      served += send_request(slot) > 0;
       if (const auto at = router->refresh_at(); at && now >= *at) {
-        const auto whom = router->begin_refresh(now);
-        router->end_refresh(now, model.view(std::stoi(whom.substr(1))));
-        list();
+        const auto node = router->begin_refresh(now);
+        router->end_refresh(now, model.view(std::stoi(node.substr(1))));
+        insert_new_nodes();
       }
     }
     EXPECT_GT(served, 300);
     for (int i = 0; i < 400; ++i) model.gossip();
-    learn(model.view(0));
+    merge(model.view(0));
     for (const auto& [slot, claim] : model.truth) {
-      EXPECT_EQ(ask(slot), 1) << "slot " << slot << " goes astray after all have learnt";
+      EXPECT_EQ(send_request(slot), 1)
+          << "slot " << slot << " is misrouted although all nodes know its owner";
     }
   }
 }
 
-// A walk over nodes while slots move and nodes leave: every key is told, as the table always knows.
+// Scans all nodes while slots move. Every key must be returned, as the table knows of each move.
 class ScanPlanTest : public ::testing::TestWithParam<unsigned> {};
 
-TEST_P(ScanPlanTest, LeavesNoKeyOut) {
+TEST_P(ScanPlanTest, ReturnsEveryKeyWhileSlotsMove) {
   SCOPED_TRACE("seed " + std::to_string(GetParam()));
   std::mt19937_64 random(GetParam());
   const auto below = [&](std::uint64_t n) { return static_cast<int>(random() % n); };
@@ -447,7 +454,7 @@
   const auto address = [](int n) { return "127.0.0.1:" + std::to_string(7000 + n); };
   SlotTable table(64);
   std::uint64_t epoch = 1;
-  const auto tell = [&] {
+  const auto publish_view = [&] {
     View view{address(0), epoch, {}};
     for (int n = 0; n < nodes; ++n) {
       Shard shard{address(n), {}, {}, epoch};
@@ -458,9 +465,9 @@
     ++epoch;
     table.merge(view);
   };
-  tell();
-  // One key a slot; a page of a node holds those of the next slots that are its own.
-  std::vector<bool> told(kSlots);
+  publish_view();
+  // Each slot has one key. A page contains the keys of the node's next slots.
+  std::vector<bool> returned(kSlots);
   ScanPlan plan;
   int pages = 0;
   while (const auto step = plan.next(table)) {
@@ -471,19 +478,19 @@
     auto s = static_cast<std::uint32_t>(step->cursor);
     for (int keys = 0; s < kSlots && keys < 500; ++s)
       if (owner[s] == at) {
-        told[s] = true;
+        returned[s] = true;
         ++keys;
       }
-    // Moves end at some time, or there would be no end to the walk.
+    // Stops moving slots after 200 pages, as the scan would not end otherwise.
     if (pages < 200 && below(3) == 0) {
       for (int i = below(20); i >= 0; --i)
         owner[random() % kSlots] = below(static_cast<std::uint64_t>(nodes));
-      tell();
+      publish_view();
     }
     plan.on_page(table, s == kSlots ? 0 : s);
   }
-  EXPECT_FALSE(plan.given_up());
-  EXPECT_EQ(std::count(told.begin(), told.end(), false), 0);
+  EXPECT_FALSE(plan.aborted());
+  EXPECT_EQ(std::count(returned.begin(), returned.end(), false), 0);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, ScanPlanTest, ::testing::Range(1u, 13u));
--- a/tests/hiredis_test.cc
+++ b/tests/hiredis_test.cc
@@ -1,5 +1,5 @@
-// An ordinary client library against the built program and against a node: the same script, the
-// same replies.
+// Sends the same commands with the hiredis client library to a node and to the balancer and
+// compares the replies.
 #include <gtest/gtest.h>
 #include <hiredis/hiredis.h>
 
@@ -43,9 +43,9 @@
   return text_of(r.get());
 }
 
-// The cluster and the balancer run on the fixture's loop, in a thread of their own; the library's
-// calls wait in the test's.
-TEST_F(RespNodeTest, HiredisGetsTheSameReplies) {
+// The cluster and the balancer run on the fixture's event loop in a separate thread; the blocking
+// calls of the library run in the test's thread.
+TEST_F(RespNodeTest, HiredisReceivesTheRepliesOfANode) {
   begin(1);
   const int node = std::atoi(cluster->address(0).substr(10).c_str());
   const int through = balancer->local(0).port();
@@ -75,7 +75,7 @@
       {"nosuch"},
       {"DEL", "{h}k", "{h}n", "{h}a", "{h}b", "{h}h", "{h}l", "{h}s"},
   };
-  for (const std::string version : {"2"}) {  // the library's release in Debian reads no more
+  for (const std::string version : {"2"}) {  // Debian's release of the library supports RESP2 only
     std::vector<std::string> replies[2];
     for (const int i : {0, 1}) {
       Context c = dial(i == 0 ? node : through);
@@ -83,7 +83,7 @@
       if (!c || c->err) break;
       ask(c.get(), {"HELLO", version});
       for (const auto& words : script) replies[i].push_back(ask(c.get(), words));
-      // And as a pipeline of the library.
+      // Repeats one command as a pipeline of the library.
       for (int n = 0; n < 500; ++n) redisAppendCommand(c.get(), "INCR {h}p");
       for (int n = 0; n < 500; ++n) {
         void* reply = nullptr;
--- a/tests/resp_harness.h
+++ b/tests/resp_harness.h
@@ -12,7 +12,7 @@
 #include "proto/resp.h"
 #include "testbed/servers/resp_cluster.h"
 
-// RESP clients, and a balancer between them and a cluster in the same process and event loop.
+// RESP clients, a balancer and an emulated cluster in the same process and event loop.
 namespace balancer::node {
 
 using Words = std::vector<std::string>;
@@ -36,7 +36,7 @@
   }
 
   void send(const std::string& bytes) { peer_->send(bytes); }
-  // The reply to one command; empty if none comes.
+  // Sends one command and returns the reply; empty if none arrives.
   std::string ask(const Words& words) {
     send(wire(words));
     return next();
@@ -112,7 +112,7 @@
     }
     return all;
   }
-  // Writes that ran with this argument.
+  // Returns how many writes with this argument ran.
   int ran(const std::string& argument) const {
     int n = 0;
     for (const auto& r : cluster->runs()) n += r.argument == argument;
@@ -120,7 +120,7 @@
   }
   ::testing::AssertionResult wait(const std::function<bool()>& done) {
     if (run_until(io, done)) return ::testing::AssertionSuccess();
-    return ::testing::AssertionFailure() << "it never came to that";
+    return ::testing::AssertionFailure() << "the condition did not become true in time";
   }
 
   std::unique_ptr<Limits> limits;  // outlives the loop
--- a/tests/resp_node_test.cc
+++ b/tests/resp_node_test.cc
@@ -1,4 +1,4 @@
-// RESP clients at a real balancer, in front of an emulated cluster.
+// RESP clients, a real balancer and an emulated cluster.
 #include <algorithm>
 #include <random>
 
@@ -10,7 +10,7 @@
 
 using cluster::slot_of;
 
-TEST_F(RespNodeTest, TheBalancerAnswersForItself) {
+TEST_F(RespNodeTest, AnswersLocalCommandsWithoutTheCluster) {
   begin(3, 0, "", "announce = \"127.0.0.1:7001\"\npeers = [\"127.0.0.1:7002\"]\n");
   auto c = client();
   const std::vector<std::pair<Words, std::string>> script = {
@@ -60,7 +60,7 @@
   const std::string nodes_reply = c->ask({"CLUSTER", "NODES"});
   const auto nodes = resp::parse_reply(nodes_reply, resp::Bounds{});
   ASSERT_TRUE(nodes);
-  const auto view = cluster::read_nodes(nodes->text, "127.0.0.1:1");
+  const auto view = cluster::parse_cluster_nodes(nodes->text, "127.0.0.1:1");
   ASSERT_TRUE(view);
   EXPECT_EQ(view->shards.size(), 2u);
   const std::string hello_reply = c->ask({"HELLO", "3", "SETNAME", "n"});
@@ -73,8 +73,9 @@
   EXPECT_EQ(cluster->commands(), 0u);
 }
 
-// The same words to the balancer and to a node that owns the keys: the same replies.
-TEST_F(RespNodeTest, ConformsToANode) {
+// The same commands, sent to the balancer and to the node that owns the keys, must return the same
+// replies.
+TEST_F(RespNodeTest, RepliesAsANodeDoes) {
   begin(1);
   std::vector<Words> script = {
       {"SET", "k", "v"},
@@ -141,7 +142,7 @@
       {"nosuch", "x"},
       {"GET", "a", "b"},
   };
-  // All keys of one slot, as a node takes no others in one command.
+  // Maps all keys to one slot, as a node rejects commands with keys of several slots.
   const Words keys = {"k", "t", "n", "a", "b", "c", "h", "l", "s", "none"};
   Words clean = {"DEL"};
   for (const auto& k : keys) clean.push_back("{x}" + k);
@@ -156,7 +157,7 @@
       c->ask({"HELLO", std::to_string(version)});
       replies.emplace_back();
       for (const auto& words : script) replies.back().push_back(c->ask(words));
-      // And in one go.
+      // Repeats the script as one pipeline.
       std::string all;
       for (const auto& words : script) all += wire(words);
       c->send(all);
@@ -168,7 +169,7 @@
   }
 }
 
-TEST_F(RespNodeTest, PipelinesOfThousandsKeepTheirOrder) {
+TEST_F(RespNodeTest, KeepsTheOrderOfLongPipelines) {
   begin(3);
   auto c = client();
   std::string all;
@@ -184,7 +185,7 @@
   for (std::size_t i = 0; i < expected.size(); ++i) ASSERT_EQ(c->next(), expected[i]) << i;
 }
 
-TEST_F(RespNodeTest, CommandsOverSlotsAreSplitAndJoined) {
+TEST_F(RespNodeTest, SplitsCommandsBySlotAndJoinsTheReplies) {
   begin(3);
   auto c = client();
   Words set = {"MSET"}, get = {"MGET"}, count = {"EXISTS"}, del = {"DEL"};
@@ -202,7 +203,7 @@
   EXPECT_EQ(c->ask({"RENAME", "k1", "k2"}),
             "-CROSSSLOT Keys in request don't hash to the same slot\r\n");
   EXPECT_EQ(c->ask({"MSET", "k1", "x", "k2"}), "-ERR syntax error\r\n");
-  // One node is away: reads are refused as a whole, writes tell how many parts have run.
+  // With one node down, reads are rejected as a whole and writes report how many parts have run.
   cluster->kill(2);
   EXPECT_TRUE(c->ask(get).starts_with("-TRYAGAIN "));
   const std::string part = c->ask(del);
@@ -212,8 +213,8 @@
   EXPECT_TRUE(wait([&] { return c->ask(get).starts_with("*41"); }));
 }
 
-// One client cannot fill the pool by one command, or by many.
-TEST_F(RespNodeTest, PartsInWorkAreBounded) {
+// One client must not fill the pool, neither with one command nor with many.
+TEST_F(RespNodeTest, BoundsTheRequestsInFlightOfAClient) {
   begin(3);
   auto c = client();
   Words get = {"MGET"};
@@ -226,7 +227,7 @@
   EXPECT_EQ(c->ask(get).substr(0, 4), "-ERR");
 }
 
-TEST_F(RespNodeTest, TransactionsGoOutAsOneUnit) {
+TEST_F(RespNodeTest, SendsTransactionsAsOneUnit) {
   begin(3, 0, "", "most_queued = 3\n");
   auto c = client();
   EXPECT_EQ(c->ask({"MULTI"}), "+OK\r\n");
@@ -243,7 +244,8 @@
   EXPECT_TRUE(c->ask({"INCR", "{t}a"}).starts_with("-ERR too many"));
   EXPECT_TRUE(c->ask({"EXEC"}).starts_with("-EXECABORT"));
   EXPECT_EQ(c->ask({"GET", "{t}a"}), "$1\r\n2\r\n");
-  // Its slot has moved, and the balancer has not heard: it runs once, where it belongs.
+  // The slot has moved without the balancer's knowledge: the transaction runs once, on the new
+  // owner.
   const auto slot = slot_of("{t}");
   const int to = (cluster->owner(slot) + 1) % 3;
   cluster->begin_move(slot, to);
@@ -255,8 +257,9 @@
   EXPECT_EQ(cluster->runs().size(), before + 2);
 }
 
-// MOVED is followed and learnt, ASK followed; keys half moved under MGET are asked for again.
-TEST_F(RespNodeTest, ASlotOnItsWay) {
+// The balancer follows ASK and MOVED, updates its slot table on MOVED, and requests the keys of an
+// MGET one by one if only some of them have moved.
+TEST_F(RespNodeTest, ServesASlotThatIsBeingMigrated) {
   begin(2);
   auto c = client();
   Words get = {"MGET"};
@@ -271,9 +274,10 @@
   ASSERT_TRUE(cluster->move_key(slot));
   for (int i = 0; i < 6; ++i) EXPECT_EQ(c->ask({"GET", get[1 + i]}), "$1\r\nv\r\n") << i;
   EXPECT_EQ(c->ask(get), "*6\r\n$1\r\nv\r\n$1\r\nv\r\n$1\r\nv\r\n$1\r\nv\r\n$1\r\nv\r\n$1\r\nv\r\n")
-      << "some here and some there: each key is asked for where it is";
+      << "the keys lie on two nodes; each must be requested from its node";
   EXPECT_EQ(c->ask({"SET", "{s}new", "1"}), "+OK\r\n");
-  EXPECT_EQ(cluster->runs().back().node, to) << "what is not there any more goes to the new owner";
+  EXPECT_EQ(cluster->runs().back().node, to)
+      << "a key that the old owner does not have must go to the new owner";
   while (cluster->move_key(slot)) {
   }
   EXPECT_TRUE(c->ask(get).starts_with("*6\r\n")) << "by ASK";
@@ -281,12 +285,12 @@
   EXPECT_TRUE(c->ask(get).starts_with("*6\r\n")) << "by MOVED";
   const auto redirections = cluster->redirections();
   EXPECT_TRUE(c->ask(get).starts_with("*6\r\n"));
-  EXPECT_EQ(cluster->redirections(), redirections) << "it was learnt";
+  EXPECT_EQ(cluster->redirections(), redirections) << "MOVED must have updated the slot table";
 }
 
-// 100 keys: those of one slot are all on their way and answered by ASK, those of another are half
-// moved and answered by TRYAGAIN. The values come joined in the order that they were asked for.
-TEST_F(RespNodeTest, AnMgetOverSlotsOnTheirWay) {
+// 100 keys: all keys of one slot have moved and lead to ASK, half of another slot's keys have moved
+// and lead to TRYAGAIN. The values must be joined in the order of the request.
+TEST_F(RespNodeTest, JoinsAnMgetOverSlotsThatAreBeingMigrated) {
   begin(3);
   auto c = client();
   Words get = {"MGET"};
@@ -305,7 +309,7 @@
       if (!cluster->move_key(slot)) break;
   }
   EXPECT_EQ(c->ask(get), expected);
-  // A write of the same client behind it is not told of by an answer in front of it.
+  // The reply must not show the effect of a later write of the same client.
   c->send(wire(get) + wire({"SET", "{half}1", "later"}) + wire({"GET", "{half}1"}));
   const std::string first = c->next();
   EXPECT_TRUE(first == expected || first.starts_with("-TRYAGAIN ")) << first.substr(0, 100);
@@ -313,9 +317,9 @@
   EXPECT_EQ(c->next(), "$5\r\nlater\r\n");
 }
 
-// SCAN over all nodes while a slot moves twice: every key that stayed comes, and so do those of the
-// slot once its moves are known. DBSIZE is the sum.
-TEST_F(RespNodeTest, ScanWhileASlotMovesTwice) {
+// SCAN over all nodes while a slot moves twice must return every key that stayed on its node, and
+// the keys of the slot, whose moves the balancer knows. DBSIZE must return the sum over the nodes.
+TEST_F(RespNodeTest, ScanReturnsEveryKeyWhileASlotMovesTwice) {
   begin(3);
   auto c = client();
   std::vector<std::string> all;
@@ -329,7 +333,7 @@
   c->replies.clear();
   EXPECT_EQ(c->ask({"DBSIZE"}), ":300\r\n");
   const auto slot = slot_of("{moves}");
-  std::vector<std::string> told;
+  std::vector<std::string> returned;
   std::string cursor = "0";
   int pages = 0;
   do {
@@ -337,9 +341,10 @@
       const int to = (cluster->owner(slot) + 1) % 3;
       cluster->begin_move(slot, to);
       cluster->end_move(slot);
-      EXPECT_EQ(c->ask({"GET", "{moves}1"}), "$1\r\nv\r\n");  // so that the balancer knows
+      // Makes the balancer learn of the move.
+      EXPECT_EQ(c->ask({"GET", "{moves}1"}), "$1\r\nv\r\n");
     }
-    // Any connection may go on with a cursor, and a page that was lost is told again.
+    // Any connection may continue with a cursor, and a page that was lost may be requested again.
     auto other = client();
     const std::string lost = pages % 5 == 4 ? other->ask({"SCAN", cursor, "COUNT", "10"}) : "";
     const std::string reply = other->ask({"SCAN", cursor, "COUNT", "10"});
@@ -349,18 +354,19 @@
     const auto page = resp::parse_reply(reply, resp::Bounds{});
     ASSERT_TRUE(page && page->items.size() == 2) << reply;
     cursor = page->items[0].text;
-    for (const auto& key : page->items[1].items) told.emplace_back(key.text);
+    for (const auto& key : page->items[1].items) returned.emplace_back(key.text);
     ASSERT_LT(++pages, 200);
   } while (cursor != "0");
-  std::sort(told.begin(), told.end());
-  for (const auto& key : all) EXPECT_TRUE(std::binary_search(told.begin(), told.end(), key)) << key;
+  std::sort(returned.begin(), returned.end());
+  for (const auto& key : all)
+    EXPECT_TRUE(std::binary_search(returned.begin(), returned.end(), key)) << key;
   EXPECT_EQ(c->ask({"SCAN", "77"}), "-ERR invalid cursor\r\n");
   EXPECT_EQ(c->ask({"SCAN", "x"}), "-ERR invalid cursor\r\n");
 }
 
-// A transaction whose keys have gone ahead of their slot: ASKING cannot be said for the commands of
-// a MULTI, so it is refused until the slot has moved, and runs nowhere meanwhile.
-TEST_F(RespNodeTest, ATransactionThatMeetsAsk) {
+// The keys of a transaction have moved but their slot has not. ASKING does not apply to the
+// commands of a MULTI, so the transaction is rejected and runs on no node until the slot has moved.
+TEST_F(RespNodeTest, RejectsATransactionThatNeedsAsking) {
   begin(2);
   auto c = client();
   EXPECT_EQ(c->ask({"SET", "{s}1", "v"}), "+OK\r\n");
@@ -384,7 +390,7 @@
 }
 
 // The slot moves between the commands of a transaction that the client is still sending.
-TEST_F(RespNodeTest, ASlotMovesWhileATransactionIsGathered) {
+TEST_F(RespNodeTest, RunsATransactionOnTheNewOwnerIfItsSlotMovesWhileQueueing) {
   begin(2);
   auto c = client();
   EXPECT_EQ(c->ask({"MULTI"}), "+OK\r\n");
@@ -399,7 +405,7 @@
   EXPECT_EQ(cluster->runs().back().node, to);
 }
 
-TEST_F(RespNodeTest, AKeyedWriteNeedsItsKeyInATransactionToo) {
+TEST_F(RespNodeTest, RejectsAKeyedWriteWithoutAKeyInATransaction) {
   begin(1, 0,
         "[[pool.class]]\nname = \"save\"\ncommands = [\"SET\"]\neffect = \"keyed\"\n"
         "key_argument = 4\nwindow_ms = 10000\n");
@@ -410,12 +416,13 @@
   EXPECT_TRUE(cluster->runs().empty());
 }
 
-// A booking runs at most once, whatever becomes of the connection at and behind a redirection.
-class RespBookingTest
+// A non-idempotent write runs at most once, whichever fault occurs on the connection after a
+// redirection.
+class RespUnsafeWriteTest
     : public RespNodeTest,
       public ::testing::WithParamInterface<std::tuple<testbed::RespCluster::Fault, bool>> {};
 
-TEST_P(RespBookingTest, IsNeverReplayedAfterARedirection) {
+TEST_P(RespUnsafeWriteTest, IsNotRetriedIfAFaultFollowsARedirection) {
   const auto [fault, ask] = GetParam();
   begin(2);
   auto c = client();
@@ -430,12 +437,12 @@
   };
   const std::string reply = c->ask({"RPUSH", "b", "id"});
   EXPECT_TRUE(reply.starts_with("-ERR failed")) << reply;
-  EXPECT_EQ(asked, 2) << "the one that named the other, and the other, once";
+  EXPECT_EQ(asked, 2) << "once to the redirecting node and once to the node that it named";
   EXPECT_LE(ran("id"), 1);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Faults, RespBookingTest,
+    Faults, RespUnsafeWriteTest,
     ::testing::Combine(::testing::Values(testbed::RespCluster::Fault::kCloseBefore,
                                          testbed::RespCluster::Fault::kCloseAfter,
                                          testbed::RespCluster::Fault::kHalfReply,
@@ -443,8 +450,8 @@
                                          testbed::RespCluster::Fault::kGarbage),
                        ::testing::Bool()));
 
-// A redirection whose text breaks off proves nothing.
-TEST_F(RespNodeTest, HalfARedirectionProvesNothing) {
+// After a truncated redirection the write may have run, so the balancer must not retry it.
+TEST_F(RespNodeTest, DoesNotFollowATruncatedRedirection) {
   begin(2);
   auto c = client();
   const auto slot = slot_of("b");
@@ -459,7 +466,7 @@
   EXPECT_EQ(ran("x"), 0);
 }
 
-TEST_F(RespNodeTest, ANodeThatNamesItselfIsNotAskedAgainAndAgain) {
+TEST_F(RespNodeTest, DoesNotRetryANodeThatRedirectsToItself) {
   begin(2);
   auto c = client();
   cluster->fault = [](int, const resp::Command&) { return Fault::kLie; };
@@ -470,7 +477,7 @@
   EXPECT_EQ(c->ask({"GET", "k"}), "$-1\r\n");
 }
 
-TEST_F(RespNodeTest, GarbageHarmsItsOwnRequestOnly) {
+TEST_F(RespNodeTest, GarbageRepliesFailOnlyTheirOwnRequest) {
   begin(1);
   auto c = client(), other = client();
   cluster->fault = [](int, const resp::Command& command) {
@@ -483,20 +490,21 @@
   EXPECT_EQ(c->ask({"GET", "good"}), "$-1\r\n");
 }
 
-TEST_F(RespNodeTest, NodesThatForgotTheirMap) {
+TEST_F(RespNodeTest, KeepsTheSlotTableWhenNodesLoseTheirs) {
   begin(2);
   auto c = client();
   EXPECT_EQ(c->ask({"SET", "k", "v"}), "+OK\r\n");
   for (const int n : {0, 1}) cluster->restart(n, true);
   EXPECT_TRUE(wait([&] {
     return c->ask({"GET", "k"}).starts_with("-TRYAGAIN ");
-  })) << "CLUSTERDOWN: nothing ran";
-  EXPECT_EQ(router().table().assigned(), cluster::kSlots) << "an empty map takes nothing away";
+  })) << "CLUSTERDOWN shows that nothing ran";
+  EXPECT_EQ(router().table().assigned(), cluster::kSlots)
+      << "an empty view must not change the slot table";
   cluster->spread();
   EXPECT_TRUE(wait([&] { return c->ask({"GET", "k"}) == "$1\r\nv\r\n"; }));
 }
 
-TEST_F(RespNodeTest, BadInputGetsOneErrorAndAClose) {
+TEST_F(RespNodeTest, AnswersInvalidInputWithOneErrorAndCloses) {
   begin(1);
   for (const std::string& text :
        {std::string("*1\r\n$104857600\r\n"), std::string("*2\r\n:1\r\n"),
@@ -511,7 +519,7 @@
   EXPECT_EQ(cluster->commands(), 0u);
 }
 
-TEST_F(RespNodeTest, TenantsAndPasswords) {
+TEST_F(RespNodeTest, AuthenticatesTenants) {
   begin(
       1, 0,
       "[[pool.tenant]]\nname = \"app\"\npassword = \"secret\"\n[[pool.tenant]]\nname = \"open\"\n",
@@ -531,9 +539,9 @@
   EXPECT_EQ(d->ask({"GET", "k"}), "-NOAUTH Authentication required.\r\n");
 }
 
-// What a connection says first (AUTH, HELLO) is left out of what its requests get, also when the
-// version changes from request to request.
-TEST_F(RespNodeTest, WhatConnectionsSayFirstIsLeftOut) {
+// The replies to a connection's setup commands (AUTH, HELLO) must not reach clients, also if the
+// RESP version changes from request to request.
+TEST_F(RespNodeTest, DropsRepliesToSetupCommands) {
   begin(1, 0, "user = \"proxy\"\npassword = \"x\"\n");
   auto c = client(), d = client();
   EXPECT_TRUE(d->ask({"HELLO", "3"}).starts_with("%"));
@@ -543,7 +551,7 @@
   }
 }
 
-TEST_F(RespNodeTest, ReplicasServeReadsOfClassesThatAllowIt) {
+TEST_F(RespNodeTest, ReplicasServeReadsOfClassesThatAllowThem) {
   begin(1, 2,
         "[[pool.class]]\nname = \"stale\"\ncommands = [\"GET\"]\nprefix = \"rate:\"\n"
         "reads = \"replica\"\n");
@@ -559,20 +567,20 @@
   EXPECT_GT(nodes[1], 0);
   EXPECT_GT(nodes[2], 0);
   for (int i = 0; i < 5; ++i) EXPECT_EQ(c->ask({"GET", "other"}), "$-1\r\n");
-  EXPECT_EQ(nodes[0], 5) << "other classes read at the owner";
+  EXPECT_EQ(nodes[0], 5) << "other classes must read from the owner";
 }
 
-// The owner dies, a replica takes over; the old one comes back and still thinks that it owns them.
-TEST_F(RespNodeTest, Failover) {
+// The owner fails and a replica takes over. The old owner restarts and still claims its slots.
+TEST_F(RespNodeTest, FollowsAFailoverAndIgnoresTheOldOwner) {
   begin(2, 1, "refresh_interval_ms = 100\nrefresh_every_ms = 100\n");
   auto c = client();
   const auto slot = slot_of("k");
   const int old = cluster->owner(slot);
   EXPECT_EQ(c->ask({"SET", "k", "v"}), "+OK\r\n");
   cluster->kill(old);
-  EXPECT_TRUE(c->ask({"GET", "k"}).starts_with("-TRYAGAIN ")) << "nobody has taken over yet";
-  const int heir = cluster->fail_over(old);
-  ASSERT_GE(heir, 0);
+  EXPECT_TRUE(c->ask({"GET", "k"}).starts_with("-TRYAGAIN ")) << "no replica has taken over yet";
+  const int new_owner = cluster->fail_over(old);
+  ASSERT_GE(new_owner, 0);
   cluster->tell(1 - old);
   const auto since = std::chrono::steady_clock::now();
   const auto refreshes = router().counters().refreshes;
@@ -581,17 +589,17 @@
       "found after %.0f ms and %llu refreshes\n",
       std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - since).count(),
       static_cast<unsigned long long>(router().counters().refreshes - refreshes));
-  cluster->restart(old);  // with the map of before
+  cluster->restart(old);  // with its old slot map
   for (int i = 0; i < 30; ++i) {
     EXPECT_EQ(c->ask({"RPUSH", "{k}l", std::to_string(i)}), ":" + std::to_string(i + 1) + "\r\n");
-    EXPECT_EQ(cluster->runs().back().node, heir);
-    run_for(io, std::chrono::milliseconds(30));  // refreshes ask the old one too
+    EXPECT_EQ(cluster->runs().back().node, new_owner);
+    run_for(io, std::chrono::milliseconds(30));  // refreshes query the old owner too
   }
   EXPECT_GT(router().counters().refreshes, 5u);
 }
 
 // memcache and RESP clients in one process.
-TEST_F(RespNodeTest, BesideMemcache) {
+TEST_F(RespNodeTest, ServesMemcacheAndRespInOneProcess) {
   FakeCache cache(io, [](const auto&, const auto& id) { return FakeCache::value(id, "m"); });
   discovery.hosts = host_entry("h1", cache.server.dial());
   begin(2);
@@ -606,23 +614,24 @@
   }
 }
 
-// Nodes that take connections and say nothing hold as many of them as their pool may have: what is
-// left is there for memcache. Without the bound they held all, and memcache requests found none.
-TEST_F(RespNodeTest, AJamLeavesTheOtherPoolItsConnections) {
+// Nodes that accept connections but never answer occupy all connections that their pool may have;
+// the others remain available to memcache. Without the bound they occupied every connection and
+// memcache requests found none.
+TEST_F(RespNodeTest, AStuckPoolLeavesConnectionsToOtherPools) {
   FakeCache cache(io, [](const auto&, const auto& id) { return FakeCache::value(id, "m"); });
   discovery.hosts = host_entry("h1", cache.server.dial());
   begin(2, 0,
         "most_connections = 20\nstreams_per_connection = 1\n"
         "[[pool.class]]\nname = \"slow\"\ncommands = [\"GET\"]\ndeadline_ms = 3000\n");
   cluster->fault = [](int, const resp::Command&) { return Fault::kSilent; };
-  std::vector<std::unique_ptr<RespClient>> crowd;
+  std::vector<std::unique_ptr<RespClient>> clients;
   for (int i = 0; i < 5; ++i) {
-    crowd.push_back(client());
-    for (int k = 0; k < 60; ++k) crowd.back()->send(wire({"GET", "k" + std::to_string(k)}));
+    clients.push_back(client());
+    for (int k = 0; k < 60; ++k) clients.back()->send(wire({"GET", "k" + std::to_string(k)}));
   }
   ASSERT_TRUE(wait([&] { return cluster->commands() >= 20; }));
   run_for(io, std::chrono::milliseconds(50));
-  EXPECT_EQ(cluster->commands(), 20u) << "the pool went over its bound";
+  EXPECT_EQ(cluster->commands(), 20u) << "the pool exceeded its bound";
   auto m = Peer::dial(io, balancer->local());
   for (int i = 1; i <= 50; ++i) {
     const std::string id = std::to_string(i);
@@ -631,14 +640,15 @@
     ASSERT_EQ(m->in, FakeCache::value(id, "m"));
     m->in.clear();
   }
-  for (auto& c : crowd)
-    for (int k = 0; k < 60; ++k) EXPECT_TRUE(c->next().starts_with("-")) << "each has its end";
+  for (auto& c : clients)
+    for (int k = 0; k < 60; ++k)
+      EXPECT_TRUE(c->next().starts_with("-")) << "each request must end with an error";
 }
 
-// A cluster that moves slots and fails over, under clients that each know what they have been told.
+// A cluster moves slots and fails over while clients check each reply against what they sent.
 class RespSoakTest : public RespNodeTest, public ::testing::WithParamInterface<std::uint32_t> {};
 
-TEST_P(RespSoakTest, EveryAnswerIsRightAndNoBookingRunsTwice) {
+TEST_P(RespSoakTest, RepliesAreCorrectAndNoWriteRunsTwice) {
   const std::uint32_t seed = GetParam();
   SCOPED_TRACE(seed);
   std::mt19937 random(seed);
@@ -648,39 +658,39 @@
   constexpr int kClients = 8, kKeys = 60;
   struct User {
     std::unique_ptr<RespClient> client;
-    std::deque<std::pair<char, int>> out;  // 'r' read, 'w' booking; which
+    std::deque<std::pair<char, int>> out;  // 'r' read or 'w' write; index of the key or id
   };
   std::vector<User> users(kClients);
   for (auto& u : users) u.client = client();
-  std::map<std::string, int> served;  // bookings by id
+  std::map<std::string, int> served;  // writes by id
   std::map<int, std::string> owner_of_value;
   int next_id = 0, asked = 0, answered = 0, reads_ok = 0, refused = 0, failed = 0;
   std::vector<std::string> ids;
   const auto key = [](int k) { return "key" + std::to_string(k); };
-  // Values of reads never change: any answer but this one is wrong.
+  // The values that are read never change: any other reply is wrong.
   for (int k = 0; k < kKeys; ++k)
     ASSERT_EQ(users[0].client->ask({"SET", key(k), "value-of-" + key(k)}), "+OK\r\n");
   const auto collect = [&](User& u) {
     while (!u.client->replies.empty() && !u.out.empty()) {
       const std::string reply = u.client->replies.front();
       u.client->replies.pop_front();
-      const auto [kind, what] = u.out.front();
+      const auto [kind, index] = u.out.front();
       u.out.pop_front();
       ++answered;
       if (reply.starts_with("-TRYAGAIN ")) {
         ++refused;
         if (kind == 'w') {
-          EXPECT_EQ(ran(ids[static_cast<std::size_t>(what)]), 0) << "refused, and ran";
+          EXPECT_EQ(ran(ids[static_cast<std::size_t>(index)]), 0) << "was rejected but ran";
         }
       } else if (reply.starts_with("-ERR failed")) {
         ++failed;
       } else if (kind == 'r') {
         ++reads_ok;
-        const std::string value = "value-of-" + key(what);
+        const std::string value = "value-of-" + key(index);
         EXPECT_EQ(reply, "$" + std::to_string(value.size()) + "\r\n" + value + "\r\n");
       } else {
         EXPECT_TRUE(reply.starts_with(":")) << reply;
-        ++served[ids[static_cast<std::size_t>(what)]];
+        ++served[ids[static_cast<std::size_t>(index)]];
       }
     }
   };
@@ -717,7 +727,7 @@
     if (m % (moves / failovers) == 5) {
       const auto all = owners();
       const int dead = all[random() % all.size()];
-      const bool partitioned = random() % 2;  // it goes on accepting
+      const bool partitioned = random() % 2;  // the node still accepts connections
       if (!partitioned) cluster->kill(dead);
       if (cluster->fail_over(dead) >= 0) {
         for (int i = 0; i < 5; ++i) step();
@@ -736,12 +746,13 @@
     for (auto& u : users) collect(u);
     return answered == asked;
   })) << asked - answered
-      << " requests were lost";
+      << " requests without a reply";
   std::map<std::string, int> runs;
   for (const auto& r : cluster->runs())
     if (r.command == "RPUSH") ++runs[r.argument];
   for (const auto& [id, n] : runs) EXPECT_EQ(n, 1) << id << " ran " << n << " times";
-  for (const auto& [id, n] : served) EXPECT_EQ(runs[id], 1) << id << " was served and did not run";
+  for (const auto& [id, n] : served)
+    EXPECT_EQ(runs[id], 1) << id << " was answered but did not run";
   EXPECT_GT(reads_ok, asked / 4);
   EXPECT_GT(served.size(), ids.size() / 2);
   std::printf("seed %u: %d asked, %d refused, %d failed, %llu redirections, %llu refreshes\n", seed,
