--- a/src/cluster/router.cc
+++ b/src/cluster/router.cc
@@ -90,8 +90,8 @@
   RequestRoute& route = it->second;
   if (unavailable_now || !at) return mark_unavailable(&route);
   if (is_replica) {
-    // The node is a replica and rejects the command. Goes to the slot's owner if that is another
-    // node.
+    // The node is a replica and rejects the command. Redirects the request to the slot's owner if
+    // that is another node.
     const auto owner = table_.owner(route.slot);
     if (!owner || *owner == *at) return mark_unavailable(&route);
     return redirect(route, *at, *owner, false);
--- a/src/frontend/resp/cluster_pool.h
+++ b/src/frontend/resp/cluster_pool.h
@@ -13,7 +13,7 @@
 namespace balancer {
 
 // A pool whose servers form a RESP cluster. Routes requests as the router decides, queries one node
-// at a time for the slot map, and tells redirections from responses.
+// at a time for the slot map, and distinguishes redirections from responses.
 class ClusterPool : private RoutingExtension {
  public:
   // `io`, `clock`, `settings` and `limits` must outlive the pool. The credentials in `settings` may
--- a/tests/resp_node_test.cc
+++ b/tests/resp_node_test.cc
@@ -430,14 +430,14 @@
   const int to = 1 - cluster->owner(slot);
   cluster->begin_move(slot, to);
   if (!ask) cluster->end_move(slot);
-  int asked = 0;
+  int attempts = 0;
   cluster->fault = [&, f = fault](int node, const resp::Command&) {
-    ++asked;
+    ++attempts;
     return node == to ? f : Fault::kNone;
   };
   const std::string reply = c->ask({"RPUSH", "b", "id"});
   EXPECT_TRUE(reply.starts_with("-ERR failed")) << reply;
-  EXPECT_EQ(asked, 2) << "once to the redirecting node and once to the node that it named";
+  EXPECT_EQ(attempts, 2) << "once to the redirecting node and once to the node that it named";
   EXPECT_LE(ran("id"), 1);
 }
 
@@ -457,12 +457,12 @@
   const auto slot = slot_of("b");
   cluster->begin_move(slot, 1 - cluster->owner(slot));
   cluster->end_move(slot);
-  int asked = 0;
+  int attempts = 0;
   cluster->fault = [&](int, const resp::Command&) {
-    return ++asked == 1 ? Fault::kHalfReply : Fault::kNone;
+    return ++attempts == 1 ? Fault::kHalfReply : Fault::kNone;
   };
   EXPECT_TRUE(c->ask({"RPUSH", "b", "x"}).starts_with("-ERR failed"));
-  EXPECT_EQ(asked, 1);
+  EXPECT_EQ(attempts, 1);
   EXPECT_EQ(ran("x"), 0);
 }
 
@@ -664,7 +664,7 @@
   for (auto& u : users) u.client = client();
   std::map<std::string, int> served;  // writes by id
   std::map<int, std::string> owner_of_value;
-  int next_id = 0, asked = 0, answered = 0, reads_ok = 0, refused = 0, failed = 0;
+  int next_id = 0, sent = 0, answered = 0, reads_ok = 0, refused = 0, failed = 0;
   std::vector<std::string> ids;
   const auto key = [](int k) { return "key" + std::to_string(k); };
   // The values that are read never change: any other reply is wrong.
@@ -699,7 +699,7 @@
       collect(u);
       for (int i = 0; i < 3 && u.out.size() < 20; ++i) {
         const int k = static_cast<int>(random() % kKeys);
-        ++asked;
+        ++sent;
         if (random() % 2) {
           u.client->send(wire({"GET", key(k)}));
           u.out.emplace_back('r', k);
@@ -744,8 +744,8 @@
   cluster->spread();
   ASSERT_TRUE(wait([&] {
     for (auto& u : users) collect(u);
-    return answered == asked;
-  })) << asked - answered
+    return answered == sent;
+  })) << sent - answered
       << " requests without a reply";
   std::map<std::string, int> runs;
   for (const auto& r : cluster->runs())
@@ -753,10 +753,10 @@
   for (const auto& [id, n] : runs) EXPECT_EQ(n, 1) << id << " ran " << n << " times";
   for (const auto& [id, n] : served)
     EXPECT_EQ(runs[id], 1) << id << " was answered but did not run";
-  EXPECT_GT(reads_ok, asked / 4);
+  EXPECT_GT(reads_ok, sent / 4);
   EXPECT_GT(served.size(), ids.size() / 2);
   std::printf("seed %u: %d asked, %d refused, %d failed, %llu redirections, %llu refreshes\n", seed,
-              asked, refused, failed, static_cast<unsigned long long>(cluster->redirections()),
+              sent, refused, failed, static_cast<unsigned long long>(cluster->redirections()),
               static_cast<unsigned long long>(router().counters().refreshes));
 }
 
