--- a/src/group_runtime/bgp_links.cc
+++ b/src/group_runtime/bgp_links.cc
@@ -18,12 +18,12 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-// What a router has not taken yet is looked at again this often.
-constexpr Duration kUnsentInterval = std::chrono::milliseconds(10);
-// More than this unread by a router: it is not written to any further.
-constexpr std::size_t kMaxUnsent = 256u << 10;
+// How often the count of unacknowledged bytes is polled while it is not 0.
+constexpr Duration kUnacknowledgedPollInterval = std::chrono::milliseconds(10);
+// If more output than this waits for a router, further messages to it are dropped.
+constexpr std::size_t kMaxOutput = 256u << 10;
 
-std::vector<bgp::SessionSettings> sessions_of(const BgpFile& file) {
+std::vector<bgp::SessionSettings> session_settings(const BgpFile& file) {
   std::vector<bgp::SessionSettings> all;
   for (const BgpRouter& r : file.routers) {
     all.push_back(file.session);
@@ -40,10 +40,10 @@
       file_(file),
       on_events_(std::move(on_events)),
       log_(std::move(log)),
-      speaker_(file.speaker, sessions_of(file), seed, lease_now()),
+      speaker_(file.speaker, session_settings(file), seed, lease_now()),
       links_(file.routers.size()),
       timer_(io),
-      unsent_timer_(io) {
+      unacknowledged_timer_(io) {
   for (const BgpRouter& r : file.routers) addresses_.push_back(*parse_endpoint(r.address));
   if (!file.listen.empty()) {
     const auto at = *parse_endpoint(file.listen);
@@ -63,7 +63,7 @@
     for (const Way way : {Way::kOut, Way::kIn}) close(r, way);
 }
 
-void BgpLinks::arm() {
+void BgpLinks::arm_timer() {
   if (stopped_) return;
   const Time next = speaker_.next();
   if (next == Time::max()) {
@@ -81,7 +81,7 @@
 
 void BgpLinks::run_actions() {
   if (std::exchange(running_actions_, true))
-    return;  // whoever is at it goes on until nothing is left
+    return;  // the running call continues until no action is left
   for (auto actions = speaker_.take_actions(); !actions.empty(); actions = speaker_.take_actions())
     for (auto& [router, action] : actions) {
       using Kind = bgp::Session::Action::Kind;
@@ -104,7 +104,7 @@
       }
     }
   running_actions_ = false;
-  arm();
+  arm_timer();
 }
 
 void BgpLinks::dial(std::size_t router) {
@@ -114,7 +114,7 @@
   error_code error;
   const auto& to = addresses_[router];
   l.socket->open(to.protocol(), error);
-  // Routers know their neighbours by the address that they come from.
+  // Routers identify their neighbours by source address.
   if (!error && !file_.source.empty())
     l.socket->bind({asio::ip::make_address(file_.source), 0}, error);
   const auto generation = l.generation;
@@ -139,8 +139,8 @@
     if (!e) {
       error_code error;
       const auto from = s.remote_endpoint(error);
-      // Only named routers are talked to. One that has a connection this way already has none to
-      // gain from another.
+      // Only configured routers are accepted. A router that already has an inbound connection gains
+      // nothing from a second one.
       for (std::size_t r = 0; !error && r < addresses_.size(); ++r) {
         if (addresses_[r].address() != from.address() || link(r, Way::kIn).socket) continue;
         link(r, Way::kIn).socket = std::make_unique<tcp::socket>(std::move(s));
@@ -168,12 +168,11 @@
   Link& l = link(router, way);
   l.socket->async_read_some(asio::buffer(l.input), [this, router, way, generation = l.generation](
                                                        const error_code& e, std::size_t n) {
-    Link& link_now = link(router, way);
-    if (e == asio::error::operation_aborted || generation != link_now.generation ||
-        !link_now.socket)
+    Link& current = link(router, way);
+    if (e == asio::error::operation_aborted || generation != current.generation || !current.socket)
       return;
-    if (e) return on_connection_failed(router, way, "the connection ended: " + e.message());
-    speaker_.on_bytes(lease_now(), router, way, {link_now.input.data(), n});
+    if (e) return on_connection_failed(router, way, "connection closed: " + e.message());
+    speaker_.on_bytes(lease_now(), router, way, {current.input.data(), n});
     run_actions();
     if (generation == link(router, way).generation && link(router, way).socket) read(router, way);
     on_events_();
@@ -182,7 +181,7 @@
 
 void BgpLinks::send(std::size_t router, Way way, const std::string& bytes) {
   Link& l = link(router, way);
-  if (!l.socket || l.output.size() > kMaxUnsent) return;
+  if (!l.socket || l.output.size() > kMaxOutput) return;
   l.output += bytes;
   flush(router, way);
 }
@@ -197,41 +196,41 @@
       if (!std::exchange(l.writing, true))
         l.socket->async_wait(tcp::socket::wait_write,
                              [this, router, way, generation = l.generation](const error_code& e) {
-                               Link& link_now = link(router, way);
-                               if (e || generation != link_now.generation || !link_now.socket)
-                                 return;
-                               link_now.writing = false;
+                               Link& current = link(router, way);
+                               if (e || generation != current.generation || !current.socket) return;
+                               current.writing = false;
                                flush(router, way);
                                run_actions();
                                on_events_();
                              });
       break;
     }
-    if (error) break;  // the read tells why
+    if (error) break;  // the pending read reports the error
   }
-  report_unsent(router, way);
+  report_unacknowledged(router, way);
 }
 
-// The system has what was written until the router's has acknowledged it.
-void BgpLinks::report_unsent(std::size_t router, Way way) {
+// Reports the bytes in `output` and those in the socket's send queue, where the kernel keeps what
+// was written until the router's system has acknowledged it.
+void BgpLinks::report_unacknowledged(std::size_t router, Way way) {
   Link& l = link(router, way);
   int queued = 0;
   if (::ioctl(l.socket->native_handle(), SIOCOUTQ, &queued) != 0 || queued < 0) queued = 0;
-  const std::size_t unsent = l.output.size() + static_cast<std::size_t>(queued);
-  l.has_unsent = unsent > 0;
-  speaker_.on_unsent(lease_now(), router, way, unsent);
-  if (l.has_unsent) arm_unsent_timer();
+  const std::size_t unacknowledged = l.output.size() + static_cast<std::size_t>(queued);
+  l.has_unacknowledged = unacknowledged > 0;
+  speaker_.on_unacknowledged(lease_now(), router, way, unacknowledged);
+  if (l.has_unacknowledged) arm_unacknowledged_timer();
 }
 
-void BgpLinks::arm_unsent_timer() {
-  if (std::exchange(unsent_timer_armed_, true)) return;
-  unsent_timer_.expires_after(kUnsentInterval);
-  unsent_timer_.async_wait([this](const error_code& e) {
-    unsent_timer_armed_ = false;
+void BgpLinks::arm_unacknowledged_timer() {
+  if (std::exchange(unacknowledged_timer_armed_, true)) return;
+  unacknowledged_timer_.expires_after(kUnacknowledgedPollInterval);
+  unacknowledged_timer_.async_wait([this](const error_code& e) {
+    unacknowledged_timer_armed_ = false;
     if (e || stopped_) return;
     for (std::size_t r = 0; r < links_.size(); ++r)
       for (const Way way : {Way::kOut, Way::kIn})
-        if (link(r, way).socket && link(r, way).has_unsent) report_unsent(r, way);
+        if (link(r, way).socket && link(r, way).has_unacknowledged) report_unacknowledged(r, way);
     run_actions();
     on_events_();
   });
@@ -240,7 +239,7 @@
 void BgpLinks::close(std::size_t router, Way way) {
   Link& l = link(router, way);
   ++l.generation;
-  l.writing = l.has_unsent = false;
+  l.writing = l.has_unacknowledged = false;
   l.output.clear();
   if (!l.socket) return;
   error_code ignored;
@@ -248,22 +247,22 @@
   l.socket.reset();
 }
 
-void BgpLinks::on_connection_failed(std::size_t router, Way way, const std::string& why) {
-  speaker_.on_closed(lease_now(), router, way, why);
+void BgpLinks::on_connection_failed(std::size_t router, Way way, const std::string& reason) {
+  speaker_.on_closed(lease_now(), router, way, reason);
   run_actions();
   on_events_();
 }
 
-void BgpLinks::stop(const std::string& why) {
+void BgpLinks::stop(const std::string& reason) {
   if (acceptor_) {
     error_code ignored;
     acceptor_->close(ignored);
   }
-  speaker_.stop(lease_now(), why);
+  speaker_.stop(lease_now(), reason);
   run_actions();
   stopped_ = true;
   timer_.cancel();
-  unsent_timer_.cancel();
+  unacknowledged_timer_.cancel();
 }
 
 }  // namespace balancer::group_runtime
--- a/src/group_runtime/bgp_links.h
+++ b/src/group_runtime/bgp_links.h
@@ -14,32 +14,33 @@
 
 namespace balancer::group_runtime {
 
-// The connections of a bgp::Speaker: dials and accepts, carries bytes, and tells it how much of
-// them a router has not taken. Every connection belongs to one router and one way; all end with
-// this.
+// The TCP connections of a bgp::Speaker: dials and accepts them, transfers bytes, and reports to
+// the speaker how many of them a router has not acknowledged. Each router has at most one
+// connection per direction. The destructor closes all connections.
 class BgpLinks {
  public:
   using Log = std::function<void(const std::string& line)>;
-  // `on_events`: something has come that the speaker may have events for. Throws
-  // boost::system::system_error where it is to listen and cannot.
+  // `on_events` is called after input that the speaker may have turned into events. Throws
+  // boost::system::system_error if the file sets a listen address that cannot be listened on.
   BgpLinks(boost::asio::io_context& io, const BgpFile& file, std::uint64_t seed,
            std::function<void()> on_events, Log log);
   ~BgpLinks();
 
   bgp::Speaker& speaker() { return speaker_; }
   const bgp::Speaker& speaker() const { return speaker_; }
-  // Carries out what the speaker wants by now; to be called after each call to it.
+  // Carries out the speaker's pending actions. The owner calls this after each call to the speaker.
   void run_actions();
-  // Ends all sessions in order, as far as that goes without waiting.
-  void stop(const std::string& why);
+  // Closes all sessions in order, as far as that is possible without blocking.
+  void stop(const std::string& reason);
 
  private:
   using Way = bgp::Session::Way;
   struct Link {
-    std::unique_ptr<boost::asio::ip::tcp::socket> socket;  // none: no connection
-    std::uint64_t generation = 0;                          // counts connections
+    std::unique_ptr<boost::asio::ip::tcp::socket> socket;  // null: no connection
+    // Grows with each close(); callbacks of an earlier generation are ignored.
+    std::uint64_t generation = 0;
     std::string output;
-    bool writing = false, has_unsent = false;
+    bool writing = false, has_unacknowledged = false;
     std::array<char, 4096> input{};
   };
   Link& link(std::size_t router, Way way) { return links_[router][way == Way::kIn]; }
@@ -50,11 +51,11 @@
   void read(std::size_t router, Way way);
   void send(std::size_t router, Way way, const std::string& bytes);
   void flush(std::size_t router, Way way);
-  void report_unsent(std::size_t router, Way way);
+  void report_unacknowledged(std::size_t router, Way way);
   void close(std::size_t router, Way way);
-  void on_connection_failed(std::size_t router, Way way, const std::string& why);
-  void arm_unsent_timer();
-  void arm();
+  void on_connection_failed(std::size_t router, Way way, const std::string& reason);
+  void arm_unacknowledged_timer();
+  void arm_timer();
 
   boost::asio::io_context& io_;
   const BgpFile& file_;
@@ -62,10 +63,10 @@
   const Log log_;
   bgp::Speaker speaker_;
   std::vector<boost::asio::ip::tcp::endpoint> addresses_;
-  std::vector<std::array<Link, 2>> links_;  // by router
+  std::vector<std::array<Link, 2>> links_;  // per router: outbound, inbound
   std::unique_ptr<boost::asio::ip::tcp::acceptor> acceptor_;
-  boost::asio::steady_timer timer_, unsent_timer_;
-  bool unsent_timer_armed_ = false, stopped_ = false, running_actions_ = false;
+  boost::asio::steady_timer timer_, unacknowledged_timer_;
+  bool unacknowledged_timer_armed_ = false, stopped_ = false, running_actions_ = false;
 };
 
 }  // namespace balancer::group_runtime
--- a/src/group_runtime/group_runtime.cc
+++ b/src/group_runtime/group_runtime.cc
@@ -19,10 +19,11 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-// Between two checks of eligibility. How late a check runs is the lateness of the event loop.
+// Interval between two checks of eligibility. The delay of a check beyond it measures how late the
+// event loop runs.
 constexpr Duration kEligibilityInterval = milliseconds(50);
 
-DatagramSocket::Endpoint udp(const std::string& text) {
+DatagramSocket::Endpoint udp_endpoint(const std::string& text) {
   const auto e = *parse_endpoint(text);
   return {e.address(), e.port()};
 }
@@ -51,14 +52,14 @@
   if (serves)
     for (const auto& a : file.addresses) announcers_[a.name].spec = &a;
   socket_ = std::make_unique<DatagramSocket>(
-      io, udp(file.listen), networks_of(file),
+      io, udp_endpoint(file.listen), networks_of(file),
       [this](const DatagramSocket::Endpoint& from, std::string_view bytes) {
         on_datagram(from, bytes);
       });
   if (serves && file.bgp) {
     bgp_ = std::make_unique<BgpLinks>(
-        io, *file.bgp, life_ + 1, [this] { run_effects(); }, owner_.log);
-    // Until a session is up this instance can announce nothing.
+        io, *file.bgp, incarnation_ + 1, [this] { run_effects(); }, owner_.log);
+    // Without an established session this member cannot announce an address.
     eligibility_.on_condition(lease_now(), lease::Eligibility::Condition::kRoutersConnected, false);
   }
   eligibility_check_at_ = lease_now();
@@ -68,28 +69,28 @@
 GroupRuntime::~GroupRuntime() { end(); }
 
 void GroupRuntime::make_group_node() {
-  life_ = storage_.incarnation();
+  incarnation_ = storage_.incarnation();
   group::GroupNodeSettings s;
   s.name = file_.name;
   s.endpoint = file_.announce;
-  s.incarnation = life_;
+  s.incarnation = incarnation_;
   s.membership = file_.membership;
   s.lease_manager = file_.lease_manager;
   if (!serves_) s.lease_manager.addresses.clear();
   s.initial_voters = file_.founding;
   s.may_hold_leases = serves_;
-  const std::uint64_t seed = life_ ^ std::hash<std::string>()(file_.name);
+  const std::uint64_t seed = incarnation_ ^ std::hash<std::string>()(file_.name);
   group_node_.emplace(s, storage_.remembered(), storage_, seed, lease_now());
 }
 
-// A voter without durable storage grants no votes; everything else goes on. Once the folder can be
-// used, the voter resumes from its record: nothing newer was promised in between.
+// A voter without durable storage grants no votes; everything else continues. Once the folder can
+// be used, the voter resumes from its stored record, because it promised nothing in between.
 void GroupRuntime::open_storage() {
   const Time now = lease_now();
   if (!storage_.open(now)) return;
-  // After the wall clock was set back, the other members ignore this incarnation as outdated. It
-  // holds no lease, so it starts again as a later incarnation.
-  if (storage_.incarnation() != life_ && group_node_->is_idle() && !on_left_) {
+  // After the wall clock was set back, the other members ignore this incarnation as outdated. A
+  // member that holds no lease and is not leaving starts again as a later incarnation.
+  if (storage_.incarnation() != incarnation_ && group_node_->is_idle() && !on_leave_done_) {
     make_group_node();
   } else {
     group_node_->restore_voter(now, storage_.remembered());
@@ -101,12 +102,12 @@
 
 void GroupRuntime::on_datagram(const DatagramSocket::Endpoint& from, std::string_view bytes) {
   if (ended_) return;
-  const auto plain = keys_.open(lease_now(), bytes);
-  if (!plain) {
-    ++unsealed_;
+  const auto plaintext = keys_.open(lease_now(), bytes);
+  if (!plaintext) {
+    ++unauthenticated_;
     return;
   }
-  const auto datagram = group::decode(*plain);
+  const auto datagram = group::decode(*plaintext);
   if (!datagram || datagram->sender == file_.name ||
       (!datagram->to.empty() && datagram->to != file_.name)) {
     ++unreadable_;
@@ -125,15 +126,15 @@
 void GroupRuntime::send(const group::GroupNode::OutgoingDatagram& message) {
   const auto to = parse_endpoint(message.endpoint);
   if (!to) return;
-  send({to->address(), to->port()}, {file_.name, life_, 0, message.to, message.body});
+  send({to->address(), to->port()}, {file_.name, incarnation_, 0, message.to, message.body});
 }
 
-// Gossip that does not fit one datagram is split in two.
+// Splits gossip that does not fit into one datagram.
 void GroupRuntime::send(const DatagramSocket::Endpoint& to, group::Datagram d) {
   d.sequence = ++sequence_;
-  const std::string plain = encode(d);
-  if (plain.size() + group::kSealedOverhead <= group::kMaxDatagram)
-    return socket_->send(to, keys_.seal(lease_now(), plain));
+  const std::string plaintext = encode(d);
+  if (plaintext.size() + group::kSealedOverhead <= group::kMaxDatagram)
+    return socket_->send(to, keys_.seal(lease_now(), plaintext));
   auto* const gossip = std::get_if<membership::GossipMessage>(&d.body);
   if (!gossip || gossip->updates.size() < 2) return;
   const auto half =
@@ -151,7 +152,7 @@
 
 // ---- effects of the group node
 
-// May be called again by what it calls: the call that runs goes on until nothing is left.
+// May be reentered through its callbacks: the outer call then repeats until no effects are left.
 void GroupRuntime::run_effects() {
   if (ended_) return;
   if (std::exchange(effects_running_, true)) {
@@ -178,8 +179,8 @@
     apply_bgp_events(now);
   }
   for (const auto& line : group_node_->take_log_lines()) owner_.log(line);
-  if (on_left_ && (group_node_->is_idle() || now >= leave_deadline_)) {
-    asio::post(io_, std::exchange(on_left_, nullptr));
+  if (on_leave_done_ && (group_node_->is_idle() || now >= leave_deadline_)) {
+    asio::post(io_, std::exchange(on_leave_done_, nullptr));
   }
 }
 
@@ -189,7 +190,7 @@
   if (it == announcers_.end()) return;
   RouteAnnouncer& announcer = it->second;
   if (action.kind == Kind::kAnnounce) {
-    // Routes must not lead clients here before the listeners are open.
+    // The listeners must be open before routes lead clients to this member.
     set_listening(now, action.address, announcer);
     if (!announcer.listening) {
       group_node_->on_claim_failed(now, action.address);
@@ -202,7 +203,7 @@
       announcer.commands.claim(now, action.term);
     }
   } else if (action.kind == Kind::kDeprefer) {
-    if (announcer.spec->prefix) bgp_->speaker().fade(now, action.address);
+    if (announcer.spec->prefix) bgp_->speaker().deprefer(now, action.address);
   } else if (announcer.spec->prefix) {
     bgp_->speaker().withdraw(now, action.address);
   } else {
@@ -219,7 +220,8 @@
     } else if (e.kind == Kind::kWithdrawn) {
       group_node_->on_withdrawn(now, e.address);
     } else {
-      owner_.log("lease " + e.address + ": announcement failed: too few routers took it in time");
+      owner_.log("lease " + e.address +
+                 ": announcement failed: too few routers acknowledged it in time");
       group_node_->on_claim_failed(now, e.address);
     }
   }
@@ -238,7 +240,8 @@
         start_command(address, announcer, announcer.spec->release, "release");
         break;
       case Kind::kAbort:
-        if (announcer.running) announcer.running->abort("aborted, as it is no longer needed");
+        if (announcer.running_command)
+          announcer.running_command->abort("aborted: the address is being released");
         break;
       case Kind::kAnnounced:
         group_node_->on_announced(now, address);
@@ -264,7 +267,7 @@
   const std::vector<std::string> environment{
       std::string(kAddressVariable) + "=" + address,
       std::string(kTermVariable) + "=" + std::to_string(announcer.commands.term())};
-  announcer.running =
+  announcer.running_command =
       std::make_unique<Command>(io_, arguments, environment, announcer.spec->command_limit,
                                 [this, address, name](const std::string& error) {
                                   if (!error.empty())
@@ -274,9 +277,9 @@
                                                    .append(name)
                                                    .append(" command failed: ")
                                                    .append(error));
-                                  RouteAnnouncer& ended = announcers_.at(address);
-                                  ended.running.reset();
-                                  ended.commands.on_command_ended(lease_now(), error);
+                                  RouteAnnouncer& finished = announcers_.at(address);
+                                  finished.running_command.reset();
+                                  finished.commands.on_command_ended(lease_now(), error);
                                   run_effects();
                                 });
 }
@@ -308,7 +311,7 @@
   Time next = group_node_->next();
   for (const auto& [address, announcer] : announcers_)
     next = std::min(next, announcer.commands.next());
-  if (on_left_) next = std::min(next, leave_deadline_);
+  if (on_leave_done_) next = std::min(next, leave_deadline_);
   if (next == timer_due_) return;
   timer_due_ = next;
   if (next == Time::max()) {
@@ -333,7 +336,7 @@
                             !owner_.hosts_listed || owner_.hosts_listed());
   if (bgp_)
     eligibility_.on_condition(now, Condition::kRoutersConnected,
-                              bgp_->speaker().up(now) >= file_.bgp->speaker.routers_needed);
+                              bgp_->speaker().routers_up(now) >= file_.bgp->speaker.routers_needed);
   const bool eligible = eligibility_.eligible(now);
   group_node_->on_eligible(now, eligible, eligibility_.reason());
   run_effects();
@@ -355,7 +358,7 @@
 void GroupRuntime::leave(std::function<void()> done) {
   const auto& times = file_.lease_manager.times;
   leave_deadline_ = lease_now() + times.duration + times.overlap;
-  on_left_ = std::move(done);
+  on_leave_done_ = std::move(done);
   eligibility_.on_condition(lease_now(), lease::Eligibility::Condition::kNotDraining, false);
   group_node_->leave(lease_now());
   run_effects();
@@ -369,7 +372,7 @@
   if (bgp_) bgp_->stop("it ends");
   timer_.cancel();
   eligibility_timer_.cancel();
-  for (auto& [address, announcer] : announcers_) announcer.running.reset();
+  for (auto& [address, announcer] : announcers_) announcer.running_command.reset();
   socket_->close();
 }
 
@@ -378,22 +381,22 @@
 void GroupRuntime::command(const std::string& line,
                            const std::function<void(const std::string&)>& answer) {
   std::istringstream words(line);
-  std::string verb, what, name, more;
+  std::string verb, argument, name, excess;
   words >> verb;
-  if (verb == "status" && !(words >> more)) return answer(status());
-  if (verb == "voters" && (words >> what >> name) && (what == "add" || what == "remove") &&
-      !(words >> more)) {
-    const bool add = what == "add";
+  if (verb == "status" && !(words >> excess)) return answer(status());
+  if (verb == "voters" && (words >> argument >> name) &&
+      (argument == "add" || argument == "remove") && !(words >> excess)) {
+    const bool add = argument == "add";
     group_node_->change_voters(
         lease_now(), name, add,
         [answer](bool done, const std::string& outcome) { answer(outcome_json(done, outcome)); });
     return run_effects();
   }
-  if (verb == "move" && (words >> what)) {
+  if (verb == "move" && (words >> argument)) {
     words >> name;
-    if (!(words >> more)) {
-      const std::string why = group_node_->move(lease_now(), what, name);
-      answer(outcome_json(why.empty(), why.empty() ? "it is being handed over" : why));
+    if (!(words >> excess)) {
+      const std::string refusal = group_node_->move(lease_now(), argument, name);
+      answer(outcome_json(refusal.empty(), refusal.empty() ? "handover started" : refusal));
       return run_effects();
     }
   }
@@ -404,17 +407,17 @@
 std::string GroupRuntime::status() const {
   StatusFigures f;
   f.name = file_.name;
-  f.life = life_;
+  f.incarnation = incarnation_;
   f.serves = serves_;
-  f.eligible = eligibility_.reason();
-  f.up_for = lease_now() - started_at_;
+  f.eligibility = eligibility_.reason();
+  f.uptime = lease_now() - started_at_;
   f.datagrams = socket_->counters();
-  f.unsealed = unsealed_;
+  f.unauthenticated = unauthenticated_;
   f.replayed = replayed_;
   f.unreadable = unreadable_;
   f.writes = storage_.writes();
   f.longest_write = storage_.longest_write();
-  f.remembers = storage_.is_open();
+  f.storage_open = storage_.is_open();
   return status_json(f, *group_node_, file_, bgp_ ? &bgp_->speaker() : nullptr, lease_now());
 }
 
--- a/src/group_runtime/group_runtime.h
+++ b/src/group_runtime/group_runtime.h
@@ -21,39 +21,41 @@
 
 namespace balancer::group_runtime {
 
-// One member of a group of balancers, or a voter: runs a group::GroupNode on sockets, timers and
-// files. It sends and receives the group's datagrams, stores the voter's record, announces service
-// addresses over BGP or by command, and has its owner open and close the listeners of each address.
-// All calls come from the event loop's thread; times are those of lease_now().
+// One member of a group of balancers, or a process that only votes: runs a group::GroupNode on
+// sockets, timers and files. It sends and receives the group's datagrams, stores the voter's
+// record, announces service addresses over BGP or by command, and has its owner open and close the
+// listeners of each address. All calls come from the event loop's thread; times are those of
+// lease_now().
 class GroupRuntime {
  public:
   struct Owner {
-    // Opens the listeners of an address that this member is about to announce. Returns false where
-    // they cannot be opened; the claim has failed then.
+    // Opens the listeners of an address that this member is about to announce. Returns false if
+    // they cannot be opened; the claim then fails.
     std::function<bool(const std::string& address)> listen;
-    // Closes them. `graceful`: connections that were accepted before may go on for the drain time;
-    // otherwise nothing more that they send reaches a host.
+    // Closes the listeners. `graceful`: connections that are already accepted may continue for the
+    // drain time; otherwise no further request of theirs reaches a host.
     std::function<void(const std::string& address, bool graceful)> unlisten;
-    std::function<bool()> hosts_listed;  // whether there is a host to forward requests to
+    std::function<bool()> hosts_listed;  // whether discovery lists any host
     std::function<void(const std::string& line)> log;
   };
 
-  // `file` must outlive this. `serves`: false for a process that only votes. Throws
-  // std::runtime_error (FileError, boost's system_error), one line, where a key file, socket or
-  // folder cannot be used.
+  // `file` must outlive this object. `serves`: false for a process that only votes. Throws
+  // std::runtime_error (FileError, boost's system_error), one line, if a key file, socket or folder
+  // cannot be used.
   GroupRuntime(boost::asio::io_context& io, const GroupFile& file, bool serves, Owner owner);
   ~GroupRuntime();
 
-  // Whether an attempt for a request that came to this address may still be sent to a host. By the
-  // clock, not by what the event loop has processed: a process that was stopped (SIGSTOP, a stall)
-  // finds its lease expired before it acts.
+  // Whether an attempt for a request to this address may still be sent to a host. Compares the
+  // lease with the clock and not with the last processed event: a process that was stopped
+  // (SIGSTOP, a stall) detects that its lease has expired before it sends anything.
   bool may_serve(const std::string& address) const;
-  // Reads the key file again. Throws FileError; the previous keys stay in use then.
+  // Reads the key file again. Throws FileError, and then keeps the previous keys.
   void reload();
-  // Transfers all addresses to other members. `done` is posted once none is held, at the latest
-  // after a lease and an overlap. The voter goes on voting until end().
+  // Transfers all addresses to other members. `done` is posted once this member holds none, at the
+  // latest after the lease duration plus the overlap. The voter continues to vote until end().
   void leave(std::function<void()> done);
-  // Tells members and routers that this process leaves; sends nothing afterwards.
+  // Notifies members and routers that this process leaves, and closes everything. Idempotent;
+  // nothing is sent afterwards.
   void end();
 
   // Runs one command of the status socket; `answer` gets one line of JSON.
@@ -66,7 +68,7 @@
     const ServiceAddress* spec = nullptr;
     bool listening = false;
     CommandAnnouncer commands;
-    std::unique_ptr<Command> running;
+    std::unique_ptr<Command> running_command;
   };
 
   void make_group_node();
@@ -92,7 +94,7 @@
   const bool serves_;
   const Owner owner_;
   VoterStorage storage_;
-  std::uint64_t life_ = 0, sequence_ = 0;
+  std::uint64_t incarnation_ = 0, sequence_ = 0;
   group::KeyRing keys_;
   group::ReplayGuard replays_;
   std::optional<group::GroupNode> group_node_;
@@ -103,9 +105,9 @@
   boost::asio::steady_timer timer_, eligibility_timer_;
   Time timer_due_ = Time::max(), eligibility_check_at_{0};
   bool effects_running_ = false, effects_pending_ = false, ended_ = false;
-  std::function<void()> on_left_;
+  std::function<void()> on_leave_done_;
   Time leave_deadline_{0};
-  std::uint64_t unsealed_ = 0, replayed_ = 0, unreadable_ = 0;
+  std::uint64_t unauthenticated_ = 0, replayed_ = 0, unreadable_ = 0;
   const Time started_at_;
 };
 
--- a/src/group_runtime/status.cc
+++ b/src/group_runtime/status.cc
@@ -25,8 +25,9 @@
 using local = asio::local::stream_protocol;
 using nlohmann::json;
 
-constexpr std::size_t kMaxTalks = 16, kMaxLine = 1024;
-constexpr Duration kTalk = std::chrono::seconds(10);  // a change of voters takes some seconds
+constexpr std::size_t kMaxConnections = 16, kMaxLine = 1024;
+// A change of voters takes some seconds.
+constexpr Duration kConnectionTimeout = std::chrono::seconds(10);
 
 std::int64_t ms(Duration d) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(d).count();
@@ -45,15 +46,16 @@
   }
 }
 
-constexpr std::chrono::milliseconds kRetryListen{500};
+constexpr std::chrono::milliseconds kListenRetryDelay{500};
 
-// What a folder or the system may be short of for a while.
+// Whether the error may pass: a resource of the folder or the system is exhausted for now.
 bool is_transient(const error_code& error) {
   constexpr std::array kErrors{ENOSPC, EDQUOT, EIO, ENOMEM, ENOBUFS, EMFILE, ENFILE, EINTR};
   return std::find(kErrors.begin(), kErrors.end(), error.value()) != kErrors.end();
 }
 
-// The member that is known to hold an address at the newest term; this one if `holds`.
+// Returns the member that holds the address at the newest known term, or "". `holds`: this member
+// holds it, at `own_term`.
 std::string known_holder(const std::string& address, const std::string& self, bool holds,
                          lease::Term own_term, const group::GroupNode& node) {
   std::string holder = holds ? self : "";
@@ -75,7 +77,7 @@
 json voter_json(const StatusFigures& figures, const group::GroupNode& node, Time now) {
   json voter;
   voter["votes"] = node.voter()->record().voters.has(figures.name);
-  voter["remembers"] = figures.remembers;
+  voter["remembers"] = figures.storage_open;
   voter["waits_ms"] = ms(node.voter()->remaining_recovery(now));
   voter["writes"] = figures.writes;
   voter["longest_write_ms"] = 1e3 * seconds(figures.longest_write);
@@ -120,23 +122,23 @@
     const auto& session = speaker->session(r);
     routers.push_back({{"address", file.bgp->routers[r].address},
                        {"state", bgp::name_of(session.state())},
-                       {"settled", session.settled()},
-                       {"last_end", session.last_end()}});
+                       {"settled", session.all_acknowledged()},
+                       {"last_end", session.last_end_reason()}});
   }
   return routers;
 }
 
 }  // namespace
 
-// Keys and values are what operators' scripts read: "able" is "ready" or the reason why not for
-// this member, and a yes or no for others; "life" is the incarnation.
+// Operators' scripts read the keys and values, so their names stay: "able" is eligibility, for this
+// member as "ready" or the reason why not, for others as a boolean; "life" is the incarnation.
 std::string status_json(const StatusFigures& f, const group::GroupNode& node, const GroupFile& file,
                         const bgp::Speaker* speaker, Time now) {
   json out;
   out["name"] = f.name;
-  out["life"] = f.life;
-  out["up_ms"] = ms(f.up_for);
-  out["able"] = f.serves ? f.eligible : "a voter that serves nothing";
+  out["life"] = f.incarnation;
+  out["up_ms"] = ms(f.uptime);
+  out["able"] = f.serves ? f.eligibility : "a voter that serves nothing";
   out["voter"] = voter_json(f, node, now);
   out["voters"] = {{"version", node.voters().version}, {"names", node.voters().names}};
   out["addresses"] = json::array();
@@ -146,13 +148,13 @@
   out["routers"] = routers_json(file, speaker);
   out["datagrams"] = {{"heard", f.datagrams.received},        {"sent", f.datagrams.sent},
                       {"bytes_sent", f.datagrams.bytes_sent}, {"not_sent", f.datagrams.not_sent},
-                      {"turned_away", f.datagrams.rejected},  {"under_no_key", f.unsealed},
+                      {"turned_away", f.datagrams.rejected},  {"under_no_key", f.unauthenticated},
                       {"unreadable", f.unreadable},           {"replayed", f.replayed}};
   return out.dump();
 }
 
-std::string outcome_json(bool good, const std::string& line) {
-  return json{{good ? "done" : "error", line}}.dump();
+std::string outcome_json(bool ok, const std::string& message) {
+  return json{{ok ? "done" : "error", message}}.dump();
 }
 
 bool outcome_good(const std::string& text) {
@@ -167,41 +169,50 @@
     if (j.contains(key) && j[key].is_string()) return j[key].get<std::string>() + "\n";
   std::string out;
   char row[512];
-  const auto add = [&](const char* form, auto... values) {
+  const auto append_row = [&](const char* form, auto... values) {
     std::snprintf(row, sizeof row, form, values...);
     out += row;
   };
-  const auto word = [](const json& o, const char* key) { return o.value(key, std::string()); };
-  const auto number = [](const json& o, const char* key) { return o.value(key, std::int64_t{0}); };
+  const auto string_value = [](const json& o, const char* key) {
+    return o.value(key, std::string());
+  };
+  const auto int_value = [](const json& o, const char* key) {
+    return o.value(key, std::int64_t{0});
+  };
   try {
-    add("%s, %.1f s up, %s\n", word(j, "name").c_str(),
-        static_cast<double>(number(j, "up_ms")) / 1e3, word(j, "able").c_str());
+    append_row("%s, %.1f s up, %s\n", string_value(j, "name").c_str(),
+               static_cast<double>(int_value(j, "up_ms")) / 1e3, string_value(j, "able").c_str());
     const json& v = j.at("voter");
-    add("voter: %s%s%s\n", v.value("votes", false) ? "votes" : "does not vote",
-        v.value("remembers", true) ? "" : ", CANNOT KEEP ITS PROMISES",
-        number(v, "waits_ms") > 0 ? ", waits, having forgotten" : "");
+    append_row("voter: %s%s%s\n", v.value("votes", false) ? "votes" : "does not vote",
+               v.value("remembers", true) ? "" : ", CANNOT WRITE ITS RECORD",
+               int_value(v, "waits_ms") > 0 ? ", does not vote yet: record lost" : "");
     std::string names;
     for (const auto& n : j.at("voters").at("names")) names += " " + n.get<std::string>();
-    add("voters, version %lld:%s\n", static_cast<long long>(number(j.at("voters"), "version")),
-        names.c_str());
-    add("\n%-16s %-12s %-16s %8s %9s %9s %7s  %s\n", "address", "state here", "holder", "term",
-        "since s", "lease ms", "voters", "last move");
+    append_row("voters, version %lld:%s\n",
+               static_cast<long long>(int_value(j.at("voters"), "version")), names.c_str());
+    append_row("\n%-16s %-12s %-16s %8s %9s %9s %7s  %s\n", "address", "state here", "holder",
+               "term", "since s", "lease ms", "voters", "last move");
     for (const auto& a : j.at("addresses"))
-      add("%-16s %-12s %-16s %8lld %9.1f %9lld %4lld/%lld  %s\n", word(a, "address").c_str(),
-          word(a, "state").c_str(), word(a, "holder").empty() ? "-" : word(a, "holder").c_str(),
-          static_cast<long long>(number(a, "newest_term")),
-          static_cast<double>(number(a, "since_ms")) / 1e3,
-          static_cast<long long>(number(a, "lease_left_ms")),
-          static_cast<long long>(number(a, "voters_reached")),
-          static_cast<long long>(number(a, "voters")), word(a, "why").c_str());
-    add("\n%-16s %-22s %-8s %9s  %s\n", "member", "endpoint", "state", "since s", "");
+      append_row("%-16s %-12s %-16s %8lld %9.1f %9lld %4lld/%lld  %s\n",
+                 string_value(a, "address").c_str(), string_value(a, "state").c_str(),
+                 string_value(a, "holder").empty() ? "-" : string_value(a, "holder").c_str(),
+                 static_cast<long long>(int_value(a, "newest_term")),
+                 static_cast<double>(int_value(a, "since_ms")) / 1e3,
+                 static_cast<long long>(int_value(a, "lease_left_ms")),
+                 static_cast<long long>(int_value(a, "voters_reached")),
+                 static_cast<long long>(int_value(a, "voters")), string_value(a, "why").c_str());
+    append_row("\n%-16s %-22s %-8s %9s  %s\n", "member", "endpoint", "state", "since s", "");
     for (const auto& m : j.at("members"))
-      add("%-16s %-22s %-8s %9.1f  %s%s\n", word(m, "name").c_str(), word(m, "endpoint").c_str(),
-          word(m, "state").c_str(), static_cast<double>(number(m, "since_ms")) / 1e3,
-          m.value("able", false) ? "able" : "not able", m.value("votes", false) ? ", votes" : "");
+      append_row("%-16s %-22s %-8s %9.1f  %s%s\n", string_value(m, "name").c_str(),
+                 string_value(m, "endpoint").c_str(), string_value(m, "state").c_str(),
+                 static_cast<double>(int_value(m, "since_ms")) / 1e3,
+                 m.value("able", false) ? "able" : "not able",
+                 m.value("votes", false) ? ", votes" : "");
     for (const auto& r : j.at("routers"))
-      add("router %s: %s%s%s\n", word(r, "address").c_str(), word(r, "state").c_str(),
-          word(r, "last_end").empty() ? "" : ", last end: ", word(r, "last_end").c_str());
+      append_row("router %s: %s%s%s\n", string_value(r, "address").c_str(),
+                 string_value(r, "state").c_str(),
+                 string_value(r, "last_end").empty() ? "" : ", last end: ",
+                 string_value(r, "last_end").c_str());
   } catch (const json::exception&) {
     return text + "\n";
   }
@@ -210,45 +221,46 @@
 
 std::string status_path(const GroupFile& file) { return file.folder + "/" + file.name + ".sock"; }
 
-// ---- the socket
+// ---- the status socket
 
-class StatusSocket::Talk : public std::enable_shared_from_this<Talk> {
+class StatusSocket::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Talk(StatusSocket& owner, local::socket s)
+  Connection(StatusSocket& owner, local::socket s)
       : owner_(&owner), socket_(std::move(s)), timer_(socket_.get_executor()) {}
 
   void start() {
-    timer_.expires_after(kTalk);
+    timer_.expires_after(kConnectionTimeout);
     timer_.async_wait([self = shared_from_this()](const error_code& e) {
-      if (!e) self->end();
+      if (!e) self->close();
     });
     read();
   }
-  void end() {
+  void close() {
     timer_.cancel();
     error_code ignored;
     socket_.close(ignored);
-    if (auto* owner = std::exchange(owner_, nullptr)) owner->talks_.erase(shared_from_this());
+    if (auto* owner = std::exchange(owner_, nullptr)) owner->connections_.erase(shared_from_this());
   }
-  void forget_owner() { owner_ = nullptr; }
+  void detach() { owner_ = nullptr; }
 
  private:
   void read() {
     socket_.async_read_some(
         asio::buffer(chunk_), [self = shared_from_this()](const error_code& e, std::size_t n) {
-          if (e || !self->owner_) return self->end();
+          if (e || !self->owner_) return self->close();
           self->in_.append(self->chunk_.data(), n);
           const auto line = self->in_.find('\n');
           if (line == std::string::npos)
-            return self->in_.size() > kMaxLine ? self->end() : self->read();
+            return self->in_.size() > kMaxLine ? self->close() : self->read();
           self->owner_->command_(self->in_.substr(0, line),
-                                 [self](const std::string& json) { self->answer(json + "\n"); });
+                                 [self](const std::string& json) { self->respond(json + "\n"); });
         });
   }
-  void answer(std::string text) {
+  void respond(std::string text) {
     out_ = std::move(text);
-    asio::async_write(socket_, asio::buffer(out_),
-                      [self = shared_from_this()](const error_code&, std::size_t) { self->end(); });
+    asio::async_write(
+        socket_, asio::buffer(out_),
+        [self = shared_from_this()](const error_code&, std::size_t) { self->close(); });
   }
 
   StatusSocket* owner_;
@@ -265,7 +277,7 @@
       log_(std::move(log)),
       retry_timer_(io),
       acceptor_(io) {
-  if (path.size() > 100) throw std::runtime_error(path + ": is too long for a socket");
+  if (path.size() > 100) throw std::runtime_error(path + ": socket path longer than 100 bytes");
   {
     local::socket probe(io);
     error_code error;
@@ -278,7 +290,8 @@
     return;
   }
   if (!is_transient(error)) throw std::runtime_error(path + ": " + error.message());
-  log_("status socket " + path + ": " + error.message() + "; retried until its folder can be used");
+  log_("status socket " + path + ": " + error.message() +
+       "; retrying until the socket can be created");
   retry_listen();
 }
 
@@ -287,7 +300,7 @@
   error_code error, ignored;
   acceptor_.open(local(), error);
   if (!error) acceptor_.bind(local::endpoint(path_), error);
-  // Whoever may change the voters: the owner of the process.
+  // Commands change the set of voters, so that only the user of the process has access.
   if (!error && ::chmod(path_.c_str(), 0600) != 0)
     error = {errno, boost::system::system_category()};
   if (!error) acceptor_.listen(16, error);
@@ -296,7 +309,7 @@
 }
 
 void StatusSocket::retry_listen() {
-  retry_timer_.expires_after(kRetryListen);
+  retry_timer_.expires_after(kListenRetryDelay);
   retry_timer_.async_wait([this](const error_code& e) {
     if (e) return;
     if (listen()) return retry_listen();
@@ -306,9 +319,9 @@
 }
 
 StatusSocket::~StatusSocket() {
-  for (const auto& t : std::exchange(talks_, {})) {
-    t->forget_owner();
-    t->end();
+  for (const auto& connection : std::exchange(connections_, {})) {
+    connection->detach();
+    connection->close();
   }
   ::unlink(path_.c_str());
 }
@@ -316,10 +329,10 @@
 void StatusSocket::accept() {
   acceptor_.async_accept([this](const error_code& e, local::socket s) {
     if (e == asio::error::operation_aborted) return;
-    if (!e && talks_.size() < kMaxTalks) {
-      const auto talk = std::make_shared<Talk>(*this, std::move(s));
-      talks_.insert(talk);
-      talk->start();
+    if (!e && connections_.size() < kMaxConnections) {
+      const auto connection = std::make_shared<Connection>(*this, std::move(s));
+      connections_.insert(connection);
+      connection->start();
     }
     accept();
   });
@@ -330,12 +343,13 @@
   local::socket socket(io);
   error_code error;
   socket.connect(local::endpoint(path), error);
-  if (error) throw std::runtime_error(path + ": nobody answers there: " + error.message());
+  if (error) throw std::runtime_error(path + ": cannot connect: " + error.message());
   asio::write(socket, asio::buffer(line + "\n"), error);
   std::string answer;
   if (!error) asio::read(socket, asio::dynamic_buffer(answer), error);
   while (!answer.empty() && answer.back() == '\n') answer.pop_back();
-  if (answer.empty()) throw std::runtime_error(path + ": no answer came");
+  if (answer.empty())
+    throw std::runtime_error(path + ": the member closed the connection without an answer");
   return answer;
 }
 
--- a/src/group_runtime/voter_storage.cc
+++ b/src/group_runtime/voter_storage.cc
@@ -37,39 +37,40 @@
   if (store_ || now < next_attempt_) return false;
   try {
     store_ = std::make_unique<store::Store>(folder_, "group");
-    read();
+    load();
   } catch (const store::StoreError& e) {
     store_.reset();
-    complain(e.what());
+    log_failure(e.what());
     next_attempt_ = now + retry_delay_;
     retry_delay_ = std::min(2 * retry_delay_, kMaxRetry);
     return false;
   }
   next_attempt_ = Time::max();
-  if (!last_cause_.empty()) log_("voter: " + store_->file() + " can be used again");
-  last_cause_.clear();
+  if (!last_failure_.empty()) log_("voter: " + store_->file() + " opened after earlier failures");
+  last_failure_.clear();
   return true;
 }
 
-void VoterStorage::read() {
+void VoterStorage::load() {
   if (!store_->aside().empty())
     log_("voter: record corrupt, moved to " + store_->aside() + "; votes again in " +
          std::to_string(std::chrono::duration_cast<milliseconds>(lease_).count()) +
          " ms, once every lease that it may have granted has expired");
-  // A clock that was set back must not make this process an earlier incarnation of itself.
-  const auto last = store_->get(kIncarnationKey);
-  if (last && last->size() <= kMaxIncarnationDigits)
-    incarnation_ =
-        std::max<std::uint64_t>(incarnation_, std::strtoull(last->c_str(), nullptr, 10) + 1);
+  // A clock that was set back must not give this process a lower incarnation than its previous
+  // start.
+  const auto stored_incarnation = store_->get(kIncarnationKey);
+  if (stored_incarnation && stored_incarnation->size() <= kMaxIncarnationDigits)
+    incarnation_ = std::max<std::uint64_t>(
+        incarnation_, std::strtoull(stored_incarnation->c_str(), nullptr, 10) + 1);
   store_->put(kIncarnationKey, std::to_string(incarnation_));
   const auto bytes = store_->get(kVoterKey);
-  remembered_ = bytes ? group::decode_record(*bytes) : std::nullopt;
-  if (bytes && !remembered_) log_("voter: " + store_->file() + ": record corrupt, not used");
+  loaded_record_ = bytes ? group::decode_record(*bytes) : std::nullopt;
+  if (bytes && !loaded_record_) log_("voter: " + store_->file() + ": record corrupt, not used");
 }
 
 bool VoterStorage::save(const lease::VoterRecord& record) {
   if (!store_) return false;
-  const Time before = lease_now();
+  const Time start = lease_now();
   try {
     store_->put(kVoterKey, group::encode(record));
   } catch (const store::StoreError& e) {
@@ -77,14 +78,14 @@
     return false;
   }
   ++writes_;
-  longest_write_ = std::max(longest_write_, lease_now() - before);
+  longest_write_ = std::max(longest_write_, lease_now() - start);
   return true;
 }
 
-void VoterStorage::complain(const std::string& cause) {
-  if (cause == last_cause_) return;
-  last_cause_ = cause;
-  log_("voter: gives no vote: " + cause);
+void VoterStorage::log_failure(const std::string& reason) {
+  if (reason == last_failure_) return;
+  last_failure_ = reason;
+  log_("voter: gives no vote: " + reason);
 }
 
 }  // namespace balancer::group_runtime
--- a/src/route_announcement/command_announcer.cc
+++ b/src/route_announcement/command_announcer.cc
@@ -75,7 +75,7 @@
         state_ = State::kClaimed;
         actions_.push_back({Action::Kind::kAnnounced, {}});
       } else {
-        // A claim that failed may have done part of its work: the release that follows undoes it.
+        // A failed claim may have taken partial effect; the release that follows undoes it.
         actions_.push_back({Action::Kind::kFailed, error});
       }
       return;
--- a/src/route_announcement/command_announcer.h
+++ b/src/route_announcement/command_announcer.h
@@ -11,18 +11,18 @@
 namespace balancer {
 
 // Announces one service address by two of the operator's commands, `claim` and `release`: decides
-// which is to run when, and what its exit means. No I/O and no clock: the owner runs the commands,
-// one at a time.
+// which command runs when, and interprets its exit. Performs no I/O and reads no clock: the owner
+// runs the commands, one at a time.
 //
-//   state      wanted     command running    when it exits
-//   idle       nothing    none
-//   claiming   claimed    claim              success: claimed; failure: kFailed, then release() is
-//   due claimed    claimed    none aborting   released   claim, killed      releasing, whatever the
-//   exit was releasing  released   release            success: idle, kWithdrawn; failure: retried
-//   after a delay
+//   state      goal       running command   when the command exits
+//   idle       -          -
+//   claiming   claimed    claim             success: claimed; failure: kFailed, release() follows
+//   claimed    claimed    -
+//   aborting   released   claim, killed     releasing, whatever the exit code
+//   releasing  released   release           success: idle, kWithdrawn; failure: delay, then retry
 //
 // A release that fails kMaxReleaseAttempts times is abandoned with kReleaseAbandoned: the address
-// may still be claimed on this machine, and requests that come to it are rejected.
+// may still be claimed on this machine, and requests to it are rejected.
 class CommandAnnouncer {
  public:
   enum class State { kIdle, kClaiming, kClaimed, kAborting, kReleasing };
@@ -30,8 +30,7 @@
 
   // ---- events
 
-  // The address is to be claimed for the lease of this term. While a release runs, the claim
-  // follows it.
+  // Claims the address for the lease of this term; after the release command if that is running.
   void claim(Time now, std::uint64_t term);
   void release(Time now);
   // The running command has exited; `error` is empty if it succeeded.
@@ -40,12 +39,12 @@
   // When on_timer() is due; Time::max(): not at all.
   Time next() const { return retry_at_; }
 
-  // ---- what the owner has to do, in order
+  // ---- actions for the owner to carry out, in order
   struct Action {
     enum class Kind {
       kClaim,             // run the claim command
       kRelease,           // run the release command
-      kAbort,             // kill the running command; on_command_ended() follows all the same
+      kAbort,             // kill the running command; on_command_ended() is still called
       kAnnounced,         // report that the address is claimed
       kWithdrawn,         // report that it is released
       kFailed,            // report that the claim has failed
@@ -56,7 +55,7 @@
   std::vector<Action> take_actions() { return std::exchange(actions_, {}); }
 
   State state() const { return state_; }
-  // Of the last claim; 0 before the first.
+  // Term of the last claim; 0 before the first.
   std::uint64_t term() const { return term_; }
 
  private:
@@ -65,7 +64,7 @@
   State state_ = State::kIdle;
   bool command_running_ = false;
   std::uint64_t term_ = 0;
-  std::optional<std::uint64_t> next_claim_term_;  // claimed again while it is being released
+  std::optional<std::uint64_t> next_claim_term_;  // claim requested during a release
   int release_attempts_ = 0;
   Time retry_at_ = Time::max();
   std::vector<Action> actions_;
--- a/src/route_announcement/speaker.cc
+++ b/src/route_announcement/speaker.cc
@@ -20,19 +20,20 @@
   Attributes a;
   a.next_hop = settings_.next_hop;
   a.communities = settings_.communities;
-  // Terms count tenures: none comes near the end of 32 bits.
+  // Terms count tenures, so that none comes close to 2^32.
   const auto preference = static_cast<std::uint32_t>(std::min(route.term, kMaxPreference));
   if (routers_[router].remote_as == settings_.local_as) {
-    a.local_pref = route.faded ? 0 : preference;
+    a.local_pref = route.depreferred ? 0 : preference;
   } else {
     a.as_path = {settings_.local_as};
   }
-  a.med = static_cast<std::uint32_t>(route.faded ? kMaxPreference : kMaxPreference - preference);
-  if (route.faded) a.communities.push_back(kGracefulShutdown);
+  a.med =
+      static_cast<std::uint32_t>(route.depreferred ? kMaxPreference : kMaxPreference - preference);
+  if (route.depreferred) a.communities.push_back(kGracefulShutdown);
   return a;
 }
 
-void Speaker::tell(const Route& route) {
+void Speaker::send_route(const Route& route) {
   for (std::size_t r = 0; r < sessions_.size(); ++r)
     sessions_[r].announce(route.prefix, attributes(route, r));
 }
@@ -41,16 +42,16 @@
                        std::uint64_t term) {
   Route& route = routes_[address];
   route = {prefix, term, Stage::kClaiming, now + settings_.claim_patience, false};
-  tell(route);
-  settle(now);
+  send_route(route);
+  update_routes(now);
 }
 
-void Speaker::fade(Time now, const std::string& address) {
+void Speaker::deprefer(Time now, const std::string& address) {
   const auto it = routes_.find(address);
   if (it == routes_.end() || it->second.stage == Stage::kWithdrawing) return;
-  it->second.faded = true;
-  tell(it->second);
-  settle(now);
+  it->second.depreferred = true;
+  send_route(it->second);
+  update_routes(now);
 }
 
 void Speaker::withdraw(Time now, const std::string& address) {
@@ -61,39 +62,41 @@
   }
   it->second.stage = Stage::kWithdrawing;
   for (Session& s : sessions_) s.withdraw(it->second.prefix);
-  settle(now);
+  update_routes(now);
 }
 
 void Speaker::stop(Time now, std::string_view why) {
   for (Session& s : sessions_) s.stop(now, why);
-  settle(now);
+  update_routes(now);
 }
 
-std::size_t Speaker::up(Time now) const {
+std::size_t Speaker::routers_up(Time now) const {
   return static_cast<std::size_t>(
       std::count_if(sessions_.begin(), sessions_.end(),
-                    [now](const Session& s) { return s.established() && !s.quiet(now); }));
+                    [now](const Session& s) { return s.established() && !s.is_overdue(now); }));
 }
 
-// A session that has ended has taken its routes with it at the router: what is left of them there
-// is the router's hold time's matter, and a newer term is preferred to it.
-void Speaker::settle(Time now) {
+// Reports routes that have become announced, failed or withdrawn. A session that has ended counts
+// as withdrawn: the router drops its routes, at the latest after its hold time, and until then
+// prefers a route of a newer term.
+void Speaker::update_routes(Time now) {
   for (auto it = routes_.begin(); it != routes_.end();) {
     const std::string& address = it->first;
     Route& route = it->second;
-    const auto taken = static_cast<std::size_t>(std::count_if(
-        sessions_.begin(), sessions_.end(), [](const Session& s) { return s.settled(); }));
+    const auto acknowledged = static_cast<std::size_t>(std::count_if(
+        sessions_.begin(), sessions_.end(), [](const Session& s) { return s.all_acknowledged(); }));
     if (route.stage == Stage::kClaiming) {
-      if (taken >= std::max<std::size_t>(settings_.routers_needed, 1)) {
+      if (acknowledged >= std::max<std::size_t>(settings_.routers_needed, 1)) {
         route.stage = Stage::kAnnounced;
         events_.push_back({Event::Kind::kAnnounced, address});
-      } else if (now >= route.until) {
-        route.until = Time::max();
+      } else if (now >= route.claim_deadline) {
+        route.claim_deadline = Time::max();
         events_.push_back({Event::Kind::kFailed, address});
       }
     } else if (route.stage == Stage::kWithdrawing &&
-               std::all_of(sessions_.begin(), sessions_.end(),
-                           [](const Session& s) { return !s.established() || s.settled(); })) {
+               std::all_of(sessions_.begin(), sessions_.end(), [](const Session& s) {
+                 return !s.established() || s.all_acknowledged();
+               })) {
       events_.push_back({Event::Kind::kWithdrawn, address});
       it = routes_.erase(it);
       continue;
@@ -104,35 +107,35 @@
 
 void Speaker::on_connected(Time now, std::size_t router, Session::Way way) {
   sessions_[router].on_connected(now, way);
-  settle(now);
+  update_routes(now);
 }
 
 void Speaker::on_closed(Time now, std::size_t router, Session::Way way, std::string_view why) {
   sessions_[router].on_closed(now, way, why);
-  settle(now);
+  update_routes(now);
 }
 
 void Speaker::on_bytes(Time now, std::size_t router, Session::Way way, std::string_view bytes) {
   sessions_[router].on_bytes(now, way, bytes);
-  settle(now);
+  update_routes(now);
 }
 
-void Speaker::on_unsent(Time now, std::size_t router, Session::Way way, std::size_t bytes) {
-  sessions_[router].on_unsent(now, way, bytes);
-  settle(now);
+void Speaker::on_unacknowledged(Time now, std::size_t router, Session::Way way, std::size_t bytes) {
+  sessions_[router].on_unacknowledged(now, way, bytes);
+  update_routes(now);
 }
 
 void Speaker::on_timer(Time now) {
   for (Session& s : sessions_)
     if (s.next() <= now) s.on_timer(now);
-  settle(now);
+  update_routes(now);
 }
 
 Time Speaker::next() const {
   Time first = Time::max();
   for (const Session& s : sessions_) first = std::min(first, s.next());
   for (const auto& [address, route] : routes_)
-    if (route.stage == Stage::kClaiming) first = std::min(first, route.until);
+    if (route.stage == Stage::kClaiming) first = std::min(first, route.claim_deadline);
   return first;
 }
 
--- a/src/route_announcement/speaker.h
+++ b/src/route_announcement/speaker.h
@@ -16,18 +16,19 @@
   std::uint32_t local_as = 0;
   std::uint32_t next_hop = 0;
   std::vector<std::uint32_t> communities;
-  // An address counts as announced once so many routers have taken it.
+  // How many routers must acknowledge an announcement for the address to count as announced.
   std::size_t routers_needed = 1;
-  // Without that by then the claim has failed.
+  // Time limit for those acknowledgements; a claim that exceeds it has failed.
   Duration claim_patience{std::chrono::milliseconds(500)};
 };
 
-// Announces service addresses to several routers, each by a session of its own, and says when an
-// address is announced and when it is withdrawn. No I/O, no clock.
+// Announces service addresses to several routers, over one Session each, and reports when an
+// address has been announced or withdrawn. Performs no I/O and reads no clock.
 //
-// Each tenure's term goes into what is announced, so that a router that hears two follows the newer
-// at once: LOCAL_PREF grows with it, and MED, which the routers of another AS go by, falls. One
-// that is about to go carries the community of RFC 8326 and the least preference.
+// The announcement carries the term of the lease, so that a router that receives two announcements
+// of an address follows the newer one at once: LOCAL_PREF grows with the term, and MED, which
+// routers of another AS compare, falls. A route that is about to be withdrawn carries the community
+// GRACEFUL_SHUTDOWN (RFC 8326) and the lowest preference.
 class Speaker {
  public:
   Speaker(const SpeakerSettings& settings, const std::vector<SessionSettings>& routers,
@@ -35,35 +36,37 @@
 
   // ---- addresses
   void announce(Time now, const std::string& address, const Prefix& prefix, std::uint64_t term);
-  // Still announced, others preferred.
-  void fade(Time now, const std::string& address);
+  // Keeps the route announced with the lowest preference, so that routers prefer any other
+  // holder's.
+  void deprefer(Time now, const std::string& address);
   void withdraw(Time now, const std::string& address);
-  // All sessions end in order, and with them what they have announced.
+  // Closes all sessions in order; the routers then drop their routes.
   void stop(Time now, std::string_view why);
 
-  // ---- events of one router's session: as Session has them
+  // ---- events of one router's session; see Session
   std::size_t routers() const { return sessions_.size(); }
   const Session& session(std::size_t router) const { return sessions_[router]; }
   void on_connected(Time now, std::size_t router, Session::Way way);
   void on_closed(Time now, std::size_t router, Session::Way way, std::string_view why);
   void on_bytes(Time now, std::size_t router, Session::Way way, std::string_view bytes);
-  void on_unsent(Time now, std::size_t router, Session::Way way, std::size_t bytes);
+  void on_unacknowledged(Time now, std::size_t router, Session::Way way, std::size_t bytes);
   void on_timer(Time now);
+  // When on_timer() is due; Time::max(): not at all.
   Time next() const;
 
-  // ---- what is to be done
-  using Action = std::pair<std::size_t, Session::Action>;  // router
+  // ---- actions for the owner to carry out, in order
+  using Action = std::pair<std::size_t, Session::Action>;  // index of the router, action
   std::vector<Action> take_actions();
 
-  // ---- what has become of addresses
+  // ---- results per address
   struct Event {
     enum class Kind { kAnnounced, kWithdrawn, kFailed } kind;
     std::string address;
   };
   std::vector<Event> take_events() { return std::exchange(events_, {}); }
 
-  // Routers that take announcements now, as far as can be told.
-  std::size_t up(Time now) const;
+  // Number of routers with an established session whose messages are not overdue.
+  std::size_t routers_up(Time now) const;
 
  private:
   enum class Stage { kClaiming, kAnnounced, kWithdrawing };
@@ -71,13 +74,13 @@
     Prefix prefix;
     std::uint64_t term = 0;
     Stage stage = Stage::kClaiming;
-    Time until{0};  // of a claim
-    bool faded = false;
+    Time claim_deadline{0};  // while kClaiming
+    bool depreferred = false;
   };
 
   Attributes attributes(const Route& route, std::size_t router) const;
-  void tell(const Route& route);
-  void settle(Time now);
+  void send_route(const Route& route);
+  void update_routes(Time now);
 
   const SpeakerSettings settings_;
   std::vector<SessionSettings> routers_;
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -11,62 +11,67 @@
 struct sqlite3;
 struct sqlite3_stmt;
 
-// Small state that must survive a crash: named records, written whole, on SQLite.
+// Durable storage for small state that must survive a crash: key-value records on SQLite, each
+// written atomically.
 namespace balancer::store {
 
-// What kept a store from being used: file and reason, one line.
+// Why a store cannot be used: the file and the reason, on one line.
 class StoreError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// One file, of one process at a time. Each record carries a checksum of its own, and the file says
-// whose it is and in which form, so that a torn, old or foreign one is told from a good one.
+// A database file that one process at a time has open. Each record has its own checksum, and the
+// file holds an application id and a schema version, so that torn, outdated and foreign files are
+// detected.
 //
-// Calls block for as long as the disk takes; a record is on disk when put() returns.
+// Calls block until the disk has completed them; a record is on disk when put() returns.
 class Store {
  public:
-  // Whether each put() waits for the disk. Only tests and measurements have a use for kNone.
+  // Whether each put() waits for the disk. kNone is for tests and measurements only.
   enum class Durability { kEach, kNone };
 
-  // Opens or makes FOLDER/NAME.db. One that cannot be read is put aside as NAME.db.bad-N and a new
-  // one begun: then aside() names it, and nothing is remembered. Throws StoreError where the folder
-  // or file cannot be written, the disk is full, or another process has it.
+  // Opens or creates FOLDER/NAME.db. A file that cannot be read is renamed to NAME.db.bad-N and
+  // replaced with an empty one; aside() then returns its new name. Throws StoreError if the folder
+  // or file cannot be written, the disk is full, or another process has the file open.
   Store(const std::string& folder, const std::string& name,
         Durability durability = Durability::kEach);
   ~Store();
   Store(const Store&) = delete;
   Store& operator=(const Store&) = delete;
 
-  // Throws StoreError if it cannot be read, or its checksum is wrong.
+  // Returns the record's value, or nullopt if there is none. Throws StoreError if the record cannot
+  // be read or its checksum is wrong.
   std::optional<std::string> get(std::string_view key);
   using Record = std::pair<std::string, std::string>;
-  // All or none. Throws StoreError; then nothing has changed.
+  // Writes all records in one transaction. Throws StoreError, and then nothing has changed. Keys
+  // hold at most 255 bytes, values at most 16 MiB.
   void put(const std::vector<Record>& records);
   void put(std::string_view key, std::string_view value) {
     put({{std::string(key), std::string(value)}});
   }
-  // Throws StoreError.
+  // Throws StoreError if the deletion cannot be written.
   void erase(std::string_view key);
 
   const std::string& file() const { return file_; }
-  // Nothing was there before.
+  // Whether the file was created, or replaced, by this object.
   bool fresh() const { return fresh_; }
-  // Where the one that could not be read is now, and why it could not; empty: there was none.
+  // Path of the unreadable file that was moved away, and why it could not be read; empty if the
+  // file could be read.
   const std::string& aside() const { return aside_; }
 
  private:
   void open();
   void close();
-  void check();
-  void run(const char* sql);
-  [[noreturn]] void fail(const std::string& what) const;
-  void put_aside(const std::string& why);
+  void verify_integrity();
+  void execute(const char* sql);
+  [[noreturn]] void throw_error(const std::string& failure) const;
+  void move_aside(const std::string& reason);
 
   const std::string file_;
   const Durability durability_;
   sqlite3* db_ = nullptr;
-  sqlite3_stmt *get_ = nullptr, *put_ = nullptr, *erase_ = nullptr;
+  sqlite3_stmt *get_statement_ = nullptr, *put_statement_ = nullptr, *erase_statement_ = nullptr;
   bool fresh_ = false, opening_ = false;
   std::string aside_;
 };
--- a/tests/bgp_test.cc
+++ b/tests/bgp_test.cc
@@ -1,5 +1,5 @@
-// BGP-4: messages as RFC 4271 has them, sessions against each other and against a peer that does
-// not keep to it, and announcements to several routers.
+// Tests BGP-4: encoding of the messages of RFC 4271, sessions with each other and with a peer that
+// violates the protocol, and announcements to several routers.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -25,7 +25,7 @@
   return std::string(16, '\xff') + bytes({length >> 8, length & 255, type}) + body;
 }
 
-// The one thing that these bytes are.
+// Returns the first message or fault that the bytes decode to.
 std::variant<Message, Fault> read(const std::string& all, bool four_octets = true) {
   Reader reader;
   reader.set_four_octets(four_octets);
@@ -38,14 +38,14 @@
 Fault fault_of(const std::string& all, bool four_octets = true) {
   const auto item = read(all, four_octets);
   const auto* fault = std::get_if<Fault>(&item);
-  EXPECT_NE(fault, nullptr) << "it was taken";
+  EXPECT_NE(fault, nullptr) << "the message was accepted";
   return fault ? *fault : Fault{};
 }
 
 // ---- messages
 
-// By hand from section 4.2 of RFC 4271 and section 3 of RFC 6793.
-TEST(BgpCodec, AnOpenAsItIsOnTheWire) {
+// The bytes were encoded by hand after section 4.2 of RFC 4271 and section 3 of RFC 6793.
+TEST(BgpCodec, EncodesAndDecodesOpen) {
   Open open;
   open.as = 4200000001;
   open.hold_time = 9;
@@ -61,8 +61,8 @@
   EXPECT_TRUE(back.four_octets);
 }
 
-// By hand from sections 4.3 and 5 and RFC 1997.
-TEST(BgpCodec, AnUpdateAsItIsOnTheWire) {
+// The bytes were encoded by hand after sections 4.3 and 5 of RFC 4271 and RFC 1997.
+TEST(BgpCodec, EncodesAndDecodesUpdate) {
   Update update;
   update.withdrawn = {{0x0a000000, 8}};
   update.announced = {{0x0a090001, 32}, {0x0a080000, 15}};
@@ -88,7 +88,7 @@
   EXPECT_EQ(back.attributes, update.attributes);
 }
 
-TEST(BgpCodec, AsNumbersOfFourOctetsTowardsAPeerThatHasNone) {
+TEST(BgpCodec, SendsAsTransToAPeerWithoutFourOctetAsNumbers) {
   Update update;
   update.announced = {{0x0a090001, 32}};
   Attributes a;
@@ -100,7 +100,7 @@
             std::vector<std::uint32_t>{kAsTrans});
 }
 
-TEST(BgpCodec, CutAnywhereItReadsTheSame) {
+TEST(BgpCodec, DecodesMessagesSplitAtAnyByte) {
   Update update;
   update.announced = {{0x0a090001, 32}};
   update.attributes = Attributes{0, {64512}, 7, 1, 2, {3, 4}};
@@ -122,14 +122,14 @@
   }
 }
 
-struct Wrong {
+struct MalformedMessage {
   const char* what;
   std::string wire;
   Code code;
   int subcode;
 };
 
-TEST(BgpCodec, WhatIsWrongIsNamedAsTheRfcNamesIt) {
+TEST(BgpCodec, ReportsMalformedMessagesWithTheCodesOfTheRfc) {
   const std::string origin = bytes({0x40, 1, 1, 0}), path = bytes({0x40, 2, 0}),
                     hop = bytes({0x40, 3, 4, 10, 0, 0, 1});
   const auto update = [](const std::string& attributes) {
@@ -139,7 +139,7 @@
   const auto open = [](std::initializer_list<int> body) { return framed(1, bytes(body)); };
   std::string unmarked = encode(Keepalive{});
   unmarked[3] = 0;
-  const std::vector<Wrong> all = {
+  const std::vector<MalformedMessage> all = {
       {"marker", unmarked, Code::kHeader, 1},
       {"too long", std::string(16, '\xff') + bytes({0x10, 1, 2}), Code::kHeader, 2},
       {"too short", std::string(16, '\xff') + bytes({0, 18, 4}), Code::kHeader, 2},
@@ -168,7 +168,7 @@
        Code::kUpdate, 10},
       {"withdrawn beyond its end", framed(2, bytes({0, 9, 0, 0})), Code::kUpdate, 1},
   };
-  for (const Wrong& w : all) {
+  for (const MalformedMessage& w : all) {
     const Fault f = fault_of(w.wire);
     EXPECT_EQ(static_cast<int>(f.notification.code), static_cast<int>(w.code)) << w.what;
     EXPECT_EQ(f.notification.subcode, w.subcode) << w.what;
@@ -176,8 +176,8 @@
   }
 }
 
-// Known by nobody, optional: passed over.
-TEST(BgpCodec, UnknownOptionalAttributesAreLeftOut) {
+// Unknown optional attributes must not end the session.
+TEST(BgpCodec, IgnoresUnknownOptionalAttributes) {
   const std::string attributes =
       bytes({0x40, 1, 1, 0, 0x40, 2, 0, 0x40, 3, 4, 10, 0, 0, 1}) + bytes({0xd0, 99, 0, 2, 1, 2});
   const auto item = read(framed(2, bytes({0, 0, 0, static_cast<int>(attributes.size())}) +
@@ -195,24 +195,24 @@
   return s;
 }
 
-// Two sessions and up to two connections between them, under a clock of the test's.
+// Two sessions with up to two connections between them and a simulated clock.
 class Pair {
  public:
   Pair(const SessionSettings& a, const SessionSettings& b)
       : sides{Session(a, 1, now), Session(b, 2, now)} {}
 
-  // Carries out what both want, until nothing is left; connections come up at once.
-  void settle() {
+  // Executes the actions of both sides until there are none left; connections succeed at once.
+  void run_actions() {
     for (bool any = true; any;) {
       any = false;
       for (int i : {0, 1})
         for (auto& action : sides[i].take_actions()) {
           any = true;
-          carry(i, action);
+          execute(i, action);
         }
     }
   }
-  void carry(int i, const Session::Action& action) {
+  void execute(int i, const Session::Action& action) {
     const Way theirs = action.way == Way::kOut ? Way::kIn : Way::kOut;
     Session& other = sides[1 - i];
     bool& open = link[i][action.way == Way::kIn];
@@ -221,15 +221,15 @@
       case Kind::kDial:
         ++dials[i];
         if (!reachable) return sides[i].on_closed(now, Way::kOut, "refused");
-        if (held_back[i]) return;
+        if (dial_pending[i]) return;
         open = open_there = true;
         other.on_connected(now, Way::kIn);
         sides[i].on_connected(now, Way::kOut);
         return;
       case Kind::kSend:
         sent[i] += action.bytes;
-        if (open && open_there && passes) other.on_bytes(now, theirs, action.bytes);
-        sides[i].on_unsent(now, action.way, unread ? action.bytes.size() : 0);
+        if (open && open_there && delivers) other.on_bytes(now, theirs, action.bytes);
+        sides[i].on_unacknowledged(now, action.way, unacknowledged ? action.bytes.size() : 0);
         return;
       case Kind::kClose:
         if (std::exchange(open, false) && std::exchange(open_there, false))
@@ -245,26 +245,26 @@
   }
   void run(Duration length) {
     const Time end = now + length;
-    settle();
+    run_actions();
     while (now < end) {
       now = std::min(end,
                      std::max(now + milliseconds(1), std::min(sides[0].next(), sides[1].next())));
       for (Session& s : sides)
         if (s.next() <= now) s.on_timer(now);
-      settle();
+      run_actions();
     }
   }
 
   Time now{seconds(100)};
   Session sides[2];
   bool link[2][2] = {};
-  bool reachable = true, passes = true, unread = false;
-  bool held_back[2] = {};
+  bool reachable = true, delivers = true, unacknowledged = false;
+  bool dial_pending[2] = {};
   int ups[2] = {}, downs[2] = {}, dials[2] = {};
   std::string sent[2];
 };
 
-TEST(BgpSession, ComesUpAndStaysUp) {
+TEST(BgpSession, EstablishesOnceAndStaysEstablished) {
   Pair p(settings(1), settings(2));
   p.run(seconds(60));
   EXPECT_TRUE(p.sides[0].established());
@@ -273,58 +273,60 @@
   EXPECT_EQ(p.downs[0] + p.downs[1], 0);
 }
 
-// Section 6.8: both dial at once; the connection of the side with the higher identifier stays.
-TEST(BgpSession, OfACollisionOneStays) {
+// Section 6.8: if both sides dial at once, the connection dialled by the side with the higher
+// identifier is kept.
+TEST(BgpSession, KeepsOneConnectionAfterACollision) {
   for (const std::uint32_t low : {1u, 9u}) {
     Pair p(settings(low), settings(5));
-    p.held_back[0] = p.held_back[1] = true;
+    p.dial_pending[0] = p.dial_pending[1] = true;
     for (Session& s : p.sides) s.on_timer(p.now);
-    p.settle();
-    p.held_back[0] = p.held_back[1] = false;
+    p.run_actions();
+    p.dial_pending[0] = p.dial_pending[1] = false;
     p.link[0][0] = p.link[1][1] = p.link[1][0] = p.link[0][1] = true;
-    // Both connections come up before either side has heard anything.
+    // Both TCP connections come up before either side has received a message.
     for (const Way way : {Way::kOut, Way::kIn}) {
       p.sides[0].on_connected(p.now, way);
       p.sides[1].on_connected(p.now, way);
     }
-    p.settle();
+    p.run_actions();
     p.run(seconds(20));
     ASSERT_TRUE(p.sides[0].established() && p.sides[1].established());
     const bool first_dialled = p.sides[0].has(Way::kOut);
     EXPECT_EQ(first_dialled, low > 5);
-    EXPECT_EQ(p.sides[0].has(Way::kIn), !first_dialled) << "only one is left";
+    EXPECT_EQ(p.sides[0].has(Way::kIn), !first_dialled) << "only one connection is left";
     EXPECT_EQ(p.ups[0], 1);
   }
 }
 
-TEST(BgpSession, ASilentPeerIsGivenUpAfterTheHoldTime) {
+TEST(BgpSession, EndsAfterTheHoldTimeWhenThePeerIsSilent) {
   Pair p(settings(1), settings(2));
   p.run(seconds(5));
   ASSERT_TRUE(p.sides[0].established());
-  p.passes = false;
+  p.delivers = false;
   p.run(seconds(5));
-  EXPECT_EQ(p.downs[0], 0) << "the hold time is 9 s, and something came in each third of it";
+  EXPECT_EQ(p.downs[0], 0)
+      << "the hold time is 9 s, and the peer had sent a message in each third of it";
   p.run(seconds(5));
   EXPECT_EQ(p.downs[0], 1);
-  EXPECT_NE(p.sides[0].last_end().find("hold time"), std::string::npos);
-  p.passes = true;
+  EXPECT_NE(p.sides[0].last_end_reason().find("hold time"), std::string::npos);
+  p.delivers = true;
   p.run(seconds(40));
-  EXPECT_TRUE(p.sides[0].established()) << "it comes back by itself";
+  EXPECT_TRUE(p.sides[0].established()) << "the session is established again";
 }
 
-// RFC 9687: a peer that keeps the session up and reads nothing.
-TEST(BgpSession, APeerThatReadsNothingIsGivenUpToo) {
+// RFC 9687: the peer sends keepalives and reads nothing, so that it never receives a withdrawal.
+TEST(BgpSession, EndsAfterTheHoldTimeWhenThePeerReadsNothing) {
   Pair p(settings(1), settings(2));
   p.run(seconds(5));
-  p.unread = true;
+  p.unacknowledged = true;
   p.sides[0].announce({0x0a090001, 32}, Attributes{0, {}, 1, {}, {}, {}});
-  p.settle();
-  EXPECT_FALSE(p.sides[0].settled());
+  p.run_actions();
+  EXPECT_FALSE(p.sides[0].all_acknowledged());
   p.run(seconds(10));
   EXPECT_EQ(p.downs[0], 1);
 }
 
-TEST(BgpSession, WaitsBetweenAttemptsGrowToTheirBound) {
+TEST(BgpSession, RetryDelayGrowsToItsBound) {
   Pair p(settings(1), settings(2));
   p.reachable = false;
   p.run(seconds(1));
@@ -333,13 +335,13 @@
   p.run(seconds(300));
   const int after = p.dials[0] - first;
   EXPECT_GE(after, 9) << "at least every 30 s";
-  EXPECT_LE(after, 22) << "and no faster than the back-off has it";
+  EXPECT_LE(after, 22) << "and no faster than the back-off allows";
   p.reachable = true;
   p.run(seconds(31));
   EXPECT_TRUE(p.sides[0].established());
 }
 
-TEST(BgpSession, APeerOfAnotherAsIsTurnedAway) {
+TEST(BgpSession, RejectsAPeerOfAnotherAs) {
   Pair p(settings(1), settings(2, 65000));
   p.run(seconds(3));
   EXPECT_EQ(p.ups[0], 0);
@@ -347,54 +349,55 @@
       << "OPEN error, bad peer AS";
 }
 
-TEST(BgpSession, MalformedUpdatesEndItWithTheirNotification) {
+TEST(BgpSession, EndsWithANotificationAfterAMalformedUpdate) {
   Pair p(settings(1), settings(2));
   p.run(seconds(5));
   ASSERT_TRUE(p.sides[0].established());
   const Way way = p.sides[0].has(Way::kOut) ? Way::kOut : Way::kIn;
   p.sent[0].clear();
   p.sides[0].on_bytes(p.now, way, framed(2, bytes({0, 9, 0, 0})));
-  p.settle();
+  p.run_actions();
   EXPECT_EQ(p.downs[0], 1);
   EXPECT_NE(p.sent[0].find(framed(3, bytes({3, 1}))), std::string::npos);
   p.run(seconds(5));
   EXPECT_TRUE(p.sides[0].established());
 }
 
-TEST(BgpSession, AStopSaysWhy) {
+TEST(BgpSession, StopSendsTheReasonToThePeer) {
   Pair p(settings(1), settings(2));
   p.run(seconds(5));
   p.sides[0].stop(p.now, "maintenance");
-  p.settle();
+  p.run_actions();
   EXPECT_NE(p.sent[0].find("maintenance"), std::string::npos);
   EXPECT_EQ(p.downs[1], 1);
-  EXPECT_EQ(p.sides[0].next(), Time::max()) << "nothing is dialled any more";
+  EXPECT_EQ(p.sides[0].next(), Time::max()) << "it never dials again";
 }
 
-// Any bytes, at any moment: no crash, and it comes back.
-TEST(BgpSession, NoisePassesThroughAndIsGone) {
+// Random bytes and messages at random moments must not crash the session, which recovers
+// afterwards.
+TEST(BgpSession, RecoversFromRandomInput) {
   for (std::uint32_t seed = 1; seed <= 200; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937 random(seed);
     Pair p(settings(1), settings(2));
     for (int i = 0; i < 6; ++i) {
       p.run(milliseconds(random() % 4000));
-      std::string noise;
+      std::string input;
       switch (random() % 4) {
         case 0:
-          for (std::size_t n = random() % 60; n > 0; --n) noise += static_cast<char>(random());
+          for (std::size_t n = random() % 60; n > 0; --n) input += static_cast<char>(random());
           break;
         case 1:
-          noise = encode(Keepalive{});
+          input = encode(Keepalive{});
           break;
         case 2:
-          noise = encode(Open{64512, static_cast<std::uint16_t>(random() % 20), 2, true});
+          input = encode(Open{64512, static_cast<std::uint16_t>(random() % 20), 2, true});
           break;
         default:
-          noise = framed(static_cast<int>(random() % 6), std::string(random() % 30, 'x'));
+          input = framed(static_cast<int>(random() % 6), std::string(random() % 30, 'x'));
       }
-      p.sides[0].on_bytes(p.now, random() % 2 ? Way::kOut : Way::kIn, noise);
-      p.settle();
+      p.sides[0].on_bytes(p.now, random() % 2 ? Way::kOut : Way::kIn, input);
+      p.run_actions();
     }
     p.run(seconds(120));
     EXPECT_TRUE(p.sides[0].established() && p.sides[1].established());
@@ -403,7 +406,7 @@
 
 // ---- several routers
 
-// Routers whose sessions the test brings up and takes down itself.
+// A speaker whose routers' sessions the test establishes and ends.
 class SpeakerTest : public ::testing::Test {
  protected:
   explicit SpeakerTest(std::size_t routers = 2, std::size_t needed = 1) {
@@ -416,27 +419,27 @@
     if (routers > 1) all[1].remote_as = 65000;
     speaker.emplace(s, all, 1, now);
     speaker->on_timer(now);
-    carry();
+    execute();
   }
   void bring_up(std::size_t r) {
     ASSERT_TRUE(std::exchange(dialled[r], false));
     speaker->on_connected(now, r, Way::kOut);
     speaker->on_bytes(now, r, Way::kOut,
                       encode(Open{r == 1 ? 65000u : 64512u, 180, 1, true}) + encode(Keepalive{}));
-    carry();
+    execute();
     ASSERT_TRUE(speaker->session(r).established());
   }
   void take_down(std::size_t r) {
-    speaker->on_closed(now, r, Way::kOut, "gone");
-    carry();
+    speaker->on_closed(now, r, Way::kOut, "closed");
+    execute();
   }
-  // What is sent goes out at once, unless the router is stuck.
-  void carry() {
+  // Executes the actions and collects events. A router acknowledges at once unless it is stuck.
+  void execute() {
     for (auto& [r, action] : speaker->take_actions()) {
       if (action.kind == Kind::kDial) dialled[r] = true;
       if (action.kind != Kind::kSend) continue;
-      wire[r] += action.bytes;
-      speaker->on_unsent(now, r, action.way, stuck[r] ? 100 : 0);
+      sent[r] += action.bytes;
+      speaker->on_unacknowledged(now, r, action.way, stuck[r] ? 100 : 0);
     }
     for (const auto& e : speaker->take_events())
       events.push_back(std::string(e.kind == Speaker::Event::Kind::kAnnounced   ? "announced "
@@ -444,125 +447,126 @@
                                                                                 : "failed ") +
                        e.address);
   }
-  std::vector<std::string> take() { return std::exchange(events, {}); }
-  // The last update that the router got.
-  Update last(std::size_t r) {
+  std::vector<std::string> take_events() { return std::exchange(events, {}); }
+  // Returns the last UPDATE that was sent to the router.
+  Update last_update(std::size_t r) {
     Reader reader;
     reader.set_four_octets(true);
-    reader.feed(wire[r]);
+    reader.feed(sent[r]);
     Update out;
     for (auto item = reader.next(); item; item = reader.next())
       if (const auto* u = std::get_if<Update>(&std::get<Message>(*item))) out = *u;
     return out;
   }
 
-  using Words = std::vector<std::string>;
+  using Events = std::vector<std::string>;
   const Prefix prefix{0x0a090001, 32};
   Time now{seconds(100)};
   std::optional<Speaker> speaker;
   std::map<std::size_t, bool> dialled, stuck;
-  std::map<std::size_t, std::string> wire;
-  Words events;
+  std::map<std::size_t, std::string> sent;
+  Events events;
 };
 
-TEST_F(SpeakerTest, AnnouncesToAllThatAreUpAndToOthersAsTheyCome) {
+TEST_F(SpeakerTest, AnnouncesToEstablishedSessionsAndToLaterOnes) {
   bring_up(0);
   speaker->announce(now, "svc", prefix, 7);
-  carry();
-  EXPECT_EQ(take(), Words{"announced svc"});
-  EXPECT_EQ(last(0).announced, std::vector<Prefix>{prefix});
-  EXPECT_EQ(last(0).attributes->local_pref, 7u);
-  EXPECT_TRUE(last(0).attributes->as_path.empty()) << "within an AS";
+  execute();
+  EXPECT_EQ(take_events(), Events{"announced svc"});
+  EXPECT_EQ(last_update(0).announced, std::vector<Prefix>{prefix});
+  EXPECT_EQ(last_update(0).attributes->local_pref, 7u);
+  EXPECT_TRUE(last_update(0).attributes->as_path.empty()) << "within an AS";
   bring_up(1);
-  EXPECT_EQ(last(1).announced, std::vector<Prefix>{prefix});
-  EXPECT_EQ(last(1).attributes->local_pref, std::nullopt) << "not told to another AS";
-  EXPECT_EQ(last(1).attributes->as_path, std::vector<std::uint32_t>{64512});
-  EXPECT_EQ(last(1).attributes->communities, std::vector<std::uint32_t>{0xfc000064});
+  EXPECT_EQ(last_update(1).announced, std::vector<Prefix>{prefix});
+  EXPECT_EQ(last_update(1).attributes->local_pref, std::nullopt) << "not sent to another AS";
+  EXPECT_EQ(last_update(1).attributes->as_path, std::vector<std::uint32_t>{64512});
+  EXPECT_EQ(last_update(1).attributes->communities, std::vector<std::uint32_t>{0xfc000064});
 }
 
-// Whoever hears two follows the newer.
+// A router that receives two announcements must follow the one of the newer term.
 TEST_F(SpeakerTest, PreferenceGrowsWithTheTerm) {
   bring_up(0);
   bring_up(1);
   speaker->announce(now, "svc", prefix, 7);
-  carry();
-  const auto before = last(1).attributes->med;
-  const auto preferred = last(0).attributes->local_pref;
+  execute();
+  const auto before = last_update(1).attributes->med;
+  const auto preferred = last_update(0).attributes->local_pref;
   speaker->announce(now, "svc", prefix, 8);
-  carry();
-  EXPECT_LT(last(1).attributes->med, before);
-  EXPECT_GT(last(0).attributes->local_pref, preferred);
-  speaker->fade(now, "svc");
-  carry();
-  EXPECT_EQ(last(0).attributes->local_pref, 0u);
-  EXPECT_EQ(last(0).attributes->communities.back(), kGracefulShutdown);
-  EXPECT_GT(last(1).attributes->med, before);
+  execute();
+  EXPECT_LT(last_update(1).attributes->med, before);
+  EXPECT_GT(last_update(0).attributes->local_pref, preferred);
+  speaker->deprefer(now, "svc");
+  execute();
+  EXPECT_EQ(last_update(0).attributes->local_pref, 0u);
+  EXPECT_EQ(last_update(0).attributes->communities.back(), kGracefulShutdown);
+  EXPECT_GT(last_update(1).attributes->med, before);
 }
 
-TEST_F(SpeakerTest, WithNoRouterTheClaimFailsInTime) {
+TEST_F(SpeakerTest, ClaimFailsWithinItsTimeLimitWithoutARouter) {
   speaker->announce(now, "svc", prefix, 1);
-  carry();
-  EXPECT_TRUE(take().empty());
+  execute();
+  EXPECT_TRUE(take_events().empty());
   EXPECT_LE(speaker->next(), now + milliseconds(500));
   now += milliseconds(500);
   speaker->on_timer(now);
-  carry();
-  EXPECT_EQ(take(), Words{"failed svc"});
+  execute();
+  EXPECT_EQ(take_events(), Events{"failed svc"});
   speaker->withdraw(now, "svc");
-  carry();
-  EXPECT_EQ(take(), Words{"withdrawn svc"});
+  execute();
+  EXPECT_EQ(take_events(), Events{"withdrawn svc"});
   bring_up(0);
-  EXPECT_TRUE(last(0).announced.empty()) << "what was withdrawn is not announced later";
+  EXPECT_TRUE(last_update(0).announced.empty()) << "a withdrawn route is not announced later";
 }
 
-// A router that is reachable and takes no updates.
-TEST_F(SpeakerTest, ARouterThatTakesNothing) {
+// The session is established, but the router acknowledges no updates.
+TEST_F(SpeakerTest, ClaimFailsWhenTheRouterAcknowledgesNothing) {
   bring_up(0);
   stuck[0] = true;
   speaker->announce(now, "svc", prefix, 1);
-  carry();
+  execute();
   now += milliseconds(500);
   speaker->on_timer(now);
-  carry();
-  EXPECT_EQ(take(), Words{"failed svc"});
+  execute();
+  EXPECT_EQ(take_events(), Events{"failed svc"});
   speaker->withdraw(now, "svc");
-  carry();
-  EXPECT_TRUE(take().empty()) << "it has not heard of the withdrawal";
+  execute();
+  EXPECT_TRUE(take_events().empty()) << "the withdrawal is not acknowledged yet";
   stuck[0] = false;
-  speaker->on_unsent(now, 0, Way::kOut, 0);
-  carry();
-  EXPECT_EQ(take(), Words{"withdrawn svc"});
+  speaker->on_unacknowledged(now, 0, Way::kOut, 0);
+  execute();
+  EXPECT_EQ(take_events(), Events{"withdrawn svc"});
 }
 
-// One of two is enough for a claim, and both must have heard of the withdrawal.
-TEST_F(SpeakerTest, TwoRoutersThatDisagree) {
+// One of two routers is enough for a claim, but both must acknowledge the withdrawal.
+TEST_F(SpeakerTest, WithdrawalWaitsForBothRouters) {
   bring_up(0);
   bring_up(1);
   stuck[1] = true;
   speaker->announce(now, "svc", prefix, 1);
-  carry();
-  EXPECT_EQ(take(), Words{"announced svc"});
+  execute();
+  EXPECT_EQ(take_events(), Events{"announced svc"});
   speaker->withdraw(now, "svc");
-  carry();
-  EXPECT_TRUE(take().empty());
+  execute();
+  EXPECT_TRUE(take_events().empty());
   take_down(1);
-  EXPECT_EQ(take(), Words{"withdrawn svc"}) << "its routes went with the session";
+  EXPECT_EQ(take_events(), Events{"withdrawn svc"})
+      << "the router drops the routes of a closed session";
 }
 
-class StrictSpeakerTest : public SpeakerTest {
+class TwoRoutersNeededTest : public SpeakerTest {
  protected:
-  StrictSpeakerTest() : SpeakerTest(3, 2) {}
+  TwoRoutersNeededTest() : SpeakerTest(3, 2) {}
 };
 
-TEST_F(StrictSpeakerTest, AsManyRoutersAsAreNeeded) {
+TEST_F(TwoRoutersNeededTest, NeedsTwoRoutersAndCountsOnlyThoseNotOverdue) {
   bring_up(0);
   speaker->announce(now, "svc", prefix, 1);
-  carry();
-  EXPECT_TRUE(take().empty());
-  EXPECT_EQ(speaker->up(now), 1u);
-  // Three times in a hold time of 9 s something must come.
-  EXPECT_EQ(speaker->up(now + milliseconds(3999)), 1u);
-  EXPECT_EQ(speaker->up(now + milliseconds(4000)), 0u);
+  execute();
+  EXPECT_TRUE(take_events().empty());
+  EXPECT_EQ(speaker->routers_up(now), 1u);
+  // The hold time is 9 s, and a router must send three messages in it: one is overdue after 4 s.
+  EXPECT_EQ(speaker->routers_up(now + milliseconds(3999)), 1u);
+  EXPECT_EQ(speaker->routers_up(now + milliseconds(4000)), 0u);
 }
 
 }  // namespace
--- a/tests/command_announcer_test.cc
+++ b/tests/command_announcer_test.cc
@@ -1,4 +1,4 @@
-// Addresses that are claimed and released by command.
+// Tests the announcement of addresses by the operator's claim and release commands.
 #include "route_announcement/command_announcer.h"
 
 #include <gtest/gtest.h>
@@ -15,17 +15,17 @@
 using Kind = CommandAnnouncer::Action::Kind;
 using State = CommandAnnouncer::State;
 
-// Carries actions out and holds them to what must never be: two commands at once, a claim beside a
-// release that is not done, an announcement without a claim that did well.
-struct Machine {
+// Executes the announcer's actions and asserts its invariants: never two commands at once, no claim
+// before the previous one was released, and no announcement without a successful claim.
+struct CommandRunner {
   CommandAnnouncer announcer;
   Time now{seconds(1)};
   enum { kNothing, kClaim, kRelease } running = kNothing;
-  bool claimed = false;  // a claim has run, whole or not, and no release has done well since
-  bool claim_good = false;
-  std::vector<Kind> told;
+  bool claimed = false;  // a claim has started, and no release has succeeded since
+  bool claim_succeeded = false;
+  std::vector<Kind> reports;
 
-  void carry() {
+  void execute_actions() {
     for (const auto& a : announcer.take_actions()) {
       switch (a.kind) {
         case Kind::kClaim:
@@ -33,7 +33,7 @@
           ASSERT_FALSE(claimed) << "claimed twice without a release between";
           running = kClaim;
           claimed = true;
-          claim_good = false;
+          claim_succeeded = false;
           break;
         case Kind::kRelease:
           ASSERT_EQ(running, kNothing);
@@ -43,72 +43,72 @@
           ASSERT_EQ(running, kClaim);
           break;
         case Kind::kAnnounced:
-          ASSERT_TRUE(claim_good);
-          told.push_back(a.kind);
+          ASSERT_TRUE(claim_succeeded);
+          reports.push_back(a.kind);
           break;
         case Kind::kWithdrawn:
           ASSERT_FALSE(claimed);
-          told.push_back(a.kind);
+          reports.push_back(a.kind);
           break;
         case Kind::kFailed:
-          told.push_back(a.kind);
+          reports.push_back(a.kind);
           break;
         case Kind::kReleaseAbandoned:
-          claimed = false;  // it cannot be helped, and it was said
-          told.push_back(a.kind);
+          claimed = false;  // the release was given up, and reported
+          reports.push_back(a.kind);
           break;
       }
     }
   }
-  void end(bool good) {
+  void end_command(bool succeeded) {
     if (running == kNothing) return;
-    if (running == kClaim) claim_good = good;
-    if (running == kRelease && good) claimed = false;
+    if (running == kClaim) claim_succeeded = succeeded;
+    if (running == kRelease && succeeded) claimed = false;
     running = kNothing;
-    announcer.on_command_ended(now, good ? "" : "exit code 1");
-    carry();
+    announcer.on_command_ended(now, succeeded ? "" : "exit code 1");
+    execute_actions();
   }
 };
 
 TEST(CommandAnnouncerTest, ClaimsAndReleases) {
-  Machine m;
+  CommandRunner m;
   m.announcer.claim(m.now, 3);
-  m.carry();
-  EXPECT_EQ(m.running, Machine::kClaim);
-  m.end(true);
-  EXPECT_EQ(m.told, std::vector{Kind::kAnnounced});
+  m.execute_actions();
+  EXPECT_EQ(m.running, CommandRunner::kClaim);
+  m.end_command(true);
+  EXPECT_EQ(m.reports, std::vector{Kind::kAnnounced});
   m.announcer.release(m.now);
-  m.carry();
-  m.end(true);
-  EXPECT_EQ(m.told, (std::vector{Kind::kAnnounced, Kind::kWithdrawn}));
+  m.execute_actions();
+  m.end_command(true);
+  EXPECT_EQ(m.reports, (std::vector{Kind::kAnnounced, Kind::kWithdrawn}));
   EXPECT_EQ(m.announcer.state(), State::kIdle);
 }
 
 TEST(CommandAnnouncerTest, AbandonsAReleaseThatKeepsFailingAndReportsIt) {
-  Machine m;
+  CommandRunner m;
   m.announcer.claim(m.now, 1);
-  m.carry();
-  m.end(true);
+  m.execute_actions();
+  m.end_command(true);
   m.announcer.release(m.now);
-  m.carry();
+  m.execute_actions();
   for (int i = 0; i < 30 && m.announcer.state() != State::kIdle; ++i) {
-    m.end(false);
+    m.end_command(false);
     if (m.announcer.next() != Time::max()) m.now = m.announcer.next();
     m.announcer.on_timer(m.now);
-    m.carry();
+    m.execute_actions();
   }
-  EXPECT_EQ(m.told.back(), Kind::kReleaseAbandoned);
+  EXPECT_EQ(m.reports.back(), Kind::kReleaseAbandoned);
   EXPECT_EQ(m.announcer.state(), State::kIdle);
 }
 
-// Every sequence of seven events.
+// All 5^7 sequences of seven events.
 TEST(CommandAnnouncerTest, EndsIdleAfterEverySequenceOfSevenEvents) {
   constexpr int kEvents = 5, kDepth = 7;
   int all = 1;
   for (int i = 0; i < kDepth; ++i) all *= kEvents;
   for (int code = 0; code < all; ++code) {
-    Machine m;
-    std::string story;
+    CommandRunner m;
+    std::string events;
     for (int i = 0, c = code; i < kDepth; ++i, c /= kEvents) {
       m.now += milliseconds(700);
       switch (c % kEvents) {
@@ -119,30 +119,30 @@
           m.announcer.release(m.now);
           break;
         case 2:
-          m.end(true);
+          m.end_command(true);
           break;
         case 3:
-          m.end(false);
+          m.end_command(false);
           break;
         default:
           if (m.announcer.next() <= m.now) m.announcer.on_timer(m.now);
       }
-      story += std::to_string(c % kEvents);
-      m.carry();
-      ASSERT_FALSE(::testing::Test::HasFatalFailure()) << story;
+      events += std::to_string(c % kEvents);
+      m.execute_actions();
+      ASSERT_FALSE(::testing::Test::HasFatalFailure()) << events;
     }
-    // Told to release it comes to rest, whatever was before.
+    // After release() the announcer must return to idle, whatever happened before.
     m.announcer.release(m.now);
-    m.carry();
+    m.execute_actions();
     for (int i = 0; i < 8 && m.announcer.state() != State::kIdle; ++i) {
       m.now += seconds(1);
       m.announcer.on_timer(m.now);
-      m.carry();
-      m.end(true);
+      m.execute_actions();
+      m.end_command(true);
     }
-    ASSERT_EQ(m.announcer.state(), State::kIdle) << story;
-    ASSERT_FALSE(m.claimed) << story;
-    ASSERT_EQ(m.running, Machine::kNothing) << story;
+    ASSERT_EQ(m.announcer.state(), State::kIdle) << events;
+    ASSERT_FALSE(m.claimed) << events;
+    ASSERT_EQ(m.running, CommandRunner::kNothing) << events;
   }
 }
 
--- a/tests/group_runtime_test.cc
+++ b/tests/group_runtime_test.cc
@@ -1,5 +1,5 @@
-// One balancer as a member of a group, in the test's own event loop: its listeners open and close
-// with its lease, and what comes to it late reaches no server.
+// Runs one balancer as a member of a group in the test's event loop: its listeners open and close
+// with its lease, and requests that it reads after the lease has expired reach no server.
 #include <sys/stat.h>
 #include <unistd.h>
 
@@ -32,11 +32,11 @@
     balancer.reset();
     std::filesystem::remove_all(folder);
   }
-  // Its ports are listened on only now and then.
+  // A block of its own, because the member's ports are listened on only some of the time.
   testbed::LoopbackBlock addresses;
   const asio::ip::address_v4 here = addresses.address();
-  // The only voter of its group, which claims its address by commands.
-  void begin_member(const std::string& claim = "true", const std::string& release = "true",
+  // Starts the only voter of a group, which claims its address by commands.
+  void start_member(const std::string& claim = "true", const std::string& release = "true",
                     const std::string& group = "") {
     cluster = std::make_unique<RespCluster>(io, 1, 0);
     port = addresses.next_port();
@@ -70,8 +70,9 @@
   std::unique_ptr<RespClient> connect() {
     return std::make_unique<RespClient>(io, Endpoint(here, port));
   }
-  // A client that is served: on a busy machine a lease may be lost, and is had again.
-  std::unique_ptr<RespClient> served() {
+  // Returns a client whose requests are served. Retries, because on a busy machine the lease may be
+  // lost and acquired again.
+  std::unique_ptr<RespClient> connect_served() {
     std::unique_ptr<RespClient> c;
     EXPECT_TRUE(wait([&] {
       if (!listens()) return false;
@@ -83,11 +84,11 @@
   const lease::LeaseHolder& lease_holder() const {
     return *balancer->group_runtime()->group_node().lease_manager().lease_holder("svc");
   }
-  // Asks through the socket in its folder, as `balancer address` does.
+  // Sends a command through the status socket, as `balancer address` does.
   json ask(const std::string& line) {
     std::string answer;
     std::atomic<bool> done = false;
-    std::thread asker([&] {
+    std::thread status_client([&] {
       try {
         answer = group_runtime::ask_member(folder + "/n0.sock", line);
       } catch (const std::exception& e) {
@@ -96,7 +97,7 @@
       done = true;
     });
     EXPECT_TRUE(wait([&] { return done.load(); }));
-    asker.join();
+    status_client.join();
     return json::parse(answer);
   }
 
@@ -106,21 +107,21 @@
 };
 
 TEST_F(MemberTest, ListensOnlyWhileItHoldsTheAddress) {
-  begin_member();
-  EXPECT_FALSE(listens()) << "it has just started, and a voter that remembers nothing waits";
-  auto c = served();
+  start_member();
+  EXPECT_FALSE(listens()) << "a voter that has just started without a record waits before it votes";
+  auto c = connect_served();
   EXPECT_EQ(c->ask({"SET", "k", "v"}), "+OK\r\n");
-  // It stays, over several leases.
+  // The member renews its lease: it holds the address for several lease durations.
   const Time until = lease_holder().valid_until() + seconds(3);
   EXPECT_TRUE(wait([&] { return lease_holder().valid_until() > until; }));
   EXPECT_EQ(c->ask({"GET", "k"}), "$1\r\nv\r\n");
 }
 
-// The event loop stands still for longer than the lease, as in a stopped process. What clients have
-// written meanwhile is read behind its end: it is refused, and reaches no server.
-TEST_F(MemberTest, WhatIsReadBehindTheLeasesEndReachesNoServer) {
-  begin_member();
-  auto c = served();
+// The event loop is blocked for longer than the lease, as in a stopped process, and then reads
+// requests that clients sent meanwhile. They must be rejected and reach no server.
+TEST_F(MemberTest, RejectsRequestsReadAfterTheLeaseExpired) {
+  start_member();
+  auto c = connect_served();
   ASSERT_EQ(c->ask({"RPUSH", "k", "before"}), ":1\r\n");
   c->send(wire({"RPUSH", "k", "late"}) + wire({"GET", "other"}));
   std::this_thread::sleep_for(milliseconds(2100));
@@ -128,17 +129,17 @@
   EXPECT_TRUE(c->next().starts_with("-TRYAGAIN"));
   EXPECT_EQ(ran("late"), 0);
   EXPECT_EQ(ran("before"), 1);
-  // Its clients are sent away, and it takes the address again.
+  // The member closes its clients' connections and acquires the address again.
   EXPECT_TRUE(wait([&] { return c->closed(); }));
   ASSERT_TRUE(wait([this] { return lease_holder().elections_won() >= 2 && listens(); }));
-  auto again = served();
+  auto again = connect_served();
   EXPECT_EQ(again->ask({"RPUSH", "k", "after"}), ":2\r\n");
 }
 
-// What was sent before is finished, and answered on the connection that the client has.
-TEST_F(MemberTest, WhatWasSentBeforeTheEndIsAnswered) {
-  begin_member();
-  auto c = served();
+// A request whose attempt was sent before the lease expired is answered on the client's connection.
+TEST_F(MemberTest, AnswersRequestsSentBeforeTheLeaseExpired) {
+  start_member();
+  auto c = connect_served();
   cluster->fault = [](int, const resp::Command& command) {
     return command.size() > 2 && command[2] == "slow" ? RespCluster::Fault::kSlow
                                                       : RespCluster::Fault::kNone;
@@ -150,52 +151,52 @@
   EXPECT_EQ(ran("slow"), 1);
 }
 
-TEST_F(MemberTest, AClaimThatFailsIsNoTenure) {
-  begin_member("exit 3", "echo released >> " + std::string("$SILVERPIN_ADDRESS.done; true"));
+TEST_F(MemberTest, IsNoHolderAfterTheClaimCommandFailed) {
+  start_member("exit 3", "echo released >> " + std::string("$SILVERPIN_ADDRESS.done; true"));
   ASSERT_TRUE(wait([this] { return logged("claim command failed: exit code 3"); }));
   ASSERT_TRUE(
       wait([this] { return lease_holder().state() != lease::LeaseHolder::State::kHolder; }));
   std::filesystem::remove("svc.done");
 }
 
-TEST_F(MemberTest, AClaimThatTakesTooLongIsCutOff) {
-  begin_member("sleep 30", "true", "");
-  // command_limit_ms is a second unless given; the lease's end comes first or behind it.
+TEST_F(MemberTest, KillsAClaimCommandThatRunsTooLong) {
+  start_member("sleep 30", "true", "");
+  // command_limit_ms defaults to one second; the lease may end before or after that.
   ASSERT_TRUE(wait([this] {
     return logged("claim command failed: timed out") ||
-           logged("claim command failed: aborted, as it is no longer needed") ||
+           logged("claim command failed: aborted: the address is being released") ||
            logged("claim command failed: ended by signal");
   }));
 }
 
-TEST_F(MemberTest, ASigtermGivesTheAddressUpFirst) {
-  begin_member("true", "touch " + std::string("$PWD/released; true"));
-  auto c = served();
+TEST_F(MemberTest, ReleasesTheAddressBeforeItStopsOnDrain) {
+  start_member("true", "touch " + std::string("$PWD/released; true"));
+  auto c = connect_served();
   ASSERT_EQ(c->ask({"SET", "k", "v"}), "+OK\r\n");
   balancer->drain();
-  EXPECT_EQ(c->ask({"GET", "k"}), "$1\r\nv\r\n") << "what it had accepted goes on";
+  EXPECT_EQ(c->ask({"GET", "k"}), "$1\r\nv\r\n") << "accepted connections continue";
   EXPECT_TRUE(wait([this] { return !lease_holder().should_listen(); }));
   EXPECT_TRUE(wait([&] { return c->closed(); }));
   EXPECT_TRUE(wait([this] { return io.stopped(); }));
   std::filesystem::remove("released");
 }
 
-// A wall clock that was set back makes no process an earlier life of itself, which others would not
-// hear; leases do not look at it at all.
-TEST_F(MemberTest, AWallClockThatWasSetBack) {
+// After the wall clock was set back, the incarnation must still grow: the other members ignore an
+// outdated incarnation. Leases do not use the wall clock.
+TEST_F(MemberTest, IncarnationGrowsAfterTheWallClockWasSetBack) {
   const std::uint64_t ahead =
       static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(
                                      std::chrono::system_clock::now().time_since_epoch())
                                      .count()) +
       86'400'000;
   store::Store(folder, "group").put("life", std::to_string(ahead));
-  begin_member();
-  served();
+  start_member();
+  connect_served();
   EXPECT_EQ(ask("status")["life"].get<std::uint64_t>(), ahead + 1);
 }
 
-TEST_F(MemberTest, TellsWhoHoldsWhatAndWhy) {
-  begin_member();
+TEST_F(MemberTest, StatusReportsHolderAndReasonOfEachAddress) {
+  start_member();
   ASSERT_TRUE(
       wait([this] { return lease_holder().state() == lease::LeaseHolder::State::kHolder; }));
   json j = ask("status");
@@ -206,8 +207,8 @@
   EXPECT_EQ(j["addresses"][0]["why"], "elected");
   EXPECT_EQ(j["addresses"][0]["voters_reached"], 1);
   EXPECT_NE(group_runtime::status_text(j.dump()).find("svc"), std::string::npos);
-  EXPECT_TRUE(ask("move svc").contains("error")) << "nobody else is there";
-  EXPECT_TRUE(ask("voters remove n0").contains("error")) << "the last one";
+  EXPECT_TRUE(ask("move svc").contains("error")) << "there is no other member";
+  EXPECT_TRUE(ask("voters remove n0").contains("error")) << "it is the last voter";
   EXPECT_TRUE(ask("voters add nobody").contains("error"));
   EXPECT_TRUE(ask("frob").contains("error"));
   EXPECT_TRUE(ask(std::string(2000, 'x')).contains("error"));
@@ -216,9 +217,9 @@
   EXPECT_EQ(s.st_mode & 0777, 0600u);
 }
 
-// A second process under the same name and folder is told so at its start.
-TEST_F(MemberTest, ASecondInTheSameFolderDoesNotStart) {
-  begin_member();
+// A second process with the same name and folder fails at its start and reports why.
+TEST_F(MemberTest, SecondProcessInTheSameFolderFailsToStart) {
+  start_member();
   std::string why;
   Limits others(512, 64, 64);
   try {
@@ -231,23 +232,23 @@
   EXPECT_NE(why.find("another process answers there"), std::string::npos) << why;
 }
 
-// Disk full, read-only folder and the like: one line, and no vote.
-TEST_F(MemberTest, AVoterWhoseFolderCannotBeUsedGivesNoVote) {
-  std::filesystem::create_directory(folder + "/group.db");  // in the place of its file
-  begin_member();
-  EXPECT_TRUE(logged("gives no vote")) << "it says so at once";
+// Disk full, read-only folder and similar: the member logs one line and grants no vote.
+TEST_F(MemberTest, VoterWithoutUsableFolderGrantsNoVote) {
+  std::filesystem::create_directory(folder + "/group.db");  // a folder where the file should be
+  start_member();
+  EXPECT_TRUE(logged("gives no vote")) << "logged at the start";
   run_for(io, milliseconds(4000));
   EXPECT_EQ(lease_holder().elections_won(), 0u);
   EXPECT_FALSE(listens());
   EXPECT_EQ(ask("status")["voter"]["remembers"], false);
 }
 
-TEST_F(MemberTest, AKeyFileThatCannotBeReadLeavesTheOldKeys) {
-  begin_member();
+TEST_F(MemberTest, ReloadKeepsTheKeysWhenTheKeyFileIsInvalid) {
+  start_member();
   std::ofstream(folder + "/key") << "nonsense\n";
   try {
     balancer->reload(parse_operator(text, "test.toml"));
-    FAIL() << "it was taken";
+    FAIL() << "the key file was accepted";
   } catch (const FileError& e) {
     EXPECT_NE(std::string(e.what()).find("/key:1: "), std::string::npos) << e.what();
   }
--- a/tests/store_test.cc
+++ b/tests/store_test.cc
@@ -34,7 +34,7 @@
     std::ifstream in(name, std::ios::binary);
     return {std::istreambuf_iterator<char>(in), {}};
   }
-  std::string fault() const {
+  std::string open_error() const {
     try {
       Store s(dir_, "t");
       return "none";
@@ -45,7 +45,7 @@
   std::string dir_;
 };
 
-TEST_F(StoreTest, KeepsWhatWasPutOverARestart) {
+TEST_F(StoreTest, KeepsRecordsOverARestart) {
   {
     Store s(dir_, "t");
     EXPECT_TRUE(s.fresh());
@@ -63,15 +63,16 @@
   EXPECT_EQ(s.get("b"), std::nullopt);
 }
 
-TEST_F(StoreTest, OneProcessAtATime) {
+TEST_F(StoreTest, RejectsASecondOpenerWhileOpen) {
   Store s(dir_, "t");
   s.put("k", "v");
-  EXPECT_NE(fault().find("another process has it"), std::string::npos) << fault();
+  EXPECT_NE(open_error().find("another process has it open"), std::string::npos) << open_error();
   EXPECT_EQ(s.get("k"), "v");
 }
 
-// What a process that is killed in the middle of its writes had been told was written is there.
-TEST_F(StoreTest, KilledInTheMiddleOfAWrite) {
+// A process is killed with SIGKILL in the middle of its writes: every record whose put() had
+// returned must be there afterwards, and records of one put() must match.
+TEST_F(StoreTest, KeepsAcknowledgedWritesWhenTheProcessIsKilled) {
   std::mt19937 random(3);
   int last = 0;
   for (int round = 0; round < 8; ++round) {
@@ -87,32 +88,33 @@
     }
     ::close(pipe[1]);
     const int stop = last + 5 + static_cast<int>(random() % 20);
-    int told = 0;
-    while (told < stop && ::read(pipe[0], &told, sizeof told) == sizeof told) {
+    int acknowledged = 0;
+    while (acknowledged < stop &&
+           ::read(pipe[0], &acknowledged, sizeof acknowledged) == sizeof acknowledged) {
     }
     ::usleep(static_cast<useconds_t>(random() % 500));
     ::kill(pid, SIGKILL);
     ::waitpid(pid, nullptr, 0);
-    while (::read(pipe[0], &told, sizeof told) == sizeof told) {
+    while (::read(pipe[0], &acknowledged, sizeof acknowledged) == sizeof acknowledged) {
     }
     ::close(pipe[0]);
     Store s(dir_, "t");
     EXPECT_EQ(s.aside(), "");
     last = std::stoi(s.get("n").value());
-    EXPECT_GE(last, told);
+    EXPECT_GE(last, acknowledged);
     EXPECT_EQ(s.get("m"), s.get("n"));
   }
 }
 
-TEST_F(StoreTest, WhatCannotBeReadIsPutAside) {
+TEST_F(StoreTest, MovesUnreadableFilesAside) {
   { Store(dir_, "t").put("k", "v"); }
   const std::string good = read(file());
-  const auto plant = [&](const std::string& bytes) {
+  const auto replace_file = [&](const std::string& bytes) {
     fs::remove(file() + "-wal");
     fs::remove(file() + "-shm");
     std::ofstream(file(), std::ios::binary | std::ios::trunc) << bytes;
   };
-  const auto expect_aside = [&](const std::string& why, const std::string& n) {
+  const auto expect_moved_aside = [&](const std::string& why, const std::string& n) {
     Store s(dir_, "t");
     EXPECT_NE(s.aside().find(why), std::string::npos) << s.aside();
     EXPECT_NE(s.aside().find("t.db.bad-" + n), std::string::npos) << s.aside();
@@ -120,24 +122,24 @@
     EXPECT_EQ(s.get("k"), std::nullopt);
     s.put("k", "again");
   };
-  plant(
+  replace_file(
       "this is no database, and longer than the header of one, which has a hundred bytes or "
       "so....");
-  expect_aside("not a database", "1");
+  expect_moved_aside("not a database", "1");
   std::string foreign = good;
   foreign[68] = 'x';  // application_id
-  plant(foreign);
-  expect_aside("another program's", "2");
+  replace_file(foreign);
+  expect_moved_aside("belongs to another program", "2");
   std::string old = good;
   old[63] = 9;  // user_version
-  plant(old);
-  expect_aside("has the form 9", "3");
-  EXPECT_EQ(read(file() + ".bad-3"), old) << "what could not be read is kept as it was";
+  replace_file(old);
+  expect_moved_aside("has schema version 9", "3");
+  EXPECT_EQ(read(file() + ".bad-3"), old) << "the unreadable file is kept unchanged";
 }
 
-// Any byte changed, and the file cut at any length: either what it says is what was written, or it
-// is put aside. Never something else.
-TEST_F(StoreTest, TornAndChangedFiles) {
+// Changes a random byte of the file or truncates it at a random length: the store must either
+// return what was written or move the file away, and never return anything else.
+TEST_F(StoreTest, DetectsTornAndChangedFiles) {
   { Store(dir_, "t").put({{"k", std::string(600, 'v')}, {"l", "w"}}); }
   const std::string good = read(file());
   ASSERT_GT(good.size(), 4096u);
@@ -158,7 +160,7 @@
     if (s.aside().empty() && !bytes.empty()) {
       EXPECT_TRUE(s.get("k") == std::string(600, 'v') || s.get("k") == std::nullopt);
       EXPECT_TRUE(s.get("l") == "w" || s.get("l") == std::nullopt);
-      // A record that was there is not silently gone.
+      // A single record must not disappear silently.
       if (bytes.size() == good.size()) {
         EXPECT_EQ(s.get("k").has_value(), s.get("l").has_value());
       }
@@ -167,18 +169,18 @@
   EXPECT_GT(aside, 50);
 }
 
-TEST_F(StoreTest, FoldersThatCannotBeUsed) {
+TEST_F(StoreTest, ThrowsWhenTheFolderCannotBeUsed) {
   EXPECT_THROW(Store("/nonexistent", "t"), StoreError);
-  if (::getuid() != 0) {  // nothing is read-only to root
+  if (::getuid() != 0) {  // root can write to read-only folders
     ::chmod(dir_.c_str(), 0555);
-    EXPECT_NE(fault(), "none");
+    EXPECT_NE(open_error(), "none");
   }
   std::ofstream(dir_ + "/f") << "a file";
   EXPECT_THROW(Store(dir_ + "/f", "t"), StoreError);
 }
 
-// A disk that is full, as far as this process goes: a file may not grow any further.
-TEST_F(StoreTest, AFullDiskIsAnErrorAndChangesNothing) {
+// Simulates a full disk with RLIMIT_FSIZE: no file of the process may grow beyond the limit.
+TEST_F(StoreTest, ThrowsAndChangesNothingWhenTheDiskIsFull) {
   const pid_t pid = ::fork();
   if (pid == 0) {
     ::signal(SIGXFSZ, SIG_IGN);
