--- a/tests/command_announcer_test.cc
+++ b/tests/command_announcer_test.cc
@@ -71,34 +71,34 @@
 };
 
 TEST(CommandAnnouncerTest, ClaimsAndReleases) {
-  CommandRunner m;
-  m.announcer.claim(m.now, 3);
-  m.execute_actions();
-  EXPECT_EQ(m.running, CommandRunner::kClaim);
-  m.end_command(true);
-  EXPECT_EQ(m.reports, std::vector{Kind::kAnnounced});
-  m.announcer.release(m.now);
-  m.execute_actions();
-  m.end_command(true);
-  EXPECT_EQ(m.reports, (std::vector{Kind::kAnnounced, Kind::kWithdrawn}));
-  EXPECT_EQ(m.announcer.state(), State::kIdle);
+  CommandRunner runner;
+  runner.announcer.claim(runner.now, 3);
+  runner.execute_actions();
+  EXPECT_EQ(runner.running, CommandRunner::kClaim);
+  runner.end_command(true);
+  EXPECT_EQ(runner.reports, std::vector{Kind::kAnnounced});
+  runner.announcer.release(runner.now);
+  runner.execute_actions();
+  runner.end_command(true);
+  EXPECT_EQ(runner.reports, (std::vector{Kind::kAnnounced, Kind::kWithdrawn}));
+  EXPECT_EQ(runner.announcer.state(), State::kIdle);
 }
 
 TEST(CommandAnnouncerTest, AbandonsAReleaseThatKeepsFailingAndReportsIt) {
-  CommandRunner m;
-  m.announcer.claim(m.now, 1);
-  m.execute_actions();
-  m.end_command(true);
-  m.announcer.release(m.now);
-  m.execute_actions();
-  for (int i = 0; i < 30 && m.announcer.state() != State::kIdle; ++i) {
-    m.end_command(false);
-    if (m.announcer.next() != Time::max()) m.now = m.announcer.next();
-    m.announcer.on_timer(m.now);
-    m.execute_actions();
+  CommandRunner runner;
+  runner.announcer.claim(runner.now, 1);
+  runner.execute_actions();
+  runner.end_command(true);
+  runner.announcer.release(runner.now);
+  runner.execute_actions();
+  for (int i = 0; i < 30 && runner.announcer.state() != State::kIdle; ++i) {
+    runner.end_command(false);
+    if (runner.announcer.next() != Time::max()) runner.now = runner.announcer.next();
+    runner.announcer.on_timer(runner.now);
+    runner.execute_actions();
   }
-  EXPECT_EQ(m.reports.back(), Kind::kReleaseAbandoned);
-  EXPECT_EQ(m.announcer.state(), State::kIdle);
+  EXPECT_EQ(runner.reports.back(), Kind::kReleaseAbandoned);
+  EXPECT_EQ(runner.announcer.state(), State::kIdle);
 }
 
 // All 5^7 sequences of seven events.
@@ -107,42 +107,42 @@
   int all = 1;
   for (int i = 0; i < kDepth; ++i) all *= kEvents;
   for (int code = 0; code < all; ++code) {
-    CommandRunner m;
+    CommandRunner runner;
     std::string events;
     for (int i = 0, c = code; i < kDepth; ++i, c /= kEvents) {
-      m.now += milliseconds(700);
+      runner.now += milliseconds(700);
       switch (c % kEvents) {
         case 0:
-          m.announcer.claim(m.now, static_cast<std::uint64_t>(i));
+          runner.announcer.claim(runner.now, static_cast<std::uint64_t>(i));
           break;
         case 1:
-          m.announcer.release(m.now);
+          runner.announcer.release(runner.now);
           break;
         case 2:
-          m.end_command(true);
+          runner.end_command(true);
           break;
         case 3:
-          m.end_command(false);
+          runner.end_command(false);
           break;
         default:
-          if (m.announcer.next() <= m.now) m.announcer.on_timer(m.now);
+          if (runner.announcer.next() <= runner.now) runner.announcer.on_timer(runner.now);
       }
       events += std::to_string(c % kEvents);
-      m.execute_actions();
+      runner.execute_actions();
       ASSERT_FALSE(::testing::Test::HasFatalFailure()) << events;
     }
     // After release() the announcer must return to idle, whatever happened before.
-    m.announcer.release(m.now);
-    m.execute_actions();
-    for (int i = 0; i < 8 && m.announcer.state() != State::kIdle; ++i) {
-      m.now += seconds(1);
-      m.announcer.on_timer(m.now);
-      m.execute_actions();
-      m.end_command(true);
+    runner.announcer.release(runner.now);
+    runner.execute_actions();
+    for (int i = 0; i < 8 && runner.announcer.state() != State::kIdle; ++i) {
+      runner.now += seconds(1);
+      runner.announcer.on_timer(runner.now);
+      runner.execute_actions();
+      runner.end_command(true);
     }
-    ASSERT_EQ(m.announcer.state(), State::kIdle) << events;
-    ASSERT_FALSE(m.claimed) << events;
-    ASSERT_EQ(m.running, CommandRunner::kNothing) << events;
+    ASSERT_EQ(runner.announcer.state(), State::kIdle) << events;
+    ASSERT_FALSE(runner.claimed) << events;
+    ASSERT_EQ(runner.running, CommandRunner::kNothing) << events;
   }
 }
 
