--- a/bench/dissemination.cc
+++ b/bench/dissemination.cc
@@ -1,13 +1,14 @@
-// Changes to every balancer under one simulated clock, with the real module: times, bytes and
-// messages by role, beside what polling would cost for the same changes.
+// Simulates the dissemination of changes to all balancers under one simulated clock, with the real
+// module. Prints times, bytes and messages by role, and the computed cost of polling for the same
+// changes.
 //
 //   cmake --build build --target balancer_bench_dissemination
 //   build/balancer_bench_dissemination [MEMBERS [SITES [REGIONS [SECONDS [SEED [LOSS [DAY]]]]]]]
 //
 // Without arguments: 11,000 members, 870 sites, 49 regions, 60 s, seed 1, no loss, no failures.
-// With DAY above 0: 2,400 restarts and 44 failures (five minutes each) times DAY a day, and in the
-// course of the run a site lost for a fifth of it (five minutes at most) and a region cut off for
-// as long.
+// With DAY above 0: 2,400 restarts and 44 failures (five minutes each) per day, both multiplied by
+// DAY. In addition, one site and later one region are partitioned from the network, each for a
+// fifth of the run (five minutes at most).
 #include <sys/resource.h>
 
 #include <cstdio>
@@ -39,8 +40,9 @@
               static_cast<unsigned long long>(counts.total()));
 }
 
-// Computed, not played. A member that polls: one call a period, answered with what is new. Bytes of
-// a call are those of an HTTP request and answer with their TCP segments.
+// Prints the computed (not simulated) cost of polling: one call per member and period, answered
+// with the new changes. The bytes of a call are those of an HTTP request and response with their
+// TCP segments.
 void print_polling(double period, double members, double entry_bytes_per_second) {
   constexpr double kCallBytes = 700;
   const double bytes = kCallBytes / period + entry_bytes_per_second;
@@ -48,33 +50,35 @@
               period, bytes, members / period, period + 0.24);
 }
 
-// Failures, and how long those that come back take until they are current.
+// Schedules failures, and measures the time until members that return are current.
 class Day {
  public:
   Day(DisseminationSim& sim, double length, double factor)
       : sim_(sim), end_(sim.now() + from_seconds(length)) {
     if (factor <= 0) return;
     each(2400 * factor, [this] {
-      const int m = any();
+      const int m = random_member();
       sim_.restart(m, sim_.random()() % 4 == 0);
       watch(m, sim_.now());
     });
     each(44 * factor, [this] {
-      const int m = any();
+      const int m = random_member();
       sim_.kill(m);
       sim_.after(std::chrono::minutes(5), [this, m] {
         sim_.restart(m, true);
         watch(m, sim_.now());
       });
     });
-    const Duration away = std::min<Duration>(from_seconds(length / 5), std::chrono::minutes(5));
-    cut(from_seconds(length * 0.2), away, sim_.of_site(7), 1);
-    cut(from_seconds(length * 0.6), away, sim_.of_region(3), 2);
+    const Duration outage = std::min<Duration>(from_seconds(length / 5), std::chrono::minutes(5));
+    cut(from_seconds(length * 0.2), outage, sim_.of_site(7), 1);
+    cut(from_seconds(length * 0.6), outage, sim_.of_region(3), 2);
   }
   LatencyCounts recovered;
 
  private:
-  int any() { return static_cast<int>(sim_.random()() % static_cast<unsigned>(sim_.size())); }
+  int random_member() {
+    return static_cast<int>(sim_.random()() % static_cast<unsigned>(sim_.size()));
+  }
   void each(double a_day, const std::function<void()>& happens) {
     const Duration gap =
         from_seconds(std::exponential_distribution<>(a_day / 86400)(sim_.random()));
@@ -95,7 +99,8 @@
       }
     });
   }
-  // Current: it has what had been sent when it came back, and hears of what is sent now.
+  // Measures the time until the member has all changes that were sent before it returned, and
+  // receives new changes.
   void watch(int m, Time since) {
     const auto heads = sim_.source()->state().heads;
     watch(m, since, heads);
@@ -106,7 +111,7 @@
       if (!replica) return;
       const bool has_all = replica->cursor(Channel::kPurge).sequence >= heads[0] &&
                            replica->cursor(Channel::kConfiguration).sequence >= heads[1];
-      if (has_all && replica->reliance(sim_.now()).purges_complete)
+      if (has_all && replica->freshness(sim_.now()).purges_complete)
         recovered.add(sim_.now() - since);
       else
         watch(m, since, heads);
--- a/src/dissemination/change_log.h
+++ b/src/dissemination/change_log.h
@@ -10,26 +10,28 @@
 
 namespace balancer::dissemination {
 
-// The newest consecutive entries of one channel, in bounded memory: the oldest are dropped.
+// The newest consecutive entries of one channel. Memory is bounded: when the log is full, its
+// oldest entry is dropped.
 class ChangeLog {
  public:
-  // Begins empty, behind `last`.
+  // Creates an empty log whose first entry will have the number `last` + 1.
   explicit ChangeLog(std::size_t max_entries, Sequence last = 0)
       : max_entries_(max_entries), last_(last) {}
 
-  // `entry` has to be the next one: last() + 1. False if it isn't, and nothing changes.
+  // Appends `entry` if its number is last() + 1; otherwise returns false and changes nothing.
   bool append(EntryPtr entry);
-  // Forgets all entries and goes on behind `last`.
+  // Removes all entries; the next one will have the number `last` + 1.
   void reset(Sequence last);
-  // Forgets the entries behind `last`, of a source whose successor doesn't know them.
+  // Removes the entries after `last`: a source numbered them, but its successor doesn't have them.
   void truncate(Sequence last);
 
   Sequence last() const { return last_; }
-  // The first that is still kept; last() + 1 if none is.
+  // Returns the number of the oldest retained entry, or last() + 1 if the log is empty.
   Sequence oldest() const { return last_ + 1 - entries_.size(); }
   std::size_t size() const { return entries_.size(); }
-  // Entries from `first` up to `last` or the first that makes them larger than `max_bytes`; nothing
-  // if `first` isn't kept.
+  // Returns the entries from `first` to `last`, cut off before the entry with which they would
+  // exceed `max_bytes` (but never before the first entry). Returns nothing if `first` is no longer
+  // retained.
   std::vector<EntryPtr> range(Sequence first, Sequence last, std::size_t max_bytes) const;
 
  private:
@@ -38,10 +40,11 @@
   Sequence last_;
 };
 
-// The newest entry of each key, in order of sequence numbers: a compacted log. What changed behind
-// any number is read in pieces; a key that changes meanwhile comes again in a later piece, so that
-// the pieces together are the state at the last one's end. Bounded by the number of keys (deleted
-// ones among them), which the owner of the configuration bounds.
+// A compacted log: the newest entry of each key, in order of sequence numbers. The changes after
+// any number are read in pieces. A key that changes between two reads appears again in a later
+// piece, so that all pieces together give the state at the end of the last piece. The size is
+// bounded by the number of keys, including deleted keys, which the owner of the configuration
+// bounds.
 class CompactedLog {
  public:
   void put(EntryPtr entry);
@@ -51,7 +54,8 @@
     Sequence through = 0;
     bool complete = false;
   };
-  // The newest entries behind `after`, up to `max_bytes`.
+  // Returns the newest entries after `after`, up to `max_bytes` (at least one entry, if any
+  // exists).
   Piece read(Sequence after, Sequence head, std::size_t max_bytes) const;
   std::size_t size() const { return by_sequence_.size(); }
   const std::map<Sequence, EntryPtr>& entries() const { return by_sequence_; }
--- a/src/dissemination/hop_retransmit.cc
+++ b/src/dissemination/hop_retransmit.cc
@@ -5,7 +5,7 @@
 namespace balancer::dissemination {
 
 void HopRetransmit::sent(Time now, const Relays& relays, const Batch& batch) {
-  if (batch.entries.empty()) return;  // a heartbeat; another follows
+  if (batch.entries.empty()) return;  // a lost heartbeat is replaced by the next heartbeat
   unacked_.push_back({relays, batch, 1, now + interval_});
   if (unacked_.size() > kMaxUnacked) unacked_.pop_front();
 }
--- a/src/dissemination/hop_retransmit.h
+++ b/src/dissemination/hop_retransmit.h
@@ -10,12 +10,13 @@
 
 namespace balancer::dissemination {
 
-// Batches that were sent to the relay of a region or site and not acknowledged yet. One lost there
-// is missing at all members below, who would each ask for it; so it is sent again, at last to the
-// standby. (What is lost on the last hop, its one receiver asks for.)
+// Retransmits batches that the relay of a region or site has not acknowledged. A batch that is lost
+// on the way to a relay is missing at all members below it, and each of them would request it. The
+// last retransmission goes to the standby. (A batch that is lost on the last hop is missing at one
+// member only, which requests it.)
 class HopRetransmit {
  public:
-  // `interval`: until a batch is sent again; more than a round trip.
+  // `interval`: time until an unacknowledged batch is sent again; must exceed a round trip.
   explicit HopRetransmit(Duration interval) : interval_(interval) {}
 
   void sent(Time now, const Relays& relays, const Batch& batch);
@@ -30,7 +31,7 @@
   Time next() const { return unacked_.empty() ? Time::max() : unacked_.front().due; }
 
  private:
-  static constexpr std::size_t kMaxUnacked = 1024;  // older ones are given up
+  static constexpr std::size_t kMaxUnacked = 1024;  // older batches are not retransmitted any more
   static constexpr int kMaxSends = 3;
 
   struct Unacked {
@@ -41,7 +42,7 @@
   };
 
   const Duration interval_;
-  std::deque<Unacked> unacked_;  // by time due: the interval is the same for all
+  std::deque<Unacked> unacked_;  // ordered by due time, since all batches have the same interval
 };
 
 }  // namespace balancer::dissemination
--- a/src/dissemination/messages.cc
+++ b/src/dissemination/messages.cc
@@ -3,7 +3,7 @@
 namespace balancer::dissemination {
 namespace {
 
-// Protocol buffers: a tag and a varint.
+// Sizes as encoded by protocol buffers: a tag and a varint.
 constexpr std::size_t kNumber = 7;  // values below 2^42
 constexpr std::size_t kSmallNumber = 3;
 constexpr std::size_t kLengthPrefix = 3;  // tag and length below 2^14
@@ -22,7 +22,7 @@
 std::size_t size_of(const RangeRequest&) { return 3 * kNumber + kSmallNumber; }
 std::size_t size_of(const SnapshotRequest&) { return 2 * kNumber; }
 std::size_t size_of(const SnapshotPiece& piece) {
-  // Compacted entries have a number each.
+  // Compacted entries are not consecutive, so that each is sent with its number.
   return kSourceState + 2 * kNumber + kSmallNumber + size_of(piece.entries) +
          piece.entries.size() * kNumber;
 }
@@ -36,7 +36,7 @@
 }  // namespace
 
 std::size_t wire_size(const Entry& entry) {
-  // The lengths of entry and key, and of the value where there is one.
+  // Tags and lengths of the entry and its key, and of the value if it isn't empty.
   const std::size_t value = entry.value.empty() ? 0 : 2 + entry.value.size();
   return 2 + 2 + entry.key.size() + value;
 }
--- a/src/dissemination/range_repair.cc
+++ b/src/dissemination/range_repair.cc
@@ -18,7 +18,7 @@
   answer.channel = request.channel;
   answer.oldest = log.oldest();
   if (request.term < source.term) return answer;
-  // The source's log may hold entries that it hasn't sent yet.
+  // The log of the source may contain entries that have not been sent yet.
   const Sequence last = std::min(request.last, source.heads[index(request.channel)]);
   answer.entries =
       log.range(request.first, last, kMaxMessageBytes - wire_size(answer) + kDatagramOverhead);
--- a/src/dissemination/relay_tree.cc
+++ b/src/dissemination/relay_tree.cc
@@ -12,9 +12,10 @@
 
 const std::vector<std::string> kNoNames;
 const Relays kNoRelays;
-constexpr std::size_t kNobody = std::numeric_limits<std::size_t>::max();
-// Stripes that somebody rests after its own. Of 0 to 6 the best for times; the more, the more
-// stripes move when a member goes.
+constexpr std::size_t kNoCandidate = std::numeric_limits<std::size_t>::max();
+// Number of following stripes that a relay doesn't carry after one of its own. Of the values 0 to
+// 6, 3 gives the best delivery times; the larger the value, the more stripes get another relay when
+// a member leaves.
 constexpr std::uint32_t kMaxSpacing = 3;
 
 }  // namespace
@@ -48,33 +49,34 @@
   std::vector<std::uint64_t> hashes;
   hashes.reserve(candidates.size());
   for (const auto& id : candidates) hashes.push_back(mix(stable_hash(id), group_hash));
-  std::vector<std::size_t> carried(candidates.size(), 0);
-  std::vector<std::uint32_t> last(candidates.size(), 0);
+  std::vector<std::size_t> stripes_carried(candidates.size(), 0);
+  std::vector<std::uint32_t> last_stripe(candidates.size(), 0);
   const auto spacing = std::min(kMaxSpacing, static_cast<std::uint32_t>(candidates.size() - 1) / 2);
   for (std::uint32_t stripe = 0; stripe < stripes; ++stripe) {
-    const auto best = [&](auto&& may_serve) {
-      std::size_t chosen_index = kNobody;
+    const auto best = [&](auto&& is_eligible) {
+      std::size_t chosen_index = kNoCandidate;
       std::uint64_t best_score = 0;
       for (std::size_t i = 0; i < candidates.size(); ++i) {
         const std::uint64_t score = mix(hashes[i], stripe);
-        if (!may_serve(i) || (chosen_index != kNobody && score <= best_score)) continue;
+        if (!is_eligible(i) || (chosen_index != kNoCandidate && score <= best_score)) continue;
         chosen_index = i;
         best_score = score;
       }
       return chosen_index;
     };
-    const auto has_room = [&](std::size_t i) { return carried[i] < max_stripes; };
-    // Stripes follow one another in time: nobody forwards two of them shortly one after the other.
-    const auto has_rested = [&](std::size_t i) {
-      return carried[i] == 0 || stripe - last[i] > spacing;
+    const auto has_room = [&](std::size_t i) { return stripes_carried[i] < max_stripes; };
+    // Successive batches use successive stripes, so that neighbouring stripes need different
+    // relays: no member should forward two batches in quick succession.
+    const auto is_spaced = [&](std::size_t i) {
+      return stripes_carried[i] == 0 || stripe - last_stripe[i] > spacing;
     };
-    std::size_t relay = best([&](std::size_t i) { return has_room(i) && has_rested(i); });
-    if (relay == kNobody) relay = best(has_room);
+    std::size_t relay = best([&](std::size_t i) { return has_room(i) && is_spaced(i); });
+    if (relay == kNoCandidate) relay = best(has_room);
     const std::size_t standby = best([&](std::size_t i) { return i != relay; });
-    ++carried[relay];
-    last[relay] = stripe;
+    ++stripes_carried[relay];
+    last_stripe[relay] = stripe;
     chosen[stripe].relay = candidates[relay];
-    if (standby != kNobody) chosen[stripe].standby = candidates[standby];
+    if (standby != kNoCandidate) chosen[stripe].standby = candidates[standby];
   }
   return chosen;
 }
--- a/src/dissemination/relay_tree.h
+++ b/src/dissemination/relay_tree.h
@@ -10,36 +10,38 @@
 
 namespace balancer::dissemination {
 
-// A member and where it is. Names of sites are unique over all regions.
+// A member with its region and site. Names of sites are unique across all regions.
 struct MemberPlace {
   MemberId id;
   std::string region, site;
-  // False: it still belongs, and holds watermarks back, but relays nothing.
+  // An unreachable member remains a member and holds back watermarks, but isn't chosen as a relay.
   bool reachable = true;
 };
 
-// Who forwards a stripe's batches, and who asks for them in its place.
+// The member that forwards a stripe's batches, and its substitute: a batch that the relay doesn't
+// acknowledge is sent to the standby, and repair requests go to both.
 struct Relays {
-  MemberId relay, standby;  // empty where there is no such member
+  MemberId relay, standby;  // empty if there is no such member
   bool includes(const MemberId& id) const { return id == relay || id == standby; }
 };
 
-// The levels source, region, site, member, from the membership that exists. There isn't one tree
-// but one for each stripe, and batches take the stripes in turn: a site's only relay would send
-// everything to each of its neighbours, many times its own share of bytes, while over all stripes
-// each member of a site forwards about as much as the next (as in SplitStream; Castro et al. 2003).
+// The relay trees with the levels source, region, site and member, computed from the membership.
+// There is one tree for each stripe, and successive batches use successive stripes. With a single
+// tree, a site's only relay would send every batch to each of its neighbours, many times its own
+// share of bytes; over all stripes, each member of a site forwards about as much as any other (as
+// in SplitStream; Castro et al. 2003).
 //
 // Relays are chosen by rendezvous hashing with a bound on the stripes of one member, so that all
-// who see the same members choose alike, and one that goes or comes changes few stripes. Immutable;
-// shared by whoever sees the same membership. Memory: the members given, and stripes times sites
-// and regions.
+// members with the same view of the membership choose the same relays, and a member that joins or
+// leaves changes few stripes. Immutable; shared by all users of the same membership. Memory is
+// proportional to the members, and to stripes times sites and regions.
 class RelayTree {
  public:
   RelayTree(std::vector<MemberPlace> members, std::uint32_t stripes);
 
   std::uint32_t stripes() const { return stripes_; }
   const MemberPlace* find(const MemberId& id) const;
-  // In order of their names; empty for one that isn't known.
+  // The following lists are ordered by name, and empty for an unknown region or site.
   std::vector<std::string> regions() const;
   std::vector<std::string> sites() const;
   const std::vector<std::string>& sites(const std::string& region) const;
--- a/src/dissemination/replica.cc
+++ b/src/dissemination/replica.cc
@@ -11,7 +11,7 @@
 using Urgency = SendQueue::Urgency;
 
 constexpr std::size_t kMaxForwardedKept = 64;
-// Reports are collected where the relays of this stripe are.
+// The relay of this stripe collects the reports of its site.
 constexpr std::uint32_t kReportStripe = 0;
 
 Urgency urgency_of(const Batch& batch) {
@@ -27,12 +27,12 @@
       tree_(std::move(tree)),
       sink_(sink),
       is_fresh_(!checkpoint || checkpoint->term == 0),
-      heard_at_(now),
+      last_push_at_(now),
       streams_{Stream{ChangeLog(settings.max_log_entries[0]), {}, Time::max(), 0},
                Stream{ChangeLog(settings.max_log_entries[1]), {}, Time::max(), 0}},
       queue_(settings.limits, now),
       hops_(settings.retransmit) {
-  // Members report at different moments of the period.
+  // Spreads the members' reports over the period.
   const auto phase = stable_hash(settings_.id) % settings_.report_period.count();
   report_at_ = now + Duration(static_cast<Duration::rep>(phase));
   if (is_fresh_) return;
@@ -49,7 +49,7 @@
   watermark_.keep_only(place ? tree_->members(place->site) : std::vector<MemberId>{});
 }
 
-// ---- what comes in
+// ---- received messages
 
 void Replica::on_message(Time now, const MemberId& from, const Message& message,
                          std::size_t bytes) {
@@ -62,7 +62,7 @@
   if (const auto* report = std::get_if<Report>(&message)) on_report(*report);
 }
 
-bool Replica::take_source(Time now, const SourceState& source) {
+bool Replica::accept_source(Time now, const SourceState& source) {
   if (source.term < source_.term || source.term == 0) return false;
   if (source.term > source_.term) adopt_term(now, source);
   for (const Channel channel : kChannels) {
@@ -72,29 +72,30 @@
   return true;
 }
 
-// What was applied under the last term is a beginning of the new source's history if it ends at or
-// before the number where that source began, and if no term lies between them unheard.
+// The changes applied under the last term are a prefix of the new source's history if they end at
+// or before the number where that source started, and if the new term directly follows the last
+// one.
 void Replica::adopt_term(Time now, const SourceState& source) {
-  const bool follows = !is_fresh_ && source.term == source_.term + 1;
-  // Still so if the last source went before its whole configuration had come.
+  const bool is_next_term = !is_fresh_ && source.term == source_.term + 1;
+  // Remains true if the last source was replaced before its whole configuration was received.
   const bool needs_whole = snapshot_ && snapshot_->whole;
   source_ = source;
   is_fresh_ = false;
   snapshot_.reset();
   for (auto& stream : streams_) {
-    stream.pending.clear();  // may be of numbers that were given anew
-    stream.ask_at = Time::max();
+    stream.pending.clear();  // the new source may have assigned these numbers to other changes
+    stream.request_at = Time::max();
     stream.attempts = 0;
   }
   waiting_.clear();
   hops_.clear();
   Stream& purges = stream(Channel::kPurge);
-  if (follows)
-    purges.log.truncate(source.starts[index(Channel::kPurge)]);  // one purge too many does no harm
+  if (is_next_term)
+    purges.log.truncate(source.starts[index(Channel::kPurge)]);  // a superfluous purge is harmless
   else
-    jump_purges();
+    skip_purges();
   Stream& configuration = stream(Channel::kConfiguration);
-  if (!follows || needs_whole ||
+  if (!is_next_term || needs_whole ||
       configuration.log.last() > source.starts[index(Channel::kConfiguration)]) {
     configuration.log.reset(0);
     begin_snapshot(now, true);
@@ -102,9 +103,9 @@
 }
 
 void Replica::on_batch(Time now, const MemberId& from, const Batch& batch) {
-  if (!take_source(now, batch.source)) return;
+  if (!accept_source(now, batch.source)) return;
   const bool is_answer = batch.oldest > 0;
-  if (!is_answer) heard_at_ = now, has_heard_ = true;
+  if (!is_answer) last_push_at_ = now, has_received_push_ = true;
   forward(now, from, batch);
   Stream& to = stream(batch.channel);
   const Sequence before = to.log.last();
@@ -121,17 +122,17 @@
   const bool has_advanced = to.log.last() > before;
   if (has_advanced) {
     to.attempts = 0;
-    if (!waiting_.empty()) answer_waiting(now, batch.channel);
+    if (!waiting_.empty()) answer_waiting_requests(now, batch.channel);
   }
-  // The asked one's log has wrapped past what is missing here.
+  // The source's log no longer contains the missing entries.
   if (is_answer && from == settings_.source && batch.oldest > to.log.last() + 1) {
     if (batch.channel == Channel::kPurge)
-      jump_purges();
+      skip_purges();
     else if (!snapshot_)
       begin_snapshot(now, false);
   }
   for (const Channel channel : kChannels)
-    watch_gap(now, channel, channel == batch.channel && is_answer && has_advanced);
+    schedule_repair(now, channel, channel == batch.channel && is_answer && has_advanced);
 }
 
 void Replica::apply_ready(Channel channel) {
@@ -139,7 +140,7 @@
   Stream& from = stream(channel);
   auto it = from.pending.begin();
   for (; it != from.pending.end() && it->first <= from.log.last() + 1; ++it) {
-    if (!from.log.append(it->second)) continue;  // it was applied meanwhile
+    if (!from.log.append(it->second)) continue;  // it was already applied
     sink_.apply(channel, *it->second);
   }
   from.pending.erase(from.pending.begin(), it);
@@ -147,21 +148,22 @@
 
 // ---- gaps
 
-void Replica::watch_gap(Time now, Channel channel, bool asks_on) {
+void Replica::schedule_repair(Time now, Channel channel, bool at_once) {
   Stream& of = stream(channel);
   if (!is_behind(channel) || (channel == Channel::kConfiguration && snapshot_)) {
-    of.ask_at = Time::max();
+    of.request_at = Time::max();
     of.attempts = 0;
     return;
   }
-  if (asks_on)
-    of.ask_at = now;
-  else if (of.ask_at == Time::max())
-    of.ask_at = now + (looks_after(channel, of.log.last()) ? settings_.first_wait[index(channel)]
-                                                           : settings_.wait[index(channel)]);
+  if (at_once)
+    of.request_at = now;
+  else if (of.request_at == Time::max())
+    of.request_at =
+        now + (is_repair_relay(channel, of.log.last()) ? settings_.first_wait[index(channel)]
+                                                       : settings_.wait[index(channel)]);
 }
 
-bool Replica::looks_after(Channel channel, Sequence cursor) const {
+bool Replica::is_repair_relay(Channel channel, Sequence cursor) const {
   const MemberPlace* place = tree_->find(settings_.id);
   if (!place) return false;
   const auto stripe = repair_stripe(channel, cursor, tree_->stripes());
@@ -169,7 +171,7 @@
          tree_->region_relays(place->region, stripe).includes(settings_.id);
 }
 
-std::vector<MemberId> Replica::ladder(Channel channel) const {
+std::vector<MemberId> Replica::repair_targets(Channel channel) const {
   const MemberId& source = settings_.source;
   const MemberPlace* place = tree_->find(settings_.id);
   if (!place) return {source};
@@ -179,46 +181,47 @@
   const Relays& region = tree_->region_relays(place->region, stripe);
   const auto& neighbours = tree_->members(place->site);
   const auto& neighbour = neighbours[mix(stable_hash(settings_.id), cursor) % neighbours.size()];
-  std::vector<MemberId> steps;
+  std::vector<MemberId> targets;
   if (region.includes(settings_.id))
-    steps = {neighbour, source};  // it may be that only this one lacks it
+    targets = {neighbour, source};  // the entry may be missing at this member only
   else if (site.includes(settings_.id))
-    steps = {neighbour, region.relay, region.standby, source};
+    targets = {neighbour, region.relay, region.standby, source};
   else
-    steps = {site.relay, site.standby, neighbour, region.relay, region.standby, source};
-  std::erase_if(steps, [&](const MemberId& id) { return id.empty() || id == settings_.id; });
-  return steps;
+    targets = {site.relay, site.standby, neighbour, region.relay, region.standby, source};
+  std::erase_if(targets, [&](const MemberId& id) { return id.empty() || id == settings_.id; });
+  return targets;
 }
 
-void Replica::ask(Time now, Channel channel) {
+void Replica::request_missing(Time now, Channel channel) {
   Stream& of = stream(channel);
   const Sequence cursor = of.log.last();
   if (head(channel) - cursor > settings_.max_replay[index(channel)]) {
     if (channel == Channel::kPurge)
-      jump_purges();
+      skip_purges();
     else
       begin_snapshot(now, false);
     return;
   }
-  if (queue_.available(now) <= 0) {  // more requests would only wait in the queue
-    of.ask_at = queue_.when_available(now, 1);
+  if (queue_.available(now) <= 0) {  // further requests would only wait in the queue
+    of.request_at = queue_.when_available(now, 1);
     return;
   }
-  const auto steps = ladder(channel);
-  const MemberId& asked = steps[static_cast<std::size_t>(of.attempts) % steps.size()];
+  const auto targets = repair_targets(channel);
+  const MemberId& target = targets[static_cast<std::size_t>(of.attempts) % targets.size()];
   const Sequence last = of.pending.empty() ? head(channel) : of.pending.begin()->first - 1;
-  queue_.push(now, Urgency::kRequest, asked, RangeRequest{source_.term, channel, cursor + 1, last});
-  const int round = std::min(of.attempts / static_cast<int>(steps.size()), 4);
-  const Duration retry = asked == settings_.source ? settings_.source_retry : settings_.retry;
-  of.ask_at = now + std::min(retry * (1 << round), settings_.max_retry);
+  queue_.push(now, Urgency::kRequest, target,
+              RangeRequest{source_.term, channel, cursor + 1, last});
+  const int round = std::min(of.attempts / static_cast<int>(targets.size()), 4);
+  const Duration retry = target == settings_.source ? settings_.source_retry : settings_.retry;
+  of.request_at = now + std::min(retry * (1 << round), settings_.max_retry);
   ++of.attempts;
 }
 
-void Replica::jump_purges() {
+void Replica::skip_purges() {
   Stream& purges = stream(Channel::kPurge);
-  sink_.distrust_held(purges.log.last(), head(Channel::kPurge));
+  sink_.on_purges_skipped(purges.log.last(), head(Channel::kPurge));
   purges.log.reset(head(Channel::kPurge));
-  purges.ask_at = Time::max();
+  purges.request_at = Time::max();
   purges.attempts = 0;
   apply_ready(Channel::kPurge);
 }
@@ -226,17 +229,17 @@
 void Replica::answer(Time now, const MemberId& from, const RangeRequest& request) {
   auto batch = answer_range(stream(request.channel).log, source_, request);
   if (!batch) return;
-  const bool teaches = request.term < source_.term;
-  if (teaches || !batch->entries.empty()) {
+  const bool is_earlier_term = request.term < source_.term;
+  if (is_earlier_term || !batch->entries.empty()) {
     queue_.push(now, Urgency::kBulk, from, std::move(*batch));
   } else if (request.first > stream(request.channel).log.last() &&
-             looks_after(request.channel, request.first - 1)) {
+             is_repair_relay(request.channel, request.first - 1)) {
     waiting_.push_back({from, request, now});
     if (waiting_.size() > settings_.max_waiting_requests) waiting_.pop_front();
   }
 }
 
-void Replica::answer_waiting(Time now, Channel channel) {
+void Replica::answer_waiting_requests(Time now, Channel channel) {
   while (!waiting_.empty() && now - waiting_.front().since > settings_.max_request_wait)
     waiting_.pop_front();
   const Sequence last = stream(channel).log.last();
@@ -252,23 +255,23 @@
 
 void Replica::begin_snapshot(Time now, bool whole) {
   snapshot_ = Snapshot{whole, whole ? 0 : stream(Channel::kConfiguration).log.last(), {}, 0, now};
-  stream(Channel::kConfiguration).ask_at = Time::max();
+  stream(Channel::kConfiguration).request_at = Time::max();
 }
 
-void Replica::ask_for_piece(Time now) {
+void Replica::request_snapshot_piece(Time now) {
   if (queue_.available(now) <= 0) {
-    snapshot_->ask_at = queue_.when_available(now, 1);
+    snapshot_->request_at = queue_.when_available(now, 1);
     return;
   }
   queue_.push(now, Urgency::kRequest, settings_.source,
               SnapshotRequest{source_.term, snapshot_->through});
-  snapshot_->ask_at = now + settings_.max_retry;
+  snapshot_->request_at = now + settings_.max_retry;
 }
 
 void Replica::on_piece(Time now, const SnapshotPiece& piece) {
   const Term term = source_.term;
-  if (!take_source(now, piece.source)) return;
-  // A piece that taught a new term is no part of what was asked for.
+  if (!accept_source(now, piece.source)) return;
+  // A piece of a new term isn't part of the requested snapshot.
   if (term != source_.term || !snapshot_ || piece.after != snapshot_->through) return;
   for (const auto& entry : piece.entries) {
     snapshot_->bytes += wire_size(*entry);
@@ -278,8 +281,8 @@
   if (snapshot_->bytes > settings_.max_snapshot_bytes)
     return begin_snapshot(now + settings_.max_configuration_age, snapshot_->whole);
   if (!piece.complete) {
-    // The next piece once the budget has room for it beside the request.
-    snapshot_->ask_at = queue_.when_available(now, kMaxMessageBytes + 2 * kDatagramOverhead);
+    // Requests the next piece when the budget has room for both the request and the piece.
+    snapshot_->request_at = queue_.when_available(now, kMaxMessageBytes + 2 * kDatagramOverhead);
     return;
   }
   const Snapshot done = std::move(*snapshot_);
@@ -287,10 +290,10 @@
   sink_.install(done.entries, done.whole, done.through);
   stream(Channel::kConfiguration).log.reset(done.through);
   apply_ready(Channel::kConfiguration);
-  watch_gap(now, Channel::kConfiguration, false);
+  schedule_repair(now, Channel::kConfiguration, false);
 }
 
-// ---- down the tree
+// ---- forwarding down the tree
 
 void Replica::forward(Time now, const MemberId& from, const Batch& batch) {
   if (batch.forward == Forward::kNobody) return;
@@ -340,7 +343,7 @@
     if (member != settings_.id && member != from) queue_.push(now, urgency_of(copy), member, copy);
 }
 
-// ---- up the tree
+// ---- reports up the tree
 
 void Replica::on_report(const Report& report) {
   const MemberPlace* place = tree_->find(settings_.id);
@@ -364,12 +367,12 @@
   }
 }
 
-// ---- time
+// ---- timers
 
 void Replica::on_timer(Time now) {
   for (const Channel channel : kChannels)
-    if (now >= stream(channel).ask_at) ask(now, channel);
-  if (snapshot_ && now >= snapshot_->ask_at) ask_for_piece(now);
+    if (now >= stream(channel).request_at) request_missing(now, channel);
+  if (snapshot_ && now >= snapshot_->request_at) request_snapshot_piece(now);
   if (now >= report_at_) report(now);
   for (auto& resend : hops_.due(now)) {
     const Urgency urgency = urgency_of(resend.batch);
@@ -379,8 +382,8 @@
 
 Time Replica::next(Time now) const {
   Time when = std::min({report_at_, hops_.next(), queue_.next(now)});
-  for (const auto& stream : streams_) when = std::min(when, stream.ask_at);
-  return snapshot_ ? std::min(when, snapshot_->ask_at) : when;
+  for (const auto& stream : streams_) when = std::min(when, stream.request_at);
+  return snapshot_ ? std::min(when, snapshot_->request_at) : when;
 }
 
 std::vector<SendQueue::Item> Replica::take_sends(Time now) {
@@ -396,15 +399,16 @@
   return kept;
 }
 
-Reliance Replica::reliance(Time now) const {
-  Reliance now_known;
-  now_known.silence = now - heard_at_;
-  now_known.purges_complete =
-      has_heard_ && now_known.silence <= settings_.max_silence && !is_behind(Channel::kPurge);
+Freshness Replica::freshness(Time now) const {
+  Freshness freshness_now;
+  freshness_now.silence = now - last_push_at_;
+  freshness_now.purges_complete = has_received_push_ &&
+                                  freshness_now.silence <= settings_.max_silence &&
+                                  !is_behind(Channel::kPurge);
   const bool is_whole = snapshot_ && snapshot_->whole;
-  now_known.configuration_valid =
-      source_.term > 0 && !is_whole && now_known.silence <= settings_.max_configuration_age;
-  return now_known;
+  freshness_now.configuration_valid =
+      source_.term > 0 && !is_whole && freshness_now.silence <= settings_.max_configuration_age;
+  return freshness_now;
 }
 
 }  // namespace balancer::dissemination
--- a/src/dissemination/send_queue.cc
+++ b/src/dissemination/send_queue.cc
@@ -23,7 +23,8 @@
 
 void SendQueue::on_received(Time now, std::size_t bytes) {
   settle(now);
-  // Never further below zero than one burst: a flood delays what is sent by a bounded time.
+  // The balance never drops below minus one burst, so that a flood of received bytes delays
+  // outgoing messages only for a bounded time.
   tokens_ = std::max(tokens_ - static_cast<double>(bytes), -limits_.burst_bytes);
 }
 
@@ -31,8 +32,8 @@
   settle(now);
   drop_old(now);
   const std::size_t kind = next_kind();
-  // Any message may go once there is something left, and the rest is owed: a message larger than
-  // the burst would never go otherwise.
+  // A message may be sent as soon as the balance is positive, and the balance may become negative:
+  // otherwise a message larger than the burst would never be sent.
   if (tokens_ <= 0 || kind == waiting_.size()) return std::nullopt;
   Waiting& waiting = waiting_[kind];
   Item item = std::move(waiting.items.front());
--- a/src/dissemination/send_queue.h
+++ b/src/dissemination/send_queue.h
@@ -12,20 +12,22 @@
 namespace balancer::dissemination {
 
 struct SendLimits {
-  double bytes_per_second = 5000;  // sent and received together
-  double burst_bytes = 40000;      // saved up while little is said
-  // While bulk waits, it gets one message for so many bytes of urgent ones at the latest.
+  double bytes_per_second = 5000;  // budget for sent and received bytes together
+  double burst_bytes = 40000;      // budget that accumulates while there is little traffic
+  // While bulk messages wait, one of them is sent at the latest after this many bytes of others.
   std::size_t max_urgent_run_bytes = 4096;
-  std::size_t max_queued_bytes = 262144;  // of each kind
-  // Older messages aren't sent any more: whom they were for has asked others meanwhile.
+  std::size_t max_queued_bytes = 262144;  // per urgency
+  // Older messages are dropped: their receivers have sent requests to other members in the
+  // meantime.
   Duration max_age{std::chrono::seconds(2)}, max_bulk_age{std::chrono::seconds(10)};
 };
 
-// What waits to be sent within a member's byte budget: own small requests and reports first, so
-// that one that is late can catch up; then urgent messages; and bulk with a share that it can't
-// lose. Received bytes count against the same budget; they can't be refused, so they delay what is
-// sent. A message for which the queue has no room, or that has waited too long, is dropped and
-// counted: its receiver finds the gap and asks.
+// Queue of outgoing messages that keeps a member within its byte budget. The member's own small
+// requests and reports are sent first, so that a member that is behind can catch up; then urgent
+// messages. Bulk messages have a guaranteed share. Received bytes count against the same budget;
+// they can't be refused, so they delay outgoing messages. A message that the queue has no room for,
+// or that has waited too long, is dropped and counted: its receiver detects the gap and requests
+// it.
 class SendQueue {
  public:
   SendQueue(const SendLimits& limits, Time now)
@@ -41,13 +43,13 @@
 
   void push(Time now, Urgency urgency, MemberId to, Message message);
   void on_received(Time now, std::size_t bytes);
-  // The next message that may go now.
+  // Removes and returns the next message that may be sent now.
   std::optional<Item> pop(Time now);
-  // When pop() has something; Time::max() if nothing waits.
+  // Returns when pop() will return a message; Time::max() if the queue is empty.
   Time next(Time now) const;
-  // The bytes that could be sent at once.
+  // Returns the bytes that could be sent immediately.
   double available(Time now) const { return tokens_at(now); }
-  // When so many bytes could be sent, if nothing else is; at most the burst.
+  // Returns when `bytes` (capped at the burst) could be sent if nothing else is sent before.
   Time when_available(Time now, double bytes) const;
   std::uint64_t dropped() const { return dropped_; }
 
@@ -58,15 +60,15 @@
   };
   double tokens_at(Time now) const;
   void settle(Time now);
-  // The kind of the next message; the number of kinds if nothing waits.
+  // Returns the urgency of the next message, as an index; the number of urgencies if none waits.
   std::size_t next_kind() const;
   void drop_old(Time now);
 
   const SendLimits limits_;
   std::array<Waiting, 3> waiting_;  // by urgency
-  double tokens_;                   // below 0 if more was received than the budget has
+  double tokens_;                   // negative if more was received than the budget allows
   Time at_;
-  std::size_t urgent_run_ = 0;  // bytes of urgent messages since the last bulk one
+  std::size_t urgent_run_ = 0;  // bytes of other messages sent since the last bulk message
   std::uint64_t dropped_ = 0;
 };
 
--- a/src/dissemination/source.cc
+++ b/src/dissemination/source.cc
@@ -66,18 +66,18 @@
 }
 
 void Source::on_report(const Report& report) {
-  hear_of(report.term);
+  observe_term(report.term);
   if (!tree_->members(report.from).empty()) watermark_.on_report(report);
 }
 
 void Source::answer(Time now, const MemberId& from, const RangeRequest& request) {
-  hear_of(request.term);
+  observe_term(request.term);
   if (auto batch = answer_range(logs_[index(request.channel)], state_, request))
     queue_.push(now, Urgency::kBulk, from, std::move(*batch));
 }
 
 void Source::answer(Time now, const MemberId& from, const SnapshotRequest& request) {
-  hear_of(request.term);
+  observe_term(request.term);
   if (request.term > state_.term) return;
   SnapshotPiece piece;
   piece.source = state_;
--- a/src/dissemination/source.h
+++ b/src/dissemination/source.h
@@ -16,49 +16,49 @@
 
 struct SourceSettings {
   MemberId id;
-  // Larger than any before it; whoever starts a source sees to that (an election, a durable
+  // Must be larger than any earlier term; the owner ensures this (by an election or a durable
   // counter).
   Term term = 1;
-  // How long a change may wait for others to share its batch.
+  // Longest time that a change waits for other changes to share its batch.
   PerChannel<Duration> max_delay{std::chrono::milliseconds(500), std::chrono::seconds(1)};
-  // Bytes of entries a second, and as many saved up: what every member can carry, twice (in and
-  // out).
+  // Bytes of entries per second, and the burst: every member must be able to receive and to forward
+  // this amount within its own budget.
   PerChannel<double> bytes_per_second{1450, 350};
   PerChannel<double> burst_bytes{8000, 6000};
-  // A batch without entries goes out if nothing else has for so long.
+  // A batch without entries is sent if no other batch was sent for this long.
   Duration heartbeat{std::chrono::seconds(1)};
   PerChannel<std::size_t> max_log_entries{65536, 8192};
-  // Changes that wait for their turn; more are refused.
+  // Numbered but unsent changes; further changes are refused.
   std::size_t max_unsent = 16384;
-  // The source runs on a machine of its own, not on a balancer's budget.
+  // The source runs on its own machine and isn't subject to a balancer's byte budget.
   SendLimits limits{2e6, 4e6, 65536, 64u << 20};
-  // Until a batch that a region hasn't acknowledged is sent again.
+  // Time until a batch that a region hasn't acknowledged is sent again.
   Duration retransmit{std::chrono::milliseconds(400)};
 };
 
-// What is recovered of an earlier source: consecutive entries from storage, or from the member that
-// knows most. A new source knows nothing else.
+// The recovered changes of earlier sources: consecutive entries from storage, or from the member
+// with the most recent log. A new source has no other knowledge of earlier terms.
 struct History {
   PerChannel<std::vector<EntryPtr>> entries;
 };
 
-// Whether a change is in force at every member, and who lacks it: members, or sites that have not
-// reported in this term. At most Watermark::kMaxLaggards.
+// Whether a change is in force at every member, and which members lack it. A site that has not
+// reported in this term is listed in place of its members. At most Watermark::kMaxLaggards entries.
 struct InForce {
   bool everywhere = false;
-  Sequence least = 0;  // the last change that is
+  Sequence least = 0;  // last change that is in force everywhere
   std::vector<Laggard> lacking;
 };
 
 // Numbers changes and sends them to one relay of each region, answers requests for ranges and
-// snapshots, and collects watermarks. No I/O: whoever owns it makes a change durable with the
-// number that it got before the next on_timer() sends it.
+// snapshots, and collects watermarks. No I/O: the owner must make a change durable, with the number
+// that append() returned, before the next on_timer() sends it.
 class Source {
  public:
   Source(const SourceSettings& settings, std::shared_ptr<const RelayTree> tree,
          const History& history, Time now);
 
-  // The change's number; 0 if too many wait, or if another source has taken over.
+  // Returns the change's number; 0 if too many changes are unsent or a later source has taken over.
   Sequence append(Time now, Channel channel, std::string key, std::string value);
   void on_message(Time now, const MemberId& from, const Message& message, std::size_t bytes);
   void on_timer(Time now);
@@ -68,20 +68,20 @@
 
   const SourceState& state() const { return state_; }
   const ChangeLog& log(Channel channel) const { return logs_[index(channel)]; }
-  // Of what was sent: the rest may yet get another successor's number.
+  // Contains sent changes only: a successor may assign the number of an unsent change to another.
   const CompactedLog& configuration() const { return configuration_; }
   InForce in_force(Channel channel, Sequence sequence) const;
-  // The same within one region, or one site.
+  // The same for the members of one region or one site.
   InForce in_force_in_region(const std::string& region, Channel channel, Sequence sequence) const;
   InForce in_force_at_site(const std::string& site, Channel channel, Sequence sequence) const;
-  // A source of a later term exists: this one must stop.
+  // True if a source of a later term exists; this source must stop then.
   bool superseded() const { return superseded_; }
 
  private:
   struct Pacing {
     double tokens = 0;
     Time at{0};
-    Time due = Time::max();  // when the oldest unsent change has waited long enough
+    Time due = Time::max();  // when the oldest unsent change has waited for max_delay
   };
   void send_due(Time now, Channel channel);
   void send_batch(Time now, Channel channel, std::vector<EntryPtr> entries);
@@ -90,7 +90,7 @@
   void on_report(const Report& report);
   InForce in_force_at(const std::vector<std::string>& sites, Channel channel,
                       Sequence sequence) const;
-  void hear_of(Term term) { superseded_ = superseded_ || term > state_.term; }
+  void observe_term(Term term) { superseded_ = superseded_ || term > state_.term; }
 
   const SourceSettings settings_;
   std::shared_ptr<const RelayTree> tree_;
@@ -100,7 +100,7 @@
   PerChannel<Pacing> pacing_;
   SendQueue queue_;
   HopRetransmit hops_;
-  Watermark watermark_;  // of all sites
+  Watermark watermark_;  // over all sites
   Time last_batch_;
   std::uint32_t next_stripe_ = 0;
   bool superseded_ = false;
--- a/src/dissemination/watermark.cc
+++ b/src/dissemination/watermark.cc
@@ -7,7 +7,7 @@
 namespace balancer::dissemination {
 namespace {
 
-// Those furthest behind first, no more than a report holds.
+// Sorts the laggards by how far they are behind, furthest first, and keeps at most kMaxLaggards.
 void keep_worst(std::vector<Laggard>& laggards) {
   std::sort(laggards.begin(), laggards.end(), [](const Laggard& a, const Laggard& b) {
     return std::tie(a.sequence, a.id) < std::tie(b.sequence, b.id);
@@ -19,7 +19,7 @@
 
 void Watermark::on_report(Report report) {
   const auto it = reports_.find(report.from);
-  // Late reports: of an earlier term, or overtaken by a newer one.
+  // A delayed report of an earlier term must not replace a newer report.
   if (it != reports_.end() && report.term < it->second.term) return;
   std::string from = report.from;
   reports_.insert_or_assign(std::move(from), std::move(report));
--- a/tests/dissemination_fault_test.cc
+++ b/tests/dissemination_fault_test.cc
@@ -1,5 +1,5 @@
-// Random schedules of faults, each from a printed seed, and defects that are planted to see that
-// the auditor finds them.
+// Random schedules of faults, each determined by a seed that is printed on failure, and
+// deliberately injected defects that the auditor must detect.
 #include <gtest/gtest.h>
 
 #include "dissemination_sim.h"
@@ -12,10 +12,10 @@
 
 constexpr DisseminationSim::Shape kShape{2, 6, 48, 16};
 constexpr int kSteps = 12;
-constexpr int kSeedsATest = 10;
+constexpr int kSeedsPerTest = 10;
 
-// Kills, restarts, pauses, cuts, loss and sources that are replaced, then all is healed. Returns
-// what the auditor has found.
+// Kills, restarts and pauses members, partitions the network, loses messages and replaces the
+// source; then repairs all faults. run() returns the errors that the auditor found.
 class Schedule {
  public:
   explicit Schedule(std::uint64_t seed) : sim(seed, kShape, settings()) {
@@ -27,7 +27,7 @@
     sim.run(seconds(5));
     sim.load(seconds(3600));
     for (int step = 0; step < kSteps; ++step) {
-      disturb();
+      inject_fault();
       for (int half_seconds = draw(6); half_seconds >= 0; --half_seconds) {
         sim.run(milliseconds(500));
         sim.audit_watermarks();
@@ -54,21 +54,21 @@
     return s;
   }
   int draw(int below) { return static_cast<int>(sim.random()() % static_cast<unsigned>(below)); }
-  int any() { return draw(sim.size()); }
+  int random_member() { return draw(sim.size()); }
   void cut(const std::vector<int>& members, int part) {
     for (int m : members) sim.set_part(m, part);
   }
 
-  void disturb() {
+  void inject_fault() {
     switch (draw(9)) {
       case 0:
-        return sim.kill(any());
+        return sim.kill(random_member());
       case 1:
-        return sim.restart(any(), draw(3) == 0);
+        return sim.restart(random_member(), draw(3) == 0);
       case 2:
-        return sim.pause(any());
+        return sim.pause(random_member());
       case 3:
-        return sim.resume(any());
+        return sim.resume(random_member());
       case 4:
         return cut(sim.of_site(draw(kShape.sites)), draw(2));
       case 5:
@@ -79,7 +79,7 @@
       case 7:
         return replace_source();
       default:
-        for (int i = 0; i < 4; ++i) sim.restart(any());
+        for (int i = 0; i < 4; ++i) sim.restart(random_member());
     }
   }
   void replace_source() {
@@ -113,9 +113,9 @@
 
 class RandomFaults : public ::testing::TestWithParam<int> {};
 
-TEST_P(RandomFaults, EndInOneStateAndNothingIsReportedThatIsNot) {
-  for (int i = 0; i < kSeedsATest; ++i) {
-    const auto seed = static_cast<std::uint64_t>(GetParam() * kSeedsATest + i + 1);
+TEST_P(RandomFaults, ConvergeToOneStateWithoutFalseReports) {
+  for (int i = 0; i < kSeedsPerTest; ++i) {
+    const auto seed = static_cast<std::uint64_t>(GetParam() * kSeedsPerTest + i + 1);
     Schedule schedule(seed);
     const auto errors = schedule.run();
     EXPECT_TRUE(errors.empty()) << "seed " << seed << "\n" << text(errors);
@@ -124,25 +124,25 @@
 
 INSTANTIATE_TEST_SUITE_P(FiveHundredSeeds, RandomFaults, ::testing::Range(0, 50));
 
-// ---- planted
+// ---- injected defects
 
-constexpr std::uint64_t kPlantedSeeds = 40;
+constexpr std::uint64_t kDefectSeeds = 40;
 
-// Whether the auditor finds something of this kind in one of the schedules.
-template <typename Plant>
-bool is_found(const Plant& plant, const std::string& what) {
-  for (std::uint64_t seed = 1; seed <= kPlantedSeeds; ++seed) {
+// Returns whether the auditor reports an error that contains `what` in one of the schedules.
+template <typename Inject>
+bool is_detected(const Inject& inject, const std::string& what) {
+  for (std::uint64_t seed = 1; seed <= kDefectSeeds; ++seed) {
     Schedule schedule(seed);
-    plant(schedule.sim);
+    inject(schedule.sim);
     for (const auto& error : schedule.run())
       if (error.find(what) != std::string::npos) return true;
   }
   return false;
 }
 
-// A relay that lost an entry numbers those behind it anew, as if there were no gap.
-TEST(PlantedDefects, AGapTakenAsDelivered) {
-  EXPECT_TRUE(is_found(
+// A relay that lost an entry renumbers the following entries, as if there were no gap.
+TEST(InjectedDefects, AuditorDetectsGapTakenAsDelivered) {
+  EXPECT_TRUE(is_detected(
       [](DisseminationSim& sim) {
         sim.tamper = [&sim](const MemberId&, const MemberId&, Message& message) {
           auto* batch = std::get_if<Batch>(&message);
@@ -160,9 +160,9 @@
       "didn't number"));
 }
 
-// A site's report takes what its collector has for what all have.
-TEST(PlantedDefects, AWatermarkThatCountsUnreachableMembersAsDone) {
-  EXPECT_TRUE(is_found(
+// A site's report contains the numbers of its collector instead of the minimum over its members.
+TEST(InjectedDefects, AuditorDetectsWatermarkThatIgnoresUnreachableMembers) {
+  EXPECT_TRUE(is_detected(
       [](DisseminationSim& sim) {
         sim.tamper = [&sim](const MemberId& from, const MemberId& to, Message& message) {
           auto* report = std::get_if<Report>(&message);
@@ -176,11 +176,11 @@
       "reported in force everywhere"));
 }
 
-// A source is replaced by one that knows less. Half of a site hears of it late, and the other half
-// lacks its first changes and asks neighbours that still hold other ones under the same numbers.
-// Where `crosses_terms`, those answer from their log of the earlier term, and the asker believes
-// it.
-std::vector<std::string> repair_amid_two_terms(bool crosses_terms) {
+// A source is replaced by one that has fewer changes. Half of a site receives its batches late. The
+// other half misses its first changes and requests them from neighbours that still have other
+// changes under the same numbers. If `crosses_terms`, these neighbours answer from their log of the
+// earlier term, and the requesting members accept the answer.
+std::vector<std::string> repair_across_two_terms(bool crosses_terms) {
   DisseminationSim sim(1, kShape);
   sim.run(seconds(5));
   sim.load(seconds(3600));
@@ -198,8 +198,8 @@
     if (to == "source" || sim.index_of(to) % kShape.sites != 1) return true;
     auto* batch = std::get_if<Batch>(&message);
     if (batch && batch->oldest == 0) {
-      const bool hears_late = sim.index_of(to) / kShape.sites % 2 == 1;
-      return sim.now() - replaced > (hears_late ? seconds(4) : seconds(1));
+      const bool receives_late = sim.index_of(to) / kShape.sites % 2 == 1;
+      return sim.now() - replaced > (receives_late ? seconds(4) : seconds(1));
     }
     if (!crosses_terms || from == "source") return true;
     if (auto* request = std::get_if<RangeRequest>(&message)) request->term = term_of(to);
@@ -213,9 +213,9 @@
   return sim.errors;
 }
 
-TEST(PlantedDefects, ARepairThatCrossesTerms) {
-  EXPECT_EQ(text(repair_amid_two_terms(false)), "");
-  EXPECT_NE(text(repair_amid_two_terms(true)).find("didn't number"), std::string::npos);
+TEST(InjectedDefects, AuditorDetectsRepairAcrossTerms) {
+  EXPECT_EQ(text(repair_across_two_terms(false)), "");
+  EXPECT_NE(text(repair_across_two_terms(true)).find("didn't number"), std::string::npos);
 }
 
 }  // namespace
--- a/tests/dissemination_log_test.cc
+++ b/tests/dissemination_log_test.cc
@@ -1,5 +1,6 @@
-// The change log: bounded, consecutive, truncated by a source that knows less; and its compacted
-// form, read in pieces while it changes.
+// The change log: consecutive entries, bounded size, truncation when a new source has fewer
+// changes; and the compacted log, which is read in pieces while it changes. Also answers to range
+// requests.
 #include <gtest/gtest.h>
 
 #include "dissemination/change_log.h"
@@ -18,7 +19,7 @@
   return all;
 }
 
-TEST(ChangeLogTest, TakesOnlyTheNextEntry) {
+TEST(ChangeLogTest, AppendsOnlyTheNextEntry) {
   ChangeLog log(10);
   EXPECT_FALSE(log.append(entry(2)));
   EXPECT_TRUE(log.append(entry(1)));
@@ -28,17 +29,18 @@
   EXPECT_EQ(log.last(), 2u);
 }
 
-TEST(ChangeLogTest, WrapsAtItsBound) {
+TEST(ChangeLogTest, DropsOldestEntriesWhenFull) {
   ChangeLog log(3);
   for (Sequence s = 1; s <= 100; ++s) ASSERT_TRUE(log.append(entry(s)));
   EXPECT_EQ(log.size(), 3u);
   EXPECT_EQ(log.oldest(), 98u);
-  EXPECT_TRUE(log.range(97, 100, 1000).empty()) << "part of a range must not pass for the range";
+  EXPECT_TRUE(log.range(97, 100, 1000).empty())
+      << "a partial range must not be taken for the whole range";
   EXPECT_EQ(numbers(log.range(98, 200, 1000)), (std::vector<Sequence>{98, 99, 100}));
   EXPECT_TRUE(log.range(101, 200, 1000).empty());
 }
 
-TEST(ChangeLogTest, ARangeKeepsToItsBytesButIsNeverEmptyForThem) {
+TEST(ChangeLogTest, RangeKeepsToByteLimitButHasAtLeastOneEntry) {
   ChangeLog log(10);
   for (Sequence s = 1; s <= 5; ++s) log.append(entry(s, std::string(16, 'k')));
   EXPECT_EQ(numbers(log.range(1, 5, 2 * wire_size(*entry(1, std::string(16, 'k'))))),
@@ -46,7 +48,7 @@
   EXPECT_EQ(numbers(log.range(1, 5, 1)), (std::vector<Sequence>{1}));
 }
 
-TEST(ChangeLogTest, TruncatesBehindAndBeforeWhatIsKept) {
+TEST(ChangeLogTest, TruncatesWithinAndBeforeRetainedEntries) {
   ChangeLog log(3);
   for (Sequence s = 1; s <= 10; ++s) log.append(entry(s));
   log.truncate(11);
@@ -60,7 +62,7 @@
   EXPECT_TRUE(log.append(entry(5)));
 }
 
-TEST(CompactedLogTest, KeepsTheNewestEntryOfEachKey) {
+TEST(CompactedLogTest, KeepsNewestEntryOfEachKey) {
   CompactedLog log;
   for (Sequence s = 1; s <= 100; ++s) log.put(entry(s, "k" + std::to_string(s % 4), "v"));
   EXPECT_EQ(log.size(), 4u);
@@ -69,8 +71,8 @@
   EXPECT_TRUE(piece.complete);
 }
 
-// Pieces that are read while keys change add up to the state at the end of the last one.
-TEST(CompactedLogTest, PiecesAddUpWhileKeysChange) {
+// Pieces that are read while keys change together give the state at the end of the last piece.
+TEST(CompactedLogTest, PiecesGiveLastStateWhileKeysChange) {
   CompactedLog log;
   Sequence head = 0;
   const auto change = [&](int key) {
@@ -93,7 +95,7 @@
   for (const auto& [sequence, e] : log.entries()) EXPECT_EQ(state[e->key], e->value);
 }
 
-TEST(CompactedLogTest, NothingNewIsACompletePieceUpToTheHead) {
+TEST(CompactedLogTest, ReturnsCompleteEmptyPieceIfNothingChanged) {
   CompactedLog log;
   log.put(entry(3));
   const auto piece = log.read(3, 3, 100);
@@ -104,21 +106,21 @@
 
 // ---- answers to requests for a range
 
-TEST(RangeRepairTest, AnswersOnlyFromTheHistoryOfTheAskersTerm) {
+TEST(RangeRepairTest, AnswersOnlyFromHistoryOfRequestedTerm) {
   ChangeLog log(10);
   for (Sequence s = 1; s <= 5; ++s) log.append(entry(s));
   const SourceState source{3, {0, 0}, {4, 0}};
   EXPECT_EQ(numbers(answer_range(log, source, {3, Channel::kPurge, 2, 9})->entries),
             (std::vector<Sequence>{2, 3, 4}))
-      << "no further than what was sent";
+      << "unsent entries must not be included";
   const auto earlier = answer_range(log, source, {2, Channel::kPurge, 2, 3});
-  ASSERT_TRUE(earlier) << "it is told of the term";
+  ASSERT_TRUE(earlier) << "the answer must contain the new term";
   EXPECT_EQ(earlier->source.term, 3u);
   EXPECT_TRUE(earlier->entries.empty());
   EXPECT_FALSE(answer_range(log, source, {4, Channel::kPurge, 2, 3}));
 }
 
-TEST(RangeRepairTest, SaysSoWhereTheLogHasWrapped) {
+TEST(RangeRepairTest, ReportsOldestEntryIfRangeIsNotRetained) {
   ChangeLog log(3);
   for (Sequence s = 1; s <= 10; ++s) log.append(entry(s));
   const auto answer = answer_range(log, {1, {0, 0}, {10, 0}}, {1, Channel::kPurge, 2, 10});
--- a/tests/dissemination_parts_test.cc
+++ b/tests/dissemination_parts_test.cc
@@ -1,5 +1,5 @@
-// The parts of dissemination that stand alone: relay trees, the send queue with its byte budget,
-// and watermarks.
+// Components of dissemination in isolation: relay trees, the send queue with its byte budget, the
+// source's snapshots, and watermarks.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -31,7 +31,7 @@
   return all;
 }
 
-TEST(RelayTreeTest, IsTheSameWhateverTheOrderOfMembers) {
+TEST(RelayTreeTest, DoesNotDependOnOrderOfMembers) {
   auto members = places(2, 3, 5);
   const RelayTree one(members, kStripes);
   std::reverse(members.begin(), members.end());
@@ -42,7 +42,7 @@
   }
 }
 
-TEST(RelayTreeTest, RelaysAreOfTheirGroupAndTheirStandbyIsAnother) {
+TEST(RelayTreeTest, ChoosesRelayAndOtherStandbyWithinGroup) {
   const RelayTree tree(places(2, 3, 5), kStripes);
   for (const auto& region : tree.regions())
     for (std::uint32_t stripe = 0; stripe < kStripes; ++stripe) {
@@ -57,7 +57,7 @@
     }
 }
 
-TEST(RelayTreeTest, NobodyCarriesMoreThanItsShareOfStripes) {
+TEST(RelayTreeTest, BoundsStripesOfEachMember) {
   const RelayTree tree(places(1, 2, 13), kStripes);
   std::map<MemberId, int> carried;
   for (std::uint32_t stripe = 0; stripe < kStripes; ++stripe)
@@ -66,7 +66,7 @@
   for (const auto& [id, stripes] : carried) EXPECT_LE(stripes, 5) << id;
 }
 
-TEST(RelayTreeTest, OneThatIsAwayBelongsButRelaysNothingAndFewStripesMove) {
+TEST(RelayTreeTest, UnreachableMemberRelaysNothingAndFewStripesMove) {
   auto members = places(1, 1, 13);
   const RelayTree before(members, kStripes);
   members[4].reachable = false;
@@ -78,10 +78,10 @@
     EXPECT_FALSE(after.region_relays("r0", stripe).includes(members[4].id));
     moved += before.site_relays("r0s0", stripe).relay != after.site_relays("r0s0", stripe).relay;
   }
-  EXPECT_LT(moved, 24) << "its own 5 and those that the bound pushes on";
+  EXPECT_LT(moved, 24) << "its own 5 stripes, and those that move because of the bound";
 }
 
-TEST(RelayTreeTest, SitesOfOneAndOfNobody) {
+TEST(RelayTreeTest, HandlesSitesWithOneOrNoReachableMember) {
   auto members = places(1, 1, 1);
   EXPECT_EQ(RelayTree(members, kStripes).site_relays("r0s0", 7).relay, members[0].id);
   EXPECT_EQ(RelayTree(members, kStripes).site_relays("r0s0", 7).standby, "");
@@ -108,16 +108,16 @@
   return bytes;
 }
 
-TEST(SendQueueTest, KeepsToItsBytesASecond) {
+TEST(SendQueueTest, KeepsToByteRate) {
   SendQueue queue({5000, 10000, 4096, 1'000'000, seconds(60), seconds(60)}, Time{0});
   for (int i = 0; i < 200; ++i) queue.push(Time{0}, Urgency::kUrgent, "a", message_of(500));
   std::size_t sent = 0;
   for (Time now{0}; now <= seconds(10); now += milliseconds(10)) sent += drain(queue, now);
   EXPECT_GE(sent, 59'500u);
-  EXPECT_LE(sent, 60'500u) << "the burst and 10 s, at most one message more";
+  EXPECT_LE(sent, 60'500u) << "the burst and the budget of 10 s, plus at most one message";
 }
 
-TEST(SendQueueTest, ReceivedBytesCountAgainstTheSameBudget) {
+TEST(SendQueueTest, CountsReceivedBytesAgainstBudget) {
   SendQueue queue({5000, 10000, 4096, 1'000'000, seconds(60), seconds(60)}, Time{0});
   for (int i = 0; i < 200; ++i) queue.push(Time{0}, Urgency::kUrgent, "a", message_of(500));
   std::size_t sent = 0;
@@ -128,7 +128,7 @@
   EXPECT_NEAR(static_cast<double>(sent), 60'000 - 101 * 300, 600);
 }
 
-TEST(SendQueueTest, AFloodDelaysWhatIsSentByABoundedTime) {
+TEST(SendQueueTest, BoundsDelayCausedByReceivedBytes) {
   SendQueue queue({5000, 10000, 4096, 1'000'000, seconds(60), seconds(60)}, Time{0});
   queue.on_received(Time{0}, 10'000'000);
   queue.push(Time{0}, Urgency::kUrgent, "a", message_of(500));
@@ -137,7 +137,7 @@
   EXPECT_TRUE(queue.pop(queue.next(Time{0})));
 }
 
-TEST(SendQueueTest, UrgentGoesFirstAndBulkIsNotStarved) {
+TEST(SendQueueTest, SendsUrgentFirstWithoutStarvingBulk) {
   SendQueue queue({5000, 100'000, 4000, 1'000'000}, Time{0});
   for (int i = 0; i < 5; ++i) queue.push(Time{0}, Urgency::kBulk, "bulk", message_of(1000));
   for (int i = 0; i < 30; ++i) queue.push(Time{0}, Urgency::kUrgent, "urgent", message_of(1000));
@@ -146,7 +146,7 @@
   EXPECT_EQ(order, "uuuubuuuubuuuubuuuubuuuubuuuuuuuuuu");
 }
 
-TEST(SendQueueTest, OwnRequestsGoBeforeAll) {
+TEST(SendQueueTest, SendsOwnRequestsFirst) {
   SendQueue queue({5000, 100'000, 4000, 1'000'000}, Time{0});
   queue.push(Time{0}, Urgency::kBulk, "bulk", message_of(500));
   queue.push(Time{0}, Urgency::kUrgent, "urgent", message_of(500));
@@ -156,7 +156,7 @@
   EXPECT_EQ(order, "rub");
 }
 
-TEST(SendQueueTest, WhatIsTooOldIsNotSent) {
+TEST(SendQueueTest, DropsMessagesOlderThanMaxAge) {
   SendQueue queue({5000, 100'000, 4000, 1'000'000, seconds(2), seconds(10)}, Time{0});
   queue.push(Time{0}, Urgency::kUrgent, "a", message_of(500));
   queue.push(Time{0}, Urgency::kBulk, "b", message_of(500));
@@ -167,7 +167,7 @@
   EXPECT_EQ(queue.dropped(), 2u);
 }
 
-TEST(SendQueueTest, IsBoundedAndCountsWhatItDrops) {
+TEST(SendQueueTest, DropsAndCountsMessagesWhenFull) {
   SendQueue queue({5000, 10000, 4096, 2000}, Time{0});
   for (int i = 0; i < 6; ++i) queue.push(Time{0}, Urgency::kBulk, "a", message_of(500));
   EXPECT_EQ(queue.dropped(), 2u);
@@ -176,8 +176,8 @@
 
 // ---- the source
 
-// Its number may be given anew by a successor that doesn't know the change.
-TEST(SourceTest, ASnapshotHoldsNothingThatWasNotSent) {
+// A successor that doesn't have an unsent change may assign its number to another change.
+TEST(SourceTest, SnapshotContainsOnlySentChanges) {
   const auto tree = std::make_shared<RelayTree>(places(1, 1, 2), kStripes);
   Source source({}, tree, {}, Time{0});
   source.append(Time{0}, Channel::kConfiguration, "key", "sent");
@@ -200,7 +200,7 @@
   return {std::move(from), term, {purge, configuration}, {}};
 }
 
-TEST(WatermarkTest, IsTheLeastOfAllThatAreExpected) {
+TEST(WatermarkTest, IsMinimumOverExpectedMembers) {
   Watermark watermark;
   watermark.on_report(report("a", 1, 10, 5));
   watermark.on_report(report("b", 1, 8, 7));
@@ -210,7 +210,7 @@
   EXPECT_EQ(merged.laggards[1][0].id, "a");
 }
 
-TEST(WatermarkTest, OneThatNeverReportedHoldsItBack) {
+TEST(WatermarkTest, IsHeldBackByMemberThatNeverReported) {
   Watermark watermark;
   watermark.on_report(report("a", 1, 10, 5));
   const Report merged = watermark.merge("site", 1, {"a", "silent"});
@@ -218,16 +218,17 @@
   EXPECT_EQ(merged.laggards[0][0].id, "silent");
 }
 
-TEST(WatermarkTest, AReportOfAnotherTermCountsForNothing) {
+TEST(WatermarkTest, IgnoresReportsOfOtherTerms) {
   Watermark watermark;
   watermark.on_report(report("a", 2, 10, 5));
   watermark.on_report(report("b", 1, 900, 900));
   EXPECT_EQ(watermark.merge("site", 2, {"a", "b"}).in_force, (PerChannel<Sequence>{0, 0}));
   watermark.on_report(report("a", 1, 900, 900));
-  EXPECT_EQ(watermark.reports().at("a").term, 2u) << "late, of an earlier term";
+  EXPECT_EQ(watermark.reports().at("a").term, 2u)
+      << "a late report of an earlier term must be ignored";
 }
 
-TEST(WatermarkTest, OneThatLeftIsForgotten) {
+TEST(WatermarkTest, RemovesReportsOfFormerMembers) {
   Watermark watermark;
   watermark.on_report(report("a", 1, 10, 5));
   watermark.on_report(report("b", 1, 3, 3));
@@ -236,14 +237,14 @@
   EXPECT_EQ(watermark.reports().count("b"), 0u);
 }
 
-TEST(WatermarkTest, NamesMembersThroughBothLevels) {
+TEST(WatermarkTest, NamesLaggingMembersAcrossLevels) {
   Watermark site, all;
   for (int m = 0; m < 13; ++m) site.on_report(report("m" + std::to_string(m), 1, 100 - m, 50));
   std::vector<std::string> members;
   for (int m = 0; m < 13; ++m) members.push_back("m" + std::to_string(m));
   all.on_report(site.merge("s0", 1, members));
   const Report merged = all.merge("source", 1, {"s0", "s1"});
-  EXPECT_EQ(merged.in_force[0], 0u) << "nothing has come from s1";
+  EXPECT_EQ(merged.in_force[0], 0u) << "s1 has not reported";
   EXPECT_EQ(merged.laggards[0][0].id, "s1");
   EXPECT_EQ(merged.laggards[0][1].id, "m12");
   EXPECT_EQ(merged.laggards[0].size(), Watermark::kMaxLaggards);
--- a/tests/dissemination_sim.h
+++ b/tests/dissemination_sim.h
@@ -16,13 +16,14 @@
 #include "dissemination/source.h"
 #include "structures/stable_hash.h"
 
-// A source and its replicas under one simulated clock and one seed, on a network that loses,
-// doubles, delays and cuts; members are killed, restarted, paused. An auditor compares every change
-// that takes effect with what the sources numbered, and every watermark with what members have.
-// Used by the tests and by bench/dissemination.cc.
+// Simulation of a source and its replicas under one simulated clock and one seed. The network
+// loses, duplicates and delays messages and can be partitioned; members can be killed, restarted
+// and paused. An auditor compares every change that takes effect with the changes that the sources
+// numbered, and every watermark with the cursors of the members. Used by the tests and by
+// bench/dissemination.cc.
 namespace balancer::dissemination {
 
-// Counts of durations in steps of a millisecond.
+// A histogram of durations with a resolution of 1 ms.
 class LatencyCounts {
  public:
   void add(Duration d) {
@@ -30,7 +31,7 @@
     if (ms >= counts_.size()) counts_.resize(ms + 1, 0);
     ++counts_[ms], ++total_;
   }
-  // Milliseconds, rounded up.
+  // Returns milliseconds, rounded up.
   std::size_t quantile(double q) const {
     std::uint64_t seen = 0;
     for (std::size_t ms = 0; ms < counts_.size(); ++ms)
@@ -52,7 +53,8 @@
     std::uint32_t stripes = 64;
   };
   struct Faults {
-    double loss = 0, twice = 0, late = 0;  // of messages; late: up to 400 ms more
+    // Probabilities for each message; late: delayed by up to 400 ms.
+    double loss = 0, twice = 0, late = 0;
   };
   struct Traffic {
     std::uint64_t sent_bytes = 0, received_bytes = 0, sent = 0, received = 0;
@@ -83,12 +85,12 @@
   }
 
   Faults faults;
-  // May change a message or, by returning false, lose it: for faults that are planted.
+  // Injects faults: may change a message, or drop it by returning false.
   std::function<bool(const MemberId& from, const MemberId& to, Message& message)> tamper;
   double purges_per_second = 59, configuration_per_second = 0.5;
   int configuration_keys = 1000;
   std::size_t value_bytes = 60;
-  Duration detection{std::chrono::seconds(3)};  // until members see who is reachable
+  Duration detection{std::chrono::seconds(3)};  // until members see a change of reachability
 
   Time now() const { return now_; }
   int size() const { return shape_.members; }
@@ -114,7 +116,7 @@
     while (!done() && now_ < end) run(std::chrono::milliseconds(50));
     return done();
   }
-  // Changes at the rates above, for so long.
+  // Generates changes at the rates above for `length`.
   void load(Duration length) {
     arrivals(Channel::kPurge, now_ + length);
     arrivals(Channel::kConfiguration, now_ + length);
@@ -132,44 +134,44 @@
     }
     const Sequence sequence = source_->append(now_, channel, key, value);
     if (sequence > 0) {
-      auto& truth = truth_[source_->state().term].entries[index(channel)];
-      truth[sequence] = {source_->log(channel).range(sequence, sequence, 1).front(), now_, {}};
+      auto& numbered = numbered_[source_->state().term].entries[index(channel)];
+      numbered[sequence] = {source_->log(channel).range(sequence, sequence, 1).front(), now_, {}};
     }
-    settle_source();
+    flush_source();
     return sequence;
   }
 
-  // ---- what befalls members
+  // ---- faults of members
   void kill(int m) {
     Node& node = nodes_[at(m)];
     if (!node.replica) return;
     node.checkpoint = node.replica->checkpoint();
     node.replica.reset();
     ++node.epoch;
-    disturb(node);
+    note_fault(node);
   }
   void restart(int m, bool forgets = false) {
     Node& node = nodes_[at(m)];
     if (node.replica) kill(m);
-    if (forgets) node.is_wiped = true, node.sink = {};
+    if (forgets) node.lost_state = true, node.sink = {};
     start(m, forgets ? std::nullopt : node.checkpoint);
-    disturb(node);
+    note_fault(node);
   }
   void pause(int m) {
     nodes_[at(m)].is_paused = true;
-    disturb(nodes_[at(m)]);
+    note_fault(nodes_[at(m)]);
   }
   void resume(int m) {
     Node& node = nodes_[at(m)];
     node.is_paused = false;
     for (auto& event : std::exchange(node.inbox, {})) handle(event);
     wake(m);
-    disturb(node);
+    note_fault(node);
   }
-  // Members of the same part reach each other; the source is of part 0.
+  // Members in the same partition reach each other; the source is in partition 0.
   void set_part(int m, int part) {
     nodes_[at(m)].part = part;
-    disturb(nodes_[at(m)]);
+    note_fault(nodes_[at(m)]);
   }
   std::vector<int> of_site(int site) const {
     std::vector<int> all;
@@ -182,9 +184,9 @@
       if (m % shape_.sites % shape_.regions == region) all.push_back(m);
     return all;
   }
-  // Messages from and to a slow member take so much longer.
+  // Messages from and to a slow member are delayed by `extra`.
   void set_slow(int m, Duration extra) { nodes_[at(m)].extra_delay = extra; }
-  // A view of its own, until the next change of the membership.
+  // Gives the member its own view of the membership, until the next change of the membership.
   void set_view(int m, std::shared_ptr<const RelayTree> tree) {
     if (nodes_[at(m)].replica) nodes_[at(m)].replica->set_tree(std::move(tree));
   }
@@ -202,7 +204,7 @@
     source_.reset();
     ++nodes_.back().epoch;
   }
-  // All that the source has numbered, sent or not.
+  // Returns all changes that the source has numbered, sent or not.
   History history() const {
     if (!source_) return history_;
     History all;
@@ -212,33 +214,33 @@
     }
     return all;
   }
-  // A successor of a later term, which knows this much.
+  // Starts a source with the given term and history.
   void start_source(const History& known, Term term) {
     source_settings_.term = term;
     ++nodes_.back().epoch;
     source_ = std::make_unique<Source>(source_settings_, tree_, known, now_);
-    Truth& truth = truth_[term];
-    truth.starts = source_->state().starts;
+    NumberedChanges& numbered = numbered_[term];
+    numbered.starts = source_->state().starts;
     nodes_.back().armed = Time::max();
-    settle_source();
+    flush_source();
   }
   Source* source() { return source_.get(); }
 
   Replica* replica(int m) { return nodes_[at(m)].replica.get(); }
   const Traffic& traffic(int m) const { return nodes_[at(m)].traffic; }
   const RelayTree& tree() const { return *tree_; }
-  // Every change takes effect at members that weren't disturbed since it was numbered.
+  // Times from numbering to applying a change, at members without faults since it was numbered.
   LatencyCounts applied[2];
-  // Each change's last such member; call once, at the end.
+  // Returns, for each change, the time until the last such member applied it. Call it at the end.
   LatencyCounts everywhere(Channel channel) const {
     LatencyCounts counts;
-    for (const auto& [term, truth] : truth_)
-      for (const auto& [sequence, change] : truth.entries[index(channel)])
+    for (const auto& [term, numbered] : numbered_)
+      for (const auto& [sequence, change] : numbered.entries[index(channel)])
         counts.add(change.longest);
     return counts;
   }
   std::uint64_t distrusts = 0, installs = 0, dropped_by_network = 0;
-  std::vector<std::string> errors;  // of the auditor
+  std::vector<std::string> errors;  // found by the auditor
 
   bool is_current(int m) const {
     const Node& node = nodes_[at(m)];
@@ -247,7 +249,7 @@
       if (node.replica->cursor(channel) !=
           Cursor{source_->state().term, source_->log(channel).last()})
         return false;
-    return node.replica->reliance(now_).configuration_valid;
+    return node.replica->freshness(now_).configuration_valid;
   }
   bool all_current() const {
     for (int m = 0; m < shape_.members; ++m)
@@ -256,7 +258,8 @@
         return false;
     return true;
   }
-  // With nothing under way: every running member has the source's configuration.
+  // To be called when no change is in flight: checks that every running member has the source's
+  // configuration.
   void audit_configuration() {
     std::map<std::string, std::string> expected;
     for (const auto& [sequence, entry] : source_->configuration().entries())
@@ -265,14 +268,14 @@
       if (nodes_[at(m)].replica && nodes_[at(m)].sink.configuration != expected)
         fail(nodes_[at(m)], "has another configuration than the source");
   }
-  // Nothing is called in force that a member lacks.
+  // Checks that no change is reported in force everywhere that a member lacks.
   void audit_watermarks() {
     if (!source_ || source_->superseded()) return;
     for (const Channel channel : kChannels) {
       const Sequence least = source_->in_force(channel, 1).least;
       for (int m = 0; m < shape_.members; ++m) {
         const Node& node = nodes_[at(m)];
-        if (least == 0 || node.is_wiped) continue;
+        if (least == 0 || node.lost_state) continue;
         const Cursor has = node.replica ? node.replica->cursor(channel)
                                         : Cursor{node.checkpoint->term,
                                                  node.checkpoint->sequences[index(channel)]};
@@ -286,7 +289,7 @@
   static constexpr const char* kSource = "source";
   static constexpr std::size_t kMaxInbox = 500, kMaxErrors = 20;
 
-  // What took effect at a member.
+  // Records the changes that took effect at a member.
   struct Sink : ChangeSink {
     DisseminationSim* sim = nullptr;
     int member = 0;
@@ -297,7 +300,7 @@
       applied[index(channel)] = entry.sequence;
       if (channel == Channel::kConfiguration) put(entry);
     }
-    void distrust_held(Sequence, Sequence through) override {
+    void on_purges_skipped(Sequence, Sequence through) override {
       ++sim->distrusts;
       applied[index(Channel::kPurge)] = through;
     }
@@ -322,9 +325,9 @@
   struct Event {
     Time at;
     std::uint64_t number;
-    int node;  // -1: `then`
+    int node;  // -1: calls `then`
     std::uint64_t epoch;
-    std::shared_ptr<const Envelope> envelope;  // none: a timer
+    std::shared_ptr<const Envelope> envelope;  // null: a timer
     std::shared_ptr<std::function<void()>> then;
     bool operator<(const Event& other) const {
       return std::pair(at, number) > std::pair(other.at, other.number);
@@ -337,10 +340,10 @@
     std::optional<Checkpoint> checkpoint;
     std::uint64_t epoch = 0;
     Time armed = Time::max();
-    bool is_paused = false, is_wiped = false;
+    bool is_paused = false, lost_state = false;
     int part = 0;
     Duration extra_delay{0};
-    Time disturbed{-1};  // changes numbered before this don't count for times
+    Time last_fault_at{-1};  // times of changes numbered before it aren't measured
     std::vector<Event> inbox;
     Traffic traffic;
   };
@@ -349,7 +352,7 @@
     Time numbered{0};
     Duration longest{0};
   };
-  struct Truth {
+  struct NumberedChanges {
     PerChannel<Sequence> starts{};
     PerChannel<std::map<Sequence, Change>> entries;
   };
@@ -376,9 +379,9 @@
     });
   }
 
-  // ---- membership as all see it
-  void disturb(Node& node) {
-    node.disturbed = now_;
+  // ---- the members' common view of the membership
+  void note_fault(Node& node) {
+    node.last_fault_at = now_;
     if (rebuild_due_) return;
     rebuild_due_ = true;
     after(detection, [this] {
@@ -408,7 +411,7 @@
     settings.id = node.place.id;
     node.replica = std::make_unique<Replica>(settings, tree_, checkpoint, node.sink, now_);
     node.armed = Time::max();
-    settle(m);
+    flush(m);
   }
 
   // ---- events
@@ -420,9 +423,9 @@
       if (event.epoch != node.epoch || event.at != node.armed || node.is_paused) return;
       node.armed = Time::max();
       if (is_source && source_)
-        source_->on_timer(now_), settle_source();
+        source_->on_timer(now_), flush_source();
       else if (node.replica)
-        node.replica->on_timer(now_), settle(event.node);
+        node.replica->on_timer(now_), flush(event.node);
       return;
     }
     if (node.is_paused) {
@@ -434,22 +437,22 @@
     node.traffic.received_bytes += e.bytes;
     ++node.traffic.received;
     if (is_source)
-      source_->on_message(now_, e.from, e.message, e.bytes), settle_source();
+      source_->on_message(now_, e.from, e.message, e.bytes), flush_source();
     else
-      node.replica->on_message(now_, e.from, e.message, e.bytes), settle(event.node);
+      node.replica->on_message(now_, e.from, e.message, e.bytes), flush(event.node);
   }
   void wake(int m) {
     Node& node = nodes_[at(m)];
     node.armed = Time::max();
-    if (node.replica) node.replica->on_timer(now_), settle(m);
+    if (node.replica) node.replica->on_timer(now_), flush(m);
   }
-  void settle(int m) {
+  void flush(int m) {
     Node& node = nodes_[at(m)];
     audit_cursor(node);
     for (auto& item : node.replica->take_sends(now_)) send(m, std::move(item));
     arm(m, node.replica->next(now_));
   }
-  void settle_source() {
+  void flush_source() {
     if (!source_) return;
     for (auto& item : source_->take_sends(now_)) send(shape_.members, std::move(item));
     arm(shape_.members, source_->next(now_));
@@ -484,13 +487,13 @@
   }
 
   // ---- the auditor
-  Change* truth(Term term, Channel channel, Sequence sequence) {
-    for (auto it = truth_.find(term); it != truth_.end(); --it) {
+  Change* find_numbered(Term term, Channel channel, Sequence sequence) {
+    for (auto it = numbered_.find(term); it != numbered_.end(); --it) {
       if (sequence > it->second.starts[index(channel)]) {
         const auto found = it->second.entries[index(channel)].find(sequence);
         return found == it->second.entries[index(channel)].end() ? nullptr : &found->second;
       }
-      if (it == truth_.begin()) break;
+      if (it == numbered_.begin()) break;
     }
     return nullptr;
   }
@@ -498,11 +501,11 @@
     Node& node = nodes_[at(m)];
     if (entry.sequence > node.sink.applied[index(channel)] + 1) fail(node, "skipped a change");
     const Term term = node.replica->cursor(channel).term;
-    Change* change = truth(term, channel, entry.sequence);
+    Change* change = find_numbered(term, channel, entry.sequence);
     if (!change || change->entry->key != entry.key || change->entry->value != entry.value)
       return fail(node, "applied what the source of term " + std::to_string(term) +
                             " didn't number " + std::to_string(entry.sequence));
-    if (node.disturbed >= change->numbered) return;
+    if (node.last_fault_at >= change->numbered) return;
     const Duration took = now_ - change->numbered;
     applied[index(channel)].add(took);
     change->longest = std::max(change->longest, took);
@@ -511,22 +514,23 @@
     for (const Channel channel : kChannels) {
       const Sequence cursor = node.replica->cursor(channel).sequence;
       Sequence& done = node.sink.applied[index(channel)];
-      if (cursor > done) fail(node, "counts changes that it never applied");
+      if (cursor > done) fail(node, "has a cursor beyond the changes that it applied");
       done = cursor;
     }
-    if (node.is_wiped && node.replica->reliance(now_).configuration_valid) node.is_wiped = false;
+    if (node.lost_state && node.replica->freshness(now_).configuration_valid)
+      node.lost_state = false;
   }
 
   std::mt19937_64 random_;
   const Shape shape_;
   ReplicaSettings replica_settings_;
   SourceSettings source_settings_;
-  std::vector<Node> nodes_;  // the source is the last
+  std::vector<Node> nodes_;  // the source is the last node
   std::unordered_map<MemberId, int> index_;
   std::shared_ptr<const RelayTree> tree_;
   std::unique_ptr<Source> source_;
   History history_;
-  std::map<Term, Truth> truth_;
+  std::map<Term, NumberedChanges> numbered_;
   std::priority_queue<Event> events_;
   Time now_{std::chrono::seconds(1000)};
   std::uint64_t event_number_ = 0;
--- a/tests/dissemination_sim_test.cc
+++ b/tests/dissemination_sim_test.cc
@@ -1,4 +1,4 @@
-// Changes to many members under the simulated clock: ordinary times, and what goes wrong.
+// Dissemination of changes to many members under the simulated clock, without and with faults.
 #include "dissemination_sim.h"
 
 #include <gtest/gtest.h>
@@ -20,90 +20,93 @@
     sim->run(seconds(5));
     sim->load(seconds(3600));
   }
-  std::string story() const {
+  std::string error_text() const {
     std::string all;
     for (const auto& error : sim->errors) all += error + "\n";
     return all;
   }
-  // No more changes; all that run are current within `limit`, and the auditor has nothing to say.
-  void settle(Duration limit = seconds(10)) {
+  // Stops the changes and faults. Expects that all running members are current within `limit` and
+  // that the auditor finds no error.
+  void expect_converged(Duration limit = seconds(10)) {
     sim->purges_per_second = sim->configuration_per_second = 0;
     sim->faults = {};
-    EXPECT_TRUE(sim->run_until([&] { return sim->all_current(); }, limit)) << story();
+    EXPECT_TRUE(sim->run_until([&] { return sim->all_current(); }, limit)) << error_text();
     sim->audit_watermarks();
     sim->audit_configuration();
-    EXPECT_TRUE(sim->errors.empty()) << story();
+    EXPECT_TRUE(sim->errors.empty()) << error_text();
   }
-  // How long until all that run are current at some moment, with changes going on.
+  // Returns the time until all running members are current at the same moment while changes
+  // continue.
   Duration until_current(Duration limit = seconds(60)) {
     const Time from = sim->now();
     EXPECT_TRUE(sim->run_until([&] { return behind() == 0; }, limit)) << behind() << " are behind";
     return sim->now() - from;
   }
-  // Members that run and lack a change that is older than the bounds.
+  // Returns the number of running members that lack a change that is older than the bounds.
   int behind() {
     int count = 0;
     for (int m = 0; m < sim->size(); ++m)
-      count += sim->replica(m) && !sim->replica(m)->reliance(sim->now()).purges_complete &&
+      count += sim->replica(m) && !sim->replica(m)->freshness(sim->now()).purges_complete &&
                sim->source()->state().heads[0] > sim->replica(m)->cursor(kPurge).sequence + 150;
     return count;
   }
   std::unique_ptr<DisseminationSim> sim;
 };
 
-TEST_F(DisseminationSimTest, OrdinaryTimesKeepTheBounds) {
+TEST_F(DisseminationSimTest, DeliversWithinBoundsWithoutFaults) {
   begin();
   sim->run(seconds(30));
-  settle();
+  expect_converged();
   EXPECT_GT(sim->applied[0].total(), 59u * 25 * 200);
   EXPECT_LE(sim->everywhere(kPurge).quantile(1), 2500u);
   EXPECT_LE(sim->everywhere(kConfiguration).quantile(1), 10000u);
   for (int m = 0; m < sim->size(); ++m) EXPECT_LE(sim->traffic(m).bytes(), 35u * 5000 + 25000) << m;
 }
 
-TEST_F(DisseminationSimTest, LossOfOneInAHundred) {
+TEST_F(DisseminationSimTest, DeliversWithinBoundsAtOnePercentLoss) {
   begin(2);
   sim->faults.loss = 0.01;
   sim->run(seconds(60));
-  settle();
+  expect_converged();
   EXPECT_LE(sim->everywhere(kPurge).quantile(1), 2500u);
   EXPECT_LE(sim->everywhere(kConfiguration).quantile(1), 10000u);
 }
 
-TEST_F(DisseminationSimTest, LossOfOneInFive) {
+TEST_F(DisseminationSimTest, DeliversWithinBoundsAtTwentyPercentLoss) {
   begin(3);
   sim->faults.loss = 0.2;
   sim->run(seconds(60));
-  settle();
+  expect_converged();
   EXPECT_LE(sim->applied[0].quantile(0.99), 2500u) << sim->applied[0].quantile(1);
   EXPECT_LE(sim->everywhere(kConfiguration).quantile(1), 10000u);
 }
 
-TEST_F(DisseminationSimTest, DelayReorderingAndDuplicatesAreHarmless) {
+TEST_F(DisseminationSimTest, ToleratesDelayReorderingAndDuplicates) {
   begin(4);
   sim->faults.late = 0.2;
   sim->faults.twice = 0.05;
   sim->run(seconds(60));
-  settle();
+  expect_converged();
   EXPECT_LE(sim->everywhere(kPurge).quantile(1), 2500u);
 }
 
-// Bytes that come twice count against the budget too, so that times suffer; nothing else does.
-TEST_F(DisseminationSimTest, HalfOfAllLateAndAThirdTwice) {
+// Duplicated bytes count against the budget too, so that delivery takes longer. There is no other
+// effect.
+TEST_F(DisseminationSimTest, ToleratesHalfOfMessagesLateAndThirdDuplicated) {
   begin(4);
   sim->faults.late = 0.5;
   sim->faults.twice = 0.3;
   sim->run(seconds(60));
-  settle();
+  expect_converged();
   EXPECT_LE(sim->applied[0].quantile(0.99), 2500u);
 }
 
-// Two in a row: the relays of the next stripes go in the middle of their batches.
-TEST_F(DisseminationSimTest, RelayKilledInTheMiddleOfABatch) {
+// The relays of successive stripes are killed while they forward a batch.
+TEST_F(DisseminationSimTest, DeliversWhenRelaysAreKilledWhileForwarding) {
   begin(5);
   for (std::uint32_t stripe = 0; stripe < 10; ++stripe) {
     sim->run(milliseconds(700));
-    // Its messages to half of its sites are lost, then it goes.
+    // All but its first two messages are lost, then it is killed.
     const MemberId relay = sim->tree().region_relays(DisseminationSim::name("r", 1), stripe).relay;
     int sent = 0;
     sim->tamper = [&](const MemberId& from, const MemberId&, Message&) {
@@ -114,11 +117,11 @@
     sim->tamper = nullptr;
   }
   sim->run(seconds(5));
-  settle();
+  expect_converged();
   EXPECT_LE(sim->everywhere(kPurge).quantile(1), 2500u);
 }
 
-TEST_F(DisseminationSimTest, RelayAndStandbyKilled) {
+TEST_F(DisseminationSimTest, DeliversWhenRelayAndStandbyAreKilled) {
   begin(6);
   for (const char* level : {"r", "s"}) {
     const std::string group = DisseminationSim::name(level, 2);
@@ -127,14 +130,14 @@
     sim->kill(sim->index_of(relays.relay));
     sim->kill(sim->index_of(relays.standby));
   }
-  sim->run(seconds(40));  // all stripes come by
-  settle();
+  sim->run(seconds(40));  // long enough for all stripes to be used
+  expect_converged();
   EXPECT_LE(sim->everywhere(kPurge).quantile(1), 2500u);
 }
 
-// Half of a region sees one part of a site's members away, and the other half another part, so that
-// two take themselves for the relay of one stripe and none for that of another.
-TEST_F(DisseminationSimTest, TwoRelaysForOneSite) {
+// The members of a region have two different views of which members of a site are unreachable, so
+// that for some stripes two members act as the relay, and for others none does.
+TEST_F(DisseminationSimTest, DeliversWhenViewsOfRelaysDiffer) {
   begin(7);
   const auto site = sim->of_site(3);
   for (int viewer : sim->of_region(3)) {
@@ -144,57 +147,57 @@
     sim->set_view(viewer, std::make_shared<RelayTree>(places, 64));
   }
   sim->run(seconds(40));
-  settle();
+  expect_converged();
   EXPECT_LE(sim->everywhere(kPurge).quantile(1), 2500u);
 }
 
-TEST_F(DisseminationSimTest, SiteCutOffForFiveMinutes) {
+TEST_F(DisseminationSimTest, RecoversAfterSiteIsPartitionedForFiveMinutes) {
   begin(8);
   for (int m : sim->of_site(5)) sim->set_part(m, 1);
   sim->run(seconds(300));
   const auto distrusts = sim->distrusts;
   for (int m : sim->of_site(5)) {
-    const auto reliance = sim->replica(m)->reliance(sim->now());
-    EXPECT_FALSE(reliance.purges_complete) << "what it missed is not taken for done";
-    EXPECT_TRUE(reliance.configuration_valid) << "600 s are its bound";
+    const auto freshness = sim->replica(m)->freshness(sim->now());
+    EXPECT_FALSE(freshness.purges_complete) << "missed purges must not count as applied";
+    EXPECT_TRUE(freshness.configuration_valid) << "the configuration is valid for 600 s";
   }
   const auto in_force = sim->source()->in_force(kPurge, sim->source()->state().heads[0]);
   EXPECT_FALSE(in_force.everywhere);
   ASSERT_FALSE(in_force.lacking.empty());
-  EXPECT_EQ(sim->index_of(in_force.lacking[0].id) % 20, 5) << "it is named who holds it back";
+  EXPECT_EQ(sim->index_of(in_force.lacking[0].id) % 20, 5) << "the lagging members must be named";
   for (int m : sim->of_site(5)) sim->set_part(m, 0);
   EXPECT_LE(until_current(), seconds(10));
   EXPECT_EQ(sim->distrusts - distrusts, sim->of_site(5).size());
-  settle();
+  expect_converged();
 }
 
-TEST_F(DisseminationSimTest, OldConfigurationIsActedOnForABoundedTime) {
+TEST_F(DisseminationSimTest, InvalidatesConfigurationAfterMaxAge) {
   ReplicaSettings settings;
   settings.max_configuration_age = seconds(30);
   begin(9, {}, settings);
   sim->set_part(4, 1);
   sim->run(seconds(29));
-  EXPECT_TRUE(sim->replica(4)->reliance(sim->now()).configuration_valid);
+  EXPECT_TRUE(sim->replica(4)->freshness(sim->now()).configuration_valid);
   sim->run(seconds(3));
-  EXPECT_FALSE(sim->replica(4)->reliance(sim->now()).configuration_valid);
+  EXPECT_FALSE(sim->replica(4)->freshness(sim->now()).configuration_valid);
   sim->set_part(4, 0);
   sim->run(seconds(5));
-  EXPECT_TRUE(sim->replica(4)->reliance(sim->now()).configuration_valid);
-  settle();
+  EXPECT_TRUE(sim->replica(4)->freshness(sim->now()).configuration_valid);
+  expect_converged();
 }
 
-// As many as a region of the size that is designed for has.
-TEST_F(DisseminationSimTest, RegionOf224IsCutOffAndHealsAtOnce) {
+// 224 members, as in a region of a fleet of the size that the design assumes.
+TEST_F(DisseminationSimTest, RecoversAfterRegionOf224IsPartitioned) {
   begin(10, {2, 36, 448, 64});
   for (int m : sim->of_region(1)) sim->set_part(m, 1);
   ASSERT_EQ(sim->of_region(1).size(), 224u);
   sim->run(seconds(300));
   for (int m : sim->of_region(1)) sim->set_part(m, 0);
   EXPECT_LE(until_current(), seconds(10));
-  settle();
+  expect_converged();
 }
 
-TEST_F(DisseminationSimTest, SourceKilledBetweenNumberAndSending) {
+TEST_F(DisseminationSimTest, DeliversNumberedChangeAfterSourceIsKilledBeforeSending) {
   begin(11);
   sim->run(seconds(10));
   sim->change(kPurge);
@@ -205,10 +208,10 @@
   sim->start_source(sim->history(), 2);
   EXPECT_EQ(sim->source()->log(kPurge).last(), numbered);
   sim->run(seconds(20));
-  settle();
+  expect_converged();
 }
 
-TEST_F(DisseminationSimTest, SourceReplacedByOneThatKnowsLess) {
+TEST_F(DisseminationSimTest, UndoesChangesThatNewSourceLacks) {
   begin(12);
   sim->configuration_per_second = 5;
   sim->run(seconds(30));
@@ -220,11 +223,12 @@
   sim->start_source(less, 2);
   EXPECT_FALSE(sim->source()->in_force(kPurge, 1).everywhere) << "reports of the first term";
   sim->run(seconds(20));
-  EXPECT_GE(sim->installs - installs, 200u) << "what only the first source knew is undone";
-  settle(seconds(20));
+  EXPECT_GE(sim->installs - installs, 200u)
+      << "changes that only the first source had must be undone";
+  expect_converged(seconds(20));
 }
 
-TEST_F(DisseminationSimTest, TermsThatWereNotHeardOf) {
+TEST_F(DisseminationSimTest, RecoversAfterMissedTerms) {
   begin(13);
   sim->run(seconds(10));
   for (int m : sim->of_site(2)) sim->set_part(m, 1);
@@ -237,19 +241,19 @@
   sim->run(seconds(10));
   for (int m : sim->of_site(2)) sim->set_part(m, 0);
   sim->run(seconds(10));
-  settle(seconds(20));
+  expect_converged(seconds(20));
 }
 
-TEST_F(DisseminationSimTest, MemberPausedForHalfAMinute) {
+TEST_F(DisseminationSimTest, RecoversAfterMemberIsPausedForHalfAMinute) {
   begin(14);
   sim->pause(7);
   sim->run(seconds(30));
   sim->resume(7);
   EXPECT_LE(until_current(), seconds(10));
-  settle();
+  expect_converged();
 }
 
-TEST_F(DisseminationSimTest, LogThatWraps) {
+TEST_F(DisseminationSimTest, RecoversWhenLogsNoLongerContainGap) {
   ReplicaSettings settings;
   settings.max_log_entries = {20, 5};
   SourceSettings source;
@@ -262,33 +266,34 @@
   sim->run(seconds(5));
   for (int m : sim->of_site(1)) sim->set_part(m, 0);
   sim->run(seconds(30));
-  settle();
+  expect_converged();
   for (int m = 0; m < sim->size(); ++m) EXPECT_LE(sim->replica(m)->log(kPurge).size(), 20u);
 }
 
-TEST_F(DisseminationSimTest, ATenthRestartsAtOnce) {
+TEST_F(DisseminationSimTest, RecoversAfterTenthOfMembersRestarts) {
   begin(16);
   sim->run(seconds(20));
   for (int m = 0; m < sim->size(); m += 10) sim->kill(m);
   sim->run(seconds(3));
   for (int m = 0; m < sim->size(); m += 10) sim->restart(m, m % 20 == 0);
   EXPECT_LE(until_current(), seconds(10));
-  settle();
+  expect_converged();
 }
 
-TEST_F(DisseminationSimTest, BurstOfAThousandChanges) {
+TEST_F(DisseminationSimTest, DeliversBurstOfThousandChanges) {
   begin(17);
   sim->run(seconds(10));
   for (int i = 0; i < 1000; ++i) sim->change(kPurge);
   for (int i = 0; i < 1000; ++i) EXPECT_GT(sim->change(kConfiguration), 0u);
   sim->run(seconds(1));
-  settle(seconds(300));
-  EXPECT_EQ(sim->distrusts, 200u) << "those of the start: the burst is within what is replayed";
+  expect_converged(seconds(300));
+  EXPECT_EQ(sim->distrusts, 200u)
+      << "one for each member at its start: the burst is within max_replay";
 }
 
-TEST_F(DisseminationSimTest, ASlowMemberHoldsNobodyBack) {
+TEST_F(DisseminationSimTest, SlowMemberDoesNotDelayOthers) {
   begin(18);
-  // Any of a site but the one that collects the site's reports.
+  // Any member of a site except the collector of the site's reports.
   int slow = 9;
   if (sim->tree().site_relays(DisseminationSim::name("s", 9), 0).relay == sim->replica_id(slow))
     slow += 20;
@@ -301,7 +306,7 @@
   EXPECT_EQ(in_force.lacking.at(0).id, sim->replica_id(slow));
   sim->set_slow(slow, Duration{0});
   sim->run(seconds(5));
-  settle();
+  expect_converged();
 }
 
 }  // namespace
