--- a/src/fleet_simulation/bound.h
+++ b/src/fleet_simulation/bound.h
@@ -5,12 +5,13 @@
 
 namespace balancer::fleet_simulation {
 
-// The part of the worth asked for from `from` up to `to` that no policy can exceed which knows each
-// host's speed, but not how heavy a request is before it has run: the hosts work all the time and
-// uncrowded on hits alone, the origin's time that writes leave goes to fetches of requests as heavy
-// as the mean, and nothing is done for those who have gone. Work may end an aim behind `to`.
-// Incidents other than demand and bursts are left out: they only lower what can be had.
-// In [0, 1]; 1 where nothing is asked for.
+// Returns an upper bound on the fraction of the worth requested in [from, to) that a policy can
+// serve if it knows each host's speed, but not the work of a request before it has run. The bound
+// assumes that the hosts are always busy with hits only and never slowed down by crowding, that the
+// origin spends the time not needed for writes on fetches for requests of mean work, and that no
+// work is done for clients that have given up. Work may end one latency objective after `to`.
+// Incidents other than demand and bursts are ignored, since they only lower the achievable worth.
+// The result is in [0, 1], and 1 if nothing is requested.
 double max_worth(const testbed::Scenario& scenario, Time from, Time to);
 
 }  // namespace balancer::fleet_simulation
--- a/src/fleet_simulation/group_sim.h
+++ b/src/fleet_simulation/group_sim.h
@@ -12,9 +12,9 @@
 
 #include "group/group_node.h"
 
-// A group of nodes under one simulated clock. Each node has a clock of its own with its own speed
-// and offset; the network loses, delays, duplicates and reorders datagrams; a router keeps the
-// announced routes. A run is determined by its seed.
+// Simulation of a group of nodes under one simulated clock. Each node has a local clock with its
+// own rate and offset. The network loses, delays, duplicates and reorders datagrams, and a router
+// stores the announced routes. A run is determined by its seed.
 namespace balancer::group {
 
 class GroupSim {
@@ -25,7 +25,8 @@
   };
   struct Router {
     std::map<std::string, std::map<std::string, lease::Term>> routes;  // address, instance
-    // Whom traffic is routed to: the announcement with the newest term. Empty if there is none.
+    // Returns the instance to which traffic is routed, which is the one that announces the newest
+    // term; empty if no instance announces the address.
     std::string owner(const std::string& address) const {
       const auto it = routes.find(address);
       std::string best;
@@ -60,9 +61,9 @@
 
   Faults faults;
   Router router;
-  // Links that drop everything, from and to; the router has the name "router".
+  // Links (from, to) that drop all datagrams; the router has the name "router".
   std::set<std::pair<std::string, std::string>> cut;
-  std::function<void()> check;  // after each event
+  std::function<void()> check;  // called after each event
   std::uint64_t datagrams = 0, bytes = 0, writes = 0, max_datagram = 0;
 
   Time now() const { return now_; }
@@ -93,7 +94,7 @@
     Node& n = nodes_.at(name);
     n.instance.reset();
     ++n.epoch;
-    drop_routes_after(n, Duration{0});  // its connections break
+    drop_routes_after(n, Duration{0});  // its connections are closed at once
   }
   void restart(const std::string& name, bool loses_record = false) {
     Node& n = nodes_.at(name);
@@ -103,7 +104,7 @@
   void pause(const std::string& name) {
     Node& n = nodes_.at(name);
     n.paused = true;
-    // A router drops a session that says nothing after its hold time.
+    // The router closes a silent session after its hold time.
     drop_routes_after(n, std::chrono::seconds(3));
   }
   void resume(const std::string& name) {
@@ -125,7 +126,7 @@
   }
   void heal() {
     cut.clear();
-    // Sessions reconnect, and announce everything again.
+    // The sessions reconnect and announce all held addresses again.
     for (auto& [name, n] : nodes_)
       if (n.instance && !n.paused)
         for (const auto& [address, term] : n.instance->lease_manager().held_terms())
@@ -136,19 +137,19 @@
     Node& n = nodes_.at(name);
     n.eligible = eligible;
     if (n.instance) n.instance->on_eligible(local(n), eligible, "told so");
-    if (n.instance) work(n);
+    if (n.instance) process_output(n);
   }
   void leave(const std::string& name) {
     Node& n = nodes_.at(name);
     n.instance->leave(local(n));
-    work(n);
+    process_output(n);
   }
 
   void change_voters(const std::string& by, const std::string& name, bool add,
                      std::function<void(bool, const std::string&)> done) {
     Node& n = nodes_.at(by);
     n.instance->change_voters(local(n), name, add, std::move(done));
-    work(n);
+    process_output(n);
   }
 
   // ---- observation
@@ -159,7 +160,7 @@
     for (const auto& [name, n] : nodes_) all.push_back(name);
     return all;
   }
-  // Who holds a valid lease by its own clock.
+  // Returns the nodes that hold a valid lease by their own clocks.
   std::vector<std::string> holders(const std::string& address) const {
     std::vector<std::string> all;
     for (const auto& [name, n] : nodes_)
@@ -169,7 +170,8 @@
           all.push_back(name);
     return all;
   }
-  // Who forwards requests to the address, except during the overlap of a graceful release.
+  // Returns the nodes that forward requests for the address, except during the overlap of a
+  // graceful release.
   std::vector<std::string> serving(const std::string& address) const {
     std::vector<std::string> all;
     for (const auto& [name, n] : nodes_) {
@@ -184,7 +186,7 @@
     const auto all = holders(address);
     return all.empty() ? "" : all.front();
   }
-  // Whether traffic is routed to a node that runs, is reachable and holds the lease.
+  // Returns whether traffic is routed to a node that runs, is reachable and holds the lease.
   bool answered(const std::string& address) const {
     const auto owner = router.owner(address);
     if (owner.empty()) return false;
@@ -247,13 +249,13 @@
     n.instance = std::make_unique<GroupNode>(s, n.disk, n, random_(), local(n));
     n.instance->on_eligible(local(n), n.eligible, "starts");
     n.armed = Time::max();
-    work(n);
+    process_output(n);
   }
 
-  // Carries out the node's output, and arms its timer.
-  void work(Node& n) {
+  // Processes the node's pending datagrams, route actions and log lines, and arms its timer.
+  void process_output(Node& n) {
     for (auto& s : n.instance->take_datagrams()) send(n, std::move(s));
-    for (const auto& c : n.instance->take_route_actions()) carry_out(n, c);
+    for (const auto& c : n.instance->take_route_actions()) execute(n, c);
     for (auto& line : n.instance->take_log_lines())
       lines_.push_back(std::to_string(now_.count() / 1'000'000) + " ms " + n.name + " " + line);
     arm(n, true_time(n, n.instance->next()));
@@ -266,7 +268,7 @@
       if (epoch != n.epoch || !n.instance || n.paused || n.armed != when) return;
       n.armed = Time::max();
       n.instance->on_timer(local(n));
-      work(n);
+      process_output(n);
     });
   }
   void send(Node& from, GroupNode::OutgoingDatagram s) {
@@ -294,9 +296,9 @@
   }
   void receive(Node& n, const std::string& endpoint, const Datagram& d) {
     n.instance->on_datagram(local(n), endpoint, d);
-    work(n);
+    process_output(n);
   }
-  void carry_out(Node& n, const lease::RouteAction& c) {
+  void execute(Node& n, const lease::RouteAction& c) {
     using Kind = lease::RouteAction::Kind;
     const Duration takes = std::chrono::microseconds(500 + random_() % 5000);
     const auto epoch = n.epoch;
@@ -312,7 +314,7 @@
         if (reaches) router.routes[c.address].erase(n.name);
         n.instance->on_withdrawn(local(n), c.address);
       }
-      work(n);
+      process_output(n);
     });
   }
   void drop_routes_after(Node& n, Duration delay) {
--- a/src/fleet_simulation/plant.cc
+++ b/src/fleet_simulation/plant.cc
@@ -11,15 +11,16 @@
 using testbed::End;
 using testbed::What;
 
-constexpr Duration kMinBudget = std::chrono::milliseconds(5);
-constexpr Duration kHeld = std::chrono::milliseconds(10);
-constexpr std::size_t kStoredAt = 2;        // hosts that keep what was fetched for them
-constexpr std::size_t kMaxMissed = 50'000;  // requests whose misses are remembered
+constexpr Duration kMinTimeLeft = std::chrono::milliseconds(5);
+constexpr Duration kHoldPeriod = std::chrono::milliseconds(10);
+constexpr std::size_t kMaxHostsToFill = 2;  // hosts that store a value fetched from the origin
+constexpr std::size_t kMaxMissed = 50'000;  // requests for which misses are recorded
 constexpr Duration kRestartTime = std::chrono::seconds(1);
 
 std::size_t index(int n) { return static_cast<std::size_t>(n); }
 
-// As the platform tells a balancer, in the words of `Fleet::settings_json`.
+// Returns the settings that a balancer gets from the platform; corresponds to
+// `Fleet::settings_json`.
 Settings settings_of(const testbed::Scenario& s) {
   Settings out;
   out.balancers = s.balancers;
@@ -53,7 +54,7 @@
 struct Plant::Call {
   testbed::Wish wish;
   testbed::Random random{0};
-  bool honours = true;
+  bool honours_retry_after = true;
   Time ends{0};
   double worth = 0;
   int tries = 0;
@@ -77,8 +78,8 @@
   std::string key;
   double work = 0;
   bool write = false, hit = false;
-  bool ended = false;  // for the balancer
-  bool here = false;   // at the host, and not done there
+  bool ended = false;  // as the balancer sees it
+  bool here = false;   // accepted by the host and not completed
   Time sent{0};
 };
 
@@ -97,8 +98,8 @@
   const int number;
   std::optional<Policy> policy;
   int life = 0;
-  bool listed = true;  // by the front
-  double part = 1;     // of the traffic, relative to the other balancers'
+  bool listed = true;        // as available, by the front-end load balancer
+  double traffic_share = 1;  // share of the traffic, relative to the other balancers'
 };
 
 struct Plant::Host {
@@ -113,7 +114,7 @@
   std::optional<Time> started_at;
   HostState state = HostState::kServing;
   int life = 0;
-  std::uint64_t step = 0;  // the latest that was armed
+  std::uint64_t step = 0;  // number of the latest armed step
   double done_before = 0;
 };
 
@@ -167,15 +168,16 @@
         host->objects.put(
             key, static_cast<std::size_t>(
                      (scenario.load.value_bytes.low + scenario.load.value_bytes.high) / 2));
-  testbed::Random parts(scenario.seed, 21);
+  testbed::Random traffic_shares(scenario.seed, 21);
   for (int b = 0; b < scenario.balancers; ++b) {
     balancers_.push_back(std::make_unique<Balancer>(*this, b));
-    balancers_.back()->part = parts.lognormal(1, options_.unevenness);
+    balancers_.back()->traffic_share = traffic_shares.lognormal(1, options_.unevenness);
     start_balancer(b);
   }
-  for (const testbed::IncidentSpec& i : scenario_.incidents) at(i.at, [this, &i] { strike(i); });
-  at(options_.sampled, [this] { sample(); });
-  if (options_.origin_held || options_.caches_held) hold();
+  for (const testbed::IncidentSpec& i : scenario_.incidents)
+    at(i.at, [this, &i] { start_incident(i); });
+  at(options_.sample_period, [this] { sample(); });
+  if (options_.origin_held || options_.caches_held) restore_held_fractions();
   arrive();
 }
 
@@ -188,7 +190,7 @@
 void Plant::after(Duration wait, std::function<void()> act) { at(now_ + wait, std::move(act)); }
 
 void Plant::run() {
-  // What is open at the end has a little longer to end.
+  // Requests that are open at the scenario's end get 8 s more to finish.
   const Time last = scenario_.length + std::chrono::seconds(8);
   while (!events_.empty() && events_.top().at <= last) {
     const auto act = std::move(const_cast<Event&>(events_.top()).act);
@@ -208,7 +210,7 @@
     const testbed::ClassSpec& request_class = scenario_.classes[index(wish.request_class)];
     auto call = std::make_shared<Call>();
     call->random = testbed::Random(wish.seed);
-    call->honours = call->random.chance(scenario_.load.honour);
+    call->honours_retry_after = call->random.chance(scenario_.load.honour);
     call->ends = wish.due + request_class.deadline;
     call->worth = tally_.worth_of(wish.due, wish.request_class, wish.tenant, wish.work);
     call->wish = std::move(wish);
@@ -218,7 +220,7 @@
   });
 }
 
-int Plant::deal(int zone) {
+int Plant::pick_balancer(int zone) {
   std::vector<int> here, anywhere;
   for (const auto& b : balancers_) {
     if (!b->listed) continue;
@@ -229,22 +231,22 @@
   if (from.empty()) return -1;
   if (options_.unevenness <= 0) return from[random_.below(from.size())];
   double all = 0;
-  for (const int b : from) all += balancers_[index(b)]->part;
+  for (const int b : from) all += balancers_[index(b)]->traffic_share;
   double at = random_.uniform(0, all);
   for (const int b : from)
-    if ((at -= balancers_[index(b)]->part) < 0) return b;
+    if ((at -= balancers_[index(b)]->traffic_share) < 0) return b;
   return from.back();
 }
 
 void Plant::start_try(const CallPtr& call) {
   const testbed::ClassSpec& request_class = scenario_.classes[index(call->wish.request_class)];
   const testbed::Range& share = scenario_.load.try_share;
-  const Duration patience =
+  const Duration try_time =
       from_seconds(seconds(request_class.deadline) * call->random.uniform(share.low, share.high));
-  const Time until = std::min(call->ends, now_ + patience);
+  const Time until = std::min(call->ends, now_ + try_time);
   ++call->tries;
-  if (until - now_ < kMinBudget) return end(call, End::kFailed);
-  const int b = deal(call->wish.zone);
+  if (until - now_ < kMinTimeLeft) return end(call, End::kFailed);
+  const int b = pick_balancer(call->wish.zone);
   if (b < 0 || !balancers_[index(b)]->policy) return try_over(call, End::kFailed, Duration{0});
   tally_.on_try();
   ++tries_sent_;
@@ -254,7 +256,7 @@
   t.balancer = b;
   t.life = balancers_[index(b)]->life;
   tries_.emplace(id, std::move(t));
-  after(options_.way, [this, b, id, call, until] { submit(b, id, call, until); });
+  after(options_.one_way_delay, [this, b, id, call, until] { submit(b, id, call, until); });
 }
 
 void Plant::try_over(const CallPtr& call, End how, Duration retry_after) {
@@ -263,17 +265,19 @@
     return end(call, now_ <= call->wish.due + request_class.aim ? End::kInAim
                      : now_ <= call->ends                       ? End::kLate
                                                                 : End::kFailed);
-  const bool harmless = how == End::kRefused || request_class.effect == testbed::Effect::kSafe ||
-                        (request_class.effect == testbed::Effect::kKeyed &&
-                         now_ < call->wish.due + request_class.window);
+  const bool is_retry_safe = how == End::kRefused ||
+                             request_class.effect == testbed::Effect::kSafe ||
+                             (request_class.effect == testbed::Effect::kKeyed &&
+                              now_ < call->wish.due + request_class.window);
   const testbed::LoadSpec& load = scenario_.load;
   double pause = 0;
   if (load.backoff == testbed::Backoff::kFixed) pause = load.backoff_ms;
   if (load.backoff == testbed::Backoff::kExponential)
     pause = load.backoff_ms * std::pow(2, call->tries - 1) * call->random.uniform(0.5, 1.5);
   Duration wait = from_seconds(1e-3 * pause);
-  if (call->honours) wait = std::max(wait, std::min(retry_after, scenario_.max_retry_after));
-  if (!harmless || call->tries > load.retries || now_ + wait + kMinBudget > call->ends)
+  if (call->honours_retry_after)
+    wait = std::max(wait, std::min(retry_after, scenario_.max_retry_after));
+  if (!is_retry_safe || call->tries > load.retries || now_ + wait + kMinTimeLeft > call->ends)
     return end(call, how);
   after(wait, [this, call] { start_try(call); });
 }
@@ -285,7 +289,7 @@
 
 // ---- balancers
 
-std::vector<HostEntry> Plant::whole_list() const {
+std::vector<HostEntry> Plant::complete_host_list() const {
   std::vector<HostEntry> list;
   for (std::size_t h = 0; h < hosts_.size(); ++h)
     if (hosts_[h]->state != HostState::kGone) list.push_back(entry_of(h));
@@ -310,10 +314,10 @@
       settings_, testbed::Random(scenario_.seed * 1000 + index(b), index(balancer.life)).next(),
       now_, balancer);
   balancer.listed = true;
-  balancer.policy->on_hosts(now_, ListKind::kComplete, whole_list());
+  balancer.policy->on_hosts(now_, ListKind::kComplete, complete_host_list());
 }
 
-// What it had out runs on at the hosts; its clients see their connections end.
+// Open attempts of the balancer continue at the hosts; its clients' connections are closed.
 void Plant::kill_balancer(int b) {
   Balancer& balancer = *balancers_[index(b)];
   if (!balancer.policy) return;
@@ -330,14 +334,15 @@
   std::erase_if(tries_, [b](const auto& t) { return t.second.balancer == b; });
   for (const auto& [id, call] : open) {
     ++excused_;
-    after(options_.way, [this, call = call] { try_over(call, End::kFailed, Duration{0}); });
+    after(options_.one_way_delay,
+          [this, call = call] { try_over(call, End::kFailed, Duration{0}); });
   }
 }
 
 void Plant::submit(int b, RequestId id, const CallPtr& call, Time until) {
   Balancer& balancer = *balancers_[index(b)];
   const auto t = tries_.find(id);
-  if (t == tries_.end() || t->second.life != balancer.life) return;  // killed meanwhile
+  if (t == tries_.end() || t->second.life != balancer.life) return;  // killed in the meantime
   Request q;
   q.id = id;
   q.request_class = call->wish.request_class;
@@ -345,8 +350,8 @@
   q.key = call->wish.key;
   q.write = scenario_.classes[index(q.request_class)].write();
   if (call->wish.hint > 0) q.work = from_seconds(call->wish.hint);
-  q.time_left = until - now_ - 2 * options_.way;
-  ++present_.tries;
+  q.time_left = until - now_ - 2 * options_.one_way_delay;
+  ++current_sample_.tries;
   balancer.policy->on_request(now_, q);
 }
 
@@ -375,11 +380,11 @@
   a.write = scenario_.classes[index(t.call->wish.request_class)].write();
   a.sent = now_;
   attempts_.emplace(number, std::move(a));
-  after(options_.way, [this, number] { take(number); });
+  after(options_.one_way_delay, [this, number] { take(number); });
   at(until, [this, number] { attempt_over(number, Result::kTimeout); });
 }
 
-// The module's word to a client.
+// Handles the policy's final decision on a request: schedules its delivery to the client.
 void Plant::finish(RequestId id, End how, Duration retry_after) {
   const auto it = tries_.find(id);
   if (it == tries_.end() || it->second.over) return;
@@ -387,14 +392,14 @@
   t.over = true;
   ++answers_;
   if (how == End::kFailed) {
-    ++present_.failed;
+    ++current_sample_.failed;
   } else if (how == End::kRefused) {
-    ++(t.sent == 0 ? present_.refused_on_arrival : present_.refused_later);
+    ++(t.sent == 0 ? current_sample_.refused_on_arrival : current_sample_.refused_later);
   }
-  after(options_.way,
+  after(options_.one_way_delay,
         [this, call = t.call, how, retry_after] { try_over(call, how, retry_after); });
   if (t.out == 0) {
-    // The module may still name it until it has returned.
+    // The policy may still refer to the request until its present call has returned.
     after(Duration{0}, [this, id] {
       const auto at = tries_.find(id);
       if (at != tries_.end() && at->second.out == 0) tries_.erase(at);
@@ -486,7 +491,7 @@
       answer(number, Result::kReset);
       kill_host(h);
       HostEntry e = entry_of(h);
-      return tell_all(e, host.id);
+      return notify_balancers(e, host.id);
     }
   }
 }
@@ -516,26 +521,26 @@
   if (!host.origin) {
     if (!a.hit) {
       result = Result::kMiss;
-      auto& missed = missed_[a.request];
+      auto& missed = missed_hosts_[a.request];
       if (missed.empty()) missed_order_.push_back(a.request);
-      if (missed.size() < kStoredAt) missed.push_back(a.host);
-      // What the origin does for those who gave up is stored as well.
+      if (missed.size() < kMaxHostsToFill) missed.push_back(a.host);
+      // Values that the origin fetches for clients that gave up are stored as well.
       for (; missed_order_.size() > kMaxMissed; missed_order_.pop_front())
-        missed_.erase(missed_order_.front());
+        missed_hosts_.erase(missed_order_.front());
     }
   } else if (a.write) {
-    ++present_.writes;
+    ++current_sample_.writes;
     for (const auto& h : hosts_) h->objects.drop(a.key);
   } else {
     const double took = seconds(now_ - a.sent);
-    present_.origin_time += took;
-    present_.origin_worst = std::max(present_.origin_worst, took);
-    ++present_.fetches;
-    if (const auto missed = missed_.find(a.request); missed != missed_.end()) {
+    current_sample_.mean_fetch_time += took;
+    current_sample_.max_fetch_time = std::max(current_sample_.max_fetch_time, took);
+    ++current_sample_.fetches;
+    if (const auto missed = missed_hosts_.find(a.request); missed != missed_hosts_.end()) {
       const testbed::Range& v = scenario_.load.value_bytes;
       for (const std::size_t h : missed->second)
         hosts_[h]->objects.put(a.key, static_cast<std::size_t>((v.low + v.high) / 2));
-      missed_.erase(missed);
+      missed_hosts_.erase(missed);
     }
   }
   answer(number, result);
@@ -548,7 +553,7 @@
     attempts_.erase(it);
     return;
   }
-  after(options_.way, [this, number, result] {
+  after(options_.one_way_delay, [this, number, result] {
     attempt_over(number, result);
     attempts_.erase(number);
   });
@@ -556,7 +561,7 @@
 
 // ---- incidents
 
-std::vector<std::size_t> Plant::struck(const testbed::IncidentSpec& i) const {
+std::vector<std::size_t> Plant::affected_hosts(const testbed::IncidentSpec& i) const {
   std::vector<std::size_t> all;
   for (std::size_t h = 0; h + 1 < hosts_.size(); ++h) {
     int number = static_cast<int>(h);
@@ -578,7 +583,7 @@
   return all;
 }
 
-void Plant::tell_all(const HostEntry& entry, const std::string& id) {
+void Plant::notify_balancers(const HostEntry& entry, const std::string& id) {
   for (std::size_t b = 0; b < balancers_.size(); ++b) {
     const testbed::Range& delay = scenario_.discovery.delay_ms;
     after(from_seconds(1e-3 * delay.draw(random_)),
@@ -592,8 +597,8 @@
   }
 }
 
-void Plant::strike(const testbed::IncidentSpec& i) {
-  if (i.what == What::kBurst || i.what == What::kDemand) return;  // the arrivals know
+void Plant::start_incident(const testbed::IncidentSpec& i) {
+  if (i.what == What::kBurst || i.what == What::kDemand) return;  // part of arrivals_
   if (i.what == What::kBalancerKill) {
     Duration delay{0};
     for (const int b : scenario_.balancers_struck(i)) {
@@ -609,9 +614,9 @@
     }
     return;
   }
-  const auto whom = i.host == "origin" ? std::vector{hosts_.size() - 1} : struck(i);
+  const auto targets = i.host == "origin" ? std::vector{hosts_.size() - 1} : affected_hosts(i);
   Duration delay{0};
-  for (const std::size_t h : whom) {
+  for (const std::size_t h : targets) {
     after(delay, [this, h, &i] {
       Host& host = *hosts_[h];
       if (!host.model) return;
@@ -620,19 +625,19 @@
         case What::kSlow:
           host.model->set_slowness(now_, i.factor);
           after(i.length, [this, h, life = host.life] {
-            Host& one = *hosts_[h];
-            if (!one.model || one.life != life) return;
+            Host& slowed = *hosts_[h];
+            if (!slowed.model || slowed.life != life) return;
             step(h);
-            one.model->set_slowness(now_, 1);
+            slowed.model->set_slowness(now_, 1);
             step(h);
           });
           break;
         case What::kHang:
           host.model->freeze(now_);
           after(i.length, [this, h, life = host.life] {
-            Host& one = *hosts_[h];
-            if (!one.model || one.life != life) return;
-            one.model->thaw(now_);
+            Host& hung = *hosts_[h];
+            if (!hung.model || hung.life != life) return;
+            hung.model->thaw(now_);
             step(h);
           });
           break;
@@ -646,11 +651,11 @@
         }
         default:
           kill_host(h);
-          tell_all(entry_of(h), host.id);
+          notify_balancers(entry_of(h), host.id);
           if (i.what == What::kKill) return;
           after(i.length > Duration{0} ? i.length : kRestartTime, [this, h] {
             start_host(h, true);
-            tell_all(entry_of(h), hosts_[h]->id);
+            notify_balancers(entry_of(h), hosts_[h]->id);
           });
           return;
       }
@@ -662,7 +667,7 @@
 
 // ---- signals
 
-void Plant::hold() {
+void Plant::restore_held_fractions() {
   for (const auto& b : balancers_) {
     if (!b->policy) continue;
     const Policy::PolicyCheckpoint l = b->policy->checkpoint(now_);
@@ -670,7 +675,7 @@
         now_,
         {0, options_.origin_held.value_or(l.origin), options_.caches_held.value_or(l.caches), {}});
   }
-  after(kHeld, [this] { hold(); });
+  after(kHoldPeriod, [this] { restore_held_fractions(); });
 }
 
 void Plant::sample() {
@@ -679,30 +684,30 @@
     if (!b->policy) continue;
     ++alive;
     const Policy::PolicyCheckpoint l = b->policy->checkpoint(now_);
-    present_.origin_open += l.origin;
-    present_.caches_open += l.caches;
-    present_.origin_least = std::min(present_.origin_least, l.origin);
-    present_.origin_most = std::max(present_.origin_most, l.origin);
+    current_sample_.origin_admit_fraction += l.origin;
+    current_sample_.caches_admit_fraction += l.caches;
+    current_sample_.origin_fraction_min = std::min(current_sample_.origin_fraction_min, l.origin);
+    current_sample_.origin_fraction_max = std::max(current_sample_.origin_fraction_max, l.origin);
   }
-  present_.origin_open /= std::max(1, alive);
-  present_.caches_open /= std::max(1, alive);
-  if (present_.fetches > 0) present_.origin_time /= present_.fetches;
-  double done = 0, can = 0;
+  current_sample_.origin_admit_fraction /= std::max(1, alive);
+  current_sample_.caches_admit_fraction /= std::max(1, alive);
+  if (current_sample_.fetches > 0) current_sample_.mean_fetch_time /= current_sample_.fetches;
+  double done = 0, capacity = 0;
   for (std::size_t h = 0; h < hosts_.size(); ++h) {
     step(h);
     const Host& host = *hosts_[h];
     if (host.origin) {
-      present_.origin_queue = host.model ? host.model->in_work() + host.model->waiting() : 0;
+      current_sample_.origin_queue = host.model ? host.model->in_work() + host.model->waiting() : 0;
     } else {
       done += host.done_before + (host.model ? host.model->work_done() : 0);
-      can += host.spec.cores * host.spec.speed;
+      capacity += host.spec.cores * host.spec.speed;
     }
   }
-  present_.caches_busy =
-      (done - std::exchange(work_done_before_, done)) / can / seconds(options_.sampled);
-  present_.at = now_;
-  samples_.push_back(std::exchange(present_, {}));
-  if (now_ < scenario_.length) after(options_.sampled, [this] { sample(); });
+  current_sample_.caches_busy =
+      (done - std::exchange(work_done_before_, done)) / capacity / seconds(options_.sample_period);
+  current_sample_.at = now_;
+  samples_.push_back(std::exchange(current_sample_, {}));
+  if (now_ < scenario_.length) after(options_.sample_period, [this] { sample(); });
 }
 
 }  // namespace balancer::fleet_simulation
--- a/src/fleet_simulation/tables.cc
+++ b/src/fleet_simulation/tables.cc
@@ -26,15 +26,16 @@
     add(out,
         "%6.1f %6.1f | %6.2f %6.2f %6.2f %6.2f | %5d %5d %6.0f %6.0f %5zu | %5d %6d %6d %5d "
         "%5.2f\n",
-        seconds(s.at), 100 * (second < worth.size() ? worth[second] : 0), s.origin_open,
-        s.origin_least, s.origin_most, s.caches_open, s.fetches, s.writes, 1e3 * s.origin_time,
-        1e3 * s.origin_worst, s.origin_queue, s.tries, s.refused_on_arrival, s.refused_later,
-        s.failed, s.caches_busy);
+        seconds(s.at), 100 * (second < worth.size() ? worth[second] : 0), s.origin_admit_fraction,
+        s.origin_fraction_min, s.origin_fraction_max, s.caches_admit_fraction, s.fetches, s.writes,
+        1e3 * s.mean_fetch_time, 1e3 * s.max_fetch_time, s.origin_queue, s.tries,
+        s.refused_on_arrival, s.refused_later, s.failed, s.caches_busy);
   }
 }
 
-// More demand than can be met: what was served of it from the third second on, beside the bound.
-void beside_bound(std::string& out, const testbed::Scenario& scenario, const Plant& plant) {
+// For each incident of increased demand of at least 4 s: adds the worth served from its third
+// second on, compared to the upper bound.
+void compare_with_bound(std::string& out, const testbed::Scenario& scenario, const Plant& plant) {
   for (const testbed::IncidentSpec& i : scenario.incidents) {
     if (i.what != testbed::What::kDemand || i.length < std::chrono::seconds(4)) continue;
     const Time from = i.at + std::chrono::seconds(2), to = i.at + i.length;
@@ -45,11 +46,13 @@
       asked += by_second[s].worth_asked;
       served += by_second[s].worth_served;
     }
-    const double got = asked > 0 ? served / asked : 1, most = max_worth(scenario, from, to);
+    const double served_fraction = asked > 0 ? served / asked : 1,
+                 bound = max_worth(scenario, from, to);
     add(out,
         "       demand from %.0f to %.0f s: worth %.1f of the %.1f at most that could be had: "
         "%.0f%%\n",
-        seconds(from), seconds(to), 100 * got, 100 * most, 100 * got / most);
+        seconds(from), seconds(to), 100 * served_fraction, 100 * bound,
+        100 * served_fraction / bound);
   }
 }
 
@@ -90,7 +93,7 @@
         static_cast<double>(plant.tries()) / std::max(1.0, calls),
         static_cast<double>(plant.attempts()) / std::max(1.0, static_cast<double>(plant.tries())),
         plant.fallen());
-    beside_bound(out, scenario, plant);
+    compare_with_bound(out, scenario, plant);
   }
   return out;
 }
--- a/tests/sketch_test.cc
+++ b/tests/sketch_test.cc
@@ -24,8 +24,9 @@
   return o;
 }
 
-// Beside a map that counts exactly: never below it, and above its bound as seldom as is stated.
-TEST(HeavyHittersTest, LikeAnExactMapWithinItsBounds) {
+// Compares the sketch with an exact map: estimates are never too low, and exceed the error bound no
+// more often than documented.
+TEST(HeavyHittersTest, MatchesExactMapWithinErrorBound) {
   std::size_t asked = 0, beyond = 0;
   for (unsigned seed = 1; seed <= 30; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
@@ -35,7 +36,7 @@
     std::unordered_map<std::string, std::uint64_t> exact;
     std::uint64_t total = 0;
     for (int i = 0; i < 5000; ++i) {
-      // A few often, the rest hardly ever.
+      // A few frequent texts, and many rare ones.
       const auto r = random();
       const std::string text = "k" + std::to_string(r % 4 ? r % 6 : r % 3000);
       const std::uint64_t times = random() % 3;
@@ -66,7 +67,7 @@
   EXPECT_LT(static_cast<double>(beyond), std::exp(-3) * static_cast<double>(asked));
 }
 
-TEST(HeavyHittersTest, AMillionTextsInBoundedMemory) {
+TEST(HeavyHittersTest, CountsMillionTextsInBoundedMemory) {
   HeavyHitters::Options options;
   options.most = 10;
   HeavyHitters sketch(options);
@@ -85,7 +86,7 @@
   }
 }
 
-TEST(HeavyHittersTest, LongTextsAreCutAndCountedWhole) {
+TEST(HeavyHittersTest, TruncatesLongTextsButCountsThemWhole) {
   HeavyHitters::Options options;
   options.max_text = 4;
   HeavyHitters sketch(options);
@@ -101,7 +102,7 @@
   EXPECT_EQ(top[2].text, "");
 }
 
-TEST(HeavyHittersTest, CountsStopAtTheirEnd) {
+TEST(HeavyHittersTest, SaturatesCounts) {
   HeavyHitters sketch({});
   const auto most = std::numeric_limits<std::uint64_t>::max();
   sketch.add("a", most - 1);
@@ -110,7 +111,7 @@
   EXPECT_EQ(sketch.total(), most);
 }
 
-TEST(HeavyHittersTest, BoundsThatMakeNoSense) {
+TEST(HeavyHittersTest, RejectsInvalidBounds) {
   for (const auto set : {+[](HeavyHitters::Options& o) { o.width = 0; },
                          +[](HeavyHitters::Options& o) { o.width = std::size_t{1} << 25; },
                          +[](HeavyHitters::Options& o) { o.depth = 0; },
@@ -127,7 +128,7 @@
   return sorted[static_cast<std::size_t>(std::floor(q * static_cast<double>(sorted.size() - 1)))];
 }
 
-// Values from 1 to e^12, of a distribution of the seed's.
+// Draws values of about 1 to e^12 from one of three distributions, which the seed selects.
 std::vector<double> draw(std::mt19937_64& random, std::size_t n) {
   std::lognormal_distribution<double> lognormal(3, 1.5);
   std::exponential_distribution<double> exponential(0.01);
@@ -139,7 +140,7 @@
   return values;
 }
 
-TEST(QuantileSketchTest, WithinItsErrorAndPartsMakeTheWhole) {
+TEST(QuantileSketchTest, StaysWithinErrorAndMergesParts) {
   for (unsigned seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(seed);
@@ -166,8 +167,8 @@
   }
 }
 
-// Too few buckets: the highest values keep the bound, whatever the order in which they come.
-TEST(QuantileSketchTest, TheLowestAreDrawnTogether) {
+// With too few buckets, the highest values stay within the error bound regardless of their order.
+TEST(QuantileSketchTest, CollapsesLowestBucketsWhenFull) {
   for (unsigned seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(seed);
@@ -187,11 +188,12 @@
       const double truth = exact_quantile(all, q);
       EXPECT_NEAR(sketch.quantile(q), truth, truth * 0.02 * 1.0001) << q;
     }
-    EXPECT_GT(sketch.quantile(0.1), exact_quantile(all, 0.1)) << "drawn up, never down";
+    EXPECT_GT(sketch.quantile(0.1), exact_quantile(all, 0.1))
+        << "collapsing must raise low values, never lower them";
   }
 }
 
-TEST(QuantileSketchTest, WhatIsNoTime) {
+TEST(QuantileSketchTest, HandlesZeroNegativeNanAndInfinity) {
   QuantileSketch sketch;
   EXPECT_EQ(sketch.quantile(0.5), 0);
   for (const double v : {0.0, -1.0, std::nan(""), 1e-300}) sketch.add(v);
--- a/tests/testbed/cold_fleet_test.cc
+++ b/tests/testbed/cold_fleet_test.cc
@@ -1,4 +1,4 @@
-// Cold hosts under the sum of what a whole fleet of balancers sends them.
+// Load of cold hosts, summed over all balancers of a fleet.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -36,14 +36,15 @@
                                  "cold.toml");
 }
 
-TEST(ColdLoads, TheSumOfAllBalancersIsHeldAgainstBudgetAndChance) {
+TEST(ColdLoadsTest, ComparesSumOverBalancersWithBound) {
   const testbed::Scenario scenario = one_class();
   testbed::ColdLoads loads(scenario);
   loads.on_start(seconds(0), 3, "h3", cold_spec());
   // N: 2 x 2 cores x 0.1 x 1 s / 10 ms = 40; the bound is 40 + 2 x 6.32 + 2 = 54.6.
   for (int i = 0; i < 54; ++i) EXPECT_FALSE(loads.on_request(milliseconds(i), 3, 0.01, 0.1, i % 9));
   EXPECT_TRUE(loads.on_request(milliseconds(54), 3, 0.01, 0.1, 8));
-  EXPECT_FALSE(loads.on_request(milliseconds(55), 3, 0.01, 0.1, 8)) << "it is told once";
+  EXPECT_FALSE(loads.on_request(milliseconds(55), 3, 0.01, 0.1, 8))
+      << "an excess must be reported only once";
   ASSERT_EQ(loads.peaks().size(), 1u);
   EXPECT_NEAR(loads.peaks()[0].requests, 56, 1e-6);
   EXPECT_NEAR(loads.peaks()[0].budget, 40, 1e-6);
@@ -51,20 +52,21 @@
   EXPECT_NEAR(loads.by_balancer(3)[8], 0.08, 1e-9);
 }
 
-TEST(ColdLoads, WhatLiesBeforeTheWindowAndWarmHostsCountForNothing) {
+TEST(ColdLoadsTest, IgnoresLoadBeforeWindowAndOfWarmHosts) {
   const testbed::Scenario scenario = one_class();
   testbed::ColdLoads loads(scenario);
-  EXPECT_FALSE(loads.on_request(seconds(0), 3, 1, 0.1, 0)) << "no host has started cold";
+  EXPECT_FALSE(loads.on_request(seconds(0), 3, 1, 0.1, 0)) << "no host has started cold yet";
   loads.on_start(seconds(0), 3, "h3", cold_spec());
   for (int i = 0; i < 54; ++i) loads.on_request(milliseconds(i), 3, 0.01, 0.1, 0);
   EXPECT_FALSE(loads.on_request(milliseconds(1054), 3, 0.01, 0.1, 0));
   EXPECT_FALSE(loads.on_request(seconds(11), 3, 100, 1, 0));
   loads.on_start(seconds(12), 3, "h3", cold_spec());
-  EXPECT_TRUE(loads.on_request(seconds(12), 3, 1, 0.1, 0)) << "each start is counted anew";
+  EXPECT_TRUE(loads.on_request(seconds(12), 3, 1, 0.1, 0))
+      << "each start must be counted separately";
   EXPECT_EQ(loads.peaks().size(), 2u);
 }
 
-// ---- twenty to thirty real policies under one simulated clock
+// ---- 20 to 30 real policies under one simulated clock
 
 constexpr int kHosts = 12;
 
@@ -73,13 +75,13 @@
   double rate = 400, work_ms = 30;
   double tip_multiple = 2, tip_s = 1, cold_share = 0.16, cold_s = 12;
   double zipf = 1.0, drift_per_s = 0, unevenness = 1.0;
-  // All hosts but one are lost at once and come back cold one by one.
+  // All hosts but one are lost at once and restart cold one after another.
   bool max_hosts_lost = false;
 };
 
 void PrintTo(const Deployment& d, std::ostream* out) { *out << d.name; }
 
-// Some hosts join cold and others come back cold, under a burst.
+// Some hosts join cold and others restart cold, during increased demand.
 const char kJoinAndReturn[] = R"(
 [[incident]]
 what = "restart"
@@ -161,7 +163,8 @@
                                  "cold_fleet.toml");
 }
 
-// Plays it, prints the fullest window of each start beside its bound, and tells how many were over.
+// Runs the deployment, prints the peak load window of each cold start with its bound, and returns
+// the number of starts that exceeded their bounds.
 int starts_over_bound(const Deployment& d, std::uint64_t seed, bool ignores_warmth) {
   const testbed::Scenario scenario = cold_fleet(d, seed);
   Options options;
@@ -175,7 +178,7 @@
               reads.worth_served / reads.worth_asked);
   int over = 0;
   for (const auto& peak : plant.cold_loads().peaks()) {
-    if (peak.requests == 0) continue;  // went down again at once
+    if (peak.requests == 0) continue;  // stopped again immediately
     std::printf(" %s %.0f/%.0f", peak.host.c_str(), peak.requests, peak.bound());
     over += peak.requests > peak.bound();
   }
@@ -185,14 +188,14 @@
 
 struct ColdFleetTest : testing::TestWithParam<Deployment> {};
 
-TEST_P(ColdFleetTest, TheRampHoldsForTheFleet) {
+TEST_P(ColdFleetTest, SlowStartKeepsFleetWithinBounds) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed)
     EXPECT_EQ(starts_over_bound(GetParam(), seed, false), 0) << "seed " << seed;
 }
 
-// Each deployment is one in which the ramp is needed: balancers that take cold hosts for warm
-// overrun them.
-TEST_P(ColdFleetTest, ARampThatIsIgnoredIsFound) {
+// Guards the test above: in each deployment, balancers that treat cold hosts as warm exceed the
+// bounds.
+TEST_P(ColdFleetTest, DetectsIgnoredSlowStart) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed)
     EXPECT_GT(starts_over_bound(GetParam(), seed, true), 0) << "seed " << seed;
 }
--- a/tests/testbed/plant_test.cc
+++ b/tests/testbed/plant_test.cc
@@ -56,7 +56,7 @@
                                  "plant.toml");
 }
 
-const char kTroubles[] = R"(
+const char kFaultIncidents[] = R"(
 [[incident]]
 what = "flush"
 at_s = 4
@@ -81,20 +81,20 @@
 for_s = 2
 )";
 
-// One seed, one result: that is what makes a failing run one that can be looked into.
-TEST(Plant, OneSeedGivesOneResult) {
-  const testbed::Scenario s = scenario(kTroubles);
+// A failing run can be reproduced from its seed.
+TEST(PlantTest, SameSeedGivesSameResult) {
+  const testbed::Scenario s = scenario(kFaultIncidents);
   EXPECT_EQ(table(s, {}), table(s, {}));
   testbed::Scenario other = s;
   other.seed = 2;
   EXPECT_NE(table(s, {}), table(other, {}));
 }
 
-// Whatever happens, each try that a balancer took has one answer, or its balancer was killed.
-TEST(Plant, EveryTryHasOneAnswerThroughAllTroubles) {
+// Each try that a balancer received gets one answer, or its balancer was killed.
+TEST(PlantTest, EveryTryHasOneAnswerDespiteFaults) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    testbed::Scenario s = scenario(kTroubles, 1 + static_cast<int>(seed) * 3);
+    testbed::Scenario s = scenario(kFaultIncidents, 1 + static_cast<int>(seed) * 3);
     s.seed = seed;
     Plant plant(s, {});
     plant.run();
@@ -111,39 +111,39 @@
   }
 }
 
-TEST(Plant, ALoopThatIsHeldStaysWhereItIs) {
-  const testbed::Scenario s = scenario(kTroubles);
+TEST(PlantTest, KeepsHeldAdmitFraction) {
+  const testbed::Scenario s = scenario(kFaultIncidents);
   Options options;
   options.origin_held = 0.25;
   Plant plant(s, options);
   plant.run();
-  // Put back every 10 ms, it may have moved a little where it is looked at.
+  // The fraction is restored every 10 ms, and may have moved a little when it is sampled.
   double off = 0;
-  for (const Sample& sample : plant.samples()) off += std::abs(sample.origin_open - 0.25);
+  for (const Sample& sample : plant.samples()) off += std::abs(sample.origin_admit_fraction - 0.25);
   EXPECT_LT(off / static_cast<double>(plant.samples().size()), 0.05);
 }
 
-TEST(Plant, WhatItDoesNotPlayIsAnError) {
+TEST(PlantTest, RejectsUnsupportedIncidents) {
   const testbed::Scenario s =
       scenario("[[incident]]\nwhat = \"discovery-down\"\nat_s = 1\nfor_s = 1\n");
   EXPECT_THROW(Plant(s, {}), std::invalid_argument);
 }
 
-// ---- the loops through hard cases: caches-lost's fleet, twelve balancers, one seed each
+// ---- control loops under severe faults: the fleet of caches-lost, twelve balancers, one seed each
 
-struct Trouble {
+struct FaultCase {
   const char* name;
   const char* incidents;
-  int over;      // s at which the last of it has ended
-  double first;  // least mean worth over the five seconds from 10 s on
-  double again;  // least mean worth over the last ten seconds
+  int over;      // s at which the last incident has ended
+  double first;  // lower bound of the mean worth over the five seconds from 10 s on
+  double again;  // lower bound of the mean worth over the last ten seconds
 };
 
-void PrintTo(const Trouble& t, std::ostream* out) { *out << t.name; }
+void PrintTo(const FaultCase& t, std::ostream* out) { *out << t.name; }
 
-struct LoopsTest : testing::TestWithParam<Trouble> {};
+struct LoopsTest : testing::TestWithParam<FaultCase> {};
 
-TEST_P(LoopsTest, ComeBackAndStarveNoWrites) {
+TEST_P(LoopsTest, RecoverWithoutStarvingWrites) {
   testbed::Scenario s = testbed::load_scenario(BALANCER_SCENARIOS "/caches-lost.toml");
   s.incidents = testbed::parse_scenario(
                     "name = \"t\"\n[[class]]\nname = \"c\"\n[[tenant]]\nname = \"t\"\n"
@@ -170,7 +170,7 @@
   EXPECT_EQ(plant.answers() + plant.excused(), plant.tries());
 }
 
-const Trouble kTroubleCases[] = {
+const FaultCase kFaultCases[] = {
     {"CachesLostTwice",
      "[[incident]]\nwhat = \"flush\"\nat_s = 10\n[[incident]]\nwhat = \"flush\"\nat_s = 14\n", 14,
      0.5, 0.8},
@@ -188,10 +188,10 @@
      "[[incident]]\nwhat = \"slow\"\nhost = \"origin\"\nat_s = 10\nfor_s = 40\nfactor = 0.25\n",
      10, 0.6, 0.93},
 };
-INSTANTIATE_TEST_SUITE_P(Plant, LoopsTest, testing::ValuesIn(kTroubleCases),
+INSTANTIATE_TEST_SUITE_P(Plant, LoopsTest, testing::ValuesIn(kFaultCases),
                          [](const auto& one) { return std::string(one.param.name); });
 
-// ---- what a trouble cost, on figures made for it
+// ---- the cost of a fault, computed from given figures
 
 std::vector<double> worth(std::initializer_list<std::pair<int, double>> spans) {
   std::vector<double> all;
@@ -199,7 +199,7 @@
   return all;
 }
 
-TEST(Service, IsFullOnceItStays) {
+TEST(ServiceTest, IsFullFromTheTimeItStaysFull) {
   const auto dip = worth({{20, 0.95}, {4, 0.5}, {30, 0.94}});
   const testbed::Service s = testbed::service_after(dip, 2, 20, 54);
   EXPECT_DOUBLE_EQ(s.before, 0.95);
@@ -209,7 +209,7 @@
   EXPECT_NEAR(s.first_five, (4 * 0.5 + 0.94) / 5, 1e-9);
 }
 
-TEST(Service, IsNotFullWhereItFallsBack) {
+TEST(ServiceTest, IsNotFullIfItDropsAgain) {
   const auto swings = worth({{20, 0.95}, {4, 0.5}, {5, 0.95}, {2, 0.8}, {20, 0.95}});
   EXPECT_EQ(testbed::service_after(swings, 2, 20, 51).full_after, 11);
   const auto never = worth({{20, 0.95}, {20, 0.9}});
