--- a/bench/address_set.cc
+++ b/bench/address_set.cc
@@ -1,5 +1,5 @@
-// Whether an address lies in one of 10, 1,000 or 100,000 networks: the trie that is used, and a
-// plain list of networks that is gone through from its start. Half of the addresses lie in one.
+// Looks up addresses in 10, 1,000 and 100,000 networks: AddressSet, which is a trie, compared to a
+// linear search in a list. Half of the addresses are drawn from one of the networks.
 //
 //   cmake --build build --target balancer_bench_address_set && build/balancer_bench_address_set
 #include "net/address_set.h"
@@ -16,11 +16,11 @@
 using namespace balancer;
 namespace ip = boost::asio::ip;
 
-constexpr std::size_t kAsked = 4096;
+constexpr std::size_t kLookups = 4096;
 
 struct Networks {
   std::vector<ip::network_v4> list;
-  std::vector<ip::address_v4> asked;
+  std::vector<ip::address_v4> lookups;
 
   explicit Networks(std::int64_t count) {
     std::mt19937 draw(1);
@@ -29,10 +29,10 @@
       const auto length = static_cast<unsigned short>(16 + random() % 17);
       list.push_back(ip::make_network_v4(ip::address_v4(random()), length).canonical());
     }
-    while (asked.size() < kAsked) {
+    while (lookups.size() < kLookups) {
       const ip::network_v4& n = list[random() % list.size()];
       const std::uint32_t inside = n.address().to_uint() | (random() & ~n.netmask().to_uint());
-      asked.emplace_back(asked.size() % 2 ? inside : random());
+      lookups.emplace_back(lookups.size() % 2 ? inside : random());
     }
   }
 };
@@ -42,7 +42,7 @@
   AddressSet set;
   for (const auto& n : networks.list) set.insert(n.to_string());
   std::size_t i = 0, in = 0;
-  for (auto _ : state) in += set.contains(networks.asked[i++ % kAsked]);
+  for (auto _ : state) in += set.contains(networks.lookups[i++ % kLookups]);
   benchmark::DoNotOptimize(in);
   state.counters["nodes"] = static_cast<double>(set.nodes());
 }
@@ -56,7 +56,7 @@
   for (const auto& n : networks.list) all.push_back({n.address().to_uint(), n.netmask().to_uint()});
   std::size_t i = 0, in = 0;
   for (auto _ : state) {
-    const std::uint32_t a = networks.asked[i++ % kAsked].to_uint();
+    const std::uint32_t a = networks.lookups[i++ % kLookups].to_uint();
     for (const Network& n : all) {
       if ((a & n.mask) == n.address) {
         ++in;
--- a/bench/cost.cc
+++ b/bench/cost.cc
@@ -1,11 +1,12 @@
-// What balancer costs beside a relay that parses nothing: the same clients, the same bytes, the
-// same cache host, in one run. Prints CPU time a request and median latency, and their ratios.
+// Measures the cost of balancer compared to a relay that parses nothing, with the same clients,
+// bytes and cache host in one run. Prints CPU time per request and median latency, and their
+// ratios.
 //
 //   build/balancer_bench_cost [SECONDS for each measurement, 3 unless given] [another balancer]
 //                              [CONNECTIONS, all three unless given]
 //
-// The relay gives each client's connection one of its own to the host and copies bytes both ways,
-// so its figures are the floor of what any program between the two must spend on the kernel.
+// The relay opens one connection to the host for each client connection and copies bytes both ways,
+// so that its figures are a lower bound on the kernel time that any program between the two needs.
 #include <signal.h>
 #include <sys/epoll.h>
 #include <sys/socket.h>
@@ -68,7 +69,7 @@
   }
 }
 
-// Answers every read with a value. Its own cost is in neither figure.
+// Answers every read with a value. Its own CPU time is part of neither figure.
 [[noreturn]] void run_host(int listener) {
   std::map<int, std::string> in;
   const std::string value(kValue, 'v');
@@ -119,7 +120,7 @@
   double requests = 0, cpu_us = 0, p50_us = 0, p99_us = 0;
 };
 
-// One request at a time on each connection, the next as soon as it is answered.
+// Keeps one request open on each connection: sends the next request as soon as one is answered.
 Figures measure(int port, pid_t pid, int connections, double length) {
   const int epoll = check(::epoll_create1(0), "epoll");
   struct Conn {
@@ -128,7 +129,7 @@
   };
   std::map<int, Conn> all;
   unsigned next = 0;
-  const auto ask = [&](int fd, Conn& c) {
+  const auto send_request = [&](int fd, Conn& c) {
     char line[160];
     const int n = std::snprintf(
         line, sizeof line, "mg key%u v O%016x Pc=read,t=acme,d=5000,h=1000\r\n", next % 1000, next);
@@ -141,7 +142,7 @@
   for (int i = 0; i < connections; ++i) {
     const int fd = dial(port);
     watch(epoll, fd);
-    ask(fd, all[fd]);
+    send_request(fd, all[fd]);
   }
   std::vector<double> times;
   std::vector<char> buffer(64 << 10);
@@ -153,7 +154,7 @@
     return std::chrono::duration<double>(Clock::now() - t).count();
   };
   while (since(begin) < length + 0.5) {
-    if (!warm && since(begin) > 0.5) {  // pools are filled by then
+    if (!warm && since(begin) > 0.5) {  // the connection pools are filled after 0.5 s
       warm = true;
       times.clear();
       cpu = cpu_seconds(pid);
@@ -163,7 +164,7 @@
       const int fd = events[i].data.fd;
       Conn& c = all[fd];
       const auto got = ::recv(fd, buffer.data(), buffer.size(), 0);
-      if (got <= 0) throw std::runtime_error("a connection was closed");
+      if (got <= 0) throw std::runtime_error("the server closed a connection");
       if (c.got == 0 && std::strncmp(buffer.data(), "VA ", 3) != 0)
         throw std::runtime_error("answered with " + std::string(buffer.data(), 40));
       if (c.wanted == 0) {
@@ -173,7 +174,7 @@
       c.got += static_cast<std::size_t>(got);
       if (c.got < c.wanted) continue;
       times.push_back(since(c.sent));
-      ask(fd, c);
+      send_request(fd, c);
     }
   }
   Figures f;
@@ -187,7 +188,7 @@
   return f;
 }
 
-// One list for good, and watches that hold nothing new.
+// Answers the first call with the complete endpoint list, and all watches with no changes.
 [[noreturn]] void run_discovery(int listener, int host_port) {
   const std::string hosts = "{\"host\":\"h0\",\"dial\":\"127.0.0.1:" + std::to_string(host_port) +
                             "\",\"site\":\"a\",\"class\":\"std\",\"block\":0,\"health\":\"ready\","
@@ -197,9 +198,9 @@
       [&](int fd, const char* data, std::size_t n) {
         const std::string_view call(data, n);
         if (n == 0) return;
-        const bool watching = call.find("index=") != std::string_view::npos;
-        if (watching) ::usleep(20'000);
-        const std::string body = watching ? "{\"seq\":1,\"whole\":false,\"hosts\":[]}"
+        const bool is_watch = call.find("index=") != std::string_view::npos;
+        if (is_watch) ::usleep(20'000);
+        const std::string body = is_watch ? "{\"seq\":1,\"whole\":false,\"hosts\":[]}"
                                           : "{\"seq\":1,\"whole\":true,\"hosts\":[" + hosts + "]}";
         const std::string out =
             "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
@@ -207,7 +208,7 @@
       });
 }
 
-// The balancer's port, from its log.
+// Starts the balancer and returns its port, which it reads from the log.
 int start_balancer(const std::string& program, const std::string& folder, int discovery_port,
                    pid_t& pid) {
   std::ofstream(folder + "/config.json")
@@ -233,10 +234,10 @@
     text << in.rdbuf();
     const auto at = text.str().find("listening on 127.0.0.1:");
     if (at == std::string::npos) continue;
-    ::usleep(300'000);  // for the host list
+    ::usleep(300'000);  // time for the balancer to receive the host list
     return std::atoi(text.str().c_str() + at + 23);
   }
-  throw std::runtime_error(program + " did not come up");
+  throw std::runtime_error(program + " did not start listening within 10 s");
 }
 
 }  // namespace
@@ -248,7 +249,8 @@
   int code = 0;
   char folder[] = "/tmp/balancer-cost-XXXXXX";
   try {
-    if (!::mkdtemp(folder)) throw std::runtime_error("no folder for the balancer's files");
+    if (!::mkdtemp(folder))
+      throw std::runtime_error("cannot create a folder for the balancer's files");
     int host_port = 0, relay_port = 0, discovery_port = 0;
     const int host = listen_somewhere(host_port), relay = listen_somewhere(relay_port),
               discovery = listen_somewhere(discovery_port);
@@ -266,7 +268,7 @@
     std::vector<int> counts = {1, 32, 256};
     if (argc > 3) counts = {std::clamp(std::atoi(argv[3]), 1, 1000)};
     for (const int connections : counts) {
-      // In turn and twice, so that a drift of the machine strikes both.
+      // Alternates twice, so that changes in the machine's speed affect both.
       Figures r{}, s{};
       for (int i = 0; i < 2; ++i) {
         const Figures a = measure(relay_port, relay_pid, connections, length / 2);
--- a/bench/processes.h
+++ b/bench/processes.h
@@ -18,8 +18,8 @@
 #include <stdexcept>
 #include <string>
 
-// Plain sockets and processes for the benchmarks: both ends of what they measure are made of these,
-// so that none of it is the balancer's own code.
+// Plain sockets and processes for the benchmarks. Clients and servers of the benchmarks use these
+// functions, so that the balancer is measured against code other than its own.
 namespace bench {
 
 inline int check(int result, const char* what) {
--- a/bench/resp.cc
+++ b/bench/resp.cc
@@ -1,11 +1,11 @@
-// What balancer costs RESP clients: the same pipelines straight at an emulated node, through a
-// relay that parses nothing, and through the balancer, in one run. Then the p99 of quick answers
-// beside slow ones, with shared connections and with one each; that of a pool beside a jam in
-// another; and what idle clients take.
+// Measures the cost of balancer for RESP clients, in one run: the same pipelines sent directly to
+// an emulated node, through a relay that parses nothing, and through the balancer. Then the p99 of
+// fast replies while others are slow, with shared and with exclusive connections; the p99 of a pool
+// while another pool is jammed; and the memory of idle clients.
 //
 //   build/balancer_bench_resp [SECONDS for each measurement, 2 unless given]
 //
-// GET and SET in turn on 1,000 keys, values of 100 bytes.
+// Alternates GET and SET on 1,000 keys, with values of 100 bytes.
 #include "proto/resp.h"
 
 #include <poll.h>
@@ -69,7 +69,8 @@
   double per_s = 0, cpu_us = 0, p50_us = 0, p99_us = 0;
 };
 
-// Each of the clients sends `depth` commands in one go, the next ones when all have their answers.
+// Each client sends `depth` commands at once; the next ones are sent when all clients have all
+// replies.
 Figures measure(int port, pid_t pid, int clients, int depth, double length) {
   struct One {
     int fd;
@@ -108,7 +109,7 @@
     for (One& c : all) {
       for (int left = depth; left > 0;) {
         const auto got = ::recv(c.fd, buffer.data(), buffer.size(), 0);
-        if (got <= 0) throw std::runtime_error("a connection was closed");
+        if (got <= 0) throw std::runtime_error("the server closed a connection");
         std::string_view input(buffer.data(), static_cast<std::size_t>(got));
         for (auto event = c.reader.next(input); event != resp::ReplyReader::Event::kMore;
              event = c.reader.next(input)) {
@@ -132,7 +133,7 @@
   return f;
 }
 
-// The balancer with the pools of `file`, one listener for each. Returns the listeners' ports.
+// Starts the balancer with the pools and listeners in `file`. Returns the listeners' ports.
 std::vector<int> start_balancer(const std::string& folder, const std::string& file, pid_t& pid) {
   std::ofstream(folder + "/operator.toml") << file;
   std::size_t wanted = 0;
@@ -159,7 +160,7 @@
       ports.push_back(std::atoi(lines.c_str() + at + 18));
     if (ports.size() == wanted) return ports;
   }
-  throw std::runtime_error("the balancer did not come up");
+  throw std::runtime_error("the balancer did not open all listeners within 10 s");
 }
 
 std::string pool(const std::string& name, int node_port, const std::string& more = "") {
@@ -188,15 +189,15 @@
     const int mine = std::atoi(node.address(0).c_str() + 10);
     if (::write(pipe[1], &mine, sizeof mine) == sizeof mine) io.run();
   });
-  const bool told = ::read(pipe[0], &port, sizeof port) == sizeof port;
+  const bool has_port = ::read(pipe[0], &port, sizeof port) == sizeof port;
   ::close(pipe[0]);
   ::close(pipe[1]);
-  if (!told) throw std::runtime_error("no node");
+  if (!has_port) throw std::runtime_error("the emulated node did not start");
   return pid;
 }
 
-// Clients that keep one GET out each; one in a hundred asks for what the node answers 50 ms late,
-// where `slow`. The times of the others' answers, sorted.
+// Each client keeps one GET open. If `slow`, one in a hundred requests is for a key that the node
+// answers 50 ms late. Returns the sorted times of the other requests.
 std::vector<double> fast_times(int port, int clients, bool slow, double length) {
   struct One {
     int fd;
@@ -211,14 +212,14 @@
     ready.push_back({all.back().fd, POLLIN, 0});
   }
   unsigned next = 0;
-  const auto ask = [&](One& c) {
+  const auto send_request = [&](One& c) {
     c.slow = slow && ++next % 100 == 0;
     const auto wire =
         resp::Command::of({"GET", c.slow ? "slow" : "key" + std::to_string(next++ % 1000)}).wire();
     c.sent = Clock::now();
     write_all(c.fd, wire.data(), wire.size());
   };
-  for (One& c : all) ask(c);
+  for (One& c : all) send_request(c);
   std::vector<double> times;
   std::vector<char> buffer(64 << 10);
   const auto begin = Clock::now();
@@ -229,15 +230,15 @@
       if (!ready[i].revents) continue;
       One& c = all[i];
       const auto got = ::recv(c.fd, buffer.data(), buffer.size(), 0);
-      if (got <= 0) throw std::runtime_error("a connection was closed");
+      if (got <= 0) throw std::runtime_error("the server closed a connection");
       std::string_view input(buffer.data(), static_cast<std::size_t>(got));
       for (auto event = c.reader.next(input); event != resp::ReplyReader::Event::kMore;
            event = c.reader.next(input)) {
         if (event != resp::ReplyReader::Event::kEnd) continue;
-        // The first half second is for learning.
+        // Ignores the first 0.5 s, in which the balancer is learning.
         if (!c.slow && since > 0.5)
           times.push_back(std::chrono::duration<double>(Clock::now() - c.sent).count());
-        ask(c);
+        send_request(c);
       }
     }
   }
@@ -250,7 +251,7 @@
   return times.empty() ? 0 : 1e6 * times[times.size() * 99 / 100];
 }
 
-// Clients of the other pool that ask for what is never answered, again and again.
+// Starts clients of the other pool that repeatedly request a key that the node never answers.
 pid_t start_jam(int port) {
   return start([port] {
     std::string out;
@@ -283,7 +284,8 @@
   int code = 0;
   char folder[] = "/tmp/balancer-resp-XXXXXX";
   try {
-    if (!::mkdtemp(folder)) throw std::runtime_error("no folder for the balancer's files");
+    if (!::mkdtemp(folder))
+      throw std::runtime_error("cannot create a folder for the balancer's files");
     int node_port = 0, relay_port = 0;
     children.push_back(start_node(node_port));
     const pid_t node_pid = children.back();
@@ -308,7 +310,7 @@
     for (const auto& [clients, depth] :
          {std::pair(1, 1), std::pair(1, 16), std::pair(1, 128), std::pair(4, 16)}) {
       const Figures d = measure(node_port, node_pid, clients, depth, length);
-      Figures r;  // it takes one client at a time
+      Figures r;  // the relay serves one client at a time
       if (clients == 1) r = measure(relay_port, relay_pid, clients, depth, length);
       const Figures s = measure(port, balancer, clients, depth, length);
       std::printf("%7d %8d   %13.0f %7.0f   %12.0f %7.2f %7.0f   %16.0f %7.2f %7.0f %7.0f   ",
@@ -324,8 +326,8 @@
       std::printf("a connection each %.0f us, shared %.0f us, ratio %.2f\n", each, shared,
                   shared / each);
     }
-    // Short turns of calm, calm and jam, so that what the machine does otherwise strikes all three
-    // alike; the two calm ones tell how far apart equals lie.
+    // Short alternating measurements (calm, calm, jam), so that other load on the machine affects
+    // all three equally; the difference between the two calm ones shows the measurement noise.
     std::printf(
         "\nThe other pool jammed by 64 clients, 16 clients here, p99 in us of 12 rounds:\n");
     std::vector<double> rounds[3];
@@ -369,7 +371,7 @@
         write_all(idle.back(), "PING\r\n", 6);
         char pong[16];
         if (::recv(idle.back(), pong, sizeof pong, 0) <= 0)
-          throw std::runtime_error("an idle client was closed");
+          throw std::runtime_error("the balancer closed an idle client's connection");
       }
       std::printf("%d idle clients: %.2f KiB each, %.1f MiB in all\n", wanted,
                   (resident_kb(balancer) - before) / wanted, resident_kb(balancer) / 1024);
--- a/bench/sketches.cc
+++ b/bench/sketches.cc
@@ -1,10 +1,10 @@
-// Counting the most frequent of 10^3 to 10^7 distinct keys: the sketch that is used, and a map that
-// counts exactly; and quantiles of as many values: the sketch, and all of them kept and sorted.
-// Time of one step; memory and errors as counters.
+// Counts the most frequent of 10^3 to 10^7 distinct keys with HeavyHitters and with an exact map,
+// and computes quantiles of as many values with QuantileSketch, compared to the sorted values.
+// Reports the time of one step, and memory and errors as counters.
 //
 //   cmake --build build --target balancer_bench_sketches && build/balancer_bench_sketches
 //
-// Keys are Zipf-like: each next one is the integer part of distinct^u, u uniform.
+// Keys follow a Zipf-like distribution: each key is the integer part of distinct^u, with u uniform.
 #include <benchmark/benchmark.h>
 
 #include <algorithm>
@@ -28,7 +28,7 @@
   for (int i = 0; i < 1'000'000; ++i)
     all.push_back("lane:" + std::to_string(static_cast<std::int64_t>(
                                 std::pow(static_cast<double>(distinct), u(random)))));
-  // All of them at least once, as far as the steps go.
+  // Each key at least once, up to 10,000,000 keys.
   for (std::int64_t k = 0; k < std::min<std::int64_t>(distinct, 10'000'000); ++k)
     all.push_back("lane:" + std::to_string(k));
   return all;
@@ -39,7 +39,7 @@
   std::size_t i = 0;
   HeavyHitters sketch({});
   for (auto _ : state) sketch.add(all[i++ % all.size()]);
-  // Errors over one pass, of the 20 most frequent.
+  // Errors of the 20 most frequent keys after one pass.
   HeavyHitters whole({});
   std::unordered_map<std::string, std::uint64_t> exact;
   for (const auto& k : all) whole.add(k), ++exact[k];
@@ -65,7 +65,8 @@
   std::unordered_map<std::string, std::uint64_t> exact;
   for (const auto& k : all) ++exact[k];
   for (auto _ : state) ++exact[all[i++ % all.size()]];
-  // A node's link, hash, text (short ones lie in it) and count, and its place among the buckets.
+  // Each node has a link, a hash, the text (stored inline if short) and the count; plus the
+  // buckets.
   state.counters["KiB"] =
       static_cast<double>(exact.size() *
                               (16 + sizeof(std::pair<const std::string, std::uint64_t>)) +
--- a/bench/store.cc
+++ b/bench/store.cc
@@ -1,6 +1,6 @@
-// What a durable write costs: the store that is used, the same without waiting for the disk, and
-// two plain ways to the same end: a file that is written, synced and renamed, and a record that is
-// written over itself and synced. Say where: the folder decides.
+// Measures the cost of a durable write: with Store, with Store without waiting for the disk, and
+// with two simple alternatives: a file that is written, synced and renamed, and a record that is
+// overwritten in place and synced. The results depend on the file system of the given folder.
 //
 //   cmake --build build --target balancer_bench_store && build/balancer_bench_store /some/folder
 #include "store/store.h"
@@ -22,8 +22,8 @@
 std::string folder;
 const std::string kRecord(200, 'r');
 
-void must(bool well, const char* what) {
-  if (!well) throw std::runtime_error(what);
+void require(bool success, const char* what) {
+  if (!success) throw std::runtime_error(what);
 }
 
 void store(benchmark::State& state, Store::Durability durability, const char* name) {
@@ -36,29 +36,29 @@
 }
 
 void write_and_sync(int fd) {
-  must(::pwrite(fd, kRecord.data(), kRecord.size(), 0) == static_cast<ssize_t>(kRecord.size()),
-       "write");
-  must(::fsync(fd) == 0, "fsync");
+  require(::pwrite(fd, kRecord.data(), kRecord.size(), 0) == static_cast<ssize_t>(kRecord.size()),
+          "write");
+  require(::fsync(fd) == 0, "fsync");
 }
 
 void file_renamed(benchmark::State& state) {
   const std::string name = folder + "/renamed", next = name + ".new";
-  const int all = ::open(folder.c_str(), O_RDONLY | O_DIRECTORY);
-  must(all >= 0, "folder");
+  const int directory = ::open(folder.c_str(), O_RDONLY | O_DIRECTORY);
+  require(directory >= 0, "folder");
   for (auto _ : state) {
     const int fd = ::open(next.c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0600);
-    must(fd >= 0, "open");
+    require(fd >= 0, "open");
     write_and_sync(fd);
     ::close(fd);
-    must(::rename(next.c_str(), name.c_str()) == 0, "rename");
-    must(::fsync(all) == 0, "fsync of the folder");
+    require(::rename(next.c_str(), name.c_str()) == 0, "rename");
+    require(::fsync(directory) == 0, "fsync of the folder");
   }
-  ::close(all);
+  ::close(directory);
 }
 
 void record_overwritten(benchmark::State& state) {
   const int fd = ::open((folder + "/record").c_str(), O_WRONLY | O_CREAT, 0600);
-  must(fd >= 0, "open");
+  require(fd >= 0, "open");
   for (auto _ : state) write_and_sync(fd);
   ::close(fd);
 }
--- a/bench/timers.cc
+++ b/bench/timers.cc
@@ -1,12 +1,12 @@
-// Timers of which 95 in 100 are taken back before they are due, with 100, 10,000 and 1,000,000
-// pending: the wheel that is used, a binary heap that keeps what was taken back until it is due,
-// and asio's timers, one a request.
+// Timers of which 95 % are cancelled before they expire, with 100, 10,000 and 1,000,000 pending:
+// TimingWheel, a binary heap in which cancelled timers stay until they are due, and asio's timers,
+// one for each request.
 //
 //   cmake --build build --target balancer_bench_timers && build/balancer_bench_timers
 //
-// The time of one step: a timer is set, an old one is taken back or has come due. The first two run
-// on a simulated clock on which a timer lives for a second; asio's on the real one, where those
-// that come due do so at once.
+// Measures one step, which sets a timer and cancels or expires an old one. Wheel and heap run on a
+// simulated clock with a time-out of one second; asio's timers run on the real clock, and those
+// that are to expire do so immediately.
 #include <benchmark/benchmark.h>
 
 #include <boost/asio/io_context.hpp>
@@ -24,8 +24,8 @@
 
 using namespace balancer;
 
-constexpr Duration kLife = std::chrono::seconds(1);
-constexpr std::uint64_t kDueOnce = 20;  // one in so many comes due
+constexpr Duration kTimeout = std::chrono::seconds(1);
+constexpr std::uint64_t kExpiryInterval = 20;  // one in this many timers expires
 
 void wheel(benchmark::State& state) {
   const auto n = static_cast<std::uint64_t>(state.range(0));
@@ -33,10 +33,10 @@
   std::vector<TimingWheel<std::uint64_t>::Handle> ring(n);
   std::uint64_t i = 0, due = 0;
   const auto step = [&] {
-    const Time now = kLife * static_cast<std::int64_t>(i) / static_cast<std::int64_t>(n);
-    auto& place = ring[i % n];
-    if (i % kDueOnce != 0) timers.cancel(place);
-    place = timers.set(now + kLife, i++);
+    const Time now = kTimeout * static_cast<std::int64_t>(i) / static_cast<std::int64_t>(n);
+    auto& slot = ring[i % n];
+    if (i % kExpiryInterval != 0) timers.cancel(slot);
+    slot = timers.set(now + kTimeout, i++);
     timers.advance(now, [&](std::uint64_t v) { due += v; });
   };
   while (i < n) step();
@@ -56,12 +56,12 @@
   std::vector<std::uint64_t> ring(n);
   std::uint64_t i = 0, due = 0;
   const auto step = [&] {
-    const Time now = kLife * static_cast<std::int64_t>(i) / static_cast<std::int64_t>(n);
-    auto& place = ring[i % n];
-    if (i % kDueOnce != 0) pending.erase(place);
-    place = i;
+    const Time now = kTimeout * static_cast<std::int64_t>(i) / static_cast<std::int64_t>(n);
+    auto& slot = ring[i % n];
+    if (i % kExpiryInterval != 0) pending.erase(slot);
+    slot = i;
     pending.insert(i);
-    timers.push({now + kLife, i++});
+    timers.push({now + kTimeout, i++});
     for (; timers.top().at <= now; timers.pop())
       if (pending.erase(timers.top().tag) > 0) due += timers.top().tag;
   };
@@ -76,12 +76,12 @@
   std::vector<std::shared_ptr<boost::asio::steady_timer>> ring(n);
   std::uint64_t i = 0, due = 0;
   const auto step = [&] {
-    auto& place = ring[i % n];
-    const bool comes_due = i % kDueOnce == 0;
-    if (place) place->cancel();
-    place = std::make_shared<boost::asio::steady_timer>(
-        io, comes_due ? std::chrono::seconds(0) : std::chrono::hours(1));
-    place->async_wait([&due, held = place](const boost::system::error_code& e) { due += !e; });
+    auto& slot = ring[i % n];
+    const bool expires = i % kExpiryInterval == 0;
+    if (slot) slot->cancel();
+    slot = std::make_shared<boost::asio::steady_timer>(
+        io, expires ? std::chrono::seconds(0) : std::chrono::hours(1));
+    slot->async_wait([&due, held = slot](const boost::system::error_code& e) { due += !e; });
     if (++i % 64 == 0) io.poll();
   };
   while (i < n) step();
--- a/tools/steps.sh
+++ b/tools/steps.sh
@@ -1,8 +1,8 @@
-# To be sourced: runs the steps of a script and notes what processor time each took.
-# The notes go to the file $STEP_TIMES, if that is set; scripts that are called inherit it.
+# To be sourced: runs the steps of a script and records the processor time of each.
+# The times are appended to the file $STEP_TIMES, if set; called scripts inherit it.
 
-# step NAME COMMAND...: runs the command, notes its time (user and system, children included) whether
-# or not it succeeds, and returns its status.
+# step NAME COMMAND...: runs the command and returns its status. Records its time (user and system,
+# including children) even if it fails.
 step() {
   local name="$1" status=0 TIMEFORMAT="%U %S %R $1"
   shift
@@ -10,12 +10,12 @@
     "$@"
     return
   fi
-  # The command keeps its standard error; `time` writes to that of the braces around it.
+  # Standard error of the command is unchanged; the output of `time` goes to that of the braces.
   { time "$@" 2>&3 3>&-; } 3>&2 2>>"$STEP_TIMES" || status=$?
   return "$status"
 }
 
-# print_step_times: the notes as a table in minutes, with their sum.
+# print_step_times: prints the recorded times as a table in minutes, with their sum.
 print_step_times() {
   awk 'BEGIN { format = "  %-32s %6s %6s %6s\n"; printf format, "CPU minutes", "user", "system", "real" }
     { name = $0; sub(/^[^ ]+ [^ ]+ [^ ]+ /, "", name)
