--- a/src/testbed/audit/auditor.cc
+++ b/src/testbed/audit/auditor.cc
@@ -24,7 +24,8 @@
 
 void Auditor::breach(int rule, std::string what, std::string story) {
   ++counts_[rule];
-  if (breaches_.size() < kMaxKept) breaches_.push_back({rule, std::move(what), std::move(story)});
+  if (breaches_.size() < kMaxKeptBreaches)
+    breaches_.push_back({rule, std::move(what), std::move(story)});
 }
 
 void Auditor::breach(int rule, RequestNumber r, std::string what) {
@@ -50,7 +51,7 @@
   return static_cast<RequestNumber>(records_.size() - 1);
 }
 
-void Auditor::on_moved(Time, RequestNumber r, int balancer) {
+void Auditor::on_resent(Time, RequestNumber r, int balancer) {
   Record& record = records_[r];
   if (!record.attempts.empty())
     return breach(1, r, "the connection was closed without an answer to a request that was read");
@@ -78,7 +79,7 @@
     }
     case Reply::kRefused: {
       record.end = "refused";
-      // A keyed request's repeats are discarded everywhere here, so its refusal does no harm.
+      // Hosts of the testbed discard repeats of keyed requests, so refusing one is harmless.
       const bool proven = std::all_of(record.attempts.begin(), record.attempts.end(),
                                       [](const Attempt& a) { return a.never_ran; });
       if (request_class.effect == Effect::kUnsafe && !proven)
@@ -88,12 +89,12 @@
     case Reply::kFailed:
       record.end = "failed";
   }
-  check_answered(r, now - record.deadline);
+  check_answered_in_time(r, now - record.deadline);
   if (now > record.deadline + scenario_.rules.answer_slack)
     breach(1, r, "answered " + at(now - record.deadline) + " behind the client's time");
 }
 
-void Auditor::on_stray(Time now, RequestNumber last, std::string_view bytes) {
+void Auditor::on_unexpected_bytes(Time now, RequestNumber last, std::string_view bytes) {
   breach(1, last,
          "at " + at(now) + " bytes behind the final answer, or none that can be read: '" +
              std::string(bytes.substr(0, 60)) + "'");
@@ -104,17 +105,17 @@
   if (record.replied != kNever) return;
   record.replied = now;
   record.end = "lost: " + std::string(how);
-  check_answered(r, kNever);
+  check_answered_in_time(r, kNever);
   breach(1, r, "no final answer: " + std::string(how));
 }
 
-void Auditor::check_answered(RequestNumber r, Duration late) {
+void Auditor::check_answered_in_time(RequestNumber r, Duration late) {
   if (unanswered_.on_end(late)) unanswered_.set_example(story(r));
 }
 
 void Auditor::on_client_gone(Time now, RequestNumber r) {
-  records_[r].gone = now;
-  client_gone_.on_gone(records_[r].attempts.empty());
+  records_[r].client_closed = now;
+  abandoned_requests_.on_client_close(records_[r].attempts.empty());
 }
 
 void Auditor::on_excused(Time now, RequestNumber r, std::string_view why) {
@@ -132,18 +133,22 @@
   return static_cast<int>(hosts_.size()) - 1;
 }
 
-// Holds the last attempt of the request, which arrives now, against the client's time.
-void Auditor::check_time(Time now, RequestNumber r) {
+// Checks the request's latest attempt, which arrives at `now`, against the client's deadline and
+// close.
+void Auditor::check_attempt_time(Time now, RequestNumber r) {
   if (now < links_delay_until_) return;
   const Record& record = records_[r];
   const bool first = record.attempts.size() == 1;
   const Duration left = record.deadline - std::max(now, record.sent);
-  if (!first && told_time_.on_further_attempt(left, record.attempts.back().told))
-    told_time_.set_example(story(r));
-  if (now <= record.gone || !client_gone_.on_attempt(now - record.gone, first)) return;
-  client_gone_.set_example(story(r));
-  if (client_gone_.beyond_chance())
-    breach(1, r, "an attempt began " + at(now - record.gone) + " after its client had gone");
+  if (!first && stated_time_.on_further_attempt(left, record.attempts.back().told))
+    stated_time_.set_example(story(r));
+  if (now <= record.client_closed ||
+      !abandoned_requests_.on_attempt(now - record.client_closed, first))
+    return;
+  abandoned_requests_.set_example(story(r));
+  if (abandoned_requests_.exceeds_allowance())
+    breach(1, r,
+           "an attempt began " + at(now - record.client_closed) + " after its client had gone");
 }
 
 int Auditor::on_arrived(Time now, RequestNumber r, int host, std::optional<Duration> told) {
@@ -152,7 +157,7 @@
       scenario_.classes[static_cast<std::size_t>(record.request_class)];
   const int number = static_cast<int>(record.attempts.size());
   record.attempts.push_back({host, now, kNever, kNever, false, told, 0, {}});
-  check_time(now, r);
+  check_attempt_time(now, r);
   ++totals_.attempts;
   if (request_class.effect == Effect::kUnsafe) {
     const auto earlier = std::find_if(record.attempts.begin(), record.attempts.end() - 1,
--- a/src/testbed/audit/auditor.h
+++ b/src/testbed/audit/auditor.h
@@ -16,70 +16,79 @@
 #include "testbed/model/base.h"
 #include "testbed/model/scenario.h"
 
-// The judge of a run: it is told of every request that clients sent, everything that reached a host
-// or the origin, every run and every answer, and holds them against the four rules. No I/O.
+// Checks a run against the four rules. The testbed reports to it every request that clients sent,
+// every attempt that reached a host or the origin, every execution and every answer. Performs no
+// I/O.
 namespace balancer::testbed {
 
-using RequestNumber = std::uint32_t;  // of a try: counted from 0, and part of its id on the wire
+using RequestNumber = std::uint32_t;  // number of a try, from 0; part of its id on the wire
 
 enum class Reply { kServed, kRefused, kFailed };
 
 struct Breach {
   int rule;           // 1 to 4
   std::string what;   // one line
-  std::string story;  // of the request, or of the host
+  std::string story;  // history of the request or of the host
 };
 
 class Auditor {
  public:
   explicit Auditor(const Scenario& scenario);
 
-  // ---- clients. `effect`: what this try and its retries would do, once.
-  // `work`: of one run, in seconds on a core of speed 1.
+  // ---- clients
+
+  // Registers a try. `effect` identifies the change that this try and its retries request; it may
+  // happen at most once. `work` is that of one execution, in seconds on a core of speed 1.
   RequestNumber on_sent(Time now, int request_class, int balancer, std::uint64_t effect,
                         Time deadline, std::string_view key, double work);
-  // The balancer closed the connection before it had read the request, which went out once more.
-  void on_moved(Time now, RequestNumber r, int balancer);
-  // A whole final answer. `text`: the value or receipt that came, if served.
+  // The balancer closed the connection before it had read the request; the client sent the same
+  // request again on a new connection.
+  void on_resent(Time now, RequestNumber r, int balancer);
+  // The client received a complete final answer. `text`: the value or receipt, if served.
   void on_reply(Time now, RequestNumber r, Reply reply, std::string_view text);
-  // Bytes that no request waits for, or that cannot be read.
-  void on_stray(Time now, RequestNumber last, std::string_view bytes);
-  // The connection ended with no whole answer, or the client's time passed without one.
+  // The client received bytes that answer no pending request or that cannot be parsed.
+  void on_unexpected_bytes(Time now, RequestNumber last, std::string_view bytes);
+  // The connection ended without a complete answer, or the client's deadline passed without one.
   void on_lost(Time now, RequestNumber r, std::string_view how);
-  // The client closes its connection with the request unanswered: it left early, or its time is up.
+  // The client closes its connection while the request is unanswered, because it left early or its
+  // deadline passed.
   void on_client_gone(Time now, RequestNumber r);
-  // Neither answered nor lost: the client left, or the balancer was killed by the scenario.
+  // The request counts neither as answered nor as lost: the client left, or the scenario killed the
+  // balancer.
   void on_excused(Time now, RequestNumber r, std::string_view why);
-  bool reached_a_host(RequestNumber r) const { return !records_[r].attempts.empty(); }
+  bool reached_host(RequestNumber r) const { return !records_[r].attempts.empty(); }
+
+  // ---- hosts. An attempt is identified by its number within its request.
 
-  // ---- hosts. Each returns or takes the number of the attempt within its request.
-  int add_host(const std::string& name);  // also of the origin
+  int add_host(const std::string& name);  // also for the origin; returns its number
   const std::string& host_name(int host) const { return hosts_[static_cast<std::size_t>(host)]; }
-  // `now`: when the attempt's last byte came, or could have come at the earliest. `told`: the time
-  // that the attempt tells the host; none: it tells none.
+  // Registers an attempt and returns its number. `now`: when its last byte arrived, or the earliest
+  // time at which it can have arrived. `told`: the remaining time that the attempt states to the
+  // host, if any.
   int on_arrived(Time now, RequestNumber r, int host, std::optional<Duration> told = std::nullopt);
-  // Links hold up what is sent until then: an arrival tells little of when its attempt began, and
-  // is not held against the client's time.
+  // Links delay traffic until `until`. Until then the arrival of an attempt does not show when it
+  // began, so it is not checked against the client's deadline.
   void on_links_delay(Time until) { links_delay_until_ = std::max(links_delay_until_, until); }
-  // A command that no client sent in this form.
+  // The host received a command that no client sent in this form.
   void on_forged(Time now, int host, std::string_view line);
   void on_begun(Time now, RequestNumber r, int attempt, bool discarded_repeat);
-  // It answered busy, or a miss: it never ran, and the balancer is told so.
+  // The host answered busy or with a miss, which proves to the balancer that the attempt never ran.
   void on_never_ran(Time now, RequestNumber r, int attempt, std::string_view answer);
-  // The text that a host gave for the request.
+  // The host produced this text as its answer to the attempt.
   void on_made(Time now, RequestNumber r, int attempt, std::string_view text);
   void on_ended(Time now, RequestNumber r, int attempt, std::string_view how);
-  // `how`: it fell over, or was sent more than its bound; `by_balancer`: what it was sent in the
-  // time before, seconds of work.
+  // A cold host was overloaded. `how`: it failed, or was sent more than its bound. `by_balancer`:
+  // the work that each balancer sent it in the window before, in seconds.
   void on_pushed_over(Time now, int host, const std::map<int, double>& by_balancer,
                       std::string_view how);
 
-  // ---- what discovery has told a balancer
+  // ---- what discovery has announced to a balancer
+
   void on_told(Time now, int balancer, int host, bool wants_nothing_new);
   void on_told_start(Time now, int balancer, int host);
-  void on_balancer_start(int balancer);  // it has forgotten all
+  void on_balancer_start(int balancer);  // a new process knows nothing of earlier announcements
 
-  // Hosts are somebody else's: what they did cannot be held against answers.
+  // The hosts are not the testbed's own, so answers cannot be checked against what hosts produced.
   void see_clients_only() { clients_only_ = true; }
   bool known(RequestNumber r) const { return r < records_.size(); }
   int balancer_of(RequestNumber r) const { return records_[r].balancer; }
@@ -91,9 +100,9 @@
   const std::vector<Breach>& breaches() const { return breaches_; }
   std::uint64_t breach_count(int rule) const { return counts_[rule]; }
   std::string story(RequestNumber r) const;
-  // What has to hold for most cases only.
+  // The checks that have to hold for most cases only.
   std::vector<Check> checks() const {
-    return {told_time_.check(), client_gone_.attempts(), client_gone_.waiting(),
+    return {stated_time_.check(), abandoned_requests_.attempts(), abandoned_requests_.waiting(),
             unanswered_.check()};
   }
 
@@ -110,8 +119,8 @@
     Time begun = kNever;
     Time ended = kNever;
     bool never_ran = false;
-    std::optional<Duration> told;  // the time that it told the host
-    std::uint64_t made = 0;        // hash of what was given for it; 0: nothing
+    std::optional<Duration> told;  // the remaining time that it stated to the host
+    std::uint64_t made = 0;        // hash of the text that the host produced; 0: none
     std::string end;
   };
   struct Record {
@@ -123,30 +132,32 @@
     double work;
     std::vector<Attempt> attempts;
     Time replied = kNever;
-    Time gone = kNever;  // when the client closed
+    Time client_closed = kNever;  // when the client closed its connection
     std::string end;
   };
   void breach(int rule, std::string what, std::string story);
   void breach(int rule, RequestNumber r, std::string what);
-  void check_time(Time now, RequestNumber r);
-  void check_answered(RequestNumber r, Duration late);
+  void check_attempt_time(Time now, RequestNumber r);
+  void check_answered_in_time(RequestNumber r, Duration late);
 
-  static constexpr std::size_t kMaxKept = 50;  // breaches with their stories; all are counted
+  // Breaches kept with their histories; all are counted.
+  static constexpr std::size_t kMaxKeptBreaches = 50;
 
   const Scenario& scenario_;
   std::deque<Record> records_;
   std::vector<std::string> hosts_;
-  std::unordered_map<std::uint64_t, int> effective_runs_;       // by effect, of writes
-  std::unordered_map<std::uint64_t, Time> first_may_have_run_;  // by effect, of keyed ones
-  std::map<std::pair<int, int>, Time> drained_;                 // balancer, host: told when
+  std::unordered_map<std::uint64_t, int> effective_runs_;       // by effect; writes only
+  std::unordered_map<std::uint64_t, Time> first_may_have_run_;  // by effect; writes only
+  // By balancer and host: when discovery announced the drain or the start to the balancer.
+  std::map<std::pair<int, int>, Time> drained_;
   std::map<std::pair<int, int>, Time> started_;
   std::vector<Breach> breaches_;
   std::uint64_t counts_[5] = {};
   Totals totals_;
   Time links_delay_until_{0};
-  ToldTime told_time_;
-  ClientGone client_gone_;
-  Unanswered unanswered_;
+  StatedTimeCheck stated_time_;
+  AbandonedRequestChecks abandoned_requests_;
+  UnansweredCheck unanswered_;
   bool clients_only_ = false;
 };
 
--- a/src/testbed/audit/check.h
+++ b/src/testbed/audit/check.h
@@ -5,14 +5,14 @@
 
 namespace balancer::testbed {
 
-/// A promise that has to hold for most cases of a run, where the four rules hold for each. It fails
-/// the run once more cases break it than are allowed.
+/// A property that has to hold for most cases of a run, whereas the four rules have to hold for
+/// every case. The run fails if more cases break it than are allowed.
 struct Check {
   std::string name;
-  std::uint64_t cases = 0;    // all that it was held against
-  std::uint64_t broken = 0;   // of them
-  std::uint64_t allowed = 0;  // most broken ones with which the run still passes
-  std::string example;        // the first broken case, in a line or more; empty: none
+  std::uint64_t cases = 0;    // cases that were checked
+  std::uint64_t broken = 0;   // cases that broke the property
+  std::uint64_t allowed = 0;  // the run passes with at most this many broken cases
+  std::string example;        // the first broken case, in one or more lines; empty: none
 
   bool failed() const { return broken > allowed; }
 };
--- a/src/testbed/audit/cold_load.cc
+++ b/src/testbed/audit/cold_load.cc
@@ -37,14 +37,14 @@
     start.work -= start.window.front().work;
     start.window.pop_front();
   }
-  Peak present = start.peak;
-  present.at = now;
-  present.requests = start.work / mean_work_;
-  present.budget =
+  Peak current = start.peak;
+  current.at = now;
+  current.requests = start.work / mean_work_;
+  current.budget =
       spec.tip_multiple * spec.cores * spec.speed * warmth * seconds(spec.tip_time) / mean_work_;
-  if (present.part_of_bound() > start.peak.part_of_bound()) start.peak = present;
-  if (start.over || present.requests <= present.bound()) return false;
-  start.over = true;
+  if (current.share_of_bound() > start.peak.share_of_bound()) start.peak = current;
+  if (start.exceeded || current.requests <= current.bound()) return false;
+  start.exceeded = true;
   return true;
 }
 
--- a/src/testbed/audit/context.h
+++ b/src/testbed/audit/context.h
@@ -22,7 +22,8 @@
 
 namespace asio = boost::asio;
 
-// What all parts of a run share: one event loop, one clock, one judge.
+// State that all parts of a run share: the event loop, the clock, the auditor and the load
+// counters. Each run has its own.
 class Context {
  public:
   Context(asio::io_context& loop, const Scenario& s)
@@ -30,25 +31,25 @@
         scenario(s),
         auditor(s),
         cold_loads(s),
-        salt_(Random(s.seed, 99).next() & 0xffffffff),
+        run_id_(Random(s.seed, 99).next() & 0xffffffff),
         timer_(loop) {}
 
   Time now() const { return std::chrono::steady_clock::now() - began_; }
   std::chrono::steady_clock::time_point steady(Time t) const { return began_ + t; }
-  // Calls `then` from the event loop at this time. What is still to come ends with the context.
+  // Calls `then` from the event loop at this time. Pending calls are dropped with the context.
   void at(Time when, std::function<void()> then) {
-    due_.emplace(when, std::move(then));
-    if (due_.begin()->first < armed_) arm();
+    pending_.emplace(when, std::move(then));
+    if (pending_.begin()->first < timer_at_) arm_timer();
   }
   void after(Duration delay, std::function<void()> then) { at(now() + delay, std::move(then)); }
   std::int64_t unix_ms(Time t) const {
     return std::chrono::duration_cast<std::chrono::milliseconds>(unix_began_ + t).count();
   }
 
-  // Ids on the wire: 16 hex digits, those of the run and those of the try.
+  // Returns the id on the wire: 16 hex digits, 8 for the run and 8 for the try.
   std::string wire_id(RequestNumber r) const {
     char text[17];
-    std::snprintf(text, sizeof text, "%08x%08x", static_cast<unsigned>(salt_), r);
+    std::snprintf(text, sizeof text, "%08x%08x", static_cast<unsigned>(run_id_), r);
     return text;
   }
   std::optional<RequestNumber> number_of(std::string_view id) const {
@@ -60,21 +61,24 @@
       value = value << 4 | static_cast<unsigned>(digit);
     }
     const auto r = static_cast<RequestNumber>(value & 0xffffffff);
-    if (value >> 32 != salt_ || !auditor.known(r)) return std::nullopt;
+    if (value >> 32 != run_id_ || !auditor.known(r)) return std::nullopt;
     return r;
   }
 
-  // From now on requests of clients that the judge does not know are served too, and taken for what
-  // they say they are.
-  void adopt_strangers() { adopts_ = true; }
+  // From now on requests that the auditor does not know are served too, and registered with the
+  // class and effect that they state.
+  void adopt_strangers() { adopt_unknown_ = true; }
+  // Returns the number of the request with this id. After adopt_strangers() an unknown request is
+  // registered if its class exists; before, returns nothing if the id is unknown or the key
+  // differs.
   std::optional<RequestNumber> take_in(std::string_view id, std::string_view key,
                                        std::string_view request_class, std::string_view effect) {
-    if (!adopts_) {
+    if (!adopt_unknown_) {
       const auto r = number_of(id);
       return r && auditor.key_of(*r) == key ? r : std::nullopt;
     }
-    const auto known = strangers_.find(std::string(id));
-    if (known != strangers_.end()) return known->second;
+    const auto known = adopted_.find(std::string(id));
+    if (known != adopted_.end()) return known->second;
     for (std::size_t c = 0; c < scenario.classes.size(); ++c) {
       const ClassSpec& spec = scenario.classes[c];
       if (spec.name != request_class) continue;
@@ -83,7 +87,7 @@
       const auto r = auditor.on_sent(now(), static_cast<int>(c), 0,
                                      std::hash<std::string_view>()(effect.empty() ? id : effect),
                                      now() + spec.deadline, key, work);
-      strangers_.emplace(id, r);
+      adopted_.emplace(id, r);
       return r;
     }
     return std::nullopt;
@@ -94,32 +98,32 @@
   Auditor auditor;
   Stampede stampede;
   ColdLoads cold_loads;
-  LoopbackBlock loopback;  // where the run's servers and balancers listen
+  LoopbackBlock loopback;  // the addresses of the run's servers and balancers
 
  private:
-  void arm() {
-    armed_ = due_.empty() ? kNever : due_.begin()->first;
-    if (due_.empty()) return;
-    timer_.expires_at(steady(armed_));
+  void arm_timer() {
+    timer_at_ = pending_.empty() ? kNever : pending_.begin()->first;
+    if (pending_.empty()) return;
+    timer_.expires_at(steady(timer_at_));
     timer_.async_wait([this](const boost::system::error_code& e) {
       if (e) return;
-      while (!due_.empty() && due_.begin()->first <= now()) {
-        const auto then = std::move(due_.begin()->second);
-        due_.erase(due_.begin());
+      while (!pending_.empty() && pending_.begin()->first <= now()) {
+        const auto then = std::move(pending_.begin()->second);
+        pending_.erase(pending_.begin());
         then();
       }
-      arm();
+      arm_timer();
     });
   }
 
   const std::chrono::steady_clock::time_point began_ = std::chrono::steady_clock::now();
   const std::chrono::nanoseconds unix_began_ = std::chrono::system_clock::now().time_since_epoch();
-  const std::uint64_t salt_;
+  const std::uint64_t run_id_;
   asio::steady_timer timer_;
-  std::multimap<Time, std::function<void()>> due_;
-  Time armed_ = kNever;
-  bool adopts_ = false;
-  std::unordered_map<std::string, RequestNumber> strangers_;
+  std::multimap<Time, std::function<void()>> pending_;
+  Time timer_at_ = kNever;
+  bool adopt_unknown_ = false;
+  std::unordered_map<std::string, RequestNumber> adopted_;
 };
 
 }  // namespace balancer::testbed
--- a/src/testbed/audit/counters.cc
+++ b/src/testbed/audit/counters.cc
@@ -2,7 +2,7 @@
 
 namespace balancer::testbed {
 namespace {
-constexpr double kOverQuota = 0.2;
+constexpr double kOverQuotaFactor = 0.2;
 }
 
 Tally::Tally(const Scenario& s)
@@ -21,7 +21,7 @@
   Quota& q = quotas_[static_cast<std::size_t>(tenant)];
   q.tokens = std::min(quota, q.tokens + quota * seconds(due - q.at));
   q.at = due;
-  if (q.tokens < 1) return kOverQuota * worth;
+  if (q.tokens < 1) return kOverQuotaFactor * worth;
   q.tokens -= 1;
   return worth;
 }
--- a/src/testbed/audit/counters.h
+++ b/src/testbed/audit/counters.h
@@ -9,31 +9,32 @@
 
 namespace balancer::testbed {
 
-// What a client's wish came to, over all its tries.
+// The outcome of a client's request over all its tries.
 enum class End { kInAim, kLate, kRefused, kFailed, kLeft };
 inline constexpr std::size_t kEnds = 5;
 
-// The account of first tries: a client's retries belong to its first. Times count from the moment
-// at which the request was due, so that a stall of the balancer or of the load itself is not
-// hidden.
+// Counts client requests and their outcomes; a request's retries count with its first try. Times
+// are measured from the moment at which the request was due, so that a stall of the balancer or of
+// the load generator itself is not hidden (coordinated omission).
 class Tally {
  public:
   explicit Tally(const Scenario& scenario);
 
-  // Worth goes by work, and falls to a fifth beyond the tenant's quota.
+  // Returns the worth of a request: proportional to its work, and a fifth of that beyond the
+  // tenant's quota.
   double worth_of(Time due, int request_class, int tenant, double work);
   void on_asked(Time due, int request_class, int tenant, double worth);
   void on_end(Time due, Time now, int request_class, int tenant, double worth, End end);
   void on_try() { ++tries_; }
 
-  struct Group {  // of a class or a tenant
+  struct Group {  // of a class or a tenant, without the warm-up
     std::uint64_t asked = 0;
     std::array<std::uint64_t, kEnds> ends{};
     double worth_asked = 0, worth_served = 0;
-    Histogram times;  // of served ones
+    Histogram times;  // of served requests
   };
   struct Second {
-    std::uint64_t asked = 0;  // by the time that they were due, like all else here
+    std::uint64_t asked = 0;  // by due time, like all figures here
     std::array<std::uint64_t, kEnds> ends{};
     double worth_asked = 0, worth_served = 0;
     Histogram times;
--- a/src/testbed/audit/herd_check.cc
+++ b/src/testbed/audit/herd_check.cc
@@ -5,9 +5,12 @@
 namespace balancer::testbed {
 namespace {
 
-constexpr std::size_t kMaxTenths = 75'000;  // beyond the longest run nothing is counted
+// More than the longest run of 7200 s; later events are not counted.
+constexpr std::size_t kMaxTenths = 75'000;
 
-std::size_t tenth(Time at) { return static_cast<std::size_t>(std::max(0.0, 10 * seconds(at))); }
+std::size_t tenth_index(Time at) {
+  return static_cast<std::size_t>(std::max(0.0, 10 * seconds(at)));
+}
 
 }  // namespace
 
@@ -19,7 +22,7 @@
 
 void Stampede::count(Kind kind, Time at) {
   auto& all = tenths_[static_cast<std::size_t>(kind)];
-  const std::size_t n = tenth(at);
+  const std::size_t n = tenth_index(at);
   if (n >= kMaxTenths) return;
   if (all.size() <= n) all.resize(n + 1);
   ++all[n];
@@ -28,8 +31,8 @@
 Stampede::Figures Stampede::figures(Kind kind, Time from, Time at, Time end) const {
   const auto& all = tenths_[static_cast<std::size_t>(kind)];
   Figures f;
-  const std::size_t first = tenth(from), middle = std::max(first, tenth(at));
-  for (std::size_t n = first; n < std::min(all.size(), std::max(middle, tenth(end))); ++n) {
+  const std::size_t first = tenth_index(from), middle = std::max(first, tenth_index(at));
+  for (std::size_t n = first; n < std::min(all.size(), std::max(middle, tenth_index(end))); ++n) {
     if (n < middle) {
       f.mean_before += all[n];
       f.max_before = std::max<double>(f.max_before, all[n]);
--- a/src/testbed/audit/told_time.h
+++ b/src/testbed/audit/told_time.h
@@ -10,8 +10,8 @@
 
 namespace balancer::testbed {
 
-/// The time that a balancer tells a server with an attempt (the value of `d`, in milliseconds).
-/// None if there is no such value, or it is no whole number.
+/// Parses the remaining time that a balancer states to a server with an attempt (the value of `d`,
+/// in milliseconds). Returns nothing if the text is not a whole number.
 inline std::optional<Duration> told_time(std::string_view milliseconds) {
   std::int64_t value = 0;
   const char* const end = milliseconds.data() + milliseconds.size();
@@ -20,22 +20,22 @@
   return std::chrono::milliseconds(value);
 }
 
-/// Holds what further attempts (a fetch behind a miss counts as one) tell their servers against
-/// what the client has left when they arrive. First attempts tell what the client wrote, and prove
-/// little.
-class ToldTime {
+/// Compares the remaining time that further attempts state to their servers with the time that the
+/// client has left when they arrive. A fetch after a miss counts as a further attempt. First
+/// attempts are not checked, because they state what the client itself wrote.
+class StatedTimeCheck {
  public:
-  /// Beyond the client's time by more than this an attempt is over-told.
+  /// An attempt is overstated if it states more than the client's remaining time plus this slack.
   static constexpr Duration kSlack = std::chrono::milliseconds(150);
-  /// One of so many further attempts may be over-told.
-  static constexpr std::uint64_t kOneOf = 5;
+  /// One in this many further attempts may be overstated.
+  static constexpr std::uint64_t kAllowedOneIn = 5;
 
-  /// True if the attempt is over-told.
+  /// Registers an attempt. Returns whether it is overstated.
   bool on_further_attempt(Duration left, std::optional<Duration> told) {
     ++check_.cases;
-    const bool over = told && *told > left + kSlack;
-    check_.broken += over;
-    return over;
+    const bool overstated = told && *told > left + kSlack;
+    check_.broken += overstated;
+    return overstated;
   }
   void set_example(const std::string& text) {
     if (check_.example.empty()) check_.example = text;
@@ -43,7 +43,7 @@
 
   Check check() const {
     Check result = check_;
-    result.allowed = check_.cases / kOneOf;
+    result.allowed = check_.cases / kAllowedOneIn;
     return result;
   }
 
--- a/src/testbed/audit/unanswered.h
+++ b/src/testbed/audit/unanswered.h
@@ -5,18 +5,20 @@
 
 namespace balancer::testbed {
 
-/// Requests that have no whole answer when their time is up, whether it comes later or never.
-class Unanswered {
+/// Counts requests without a complete answer at their deadline, whether the answer comes later or
+/// never.
+class UnansweredCheck {
  public:
-  /// One of so many requests, and so many more.
-  static constexpr std::uint64_t kOneOf = 500, kMore = 5;
-  /// The part of a scenario's `answer_slack` that is the rig's own: the rest is the balancers'.
-  static constexpr Duration kRigsOwn = std::chrono::milliseconds(20);
+  /// One in kAllowedOneIn requests may be unanswered, and kAllowedExtra more.
+  static constexpr std::uint64_t kAllowedOneIn = 500, kAllowedExtra = 5;
+  /// The part of a scenario's `answer_slack` that the testbed itself needs; the rest is for the
+  /// balancers.
+  static constexpr Duration kTestbedSlack = std::chrono::milliseconds(20);
 
-  explicit Unanswered(Duration answer_slack) : slack_(answer_slack - kRigsOwn) {}
+  explicit UnansweredCheck(Duration answer_slack) : slack_(answer_slack - kTestbedSlack) {}
 
-  /// `late`: how long behind the client's time the request ended; kNever: with no answer at all.
-  /// True if it was unanswered.
+  /// Registers the end of a request. `late`: how long after the client's deadline it ended; kNever
+  /// if it got no answer at all. Returns whether it counts as unanswered.
   bool on_end(Duration late) {
     ++check_.cases;
     const bool unanswered = late > slack_;
@@ -29,7 +31,7 @@
 
   Check check() const {
     Check result = check_;
-    result.allowed = check_.cases / kOneOf + kMore;
+    result.allowed = check_.cases / kAllowedOneIn + kAllowedExtra;
     return result;
   }
 
--- a/src/testbed/faults/fault_plan.h
+++ b/src/testbed/faults/fault_plan.h
@@ -9,21 +9,23 @@
 
 namespace balancer::testbed {
 
-// The environment variable in which a balancer under test gets its plan.
+// The environment variable that passes the plan to a balancer under test.
 inline constexpr const char* kFaultPlanVariable = "BALANCER_TEST_FAULTS";
 
-// What is wrong with the machine of one balancer under test, as text: "NAME=NUMBER,NAME=NUMBER".
-// The library of preload.cc carries it out. Times count from the start of the process.
+// Faults to inject into the system calls of one balancer under test, as text:
+// "NAME=NUMBER,NAME=NUMBER". The library of preload.cc injects them. Times count from the start of
+// the process.
 struct FaultPlan {
-  std::int64_t wall_step_s = 0;      // added to the wall clock, and to no other
-  std::int64_t wall_step_at_ms = 0;  // from then on
-  std::int64_t storage_from_ms = 0, storage_until_ms = 0;  // in between, files fail
-  std::int64_t storage_per_thousand = 1000;                // of their writes, syncs and renames
-  std::int64_t calls_per_thousand = 0;                     // of the calls on sockets fail
-  std::int64_t aborted_accepts = 0;  // so many accepts meet a connection that is gone, and no other
+  std::int64_t wall_step_s = 0;                            // added to the wall clock only
+  std::int64_t wall_step_at_ms = 0;                        // when the step happens
+  std::int64_t storage_from_ms = 0, storage_until_ms = 0;  // in between, storage calls fail
+  std::int64_t storage_per_thousand = 1000;  // share of writes, syncs and renames that fail
+  std::int64_t calls_per_thousand = 0;       // share of socket calls that fail
+  // Number of accepts on an empty queue that fail with ECONNABORTED.
+  std::int64_t aborted_accepts = 0;
   std::int64_t seed = 1;
 
-  // Nothing where a name is unknown or a number cannot be read.
+  // Returns nothing if a name is unknown or a number cannot be parsed.
   static std::optional<FaultPlan> parse(std::string_view text) {
     FaultPlan plan;
     while (!text.empty()) {
--- a/src/testbed/faults/preload.cc
+++ b/src/testbed/faults/preload.cc
@@ -1,7 +1,7 @@
-// A library that is preloaded into a balancer under test: its wall clock is wrong, its storage
-// fails for a while, and a share of its system calls fail or do less than they were asked for, in
-// the ways that Linux documents. The plan is read from the environment; see fault_plan.h. Never
-// linked into the program, and no part of what is installed.
+// Fault injection library, preloaded into a balancer under test. It shifts the wall clock, makes
+// storage fail for a period, and makes a share of the system calls fail or transfer fewer bytes
+// than requested, in ways that Linux documents. The plan is read from the environment; see
+// fault_plan.h. The library is never linked into the program and is not installed.
 #include <dlfcn.h>
 #include <errno.h>
 #include <fcntl.h>
@@ -27,16 +27,16 @@
 
 constexpr std::int64_t kNanosPerMilli = 1'000'000, kNanosPerSecond = 1'000'000'000;
 
-// The next definition of a function that this library covers.
+// Returns the next definition of a function that this library interposes.
 template <typename Function>
-Function next_of(Function, const char* name) {
+Function next_definition(Function, const char* name) {
   return reinterpret_cast<Function>(::dlsym(RTLD_NEXT, name));
 }
-// `static` in each caller, as the first call of some comes before main().
-#define NEXT(name) static const auto next = next_of(&::name, #name)
+// `static` in each caller, because some of these functions are called before main().
+#define NEXT(name) static const auto next = next_definition(&::name, #name)
 
 int real_clock(clockid_t id, timespec* t) {
-  static const auto next = next_of(&::clock_gettime, "clock_gettime");
+  static const auto next = next_definition(&::clock_gettime, "clock_gettime");
   return next(id, t);
 }
 
@@ -51,15 +51,15 @@
     const char* const text = std::getenv(balancer::testbed::kFaultPlanVariable);
     const auto parsed = FaultPlan::parse(text ? text : "");
     if (!parsed) {
-      std::fprintf(stderr, "fault plan that cannot be read: %s\n", text);
+      std::fprintf(stderr, "cannot parse fault plan: %s\n", text);
       std::abort();
     }
     plan = *parsed;
-    began = monotonic_ns();
+    started_ns = monotonic_ns();
     random = plan.seed * 2 + 1;
   }
   FaultPlan plan;
-  std::int64_t began = 0;
+  std::int64_t started_ns = 0;
   std::atomic<std::uint64_t> random{1};
 };
 
@@ -70,9 +70,9 @@
 }
 const State& state() { return mutable_state(); }
 
-std::int64_t elapsed_ms() { return (monotonic_ns() - state().began) / kNanosPerMilli; }
+std::int64_t elapsed_ms() { return (monotonic_ns() - state().started_ns) / kNanosPerMilli; }
 
-// A draw in [0, 1000), the same row for one seed (SplitMix64).
+// Returns a pseudo-random number in [0, 1000); one seed gives one sequence (SplitMix64).
 unsigned draw() {
   std::uint64_t x = mutable_state().random.fetch_add(0x9e3779b97f4a7c15ULL);
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -80,7 +80,7 @@
   return static_cast<unsigned>((x ^ (x >> 31)) % 1000);
 }
 
-bool call_fails() {
+bool draw_call_failure() {
   const std::int64_t failing = state().plan.calls_per_thousand;
   return failing > 0 && draw() < static_cast<unsigned>(failing);
 }
@@ -102,8 +102,9 @@
   return now >= plan.storage_from_ms && now < plan.storage_until_ms;
 }
 
-// Whether a write or sync of this file is to fail. The log, which is standard error, goes on.
-bool storage_fails(int fd) {
+// Returns whether a write or sync of this file has to fail. Standard error, which carries the log,
+// never fails.
+bool draw_storage_failure(int fd) {
   if (fd <= 2 || !storage_is_down()) return false;
   struct stat s {};
   if (::fstat(fd, &s) != 0 || !(S_ISREG(s.st_mode) || S_ISDIR(s.st_mode))) return false;
@@ -118,7 +119,7 @@
   return plan.wall_step_s * kNanosPerSecond;
 }
 
-// Some of what a vector holds, at least a byte: a short read or write.
+// Transfers only a part of the first buffer, at least one byte: a short read or write.
 template <typename Next>
 ssize_t short_vector(int fd, const iovec* parts, int count, Next next) {
   if (count < 1 || parts[0].iov_len < 2) return next(fd, parts, count);
@@ -157,14 +158,14 @@
 
 ssize_t write(int fd, const void* from, size_t n) {
   NEXT(write);
-  if (storage_fails(fd)) return storage_error();
-  if (n > 1 && call_fails() && is_socket(fd)) return next(fd, from, 1 + draw() % (n - 1));
+  if (draw_storage_failure(fd)) return storage_error();
+  if (n > 1 && draw_call_failure() && is_socket(fd)) return next(fd, from, 1 + draw() % (n - 1));
   return next(fd, from, n);
 }
 
 ssize_t pwrite64(int fd, const void* from, size_t n, off64_t at) {
   NEXT(pwrite64);
-  if (storage_fails(fd)) return storage_error();
+  if (draw_storage_failure(fd)) return storage_error();
   return next(fd, from, n, at);
 }
 
@@ -172,19 +173,19 @@
 
 int fsync(int fd) {
   NEXT(fsync);
-  if (storage_fails(fd)) return storage_error();
+  if (draw_storage_failure(fd)) return storage_error();
   return next(fd);
 }
 
 int fdatasync(int fd) {
   NEXT(fdatasync);
-  if (storage_fails(fd)) return storage_error();
+  if (draw_storage_failure(fd)) return storage_error();
   return next(fd);
 }
 
 int ftruncate64(int fd, off64_t length) {
   NEXT(ftruncate64);
-  if (storage_fails(fd)) return storage_error();
+  if (draw_storage_failure(fd)) return storage_error();
   return next(fd, length);
 }
 
@@ -208,13 +209,13 @@
 
 int socket(int domain, int type, int protocol) noexcept {
   NEXT(socket);
-  if (call_fails()) return fail_with({ENFILE, ENOBUFS, ENOMEM});
+  if (draw_call_failure()) return fail_with({ENFILE, ENOBUFS, ENOMEM});
   return next(domain, type, protocol);
 }
 
 int connect(int fd, const sockaddr* to, socklen_t n) {
   NEXT(connect);
-  if (call_fails()) return fail_with({EADDRNOTAVAIL, ENETUNREACH, EAGAIN, EHOSTUNREACH});
+  if (draw_call_failure()) return fail_with({EADDRNOTAVAIL, ENETUNREACH, EAGAIN, EHOSTUNREACH});
   return next(fd, to, n);
 }
 
@@ -222,8 +223,9 @@
 
 namespace {
 
-// Where nobody is left in the queue: who was there has been reset meanwhile.
-int after_accept(int result) {
+// Turns EAGAIN from an empty accept queue into ECONNABORTED, as if the pending connection had been
+// reset meanwhile; does so `aborted_accepts` times.
+int abort_empty_accept(int result) {
   static std::atomic<std::int64_t> left{state().plan.aborted_accepts};
   if (result < 0 && errno == EAGAIN && left.fetch_sub(1) > 0) errno = ECONNABORTED;
   return result;
@@ -235,29 +237,29 @@
 
 int accept4(int fd, sockaddr* from, socklen_t* n, int flags) {
   NEXT(accept4);
-  if (call_fails())
+  if (draw_call_failure())
     return fail_with(
         {ECONNABORTED, EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPROTO, EPERM, ENETDOWN});
-  return after_accept(next(fd, from, n, flags));
+  return abort_empty_accept(next(fd, from, n, flags));
 }
 
 int accept(int fd, sockaddr* from, socklen_t* n) {
   NEXT(accept);
-  if (call_fails())
+  if (draw_call_failure())
     return fail_with(
         {ECONNABORTED, EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPROTO, EPERM, ENETDOWN});
-  return after_accept(next(fd, from, n));
+  return abort_empty_accept(next(fd, from, n));
 }
 
 int epoll_wait(int fd, epoll_event* events, int count, int timeout) {
   NEXT(epoll_wait);
-  if (call_fails()) return fail_with({EINTR});
+  if (draw_call_failure()) return fail_with({EINTR});
   return next(fd, events, count, timeout);
 }
 
 ssize_t recv(int fd, void* to, size_t n, int flags) {
   NEXT(recv);
-  if (n > 1 && call_fails()) {
+  if (n > 1 && draw_call_failure()) {
     if (draw() < 300) return fail_with({EINTR});
     n = 1 + draw() % (n - 1);
   }
@@ -266,7 +268,7 @@
 
 ssize_t send(int fd, const void* from, size_t n, int flags) {
   NEXT(send);
-  if (n > 1 && call_fails()) {
+  if (n > 1 && draw_call_failure()) {
     if (draw() < 300) return fail_with({EINTR});
     n = 1 + draw() % (n - 1);
   }
@@ -275,21 +277,21 @@
 
 ssize_t readv(int fd, const iovec* parts, int count) {
   NEXT(readv);
-  if (call_fails()) return short_vector(fd, parts, count, next);
+  if (draw_call_failure()) return short_vector(fd, parts, count, next);
   return next(fd, parts, count);
 }
 
 ssize_t writev(int fd, const iovec* parts, int count) {
   NEXT(writev);
-  if (storage_fails(fd)) return storage_error();
-  if (call_fails() && is_socket(fd)) return short_vector(fd, parts, count, next);
+  if (draw_storage_failure(fd)) return storage_error();
+  if (draw_call_failure() && is_socket(fd)) return short_vector(fd, parts, count, next);
   return next(fd, parts, count);
 }
 
 ssize_t sendmsg(int fd, const msghdr* message, int flags) {
   NEXT(sendmsg);
   const bool plain = message->msg_controllen == 0 && message->msg_namelen == 0;
-  if (plain && message->msg_iovlen > 0 && message->msg_iov[0].iov_len > 1 && call_fails()) {
+  if (plain && message->msg_iovlen > 0 && message->msg_iov[0].iov_len > 1 && draw_call_failure()) {
     if (draw() < 300) return fail_with({EINTR});
     iovec some{message->msg_iov[0].iov_base, 1 + draw() % (message->msg_iov[0].iov_len - 1)};
     msghdr part = *message;
@@ -302,7 +304,7 @@
 
 ssize_t recvmsg(int fd, msghdr* message, int flags) {
   NEXT(recvmsg);
-  if (call_fails()) return fail_with({EINTR});
+  if (draw_call_failure()) return fail_with({EINTR});
   return next(fd, message, flags);
 }
 
--- a/src/testbed/load/call.h
+++ b/src/testbed/load/call.h
@@ -6,39 +6,43 @@
 #include "testbed/model/arrivals.h"
 #include "testbed/model/base.h"
 
-// What the clients of both dialects share.
+// Types that the memcache clients and the RESP clients share.
 namespace balancer::testbed {
 
 namespace asio = boost::asio;
 
-// One wish on its way, over all its tries.
+// A client request in progress, over all its tries.
 struct Call {
-  Wish wish;
+  Wish request;
   double worth = 0;
   int tries = 0;
-  Time ends{0};  // the client's patience over all tries
+  Time deadline{0};  // the client gives up then, over all tries
   Random random{0};
-  bool honours = true;
-  bool leaves = false;
+  bool honours_retry_after = true;  // waits for Retry-After times before a retry
+  bool leaves_early = false;        // closes its connection before the answer
 };
 using CallPtr = std::shared_ptr<Call>;
 
-// What a try came to.
-enum class Over { kServed, kRefused, kFailed, kUnreachable, kLeft };
+// The outcome of one try.
+enum class TryOutcome { kServed, kRefused, kFailed, kUnreachable, kLeft };
 
-// The front before the balancers, as clients' connections see it.
+// The front that distributes client connections over the balancers, as the connections see it.
 class Front {
  public:
   virtual ~Front() = default;
-  virtual void try_over(const CallPtr& call, Over over, Duration retry_after) = 0;
-  // The balancer that takes the next connection from this zone; -1: none is known.
-  virtual int deal(int zone) = 0;
-  // Counts its kills; what was begun in a life that is over is nobody's fault.
-  virtual int life(int balancer) const = 0;
-  virtual bool dead(int balancer, int life) const = 0;
+  // A try has ended with this outcome; `retry_after` is the wait that the balancer asked for.
+  virtual void on_try_end(const CallPtr& call, TryOutcome outcome, Duration retry_after) = 0;
+  // Returns the balancer for the next connection from this zone; -1 if none is listed.
+  virtual int pick_balancer(int zone) = 0;
+  // Returns the number of times the scenario has killed the balancer. Requests of an earlier
+  // incarnation are excused.
+  virtual int incarnation(int balancer) const = 0;
+  // Returns whether the scenario has killed the balancer since this incarnation.
+  virtual bool killed_since(int balancer, int incarnation) const = 0;
   virtual bool listed(int balancer) const = 0;
 };
 
+// Closes the connection with a TCP reset.
 inline void reset(asio::ip::tcp::socket& socket) {
   boost::system::error_code ignored;
   socket.set_option(asio::socket_base::linger(true, 0), ignored);
--- a/src/testbed/load/load.cc
+++ b/src/testbed/load/load.cc
@@ -16,7 +16,7 @@
 using tcp = asio::ip::tcp;
 
 constexpr Duration kMinBudget = milliseconds(5);
-constexpr Duration kRudeOwed = std::chrono::seconds(3);
+constexpr Duration kInvalidInputTimeout = std::chrono::seconds(3);
 
 }  // namespace
 
@@ -30,9 +30,10 @@
         timer_(load.context_.io),
         zone_(zone),
         balancer_(balancer),
-        life_(load.life(balancer)) {}
+        incarnation_(load.incarnation(balancer)) {}
 
-  // Opens it for this call. `again`: the number of a request that goes out once more.
+  // Connects and sends the call's request. `again`: the number of a request that is sent again
+  // unchanged.
   void open(CallPtr call, Time until, std::optional<RequestNumber> again) {
     call_ = std::move(call);
     until_ = until;
@@ -46,7 +47,7 @@
     socket_.async_connect(target.address, [self = shared_from_this()](const error_code& e) {
       if (self->closed_) return;
       if (e) return self->unreachable();
-      self->up_ = true;
+      self->connected_ = true;
       self->send();
     });
   }
@@ -54,7 +55,7 @@
     call_ = std::move(call);
     until_ = until;
     request_.reset();
-    moved_ = false;
+    resent_ = false;
     arm_timer();
     send();
   }
@@ -70,25 +71,25 @@
     std::erase(load_.idle_[static_cast<std::size_t>(zone_)], shared_from_this());
     load_.all_.erase(shared_from_this());
   }
-  bool dead() const { return load_.dead(balancer_, life_); }
+  bool balancer_killed() const { return load_.killed_since(balancer_, incarnation_); }
 
  private:
   void arm_timer() {
     const Duration left = until_ - context_.now();
     Time at = until_ + context_.scenario.rules.answer_slack;
-    leaving_ = call_->leaves && !request_;
+    leaving_ = call_->leaves_early && !request_;
     if (leaving_) at = context_.now() + from_seconds(seconds(left) * call_->random.uniform());
     timer_.expires_at(context_.steady(at));
-    // One that came due in the turn in which its call was answered is that call's, not the next
-    // one's.
+    // A timer can expire in the same event loop iteration in which its call was answered. Such an
+    // expiry must not end the next call on this connection.
     timer_.async_wait([self = shared_from_this()](const error_code& e) {
       const bool due = self->timer_.expiry() <= std::chrono::steady_clock::now();
-      if (!e && due && !self->closed_ && self->call_) self->time_up();
+      if (!e && due && !self->closed_ && self->call_) self->on_timeout();
     });
   }
 
   void send() {
-    const Wish& w = call_->wish;
+    const Wish& w = call_->request;
     const ClassSpec& request_class =
         context_.scenario.classes[static_cast<std::size_t>(w.request_class)];
     const Time now = context_.now();
@@ -97,9 +98,9 @@
                                           w.work);
       load_.tally_.on_try();
     } else {
-      context_.auditor.on_moved(now, *request_, balancer_);
+      context_.auditor.on_resent(now, *request_, balancer_);
     }
-    last_ = *request_;
+    last_request_ = *request_;
     id_ = context_.wire_id(*request_);
     const auto left =
         std::max<std::int64_t>(1, std::chrono::floor<milliseconds>(until_ - now).count());
@@ -119,15 +120,15 @@
       out_ = "mg " + w.key + " v O" + id_ + " P" + props + "\r\n";
     }
     value_.clear();
-    got_ = 0;
+    received_bytes_ = 0;
     error_code error;
     const auto n = socket_.write_some(asio::buffer(out_), error);
     if (error || n < out_.size()) {
-      // Loopback takes a short command whole, or the connection is broken.
-      if (error && error != asio::error::would_block) return ended();
+      // Loopback accepts a short command as a whole unless the connection is broken.
+      if (error && error != asio::error::would_block) return on_connection_end();
       asio::async_write(socket_, asio::buffer(out_.data() + n, out_.size() - n),
                         [self = shared_from_this()](const error_code& e, std::size_t) {
-                          if (e && !self->closed_ && self->call_) self->ended();
+                          if (e && !self->closed_ && self->call_) self->on_connection_end();
                         });
     }
     read();
@@ -147,60 +148,63 @@
     error_code error;
     const auto n = socket_.read_some(asio::buffer(scratch), error);
     if (error == asio::error::would_block) return read();
-    if (error) return call_ ? ended() : close();
+    if (error) return call_ ? on_connection_end() : close();
     if (!call_) {
-      context_.auditor.on_stray(context_.now(), last_, {scratch.data(), n});
+      context_.auditor.on_unexpected_bytes(context_.now(), last_request_, {scratch.data(), n});
       return close();
     }
-    got_ += n;
+    received_bytes_ += n;
     std::string_view input(scratch.data(), n);
     for (;;) {
       switch (reader_.next(input)) {
         case memcache::AnswerReader::Event::kMore:
           return read();
         case memcache::AnswerReader::Event::kHead:
-          if (!reader_.head().id.empty() && reader_.head().id != id_) return garbage(input);
+          if (!reader_.head().id.empty() && reader_.head().id != id_)
+            return on_malformed_answer(input);
           continue;
         case memcache::AnswerReader::Event::kData:
           value_ += reader_.data();
           continue;
         case memcache::AnswerReader::Event::kMalformed:
-          return garbage(input);
+          return on_malformed_answer(input);
         case memcache::AnswerReader::Event::kEnd:
-          answered(input);
+          on_answer(input);
           return;
       }
     }
   }
 
-  void garbage(std::string_view input) {
-    context_.auditor.on_stray(context_.now(), last_, input);
-    over(Over::kFailed, {}, false);
+  void on_malformed_answer(std::string_view input) {
+    context_.auditor.on_unexpected_bytes(context_.now(), last_request_, input);
+    finish_try(TryOutcome::kFailed, {}, false);
   }
 
-  void answered(std::string_view rest) {
+  void on_answer(std::string_view rest) {
     using Kind = memcache::AnswerHead::Kind;
     const auto& head = reader_.head();
     const Time now = context_.now();
     const bool write =
-        call_->wish.request_class >= 0 &&
-        context_.scenario.classes[static_cast<std::size_t>(call_->wish.request_class)].write();
-    if (!rest.empty()) context_.auditor.on_stray(now, last_, rest);
-    Over how = Over::kFailed;
+        call_->request.request_class >= 0 &&
+        context_.scenario.classes[static_cast<std::size_t>(call_->request.request_class)].write();
+    if (!rest.empty()) context_.auditor.on_unexpected_bytes(now, last_request_, rest);
+    TryOutcome how = TryOutcome::kFailed;
     if ((head.kind == Kind::kValue && !write) || (head.kind == Kind::kStored && write)) {
-      how = Over::kServed;
-      context_.auditor.on_reply(now, last_, Reply::kServed, write ? head.receipt : value_);
+      how = TryOutcome::kServed;
+      context_.auditor.on_reply(now, last_request_, Reply::kServed, write ? head.receipt : value_);
     } else if (head.kind == Kind::kBusy) {
-      how = Over::kRefused;
-      context_.auditor.on_reply(now, last_, Reply::kRefused, {});
+      how = TryOutcome::kRefused;
+      context_.auditor.on_reply(now, last_request_, Reply::kRefused, {});
     } else {
-      context_.auditor.on_reply(now, last_, Reply::kFailed, {});
+      context_.auditor.on_reply(now, last_request_, Reply::kFailed, {});
     }
-    over(how, milliseconds(std::min<std::uint64_t>(head.retry_after_ms, 3'600'000)), rest.empty());
+    finish_try(how, milliseconds(std::min<std::uint64_t>(head.retry_after_ms, 3'600'000)),
+               rest.empty());
   }
 
-  // This try has its end; the connection goes on, or not.
-  void over(Over how, Duration retry_after, bool keep) {
+  // Ends the current try. The connection returns to the idle list if `keep`, unless churn closes
+  // it.
+  void finish_try(TryOutcome how, Duration retry_after, bool keep) {
     timer_.cancel();
     const CallPtr call = std::exchange(call_, nullptr);
     if (!keep || load_.random_.chance(context_.scenario.load.churn)) {
@@ -209,53 +213,53 @@
       load_.idle_[static_cast<std::size_t>(zone_)].push_back(shared_from_this());
       read();
     }
-    load_.try_over(call, how, retry_after);
+    load_.on_try_end(call, how, retry_after);
   }
 
   void unreachable() {
     ++load_.unreachable_;
     if (request_)
       context_.auditor.on_excused(context_.now(), *request_, "no balancer took it again");
-    over(Over::kUnreachable, {}, false);
+    finish_try(TryOutcome::kUnreachable, {}, false);
   }
 
-  // The connection broke or was closed.
-  void ended() {
+  // Handles a connection that broke or was closed by the balancer.
+  void on_connection_end() {
     const Time now = context_.now();
-    if (dead()) {
-      context_.auditor.on_excused(now, last_, "its balancer was killed");
-    } else if (got_ == 0 && !moved_ && !context_.auditor.reached_a_host(last_)) {
-      // It crossed a close between requests, and goes out once more as it is.
+    if (balancer_killed()) {
+      context_.auditor.on_excused(now, last_request_, "its balancer was killed");
+    } else if (received_bytes_ == 0 && !resent_ && !context_.auditor.reached_host(last_request_)) {
+      // The request crossed a close between requests; it is sent again unchanged.
       const CallPtr call = std::exchange(call_, nullptr);
       timer_.cancel();
       close();
-      return load_.send_again(call, last_);
+      return load_.resend(call, last_request_);
     } else {
-      context_.auditor.on_lost(
-          now, last_,
-          got_ > 0 ? "the connection broke off within the answer" : "the connection was closed");
+      context_.auditor.on_lost(now, last_request_,
+                               received_bytes_ > 0 ? "the connection broke off within the answer"
+                                                   : "the connection was closed");
     }
-    over(Over::kFailed, {}, false);
+    finish_try(TryOutcome::kFailed, {}, false);
   }
 
-  void time_up() {
+  void on_timeout() {
     const Time now = context_.now();
-    if (!up_) return unreachable();
-    if (!dead()) context_.auditor.on_client_gone(now, last_);
+    if (!connected_) return unreachable();
+    if (!balancer_killed()) context_.auditor.on_client_gone(now, last_request_);
     if (leaving_) {
-      context_.auditor.on_excused(now, last_, "the client left");
-      return over(Over::kLeft, {}, false);
+      context_.auditor.on_excused(now, last_request_, "the client left");
+      return finish_try(TryOutcome::kLeft, {}, false);
     }
-    if (dead()) {
-      context_.auditor.on_excused(now, last_, "its balancer was killed");
+    if (balancer_killed()) {
+      context_.auditor.on_excused(now, last_request_, "its balancer was killed");
     } else {
-      context_.auditor.on_lost(now, last_, "the client's time was up");
+      context_.auditor.on_lost(now, last_request_, "the client's time was up");
     }
-    over(Over::kFailed, {}, false);
+    finish_try(TryOutcome::kFailed, {}, false);
   }
 
  public:
-  void set_moved() { moved_ = true; }
+  void mark_resent() { resent_ = true; }
 
  private:
   Load& load_;
@@ -263,29 +267,29 @@
   tcp::socket socket_;
   asio::steady_timer timer_;
   const int zone_, balancer_;
-  const int life_;
+  const int incarnation_;
   CallPtr call_;
   Time until_{0};
   std::optional<RequestNumber> request_;
-  RequestNumber last_ = 0;
+  RequestNumber last_request_ = 0;
   std::string id_, out_, value_;
   memcache::AnswerReader reader_;
-  std::size_t got_ = 0;
-  bool up_ = false, reading_ = false, closed_ = false, leaving_ = false, moved_ = false;
+  std::size_t received_bytes_ = 0;
+  bool connected_ = false, reading_ = false, closed_ = false, leaving_ = false, resent_ = false;
 };
 
-// Sends what can't be read, and is owed an error or a close.
-class Load::RudeClient : public std::enable_shared_from_this<RudeClient> {
+// Sends input that cannot be parsed, and expects an error or a close in return.
+class Load::InvalidInputClient : public std::enable_shared_from_this<InvalidInputClient> {
  public:
-  explicit RudeClient(Load& load)
+  explicit InvalidInputClient(Load& load)
       : load_(load), socket_(load.context_.io), timer_(load.context_.io) {}
 
   void start(const tcp::endpoint& to, std::string text) {
     out_ = std::move(text);
-    timer_.expires_after(kRudeOwed);
+    timer_.expires_after(kInvalidInputTimeout);
     timer_.async_wait([self = shared_from_this()](const error_code& e) {
       if (e) return;
-      ++self->load_.rude_unanswered_;
+      ++self->load_.invalid_inputs_unanswered_;
       self->end();
     });
     socket_.async_connect(to, [self = shared_from_this()](const error_code& e) {
@@ -298,7 +302,7 @@
   void end() {
     timer_.cancel();
     reset(socket_);
-    load_.rude_clients_.erase(shared_from_this());
+    load_.invalid_input_clients_.erase(shared_from_this());
   }
 
  private:
@@ -311,7 +315,7 @@
                                   self->load_.context_.auditor.on_forged(
                                       self->load_.context_.now(), 0, "served: " + self->out_);
                               }
-                              self->end();  // an error or a close: both will do
+                              self->end();  // an error and a close are both valid
                             });
   }
 
@@ -346,22 +350,22 @@
   timer_.cancel();
   const auto all = all_;
   for (const auto& c : all) c->close();
-  const auto rude = rude_clients_;
-  for (const auto& c : rude) c->end();
+  const auto invalid = invalid_input_clients_;
+  for (const auto& c : invalid) c->end();
   for (const auto& c : resp_) c->close_all();
 }
 
 void Load::start() {
-  // What would have come before now is left out: the fleet and the balancers took their time.
+  // Skips requests that were due while the fleet and the balancers started.
   const Time now = context_.now();
   do {
     next_ = arrivals_.next();
   } while (next_.due < now);
-  arm();
-  if (context_.scenario.load.rude_per_s > 0) arm_rude();
+  arm_timer();
+  if (context_.scenario.load.rude_per_s > 0) schedule_invalid_input();
 }
 
-void Load::arm() {
+void Load::arm_timer() {
   timer_.expires_at(context_.steady(next_.due));
   timer_.async_wait([this](const error_code& e) {
     if (e || ended_) return;
@@ -374,26 +378,27 @@
       lateness_.add(now - next_.due);
       begin(std::exchange(next_, arrivals_.next()));
     }
-    arm();
+    arm_timer();
   });
 }
 
-void Load::begin(Wish wish) {
+void Load::begin(Wish request) {
   auto call = std::make_shared<Call>();
   const ClassSpec& request_class =
-      context_.scenario.classes[static_cast<std::size_t>(wish.request_class)];
-  call->random = Random(wish.seed);
-  call->honours = call->random.chance(context_.scenario.load.honour);
-  call->leaves = call->random.chance(context_.scenario.load.impatient);
-  call->ends = wish.due + request_class.deadline;
-  call->worth = tally_.worth_of(wish.due, wish.request_class, wish.tenant, wish.work);
-  call->wish = std::move(wish);
+      context_.scenario.classes[static_cast<std::size_t>(request.request_class)];
+  call->random = Random(request.seed);
+  call->honours_retry_after = call->random.chance(context_.scenario.load.honour);
+  call->leaves_early = call->random.chance(context_.scenario.load.impatient);
+  call->deadline = request.due + request_class.deadline;
+  call->worth = tally_.worth_of(request.due, request.request_class, request.tenant, request.work);
+  call->request = std::move(request);
   ++open_;
-  tally_.on_asked(call->wish.due, call->wish.request_class, call->wish.tenant, call->worth);
+  tally_.on_asked(call->request.due, call->request.request_class, call->request.tenant,
+                  call->worth);
   start_try(call);
 }
 
-int Load::deal(int zone) {
+int Load::pick_balancer(int zone) {
   for (const bool anywhere : {false, true})
     for (std::size_t i = 0; i < targets_.size(); ++i) {
       const std::size_t b = (next_target_ + i) % targets_.size();
@@ -407,17 +412,17 @@
 void Load::start_try(const CallPtr& call) {
   const Time now = context_.now();
   const ClassSpec& request_class =
-      context_.scenario.classes[static_cast<std::size_t>(call->wish.request_class)];
+      context_.scenario.classes[static_cast<std::size_t>(call->request.request_class)];
   const Range& share = context_.scenario.load.try_share;
   const Duration patience =
       from_seconds(seconds(request_class.deadline) * call->random.uniform(share.low, share.high));
-  const Time begun = call->tries == 0 ? call->wish.due : now;
-  const Time until = std::min(call->ends, begun + patience);
+  const Time begun = call->tries == 0 ? call->request.due : now;
+  const Time until = std::min(call->deadline, begun + patience);
   ++call->tries;
   if (until - now < kMinBudget) return end(call, End::kFailed);
   if (request_class.cluster >= 0)
     return resp_[static_cast<std::size_t>(request_class.cluster)]->start(call);
-  auto& idle = idle_[static_cast<std::size_t>(call->wish.zone)];
+  auto& idle = idle_[static_cast<std::size_t>(call->request.zone)];
   if (!idle.empty()) {
     const std::size_t i = random_.below(idle.size());
     const ConnectionPtr connection = idle[i];
@@ -425,28 +430,28 @@
     idle.pop_back();
     return connection->start(call, until);
   }
-  const int balancer = deal(call->wish.zone);
+  const int balancer = pick_balancer(call->request.zone);
   if (balancer < 0) {
     ++unreachable_;
-    return try_over(call, Over::kUnreachable, {});
+    return on_try_end(call, TryOutcome::kUnreachable, {});
   }
-  const auto connection = std::make_shared<Connection>(*this, call->wish.zone, balancer);
+  const auto connection = std::make_shared<Connection>(*this, call->request.zone, balancer);
   all_.insert(connection);
   ++connections_;
   connection->open(call, until, std::nullopt);
 }
 
-void Load::send_again(const CallPtr& call, RequestNumber request) {
-  const int balancer = deal(call->wish.zone);
+void Load::resend(const CallPtr& call, RequestNumber request) {
+  const int balancer = pick_balancer(call->request.zone);
   const Time until = context_.auditor.deadline_of(request);
   if (balancer < 0 || until - context_.now() < kMinBudget) {
     context_.auditor.on_excused(context_.now(), request, "no balancer took it again");
-    return try_over(call, Over::kUnreachable, {});
+    return on_try_end(call, TryOutcome::kUnreachable, {});
   }
-  const auto connection = std::make_shared<Connection>(*this, call->wish.zone, balancer);
+  const auto connection = std::make_shared<Connection>(*this, call->request.zone, balancer);
   all_.insert(connection);
   ++connections_;
-  connection->set_moved();
+  connection->mark_resent();
   connection->open(call, until, request);
 }
 
@@ -462,30 +467,30 @@
   return all;
 }
 
-void Load::try_over(const CallPtr& call, Over over, Duration retry_after) {
+void Load::on_try_end(const CallPtr& call, TryOutcome outcome, Duration retry_after) {
   const Time now = context_.now();
   const ClassSpec& request_class =
-      context_.scenario.classes[static_cast<std::size_t>(call->wish.request_class)];
-  if (over == Over::kServed)
-    return end(call, now <= call->wish.due + request_class.aim ? End::kInAim
-                     : now <= call->ends                       ? End::kLate
-                                                               : End::kFailed);
-  if (over == Over::kLeft) return end(call, End::kLeft);
-  // What may have run comes again only where that does no harm.
+      context_.scenario.classes[static_cast<std::size_t>(call->request.request_class)];
+  if (outcome == TryOutcome::kServed)
+    return end(call, now <= call->request.due + request_class.aim ? End::kInAim
+                     : now <= call->deadline                      ? End::kLate
+                                                                  : End::kFailed);
+  if (outcome == TryOutcome::kLeft) return end(call, End::kLeft);
+  // A request that may have run is retried only if a repeat is harmless.
   const bool harmless =
-      over == Over::kRefused || over == Over::kUnreachable ||
+      outcome == TryOutcome::kRefused || outcome == TryOutcome::kUnreachable ||
       request_class.effect == Effect::kSafe ||
-      (request_class.effect == Effect::kKeyed && now < call->wish.due + request_class.window);
+      (request_class.effect == Effect::kKeyed && now < call->request.due + request_class.window);
   const LoadSpec& load = context_.scenario.load;
   double pause = 0;
   if (load.backoff == Backoff::kFixed) pause = load.backoff_ms;
   if (load.backoff == Backoff::kExponential)
     pause = load.backoff_ms * std::pow(2, call->tries - 1) * call->random.uniform(0.5, 1.5);
   Duration wait = from_seconds(1e-3 * pause);
-  if (call->honours)
+  if (call->honours_retry_after)
     wait = std::max(wait, std::min(retry_after, context_.scenario.max_retry_after));
-  if (!harmless || call->tries > load.retries || now + wait + kMinBudget > call->ends)
-    return end(call, over == Over::kRefused ? End::kRefused : End::kFailed);
+  if (!harmless || call->tries > load.retries || now + wait + kMinBudget > call->deadline)
+    return end(call, outcome == TryOutcome::kRefused ? End::kRefused : End::kFailed);
   if (wait == Duration{0}) {
     asio::post(context_.io, [this, call] { start_try(call); });
   } else {
@@ -495,8 +500,8 @@
 
 void Load::end(const CallPtr& call, End end) {
   --open_;
-  tally_.on_end(call->wish.due, context_.now(), call->wish.request_class, call->wish.tenant,
-                call->worth, end);
+  tally_.on_end(call->request.due, context_.now(), call->request.request_class,
+                call->request.tenant, call->worth, end);
 }
 
 void Load::set_listed(int balancer, bool listed) {
@@ -505,15 +510,15 @@
 
 void Load::set_killed(int balancer, bool killed) {
   Target& target = targets_[static_cast<std::size_t>(balancer)];
-  if (killed && !target.killed) ++target.life;
+  if (killed && !target.killed) ++target.incarnation;
   target.killed = killed;
 }
 
-void Load::arm_rude() {
+void Load::schedule_invalid_input() {
   const double gap = random_.exponential(1 / context_.scenario.load.rude_per_s);
   context_.after(from_seconds(gap), [this] {
     if (ended_) return;
-    static const std::array<std::string, 10> kNonsense{
+    static const std::array<std::string, 10> kInvalidInputs{
         "frob k\r\n",
         "\x01\xfe\x02garbage\r\n",
         std::string(20'000, 'k'),
@@ -525,15 +530,15 @@
         "ms k 2 Oabc Pc=x,d=5\r\nabcdef\r\n",
         "GET / HTTP/1.1\r\nHost: x\r\n\r\n",
     };
-    const int balancer = context_.scenario.memcache() ? deal(0) : -1;
-    if (balancer >= 0 && rude_clients_.size() < 500) {
-      ++rude_;
-      const auto client = std::make_shared<RudeClient>(*this);
-      rude_clients_.insert(client);
+    const int balancer = context_.scenario.memcache() ? pick_balancer(0) : -1;
+    if (balancer >= 0 && invalid_input_clients_.size() < 500) {
+      ++invalid_inputs_;
+      const auto client = std::make_shared<InvalidInputClient>(*this);
+      invalid_input_clients_.insert(client);
       client->start(targets_[static_cast<std::size_t>(balancer)].address,
-                    kNonsense[random_.below(kNonsense.size())]);
+                    kInvalidInputs[random_.below(kInvalidInputs.size())]);
     }
-    arm_rude();
+    schedule_invalid_input();
   });
 }
 
--- a/src/testbed/load/load.h
+++ b/src/testbed/load/load.h
@@ -16,77 +16,83 @@
 
 namespace balancer::testbed {
 
-// The clients and the simple front before the balancers. An open loop: wishes come when they are
-// due, whatever became of those before. A client keeps its connection and opens another when all of
-// its site are busy; the front deals new ones out among the balancers of the site.
+// The memcache clients and the simple front that distributes their connections. The load is an open
+// loop: requests are sent when they are due, regardless of the outcome of earlier ones. Clients of
+// a zone reuse its idle connections and open a new one when all are busy; the front distributes new
+// connections over the balancers of the zone.
 class Load : private Front {
  public:
-  // `balancers`: where each takes memcache clients; `resp`: by cluster, where each takes its RESP
-  // clients.
+  // `balancers`: the address at which each accepts memcache clients; `resp`: the addresses for RESP
+  // clients, by cluster and balancer.
   Load(Context& context, Tally& tally, std::vector<asio::ip::tcp::endpoint> balancers,
        const std::vector<std::vector<asio::ip::tcp::endpoint>>& resp = {});
   ~Load() override;
 
-  void start();  // wishes come from now on, counted from the run's begin, until the scenario's end
+  // Starts the load. Requests that were due before now are skipped; the load ends with the
+  // scenario.
+  void start();
   bool done() const { return ended_ && open_ == 0; }
   void close_all();
 
-  // Whether the front deals out connections to it.
+  // Sets whether the front sends new connections to the balancer.
   void set_listed(int balancer, bool listed);
-  // The scenario has killed it, or takes it down: what it held is nobody's fault, from `killed` on.
+  // Sets whether the scenario has killed the balancer or is stopping it. Requests that it held are
+  // excused once `killed` is set.
   void set_killed(int balancer, bool killed);
 
-  // How long after its time a wish was sent on its way. Where this is long, the run says nothing.
+  // Returns how long after their due time requests were started. If this is long, the run is void.
   const Histogram& lateness() const { return lateness_; }
-  std::uint64_t rude() const { return rude_; }
-  std::uint64_t rude_unanswered() const { return rude_unanswered_; }
+  // Connections that sent invalid input, and those of them that got neither an error nor a close.
+  std::uint64_t invalid_inputs() const { return invalid_inputs_; }
+  std::uint64_t invalid_inputs_unanswered() const { return invalid_inputs_unanswered_; }
   std::uint64_t connections() const;
   std::uint64_t unreachable() const;
 
  private:
   class Connection;
-  class RudeClient;
+  class InvalidInputClient;
   using ConnectionPtr = std::shared_ptr<Connection>;
 
-  void arm();
-  void begin(Wish wish);
+  void arm_timer();
+  void begin(Wish request);
   void start_try(const CallPtr& call);
-  // Front
-  void try_over(const CallPtr& call, Over over, Duration retry_after) override;
-  int deal(int zone) override;
-  int life(int balancer) const override { return target(balancer).life; }
-  bool dead(int balancer, int life) const override {
-    return target(balancer).killed || target(balancer).life != life;
+  // Implements Front.
+  void on_try_end(const CallPtr& call, TryOutcome outcome, Duration retry_after) override;
+  int pick_balancer(int zone) override;
+  int incarnation(int balancer) const override { return target(balancer).incarnation; }
+  bool killed_since(int balancer, int incarnation) const override {
+    return target(balancer).killed || target(balancer).incarnation != incarnation;
   }
   bool listed(int balancer) const override { return target(balancer).listed; }
 
   void end(const CallPtr& call, End end);
-  void send_again(const CallPtr& call, RequestNumber request);
-  void arm_rude();
+  void resend(const CallPtr& call, RequestNumber request);
+  void schedule_invalid_input();
 
   Context& context_;
   Tally& tally_;
   Arrivals arrivals_;
-  Random random_;  // of clients' habits; wishes have their own
+  Random random_;  // for client behaviour; each request has its own
   struct Target {
     asio::ip::tcp::endpoint address;
     int zone;
     bool listed = true, killed = false;
-    int life = 0;  // counts its kills
+    int incarnation = 0;  // number of kills
   };
   const Target& target(int balancer) const { return targets_[static_cast<std::size_t>(balancer)]; }
   std::vector<Target> targets_;
   std::vector<std::unique_ptr<RespClients>> resp_;  // by cluster
   std::vector<std::vector<ConnectionPtr>> idle_;    // by zone
   std::set<ConnectionPtr> all_;
-  std::set<std::shared_ptr<RudeClient>> rude_clients_;
+  std::set<std::shared_ptr<InvalidInputClient>> invalid_input_clients_;
   std::size_t next_target_ = 0;
   Wish next_;
   asio::steady_timer timer_;
   std::uint64_t open_ = 0;
   bool ended_ = false;
   Histogram lateness_;
-  std::uint64_t rude_ = 0, rude_unanswered_ = 0, connections_ = 0, unreachable_ = 0;
+  std::uint64_t invalid_inputs_ = 0, invalid_inputs_unanswered_ = 0, connections_ = 0,
+                unreachable_ = 0;
 };
 
 }  // namespace balancer::testbed
--- a/src/testbed/load/resp_clients.cc
+++ b/src/testbed/load/resp_clients.cc
@@ -39,7 +39,7 @@
         socket_(clients.context_.io),
         timer_(clients.context_.io),
         balancer_(balancer),
-        life_(clients.front_.life(balancer)) {}
+        incarnation_(clients.front_.incarnation(balancer)) {}
 
   bool has_room() const {
     return !closed_ && !ending_ &&
@@ -52,32 +52,32 @@
         clients_.balancers_[static_cast<std::size_t>(balancer_)],
         [self = shared_from_this()](const error_code& e) {
           if (self->closed_) return;
-          if (e) return self->ended(true);
+          if (e) return self->on_connection_end(true);
           error_code ignored;
           self->socket_.set_option(tcp::no_delay(true), ignored);
-          self->up_ = true;
+          self->connected_ = true;
           if (self->clients_.spec_.by_slot) {
             self->out_ = resp::Command::of({"CLUSTER", "SLOTS"}).wire() + self->out_;
-            self->asked_slots_ = true;
+            self->slots_pending_ = true;
           }
           self->flush();
           self->read();
         });
   }
-  // `again`: the number of a request that goes out once more as it is.
+  // `again`: the number of a request that is sent again unchanged.
   void send(const CallPtr& call, std::optional<RequestNumber> again) {
     const ClassSpec& request_class =
-        context_.scenario.classes[static_cast<std::size_t>(call->wish.request_class)];
+        context_.scenario.classes[static_cast<std::size_t>(call->request.request_class)];
     const Time now = context_.now();
-    // Answers come in order: the time of those in front does not count. A balancer is not told how
-    // long its client waits, and goes by the class.
+    // Answers arrive in order, so a request cannot be due before the ones ahead of it.
+    // RESP carries no deadline: the balancer uses that of the class.
     Time until = now + request_class.deadline;
     if (!queue_.empty()) until = std::max(until, queue_.back().until);
-    const Wish& w = call->wish;
+    const Wish& w = call->request;
     RequestNumber r;
     if (again) {
       r = *again;
-      context_.auditor.on_moved(now, r, balancer_);
+      context_.auditor.on_resent(now, r, balancer_);
     } else {
       r = context_.auditor.on_sent(now, w.request_class, balancer_, w.number, until,
                                    request_class.prefix + w.key, w.work);
@@ -85,7 +85,7 @@
     }
     queue_.push_back({call, r, until, again.has_value()});
     out_ += RespFleet::command(context_, request_class, r, w.key).wire();
-    arm();
+    arm_timer();
     flush();
   }
   void close() {
@@ -96,23 +96,23 @@
   }
 
  private:
-  struct Out {
-    CallPtr call;  // null: given up
+  struct Outstanding {
+    CallPtr call;  // null: the client gave up
     RequestNumber request;
     Time until;
-    bool moved;
+    bool resent;
   };
 
-  bool dead() const { return clients_.front_.dead(balancer_, life_); }
+  bool balancer_killed() const { return clients_.front_.killed_since(balancer_, incarnation_); }
 
   void flush() {
-    if (!up_ || writing_ || out_.empty() || closed_) return;
+    if (!connected_ || writing_ || out_.empty() || closed_) return;
     writing_ = true;
     auto held = std::make_shared<std::string>(std::exchange(out_, {}));
     asio::async_write(socket_, asio::buffer(*held),
                       [self = shared_from_this(), held](const error_code& e, std::size_t) {
                         self->writing_ = false;
-                        if (!e) self->flush();  // where it broke, the read tells
+                        if (!e) self->flush();  // the pending read reports errors
                       });
   }
 
@@ -120,7 +120,7 @@
     socket_.async_read_some(asio::buffer(chunk_),
                             [self = shared_from_this()](const error_code& e, std::size_t n) {
                               if (self->closed_) return;
-                              if (e) return self->ended(false);
+                              if (e) return self->on_connection_end(false);
                               self->on_bytes({self->chunk_.data(), n});
                               if (!self->closed_) self->read();
                             });
@@ -135,8 +135,8 @@
           reply_ += reader_.data();
           continue;
         case resp::ReplyReader::Event::kMalformed:
-          context_.auditor.on_stray(context_.now(), last_, input);
-          return ended(false);
+          context_.auditor.on_unexpected_bytes(context_.now(), last_request_, input);
+          return on_connection_end(false);
         case resp::ReplyReader::Event::kEnd:
           on_reply(std::exchange(reply_, {}));
           if (closed_) return;
@@ -145,101 +145,103 @@
   }
 
   void on_reply(const std::string& reply) {
-    if (std::exchange(asked_slots_, false)) return clients_.on_slots(reply);
+    if (std::exchange(slots_pending_, false)) return clients_.on_slots(reply);
     if (queue_.empty()) {
-      context_.auditor.on_stray(context_.now(), last_, reply);
+      context_.auditor.on_unexpected_bytes(context_.now(), last_request_, reply);
       return close();
     }
-    const Out out = std::move(queue_.front());
+    const Outstanding out = std::move(queue_.front());
     queue_.pop_front();
-    last_ = out.request;
-    arm();
-    if (!out.call) return;  // was counted as lost
+    last_request_ = out.request;
+    arm_timer();
+    if (!out.call) return;  // already counted as lost
     const Time now = context_.now();
-    Over over = Over::kFailed;
+    TryOutcome outcome = TryOutcome::kFailed;
     Duration wait{0};
     if (!reply.starts_with('-')) {
-      over = Over::kServed;
+      outcome = TryOutcome::kServed;
       context_.auditor.on_reply(now, out.request, Reply::kServed, reply);
     } else if (reply.starts_with(kRefused)) {
-      over = Over::kRefused;
+      outcome = TryOutcome::kRefused;
       wait = retry_after(reply);
       context_.auditor.on_reply(now, out.request, Reply::kRefused, {});
     } else {
       context_.auditor.on_reply(now, out.request, Reply::kFailed, {});
     }
-    clients_.front_.try_over(out.call, over, wait);
+    clients_.front_.on_try_end(out.call, outcome, wait);
   }
 
-  // Broken, or closed by the balancer. `before`: it never came up.
-  void ended(bool before) {
+  // Handles a connection that broke or was closed by the balancer. `never_connected`: it was never
+  // established.
+  void on_connection_end(bool never_connected) {
     ending_ = true;
     const auto self = shared_from_this();
     const auto queue = std::exchange(queue_, {});
     close();
     const Time now = context_.now();
     bool first = true;
-    for (const Out& out : queue) {
+    for (const Outstanding& out : queue) {
       const bool cut = std::exchange(first, false) && !reply_.empty();
       if (!out.call) continue;
-      if (before) {
+      if (never_connected) {
         ++clients_.unreachable_;
         context_.auditor.on_excused(now, out.request, "no balancer took it");
-        clients_.front_.try_over(out.call, Over::kUnreachable, {});
-      } else if (dead()) {
+        clients_.front_.on_try_end(out.call, TryOutcome::kUnreachable, {});
+      } else if (balancer_killed()) {
         context_.auditor.on_excused(now, out.request, "its balancer was killed");
-        clients_.front_.try_over(out.call, Over::kFailed, {});
-      } else if (!cut && !out.moved && !context_.auditor.reached_a_host(out.request)) {
-        // It crossed a close between requests.
+        clients_.front_.on_try_end(out.call, TryOutcome::kFailed, {});
+      } else if (!cut && !out.resent && !context_.auditor.reached_host(out.request)) {
+        // The request crossed a close between requests.
         clients_.start(out.call, out.request);
       } else {
         context_.auditor.on_lost(now, out.request, "the connection was closed");
-        clients_.front_.try_over(out.call, Over::kFailed, {});
+        clients_.front_.on_try_end(out.call, TryOutcome::kFailed, {});
       }
     }
   }
 
-  void arm() {
+  void arm_timer() {
     const auto next = std::find_if(queue_.begin(), queue_.end(),
-                                   [](const Out& out) { return out.call != nullptr; });
+                                   [](const Outstanding& out) { return out.call != nullptr; });
     if (next == queue_.end()) {
       timer_.cancel();
       return;
     }
     timer_.expires_at(context_.steady(next->until + context_.scenario.rules.answer_slack));
     timer_.async_wait([self = shared_from_this()](const error_code& e) {
-      if (!e && !self->closed_) self->time_up();
+      if (!e && !self->closed_) self->on_timeout();
     });
   }
 
-  void time_up() {
+  void on_timeout() {
     const Time now = context_.now();
-    if (!up_) return ended(true);
+    if (!connected_) return on_connection_end(true);
     std::vector<CallPtr> lost;
-    for (Out& out : queue_) {
+    for (Outstanding& out : queue_) {
       if (out.until + context_.scenario.rules.answer_slack > now || !out.call) continue;
-      if (dead()) {
+      if (balancer_killed()) {
         context_.auditor.on_excused(now, out.request, "its balancer was killed");
       } else {
         context_.auditor.on_lost(now, out.request, "the client's time was up");
       }
       lost.push_back(std::exchange(out.call, nullptr));
     }
-    arm();
-    for (const auto& call : lost) clients_.front_.try_over(call, Over::kFailed, {});
+    arm_timer();
+    for (const auto& call : lost) clients_.front_.on_try_end(call, TryOutcome::kFailed, {});
   }
 
   RespClients& clients_;
   Context& context_;
   tcp::socket socket_;
   asio::steady_timer timer_;
-  const int balancer_, life_;
-  std::deque<Out> queue_;
-  RequestNumber last_ = 0;
+  const int balancer_, incarnation_;
+  std::deque<Outstanding> queue_;
+  RequestNumber last_request_ = 0;
   std::string out_, reply_;
   resp::ReplyReader reader_{kBounds};
   std::array<char, 16384> chunk_;
-  bool up_ = false, writing_ = false, closed_ = false, ending_ = false, asked_slots_ = false;
+  bool connected_ = false, writing_ = false, closed_ = false, ending_ = false,
+       slots_pending_ = false;
 };
 
 RespClients::RespClients(Context& context, Tally& tally, Front& front, int cluster,
@@ -262,8 +264,8 @@
   }
 }
 
-// The answer to CLUSTER SLOTS: first, last, [host, port, id, ...] of the owner. Balancers that are
-// not listed any more are asked nothing, whatever it says.
+// Applies the answer to CLUSTER SLOTS: first slot, last slot, [host, port, id, ...] of the owner.
+// Slots of balancers that the front no longer lists are kept; balancer_for() ignores them.
 void RespClients::on_slots(std::string_view reply) {
   const auto value = resp::parse_reply(reply, kBounds);
   if (!value) return;
@@ -282,22 +284,22 @@
 int RespClients::balancer_for(const Call& call) {
   if (spec_.by_slot) {
     const ClassSpec& request_class =
-        context_.scenario.classes[static_cast<std::size_t>(call.wish.request_class)];
-    const int owner = owner_[cluster::slot_of(request_class.prefix + call.wish.key)];
+        context_.scenario.classes[static_cast<std::size_t>(call.request.request_class)];
+    const int owner = owner_[cluster::slot_of(request_class.prefix + call.request.key)];
     if (owner >= 0 && front_.listed(owner)) return owner;
   }
-  return front_.deal(call.wish.zone);
+  return front_.pick_balancer(call.request.zone);
 }
 
 void RespClients::start(const CallPtr& call) { start(call, std::nullopt); }
 
-// The fullest connection that has room takes it, so that pipelines come about.
+// Uses the open connection with the most requests that has room, so that pipelines form.
 void RespClients::start(const CallPtr& call, std::optional<RequestNumber> again) {
   const int balancer = balancer_for(*call);
   if (balancer < 0) {
     ++unreachable_;
     if (again) context_.auditor.on_excused(context_.now(), *again, "no balancer took it again");
-    return front_.try_over(call, Over::kUnreachable, {});
+    return front_.on_try_end(call, TryOutcome::kUnreachable, {});
   }
   ConnectionPtr best;
   for (const auto& c : open_[static_cast<std::size_t>(balancer)])
--- a/src/testbed/load/resp_clients.h
+++ b/src/testbed/load/resp_clients.h
@@ -12,17 +12,18 @@
 
 namespace balancer::testbed {
 
-// The RESP clients of one cluster: connections that each carry up to so many requests at once,
-// answered in order. Plain ones go where the front sends them; in cluster mode each asks for the
-// slots as it connects, and sends every request to the balancer that is named for its slot.
+// The RESP clients of one cluster. Each connection carries up to `pipeline` requests at once, which
+// are answered in order. Plain clients connect to the balancer that the front picks; clients in
+// cluster mode fetch the slot map when they connect, and send every request to the balancer that
+// owns its slot.
 class RespClients {
  public:
-  // `balancers`: where each takes them.
+  // `balancers`: the address at which each accepts these clients.
   RespClients(Context& context, Tally& tally, Front& front, int cluster,
               std::vector<asio::ip::tcp::endpoint> balancers);
   ~RespClients();
 
-  // One try, whose end the front is told.
+  // Starts one try and reports its outcome to the front.
   void start(const CallPtr& call);
   void close_all();
   std::uint64_t connections() const { return opened_; }
@@ -41,8 +42,9 @@
   Front& front_;
   const ClusterSpec& spec_;
   const std::vector<asio::ip::tcp::endpoint> balancers_;
-  std::vector<std::set<ConnectionPtr>> open_;        // by balancer
-  std::array<std::int16_t, cluster::kSlots> owner_;  // balancers, in cluster mode; -1: not told
+  std::vector<std::set<ConnectionPtr>> open_;  // by balancer
+  // In cluster mode: the balancer of each slot; -1: unknown.
+  std::array<std::int16_t, cluster::kSlots> owner_;
   std::uint64_t opened_ = 0, unreachable_ = 0;
 };
 
--- a/src/testbed/loopback/loopback_block.cc
+++ b/src/testbed/loopback/loopback_block.cc
@@ -21,22 +21,24 @@
 
 constexpr std::uint32_t kNetwork = 0x7f400000;  // 127.64.0.0/10
 constexpr std::uint32_t kBlockSize = 256;
-// Ports below this one are for privileged processes.
+// Ports below this one are reserved for privileged processes.
 constexpr std::uint32_t kFirstUserPort = 1024;
 constexpr std::uint32_t kEndOfPorts = 65'536;
-// Coprime to kBlocks: processes that start one after the other begin their search far apart.
+// Coprime to kBlocks, so that processes with consecutive ids begin their search far apart.
 constexpr int kStride = 4999;
 
-// The abstract name of a block's lock; false if another process holds it.
-bool lock_name(int descriptor, int block) {
+// Binds the socket to the abstract name of a block's lock. Returns false if another process holds
+// it.
+bool bind_lock_name(int descriptor, int block) {
   const std::string name = "balancer-loopback-block-" + std::to_string(block);
   sockaddr_un address{};
   address.sun_family = AF_UNIX;
-  std::copy(name.begin(), name.end(), address.sun_path + 1);  // behind the zero of abstract names
+  // A null byte marks abstract names.
+  std::copy(name.begin(), name.end(), address.sun_path + 1);
   const auto size = static_cast<socklen_t>(offsetof(sockaddr_un, sun_path) + 1 + name.size());
   if (::bind(descriptor, reinterpret_cast<const sockaddr*>(&address), size) == 0) return true;
   if (errno != EADDRINUSE)
-    throw std::system_error(errno, std::system_category(), "lock of a loopback block");
+    throw std::system_error(errno, std::system_category(), "bind lock of loopback block");
   return false;
 }
 
@@ -44,9 +46,9 @@
   std::uint32_t begin, end;
 };
 
-// The larger one of the ranges below and above the ports that the kernel chooses from.
+// Returns the larger of the port ranges below and above the kernel's ephemeral port range.
 PortRange ports_outside_ephemeral_range() {
-  std::uint32_t low = 32'768, high = 60'999;  // the kernel's own defaults
+  std::uint32_t low = 32'768, high = 60'999;  // defaults of the kernel
   std::ifstream("/proc/sys/net/ipv4/ip_local_port_range") >> low >> high;
   const PortRange below{kFirstUserPort, std::max(low, kFirstUserPort)};
   const PortRange above{std::min(high + 1, kEndOfPorts), kEndOfPorts};
@@ -54,7 +56,7 @@
 }
 
 template <typename Protocol>
-bool can_be_bound(const asio::ip::address_v4& address, std::uint16_t port) {
+bool can_bind(const asio::ip::address_v4& address, std::uint16_t port) {
   asio::io_context io;
   typename Protocol::socket socket(io);
   error_code error;
@@ -64,7 +66,7 @@
 }
 
 bool is_free(const asio::ip::address_v4& address, std::uint16_t port) {
-  return can_be_bound<asio::ip::tcp>(address, port) && can_be_bound<asio::ip::udp>(address, port);
+  return can_bind<asio::ip::tcp>(address, port) && can_bind<asio::ip::udp>(address, port);
 }
 
 int first_block_of_process() {
@@ -83,17 +85,17 @@
   const PortRange ports = ports_outside_ephemeral_range();
   lowest_port_ = ports.begin;
   end_port_ = ports.end;
-  lock_ = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  if (lock_ < 0) throw std::system_error(errno, std::system_category(), "socket");
+  lock_fd_ = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
+  if (lock_fd_ < 0) throw std::system_error(errno, std::system_category(), "socket");
   for (int i = 0; i < kBlocks; ++i) {
     block_ = (first + i) % kBlocks;
-    if (lock_name(lock_, block_)) return;
+    if (bind_lock_name(lock_fd_, block_)) return;
   }
-  ::close(lock_);
+  ::close(lock_fd_);
   throw std::system_error(EADDRINUSE, std::system_category(), "no loopback block is free");
 }
 
-LoopbackBlock::~LoopbackBlock() { ::close(lock_); }
+LoopbackBlock::~LoopbackBlock() { ::close(lock_fd_); }
 
 asio::ip::address_v4 LoopbackBlock::address(int index) const {
   return asio::ip::address_v4(kNetwork + static_cast<std::uint32_t>(block_) * kBlockSize + 1 +
@@ -105,7 +107,7 @@
     const auto port = static_cast<std::uint16_t>(--end_port_);
     if (is_free(address(), port)) return port;
   }
-  throw std::runtime_error("all ports of a loopback block are given");
+  throw std::runtime_error("loopback block has no unused port left");
 }
 
 asio::ip::tcp::endpoint LoopbackBlock::next_endpoint() {
--- a/src/testbed/model/base.h
+++ b/src/testbed/model/base.h
@@ -4,13 +4,13 @@
 #include <cmath>
 #include <cstdint>
 
-// Time and chance for all of the rig. Every draw comes from a seed that the scenario states,
-// through code of this file alone, so that one scenario has the same arrivals and fleet on every
+// Time and random numbers for the whole testbed. All random numbers come from the scenario's seed
+// through the code of this file, so that a scenario has the same arrivals and fleet on every
 // machine.
 namespace balancer::testbed {
 
 using Duration = std::chrono::nanoseconds;
-using Time = std::chrono::nanoseconds;  // since the run began
+using Time = std::chrono::nanoseconds;  // since the start of the run
 inline constexpr Time kNever = Time::max();
 
 inline double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
@@ -19,7 +19,8 @@
   return Duration(static_cast<Duration::rep>(std::llround(s * 1e9)));
 }
 
-// SplitMix64 (Steele, Lea, Flood 2014): small, good enough for draws, and the same everywhere.
+// SplitMix64 (Steele, Lea, Flood 2014): small, of sufficient quality, and identical on all
+// platforms.
 class Random {
  public:
   explicit Random(std::uint64_t seed, std::uint64_t stream = 0)
@@ -37,11 +38,11 @@
   std::size_t below(std::size_t n) { return static_cast<std::size_t>(next() % n); }
   bool chance(double p) { return uniform() < p; }
   double exponential(double mean) { return -mean * std::log1p(-uniform()); }
-  double normal() {  // Box and Muller; one of the pair is enough
+  double normal() {  // Box-Muller; uses one value of the pair
     const double r = std::sqrt(-2 * std::log1p(-uniform()));
     return r * std::cos(2 * 3.14159265358979323846 * uniform());
   }
-  // Log-normal with this mean and coefficient of variation.
+  // Returns a log-normal value with this mean and coefficient of variation.
   double lognormal(double mean, double cv) {
     if (cv <= 0) return mean;
     const double s2 = std::log1p(cv * cv);
--- a/src/testbed/model/histogram.h
+++ b/src/testbed/model/histogram.h
@@ -9,30 +9,29 @@
 
 namespace balancer::testbed {
 
-// Counts of durations in buckets that are at most 1/64 of their value wide, as HdrHistogram has
-// them (log-linear): every percentile within 1.6% from a microsecond to an hour, in constant
-// memory.
+// A log-linear histogram of durations, like HdrHistogram. Buckets are at most 1/64 of their value
+// wide, so every percentile is within 1.6% from a microsecond to an hour, in constant memory.
 class Histogram {
  public:
   void add(Duration d) {
     const auto us = static_cast<std::uint64_t>(std::max<std::int64_t>(d.count() / 1000, 0));
     ++counts_[index(std::min<std::uint64_t>(us, kMax))];
     ++total_;
-    most_ = std::max(most_, d);
+    max_ = std::max(max_, d);
   }
   std::uint64_t count() const { return total_; }
-  Duration max() const { return most_; }
-  // The middle of the bucket in which the part `p` (0 to 1) of all counts is reached; 0 if empty.
+  Duration max() const { return max_; }
+  // Returns the middle of the bucket that holds percentile `p` (0 to 1); 0 if empty.
   Duration percentile(double p) const {
     if (total_ == 0) return Duration{0};
-    const auto wanted = std::max<std::uint64_t>(
+    const auto rank = std::max<std::uint64_t>(
         1, static_cast<std::uint64_t>(std::ceil(p * static_cast<double>(total_))));
     std::uint64_t seen = 0;
     for (std::size_t i = 0; i < counts_.size(); ++i) {
       seen += counts_[i];
-      if (seen >= wanted) return std::min(most_, middle(i));
+      if (seen >= rank) return std::min(max_, middle(i));
     }
-    return most_;
+    return max_;
   }
 
  private:
@@ -52,7 +51,7 @@
 
   std::array<std::uint32_t, 28 * kHalf> counts_{};
   std::uint64_t total_ = 0;
-  Duration most_{0};
+  Duration max_{0};
 };
 
 }  // namespace balancer::testbed
--- a/src/testbed/model/host_model.cc
+++ b/src/testbed/model/host_model.cc
@@ -6,9 +6,10 @@
 namespace balancer::testbed {
 namespace {
 
-// A cold host's capacity changes all the time; it is held for so long at a time.
+// The capacity of a cold host changes continuously; it is treated as constant for this long.
 constexpr Duration kWarmStep = std::chrono::milliseconds(20);
-// Chance gathers requests: a budget without slack would fall to a burst that nobody steers.
+// Requests cluster by chance: without slack, a random burst that no balancer controls would exceed
+// the budget.
 constexpr double kTipSlack = 1.15;
 constexpr double kWorstEfficiency = 0.1;
 
@@ -21,7 +22,7 @@
   if (!cold_ || spec_.cold_time <= Duration{0}) return 1;
   double part = std::clamp(seconds(now - started_) / seconds(spec_.cold_time), 0.0, 1.0);
   if (spec_.warms_by_work) {
-    // As much as the full host does in half of its warm-up.
+    // Warm after the work that the warm host does in half of its warm-up time.
     const double whole = 0.5 * spec_.cores * spec_.speed * seconds(spec_.cold_time);
     part = std::max(part, std::min(1.0, done_ / whole));
   }
@@ -36,35 +37,35 @@
   const auto n = static_cast<double>(running_.size());
   if (n == 0) return 0;
   const double per_core = n / spec_.cores;
-  const double over = std::max(0.0, per_core - spec_.crowded_at);
-  const double efficiency = std::max(kWorstEfficiency, 1 - spec_.crowded_loss * over);
+  const double excess = std::max(0.0, per_core - spec_.crowded_at);
+  const double efficiency = std::max(kWorstEfficiency, 1 - spec_.crowded_loss * excess);
   return spec_.speed * warmth(at) / slowness_ * std::min(1.0, 1 / per_core) * efficiency;
 }
 
-void HostModel::push(Time now, double work, int source) {
+void HostModel::record_offered(Time now, double work, int source) {
   sent_ += work;
   if (!cold_ || spec_.tip_multiple <= 0 || spec_.tip_time <= Duration{0} || warmth(now) >= 1)
     return;
-  pushes_.push_back({now, work, source});
-  pushed_ += work;
-  while (pushes_.front().at + spec_.tip_time <= now) {
-    pushed_ -= pushes_.front().work;
-    pushes_.pop_front();
+  offered_.push_back({now, work, source});
+  offered_work_ += work;
+  while (offered_.front().at + spec_.tip_time <= now) {
+    offered_work_ -= offered_.front().work;
+    offered_.pop_front();
   }
-  const double most =
+  const double bound =
       spec_.tip_multiple * capacity(now) * slowness_ * seconds(spec_.tip_time) * kTipSlack;
-  if (pushed_ <= most) return;
-  fallen_ = true;
-  for (const Push& p : pushes_) pushed_by_[p.source] += p.work;
+  if (offered_work_ <= bound) return;
+  failed_ = true;
+  for (const Offered& p : offered_) pushed_by_[p.source] += p.work;
   running_.clear();
-  end_.clear();
+  end_by_job_.clear();
   queue_.clear();
 }
 
 HostModel::Answer HostModel::submit(Time now, Job job, double work, int source) {
-  if (fallen_) return Answer::kDown;
-  push(now, work, source);
-  if (fallen_) return Answer::kDown;
+  if (failed_) return Answer::kDown;
+  record_offered(now, work, source);
+  if (failed_) return Answer::kDown;
   if (running_.size() < static_cast<std::size_t>(spec_.slots) && !frozen_) {
     begin(now, job, work);
     return Answer::kTaken;
@@ -77,11 +78,11 @@
 void HostModel::begin(Time at, Job job, double work) {
   const double end = attained_ + std::max(work, 1e-9);
   running_.emplace(end, job);
-  end_.emplace(job, end);
+  end_by_job_.emplace(job, end);
   events_.push_back({Event::Kind::kBegun, job, at});
 }
 
-void HostModel::fill(Time at) {
+void HostModel::start_queued(Time at) {
   while (!frozen_ && !queue_.empty() && running_.size() < static_cast<std::size_t>(spec_.slots)) {
     const Queued first = queue_.front();
     queue_.pop_front();
@@ -98,11 +99,11 @@
     return true;
   }
   if (spec_.cancel != Cancel::kAll) return false;
-  const auto end = end_.find(job);
-  if (end == end_.end()) return false;
+  const auto end = end_by_job_.find(job);
+  if (end == end_by_job_.end()) return false;
   running_.erase({end->second, job});
-  end_.erase(end);
-  fill(now);
+  end_by_job_.erase(end);
+  start_queued(now);
   return true;
 }
 
@@ -120,10 +121,10 @@
     while (!running_.empty() && running_.begin()->first <= attained_) {
       const Job job = running_.begin()->second;
       running_.erase(running_.begin());
-      end_.erase(job);
+      end_by_job_.erase(job);
       events_.push_back({Event::Kind::kDone, job, now_});
     }
-    fill(now_);
+    start_queued(now_);
   }
   now_ = std::max(now_, now);
   return std::exchange(events_, {});
@@ -141,7 +142,7 @@
 void HostModel::thaw(Time now) {
   frozen_ = false;
   now_ = std::max(now_, now);
-  fill(now);
+  start_queued(now);
 }
 
 void HostModel::set_slowness(Time, double factor) { slowness_ = std::max(factor, 1e-3); }
@@ -158,8 +159,8 @@
 void ObjectStore::put(const std::string& key, std::size_t bytes) {
   drop(key);
   const std::size_t whole = bytes + key.size() + kOverhead;
-  if (whole > most_) return;
-  while (bytes_ + whole > most_) drop(std::string(order_.back().first));
+  if (whole > max_bytes_) return;
+  while (bytes_ + whole > max_bytes_) drop(std::string(order_.back().first));
   order_.emplace_front(key, bytes);
   by_key_.emplace(key, order_.begin());
   bytes_ += whole;
--- a/src/testbed/model/host_model.h
+++ b/src/testbed/model/host_model.h
@@ -12,15 +12,15 @@
 #include "testbed/model/base.h"
 #include "testbed/model/scenario.h"
 
-// What a host does with the work it is sent. No I/O and no clock of its own: `now` comes with every
-// call and never goes back, so that sockets and simulated time can drive it alike.
+// Models how a host executes the work that it is sent. Has no I/O and no clock of its own: every
+// call passes `now`, which never decreases, so that both sockets and simulated time can drive it.
 namespace balancer::testbed {
 
 using Job = std::uint64_t;
 
-// Cores shared evenly by all requests in work (processor sharing), a number of slots for them, and
-// a waiting room served in order. A cold one has part of its capacity, and one that is sent far
-// more than it can do while cold falls over for good.
+// A host whose cores are shared evenly by all running requests (processor sharing), with a number
+// of slots for running requests and a FIFO queue. A cold host has a part of its capacity, and fails
+// permanently if it is sent far more than that while it is cold.
 //
 // Work is in seconds on one core of speed 1.
 class HostModel {
@@ -28,11 +28,11 @@
   HostModel(const HostSpec& spec, Time started, bool cold);
 
   enum class Answer { kTaken, kBusy, kDown };
-  // kBusy: slots and waiting room are full, and nothing of it ever runs. `source` is whoever sent
-  // it, for the account of who pushed the host over.
+  // Submits a job. Returns kBusy if slots and queue are full; the job then never runs. Returns
+  // kDown if the host has failed. `source` is the sender, for pushed_by().
   Answer submit(Time now, Job job, double work, int source = 0);
-  // Nobody waits for the job any more. Whether it is dropped is up to the host's `cancel`.
-  // True: dropped, nothing more will be heard of it.
+  // Cancels a job whose sender no longer waits for it. Whether it is dropped depends on the host's
+  // `cancel`. Returns true if it is dropped; no further event follows for it.
   bool cancel(Time now, Job job);
 
   struct Event {
@@ -40,21 +40,22 @@
     Job job;
     Time at;
   };
-  // What happened up to now, in order. Call it before any other with the same `now`, and at next().
+  // Returns the events up to `now`, in order. Has to be called before any other function with the
+  // same `now`, and at next().
   std::vector<Event> advance(Time now);
-  Time next() const;  // kNever while nothing is in work, or the host stands still
+  Time next() const;  // kNever while nothing runs or the host is frozen
 
-  // Stands still: takes work, does none.
+  // While frozen, the host accepts work but does none.
   void freeze(Time now);
   void thaw(Time now);
   bool frozen() const { return frozen_; }
   void set_slowness(Time now, double factor);
 
-  bool fallen() const { return fallen_; }
-  // By source, what it was sent in the time before it fell.
+  bool fallen() const { return failed_; }
+  // Returns by source the work that the host was sent in the window before it failed.
   const std::map<int, double>& pushed_by() const { return pushed_by_; }
 
-  // Seconds of work that it can do in a second, uncrowded.
+  // Returns the seconds of work per second that the host can do without loss from crowding.
   double capacity(Time now) const;
   double warmth(Time now) const;  // from the cold share to 1
   std::size_t in_work() const { return running_.size(); }
@@ -68,40 +69,40 @@
     double work;
   };
   void begin(Time at, Job job, double work);
-  void fill(Time at);
-  double rate(Time at) const;  // of each request in work
-  void push(Time now, double work, int source);
+  void start_queued(Time at);
+  double rate(Time at) const;  // of each running request
+  void record_offered(Time now, double work, int source);
 
   const HostSpec spec_;
   const Time started_;
   const bool cold_;
   Time now_;
   bool frozen_ = false;
-  bool fallen_ = false;
+  bool failed_ = false;
   double slowness_ = 1;
   double done_ = 0, sent_ = 0;
-  // Work that each request in slots has had since the model began; one that comes needs it to grow
-  // by its own work.
+  // Work that a request running since the start of the model would have received. A request
+  // finishes when this has grown by the request's work since it began.
   double attained_ = 0;
-  std::set<std::pair<double, Job>> running_;  // by the point of `attained_` at which it is done
-  std::unordered_map<Job, double> end_;
+  std::set<std::pair<double, Job>> running_;  // by the value of `attained_` at which they finish
+  std::unordered_map<Job, double> end_by_job_;
   std::deque<Queued> queue_;
   std::vector<Event> events_;
-  struct Push {
+  struct Offered {
     Time at;
     double work;
     int source;
   };
-  std::deque<Push> pushes_;
-  double pushed_ = 0;  // sum of `pushes_`
+  std::deque<Offered> offered_;
+  double offered_work_ = 0;  // sum of `offered_`
   std::map<int, double> pushed_by_;
 };
 
-// The objects that a cache host keeps: those used or stored longest ago go first.
+// The objects that a cache host stores, with eviction of the least recently used ones.
 class ObjectStore {
  public:
-  explicit ObjectStore(std::size_t bytes) : most_(bytes) {}
-  // The object's size, and a use of it.
+  explicit ObjectStore(std::size_t bytes) : max_bytes_(bytes) {}
+  // Returns the object's size and marks it as used.
   std::optional<std::size_t> find(const std::string& key);
   void put(const std::string& key, std::size_t bytes);
   void drop(const std::string& key);
@@ -118,7 +119,7 @@
  private:
   static constexpr std::size_t kOverhead = 64;
   using Order = std::list<std::pair<std::string, std::size_t>>;  // most recently used first
-  std::size_t most_;
+  std::size_t max_bytes_;
   std::size_t bytes_ = 0;
   Order order_;
   std::unordered_map<std::string, Order::iterator> by_key_;
--- a/src/testbed/model/scenario.cc
+++ b/src/testbed/model/scenario.cc
@@ -15,7 +15,7 @@
 namespace balancer::testbed {
 namespace {
 
-constexpr std::array<std::pair<const char*, What>, 31> kWhats{{
+constexpr std::array<std::pair<const char*, What>, 31> kIncidentNames{{
     {"kill", What::kKill},
     {"restart", What::kRestart},
     {"replace", What::kReplace},
@@ -53,14 +53,16 @@
     {{"none", Cancel::kNone}, {"queued", Cancel::kQueued}, {"all", Cancel::kAll}}};
 constexpr std::array<std::pair<const char*, Effect>, 3> kEffects{
     {{"safe", Effect::kSafe}, {"keyed", Effect::kKeyed}, {"unsafe", Effect::kUnsafe}}};
-constexpr std::array<std::pair<const char*, Reads>, 3> kReads{
+constexpr std::array<std::pair<const char*, Reads>, 3> kReadPolicies{
     {{"primary", Reads::kPrimary}, {"replica", Reads::kReplica}, {"any", Reads::kAny}}};
 constexpr std::array<std::pair<const char*, Backoff>, 3> kBackoffs{
     {{"none", Backoff::kNone}, {"fixed", Backoff::kFixed}, {"exp", Backoff::kExponential}}};
-constexpr std::array<std::pair<const char*, bool>, 2> kWarms{{{"time", false}, {"work", true}}};
-constexpr std::array<std::pair<const char*, bool>, 2> kModes{{{"push", false}, {"ask", true}}};
-// Whether to the host, whether to the balancer.
-constexpr std::array<std::pair<const char*, std::pair<bool, bool>>, 3> kWays{
+constexpr std::array<std::pair<const char*, bool>, 2> kWarmUpModes{
+    {{"time", false}, {"work", true}}};
+constexpr std::array<std::pair<const char*, bool>, 2> kDiscoveryModes{
+    {{"push", false}, {"ask", true}}};
+// Directions of a link: to the host, to the balancer.
+constexpr std::array<std::pair<const char*, std::pair<bool, bool>>, 3> kLinkDirections{
     {{"both", {true, true}}, {"to-host", {true, false}}, {"to-balancer", {false, true}}}};
 
 HostSpec read_host(Keys& k, const HostSpec& d) {
@@ -72,7 +74,7 @@
   h.crowded_loss = k.real("crowded_loss", d.crowded_loss, 0, 0.9);
   h.cold_share = k.real("cold_share", d.cold_share, 0.01, 1);
   h.cold_time = k.time("cold_s", 1, seconds(d.cold_time), 0, 600);
-  h.warms_by_work = k.choice("warms_by", false, kWarms);
+  h.warms_by_work = k.choice("warms_by", false, kWarmUpModes);
   h.tip_multiple = k.real("tip_multiple", d.tip_multiple, 0, 1e3);
   h.tip_time = k.time("tip_s", 1, seconds(d.tip_time), 0, 600);
   h.cancel = k.choice("cancel", d.cancel, kCancels);
@@ -96,10 +98,10 @@
   l.front_notice_s = k.real("front_notice_s", l.front_notice_s, 0, 60);
 }
 
-bool strikes_hosts(What what) { return what <= What::kFlush; }
-bool strikes_links(What what) { return what >= What::kLinkStall && what <= What::kLinkReset; }
-bool strikes_clusters(What what) { return what >= What::kMoveSlots && what <= What::kJam; }
-bool strikes_holder(What what) { return what >= What::kAddressMove; }
+bool affects_hosts(What what) { return what <= What::kFlush; }
+bool affects_links(What what) { return what >= What::kLinkStall && what <= What::kLinkReset; }
+bool affects_clusters(What what) { return what >= What::kMoveSlots && what <= What::kJam; }
+bool affects_holder(What what) { return what >= What::kAddressMove; }
 
 int find_cluster(Keys& k, const Scenario& s, const std::string& name) {
   for (std::size_t i = 0; i < s.clusters.size(); ++i)
@@ -111,7 +113,7 @@
   ClusterSpec c;
   c.name = k.name("name");
   for (const ClusterSpec& other : s.clusters)
-    if (other.name == c.name) k.bad("name", "is that of two clusters");
+    if (other.name == c.name) k.bad("name", "is already the name of another cluster");
   c.primaries = k.whole("primaries", 3, 1, 64);
   c.replicas = k.whole("replicas", 0, 0, 5);
   c.lag = k.time("replica_lag_ms", 1e-3, 0, 0, 60'000);
@@ -122,13 +124,13 @@
   s.clusters.push_back(c);
 }
 
-// At a cluster a read is told from a write by its command, and one class from another by its keys.
+// In a cluster, reads and writes are distinguished by their command, and classes by their keys.
 void read_class_of_cluster(Keys& k, const Scenario& s, ClassSpec& c) {
   c.cluster = find_cluster(k, s, k.text("cluster", ""));
   c.prefix = k.text("prefix", "");
-  c.reads = k.choice("reads", Reads::kPrimary, kReads);
+  c.reads = k.choice("reads", Reads::kPrimary, kReadPolicies);
   if (c.effect == Effect::kKeyed) k.bad("effect", "nodes of a cluster discard no repeats");
-  if (c.write() && c.reads != Reads::kPrimary) k.bad("reads", "replicas take no writes");
+  if (c.write() && c.reads != Reads::kPrimary) k.bad("reads", "replicas accept no writes");
   for (const ClassSpec& other : s.classes)
     if (other.cluster == c.cluster && other.write() == c.write() && other.prefix == c.prefix)
       k.bad("prefix", "is that of '" + other.name + "' too: the two cannot be told apart");
@@ -138,7 +140,7 @@
   IncidentSpec i;
   i.line = k.line();
   if (!k.has("what")) k.bad("what", "is missing");
-  i.what = k.choice("what", What::kPause, kWhats);
+  i.what = k.choice("what", What::kPause, kIncidentNames);
   i.at = k.time("at_s", 1, 0, 0, seconds(s.length));
   i.length = k.time("for_s", 1, 0, 0, 3600);
   i.host = k.text("host", "");
@@ -148,16 +150,16 @@
   i.share = k.real("share", 1, 0, 1);
   i.factor = k.real("factor", 1, 0, 1000);
   i.balancer = k.whole("balancer", -1, 0, 1000);
-  if (strikes_clusters(i.what)) i.cluster = find_cluster(k, s, k.text("cluster", ""));
+  if (affects_clusters(i.what)) i.cluster = find_cluster(k, s, k.text("cluster", ""));
   i.stagger = k.time("stagger_s", 1, 0, 0, 600);
   i.drain = k.time("drain_s", 1, 0, 0, 600);
-  const auto named = [](const auto& all, const std::string& name) {
+  const auto exists = [](const auto& all, const std::string& name) {
     return name.empty() ||
            std::any_of(all.begin(), all.end(), [&](const auto& x) { return x.name == name; });
   };
-  if (!named(s.kinds, i.kind)) k.bad("kind", "no kind has the name '" + i.kind + "'");
-  if (!named(s.zones, i.zone)) k.bad("zone", "no zone has the name '" + i.zone + "'");
-  if (!named(s.tenants, i.tenant)) k.bad("tenant", "no tenant has the name '" + i.tenant + "'");
+  if (!exists(s.kinds, i.kind)) k.bad("kind", "no kind has the name '" + i.kind + "'");
+  if (!exists(s.zones, i.zone)) k.bad("zone", "no zone has the name '" + i.zone + "'");
+  if (!exists(s.tenants, i.tenant)) k.bad("tenant", "no tenant has the name '" + i.tenant + "'");
   if (!i.host.empty() && i.host != "origin") {
     const bool good = i.host.size() > 1 && i.host[0] == 'h' && i.host.size() < 8 &&
                       i.host.find_first_not_of("0123456789", 1) == std::string::npos &&
@@ -166,22 +168,24 @@
   }
   if (i.balancer >= s.balancers)
     k.bad("balancer", "must lie from 0 to " + std::to_string(s.balancers - 1));
-  if (i.what == What::kBurst && i.tenant.empty()) k.bad("tenant", "is missing: a burst is one's");
-  if (strikes_links(i.what))
-    std::tie(i.to_host, i.to_balancer) = k.choice("way", std::pair(true, true), kWays);
-  if (!strikes_hosts(i.what) && !strikes_links(i.what) && !(i.host + i.kind + i.zone).empty())
-    k.bad("what", "'" + std::string(name_of(i.what)) + "' strikes no host");
-  const bool lasts =
+  if (i.what == What::kBurst && i.tenant.empty())
+    k.bad("tenant", "is missing: a burst needs a tenant");
+  if (affects_links(i.what))
+    std::tie(i.to_host, i.to_balancer) = k.choice("way", std::pair(true, true), kLinkDirections);
+  if (!affects_hosts(i.what) && !affects_links(i.what) && !(i.host + i.kind + i.zone).empty())
+    k.bad("what", "'" + std::string(name_of(i.what)) + "' does not affect hosts");
+  const bool needs_length =
       i.what == What::kPause || i.what == What::kHang || i.what == What::kSlow ||
       i.what == What::kErrors || i.what == What::kResets || i.what == What::kRefuse ||
       i.what == What::kSilent || i.what == What::kSpoil || i.what == What::kBurst ||
       i.what == What::kDemand || i.what == What::kDiscoveryDown || i.what == What::kMoveSlots ||
       i.what == What::kJam || i.what == What::kHolderStop || i.what == What::kHolderCut ||
-      i.what == What::kBalancerStop || strikes_links(i.what);
-  if (lasts && i.length == Duration{0}) k.bad("for_s", "is missing: this one needs a length");
+      i.what == What::kBalancerStop || affects_links(i.what);
+  if (needs_length && i.length == Duration{0})
+    k.bad("for_s", "is missing: this incident needs a length");
   if (i.what == What::kFailover && s.clusters[static_cast<std::size_t>(i.cluster)].replicas == 0)
     k.bad("cluster", "has no replica that could take over");
-  if (strikes_holder(i.what) && s.group_voters == 0)
+  if (affects_holder(i.what) && s.group_voters == 0)
     k.bad("what", "'" + std::string(name_of(i.what)) + "' needs [group]");
   const Duration every = k.time("every_s", 1, 0, 0, 3600);
   do {
@@ -190,7 +194,7 @@
   } while (every > Duration{0} && i.at < s.length);
 }
 
-void read(Keys& k, Scenario& s) {
+void read_scenario(Keys& k, Scenario& s) {
   s.name = k.name("name");
   s.about = k.text("about", "");
   s.seed = static_cast<std::uint64_t>(k.whole("seed", 1, 0, 1 << 30));
@@ -206,12 +210,13 @@
     s.connection_idle = b.time("connection_idle_s", 1, 15, 1, 600);
     s.streams = b.whole("streams", 32, 1, 1000);
     s.faults = b.text("faults", "");
-    if (!FaultPlan::parse(s.faults)) b.bad("faults", "is no list of NAME=NUMBER that is known");
+    if (!FaultPlan::parse(s.faults))
+      b.bad("faults", "must be a list of NAME=NUMBER with known names");
   });
   if (k.has("group"))
     k.table("group", [&](Keys& g) {
       s.group_voters = g.whole("voters", std::min(s.balancers, 3), 1, 7);
-      if (s.group_voters > s.balancers) g.bad("voters", "is more than there are balancers");
+      if (s.group_voters > s.balancers) g.bad("voters", "exceeds the number of balancers");
     });
   k.tables("zone", [&](Keys& z) {
     s.zones.push_back({z.name("name"), z.real("clients", 1, 0, 1e6)});
@@ -235,7 +240,7 @@
     if (c.has("cluster")) read_class_of_cluster(c, s, spec);
     s.classes.push_back(spec);
   });
-  if (s.classes.empty()) k.bad("class", "there is none");
+  if (s.classes.empty()) k.bad("class", "at least one is required");
   k.tables("tenant", [&](Keys& t) {
     s.tenants.push_back(
         {t.name("name"), t.real("share", 1, 0, 1e6), t.real("quota_per_s", 0, 0, 1e6)});
@@ -249,7 +254,7 @@
   k.tables("kind", [&](Keys& h) {
     KindSpec spec;
     spec.name = h.name("name");
-    if (spec.name == "origin") h.bad("name", "'origin' is the origin's");
+    if (spec.name == "origin") h.bad("name", "'origin' is reserved for the origin");
     spec.count = h.whole("count", 1, 1, 1000);
     spec.host = read_host(h, host);
     spec.speed = h.range<Range>("speed", {1, 1}, 0.01, 100);
@@ -261,9 +266,11 @@
     spec.error_rate = h.real("error_rate", 0, 0, 1);
     s.kinds.push_back(spec);
   });
-  if (s.kinds.empty() && s.memcache()) k.bad("kind", "there is none");
+  if (s.kinds.empty() && s.memcache()) k.bad("kind", "at least one is required");
   if (s.group_voters > 0 && (s.memcache() || s.clusters.size() != 1 || s.clusters[0].by_slot))
-    k.bad("group", "needs one cluster that all classes are of, whose clients are plain");
+    k.bad("group",
+          "needs exactly one cluster, which serves all classes and whose clients do not use "
+          "cluster mode");
   HostSpec origin;
   origin.cores = 8;
   origin.slots = 16;
@@ -276,7 +283,7 @@
     s.origin.connections = o.whole("connections", 1024, 1, 65'536);
   });
   k.table("discovery", [&](Keys& d) {
-    s.discovery.ask = d.choice("mode", false, kModes);
+    s.discovery.ask = d.choice("mode", false, kDiscoveryModes);
     s.discovery.delay_ms = d.range<Range>("delay_ms", {100, 500}, 0, 60'000);
   });
   k.table("load", [&](Keys& l) { read_load(l, s.load); });
@@ -291,7 +298,7 @@
 }  // namespace
 
 const char* name_of(What what) {
-  for (const auto& [word, meaning] : kWhats)
+  for (const auto& [word, meaning] : kIncidentNames)
     if (meaning == what) return word;
   return "?";
 }
@@ -304,7 +311,7 @@
 
 bool Scenario::troubles_links() const {
   return std::any_of(incidents.begin(), incidents.end(),
-                     [](const IncidentSpec& i) { return strikes_links(i.what); });
+                     [](const IncidentSpec& i) { return affects_links(i.what); });
 }
 
 std::vector<int> Scenario::balancers_struck(const IncidentSpec& i) const {
@@ -324,11 +331,11 @@
 }
 
 long Scenario::descriptors() const {
-  // Listeners; what the balancers may hold to hosts; clients' connections, both ends of which count
-  // where they meet the emulator; the log pipes and some for the program itself.
+  // Listeners, connections from the balancers to hosts, client connections (both ends count where
+  // they are in the emulator), the log pipes and some descriptors for the program itself.
   long nodes = 0;
   for (const ClusterSpec& c : clusters) nodes += 2L * c.primaries * (1 + c.replicas) + balancers;
-  // A link has a listener, and two ends for each connection.
+  // A link has a listener and two descriptors for each connection.
   const long links = troubles_links() ? balancers * (hosts() + 1L + 2L * sockets) : 0;
   return hosts() + nodes + links + balancers * (3L + sockets) + 64;
 }
@@ -339,7 +346,7 @@
   try {
     const toml::table root = toml::parse(text, file);
     Keys keys(root, s.file);
-    read(keys, s);
+    read_scenario(keys, s);
   } catch (const toml::parse_error& e) {
     wrong(file, static_cast<int>(e.source().begin.line), "", std::string(e.description()));
   }
--- a/src/testbed/report/report.cc
+++ b/src/testbed/report/report.cc
@@ -18,7 +18,7 @@
     if (c == '"' || c == '\\') {
       out += '\\';
       out += c;
-    } else if (u < 0x20 || u >= 0x7f) {  // not all that peers send is UTF-8
+    } else if (u < 0x20 || u >= 0x7f) {  // bytes from peers may not be UTF-8
       char hex[8];
       std::snprintf(hex, sizeof hex, "\\u%04x", u);
       out += hex;
@@ -29,30 +29,30 @@
   return out + "\"";
 }
 
-// Writes objects and lists with their commas.
+// Writes JSON objects and lists, including the commas.
 class Json {
  public:
   Json& key(std::string_view name) {
     comma();
     out_ += quoted(name) + ":";
-    fresh_ = true;
+    first_ = true;
     return *this;
   }
   Json& open(char bracket) {
     comma();
     out_ += bracket;
-    fresh_ = true;
+    first_ = true;
     return *this;
   }
   Json& close(char bracket) {
     out_ += bracket;
-    fresh_ = false;
+    first_ = false;
     return *this;
   }
   Json& text(std::string_view name, std::string_view value) {
     key(name);
     out_ += quoted(value);
-    fresh_ = false;
+    first_ = false;
     return *this;
   }
   Json& number(std::string_view name, double value) {
@@ -60,24 +60,24 @@
     char digits[40];
     std::snprintf(digits, sizeof digits, "%.6g", value);
     out_ += digits;
-    fresh_ = false;
+    first_ = false;
     return *this;
   }
   Json& count(std::string_view name, std::uint64_t value) {
     key(name);
     out_ += std::to_string(value);
-    fresh_ = false;
+    first_ = false;
     return *this;
   }
   std::string take() { return std::move(out_); }
 
  private:
   void comma() {
-    if (!fresh_) out_ += ",";
-    fresh_ = false;
+    if (!first_) out_ += ",";
+    first_ = false;
   }
   std::string out_;
-  bool fresh_ = true;
+  bool first_ = true;
 };
 
 void percentiles(Json& j, const Histogram& h) {
@@ -119,7 +119,7 @@
       .close('}');
 }
 
-std::string whom(const IncidentSpec& i) {
+std::string affected_names(const IncidentSpec& i) {
   std::string text;
   for (const std::string* name : {&i.host, &i.kind, &i.zone, &i.tenant})
     if (!name->empty()) text += (text.empty() ? "" : " ") + *name;
@@ -167,7 +167,7 @@
   for (const IncidentSpec& i : s.incidents)
     j.open('{')
         .text("what", name_of(i.what))
-        .text("whom", whom(i))
+        .text("whom", affected_names(i))
         .number("at_s", seconds(i.at))
         .number("for_s", seconds(i.length))
         .close('}');
@@ -209,7 +209,8 @@
   const std::uint64_t useful = t.never_ran + t.served;
   j.count("attempts_lost", t.attempts > useful ? t.attempts - useful : 0);
   j.count("repeats_discarded", t.repeats_discarded).count("excused", t.excused);
-  j.count("rude", run.load.rude()).count("rude_unanswered", run.load.rude_unanswered());
+  j.count("rude", run.load.invalid_inputs())
+      .count("rude_unanswered", run.load.invalid_inputs_unanswered());
   std::uint64_t redirections = 0;
   for (const RespFleet* cluster : run.clusters) redirections += cluster->redirections();
   j.count("redirections", redirections);
@@ -275,7 +276,8 @@
 
 namespace {
 
-// What all balancers sent each cold host, in requests of mean work. Earlier reports lack it.
+// Appends the load that all balancers sent each cold host, in requests of mean work. Reports of
+// earlier versions do not have it.
 void cold_hosts(std::string& out, element root) {
   simdjson::dom::array all;
   if (root["cold_hosts"].get(all) != simdjson::SUCCESS || all.size() == 0) return;
@@ -302,7 +304,7 @@
     " "
     "      %\n";
 
-// The checks of a report; none in one of old.
+// Returns the checks of a report; reports of earlier versions have none.
 simdjson::dom::array checks(element root) {
   simdjson::dom::array all;
   if (root["checks"].get(all)) return {};
--- a/src/testbed/report/report.h
+++ b/src/testbed/report/report.h
@@ -13,7 +13,7 @@
 
 struct ProcessSample {
   Time at{0};
-  double memory_mb = 0, cpu = 0;  // cpu: cores used since the sample before
+  double memory_mb = 0, cpu = 0;  // cpu: cores used since the previous sample
   int descriptors = 0;
 };
 
@@ -24,7 +24,7 @@
   std::vector<ProcessSample> samples;
 };
 
-// All that a run came to, before it is written down.
+// All figures of a run, from which the report is written.
 struct RunFigures {
   const Scenario& scenario;
   const Auditor& auditor;
@@ -37,7 +37,7 @@
   std::vector<BalancerFigures> balancers;
   std::vector<ProcessSample> rig;
   Histogram loop_lag;                // of the emulator's own event loop
-  std::vector<Check> restarts = {};  // of balancers that the scenario restarted
+  std::vector<Check> restarts = {};  // of restarted balancers
 
   std::vector<Check> checks() const {
     std::vector<Check> all = auditor.checks();
@@ -46,16 +46,19 @@
   }
 };
 
-// Beyond this lag at p99 the emulator was late itself, and its figures say nothing of balancers.
+// If the p99 lag exceeds this, the emulator itself was late and the figures do not describe the
+// balancers.
 inline constexpr Duration kMaxLag = std::chrono::milliseconds(5);
 
-// The report as one JSON object; text and page are made of that alone, also from a file of old.
+// Returns the report as one JSON object. Text and page are made from that alone, so that they can
+// be made from a stored report too.
 std::string report_json(const RunFigures& run);
 
-// Throw std::runtime_error if `json` is no report.
+// These throw std::runtime_error if `json` is not a report.
 std::string report_text(const std::string& json);
-std::string report_html(const std::string& json);  // whole page, no network, opens from disk
-// 0, or 1 where a rule was broken, a balancer crashed, or a check failed.
+// The page is self-contained and opens from disk without a network.
+std::string report_html(const std::string& json);
+// Returns 1 if a rule was broken, a balancer crashed or a check failed; otherwise 0.
 int report_verdict(const std::string& json);
 
 }  // namespace balancer::testbed
--- a/src/testbed/report/report_html.cc
+++ b/src/testbed/report/report_html.cc
@@ -5,7 +5,8 @@
 #include "testbed/report/report.h"
 #include "testbed/report/report_read.h"
 
-// One page, everything in it: drawn here as SVG, so that it needs no script and no network.
+// Writes the report as a self-contained page. Charts are drawn here as SVG, so that the page needs
+// no script and no network.
 namespace balancer::testbed {
 namespace {
 
@@ -110,7 +111,7 @@
 
 void stacked(std::string& out, element root, double length) {
   simdjson::dom::array seconds;
-  if (root["seconds"].get(seconds)) throw std::runtime_error("no report: it lacks seconds");
+  if (root["seconds"].get(seconds)) throw std::runtime_error("not a report: missing key seconds");
   const char* ends[] = {"in_aim", "late", "refused", "failed", "left"};
   const char* names[] = {"served within the aim", "served late", "refused", "failed",
                          "client left"};
@@ -182,7 +183,7 @@
 std::string report_html(const std::string& json) {
   simdjson::dom::parser parser;
   element root;
-  if (parser.parse(json).get(root)) throw std::runtime_error("no report: it is no JSON");
+  if (parser.parse(json).get(root)) throw std::runtime_error("not a report: invalid JSON");
   const double length = num(root, "length_s");
   std::string out =
       "<!doctype html><html lang='en'><head><meta charset='utf-8'><meta name='viewport' "
--- a/src/testbed/report/report_read.h
+++ b/src/testbed/report/report_read.h
@@ -7,8 +7,8 @@
 #include <stdexcept>
 #include <string>
 
-// How text and page take a report's JSON: each getter throws std::runtime_error that names what is
-// missing.
+// Accessors for a report's JSON, for the text and the page. Each getter throws std::runtime_error,
+// which names the missing key.
 namespace balancer::testbed {
 
 using simdjson::dom::element;
@@ -24,32 +24,32 @@
 
 inline double num(element e, const char* key) {
   double value = 0;
-  if (e[key].get(value)) throw std::runtime_error(std::string("no report: it lacks ") + key);
+  if (e[key].get(value)) throw std::runtime_error(std::string("not a report: missing key ") + key);
   return value;
 }
 
 inline std::string str(element e, const char* key) {
   std::string_view value;
-  if (e[key].get(value)) throw std::runtime_error(std::string("no report: it lacks ") + key);
+  if (e[key].get(value)) throw std::runtime_error(std::string("not a report: missing key ") + key);
   return std::string(value);
 }
 
 inline simdjson::dom::array list(element e, const char* key) {
   simdjson::dom::array value;
-  if (e[key].get(value)) throw std::runtime_error(std::string("no report: it lacks ") + key);
+  if (e[key].get(value)) throw std::runtime_error(std::string("not a report: missing key ") + key);
   return value;
 }
 
 inline element sub(element e, const char* key) {
   element value;
-  if (e[key].get(value)) throw std::runtime_error(std::string("no report: it lacks ") + key);
+  if (e[key].get(value)) throw std::runtime_error(std::string("not a report: missing key ") + key);
   return value;
 }
 
 inline element parse(simdjson::dom::parser& parser, const std::string& json) {
   element root;
   if (const auto error = parser.parse(json).get(root))
-    throw std::runtime_error(std::string("no report: ") + simdjson::error_message(error));
+    throw std::runtime_error(std::string("not a report: ") + simdjson::error_message(error));
   return root;
 }
 
--- a/tests/testbed/auditor_test.cc
+++ b/tests/testbed/auditor_test.cc
@@ -1,4 +1,4 @@
-// The judge itself, told of one request at a time.
+// Tests the auditor directly, one request at a time.
 #include "testbed/audit/auditor.h"
 
 #include "rig_harness.h"
@@ -24,7 +24,7 @@
   Check begun_late() { return audit.checks().at(1); }
   Check sent_on() { return audit.checks().at(2); }
   Check unanswered() { return audit.checks().at(3); }
-  // A request whose client leaves at 0.1 s.
+  // Returns a request whose client leaves at 0.1 s.
   RequestNumber abandoned() {
     const auto r = send(kRead);
     audit.on_client_gone(milliseconds(100), r);
@@ -44,7 +44,7 @@
   const int other = audit.add_host("h1");
 };
 
-TEST_F(AuditorTest, AServedReadBreaksNothing) {
+TEST_F(AuditorTest, AcceptsAServedRead) {
   const auto r = send(kRead);
   const int a = run(r, milliseconds(1));
   audit.on_made(milliseconds(2), r, a, "value");
@@ -52,7 +52,7 @@
   expect(0, 0, 0, 0);
 }
 
-TEST_F(AuditorTest, AnAnswerMadeForAnotherRequestIsALostOne) {
+TEST_F(AuditorTest, RejectsAnAnswerMadeForAnotherRequest) {
   const auto r = send(kRead), q = send(kRead, 2);
   audit.on_made(milliseconds(2), q, run(q, milliseconds(1)), "value");
   run(r, milliseconds(1));
@@ -61,7 +61,7 @@
   EXPECT_NE(audit.breaches()[0].story.find("reached h0"), std::string::npos);
 }
 
-TEST_F(AuditorTest, LateAnswersBreakTheFirstRule) {
+TEST_F(AuditorTest, RejectsAnAnswerLaterThanTheSlack) {
   const auto r = send(kRead);
   audit.on_reply(milliseconds(1290), r, Reply::kFailed, {});  // within the slack of 300 ms
   expect(0, 0, 0, 0);
@@ -70,7 +70,7 @@
   expect(1, 0, 0, 0);
 }
 
-TEST_F(AuditorTest, UnsafeOnesGoOnOnlyOnProof) {
+TEST_F(AuditorTest, AllowsAFurtherUnsafeAttemptOnlyIfTheFirstNeverRan) {
   const auto r = send(kBook);
   const int first = audit.on_arrived(milliseconds(1), r, host);
   audit.on_never_ran(milliseconds(2), r, first, "busy");
@@ -80,7 +80,7 @@
   expect(0, 1, 0, 0);
 }
 
-TEST_F(AuditorTest, UnsafeOnesAreRefusedOnlyOnProof) {
+TEST_F(AuditorTest, AllowsRefusingAnUnsafeRequestOnlyIfItNeverRan) {
   const auto r = send(kBook);
   audit.on_never_ran(milliseconds(2), r, audit.on_arrived(milliseconds(1), r, host), "busy");
   audit.on_reply(milliseconds(3), r, Reply::kRefused, {});
@@ -92,7 +92,7 @@
 }
 
 // The client's retry after a refusal has a new id and the same effect.
-TEST_F(AuditorTest, AnEffectCountsOverAllTries) {
+TEST_F(AuditorTest, CountsAnEffectOverAllTries) {
   const auto r = send(kBook, 7);
   run(r, milliseconds(1));
   const auto again = send(kBook, 7, milliseconds(100));
@@ -100,7 +100,7 @@
   expect(0, 1, 0, 0);
 }
 
-TEST_F(AuditorTest, KeyedOnesRepeatWithinTheirWindow) {
+TEST_F(AuditorTest, AllowsKeyedRepeatsWithinTheDeduplicationWindow) {
   const auto r = send(kSave, 7);
   run(r, milliseconds(1));
   run(r, milliseconds(200), true);
@@ -111,7 +111,7 @@
   expect(0, 1, 0, 0);
 }
 
-TEST_F(AuditorTest, DrainsCountFromWhatTheBalancerWasTold) {
+TEST_F(AuditorTest, MeasuresDrainGraceFromTheAnnouncementToTheBalancer) {
   audit.on_told(milliseconds(0), 0, host, true);
   audit.on_arrived(milliseconds(99), send(kRead), host);
   audit.on_arrived(milliseconds(500), send(kRead), other);
@@ -127,7 +127,7 @@
   expect(0, 0, 1, 0);
 }
 
-TEST_F(AuditorTest, PushingOverCountsOnlyForThoseWhoKnew) {
+TEST_F(AuditorTest, CountsAnOverloadIfMostOfItCameFromInformedBalancers) {
   audit.on_told_start(milliseconds(0), 0, host);
   audit.on_pushed_over(milliseconds(100), host, {{0, 1.0}, {1, 2.0}}, "fell over");
   expect(0, 0, 0, 0);
@@ -135,21 +135,21 @@
   expect(0, 0, 0, 1);
 }
 
-TEST_F(AuditorTest, ClosingOnWhatWasReadLosesIt) {
+TEST_F(AuditorTest, RejectsResendingARequestThatWasRead) {
   const auto unread = send(kRead);
-  audit.on_moved(milliseconds(1), unread, 0);
+  audit.on_resent(milliseconds(1), unread, 0);
   expect(0, 0, 0, 0);
   const auto read = send(kRead, 2);
   run(read, milliseconds(1));
-  audit.on_moved(milliseconds(2), read, 0);
+  audit.on_resent(milliseconds(2), read, 0);
   expect(1, 0, 0, 0);
 }
 
-// A fifth of the further attempts may tell 0.15 s more than the client has left.
-TEST_F(AuditorTest, ToldTimeIsHeldAgainstWhatIsLeftOfFurtherAttempts) {
+// A fifth of the further attempts may state over 0.15 s more than the client has left.
+TEST_F(AuditorTest, ChecksTheStatedTimeOfFurtherAttempts) {
   for (int i = 0; i < 10; ++i) {
     const auto r = send(kRead);
-    audit.on_arrived(milliseconds(1), r, host, milliseconds(5000));  // a first one
+    audit.on_arrived(milliseconds(1), r, host, milliseconds(5000));  // a first attempt
     audit.on_arrived(milliseconds(400), r, other, milliseconds(i < 2 ? 751 : 750));
   }
   EXPECT_EQ(told().cases, 10u);
@@ -159,7 +159,7 @@
       << told().example;
   const auto r = send(kRead);
   audit.on_arrived(milliseconds(1), r, host);
-  audit.on_arrived(milliseconds(400), r, other);  // it tells none
+  audit.on_arrived(milliseconds(400), r, other);  // it states no time
   EXPECT_FALSE(told().failed());
   audit.on_arrived(milliseconds(900), r, other, milliseconds(600));
   EXPECT_EQ(told().cases, 12u);
@@ -168,15 +168,16 @@
   expect(0, 0, 0, 0);
 }
 
-// An attempt may begin 0.1 s behind the close; of those later than that the third is a break.
-TEST_F(AuditorTest, AttemptsForAClientThatHasGoneBreakTheFirstRuleFromTheThirdOn) {
+// An attempt may begin up to 0.1 s after the close. Two later ones are allowed; the third breaks
+// the first rule.
+TEST_F(AuditorTest, RejectsTheThirdLateAttemptAfterAClientClosed) {
   for (int i = 0; i < 9; ++i) audit.on_arrived(milliseconds(200), abandoned(), host);
   EXPECT_EQ(begun_late().cases, 9u);
   EXPECT_EQ(begun_late().broken, 0u);
   const auto r = send(kRead);
   audit.on_arrived(milliseconds(50), r, host);
   audit.on_client_gone(milliseconds(100), r);
-  audit.on_arrived(milliseconds(201), r, other);  // a further one
+  audit.on_arrived(milliseconds(201), r, other);  // a further attempt
   audit.on_arrived(milliseconds(201), abandoned(), host);
   EXPECT_FALSE(begun_late().failed());
   expect(0, 0, 0, 0);
@@ -187,18 +188,19 @@
   EXPECT_NE(audit.breaches()[0].what.find("0.101 s after its client had gone"), std::string::npos);
 }
 
-// Five at least, and over a quarter of those that were waiting when their client went.
-TEST_F(AuditorTest, WaitingRequestsAreNotSentOnBehindTheClose) {
+// The check fails if at least five requests, and over a quarter of those waiting at the close, are
+// sent on.
+TEST_F(AuditorTest, LimitsWaitingRequestsSentOnAfterTheClose) {
   for (int i = 0; i < 4; ++i) audit.on_arrived(milliseconds(401), abandoned(), host);
   EXPECT_EQ(sent_on().broken, 4u);
-  EXPECT_FALSE(sent_on().failed()) << "four may always be";
+  EXPECT_FALSE(sent_on().failed()) << "four are always allowed";
   audit.on_arrived(milliseconds(400), abandoned(), host);
   EXPECT_EQ(sent_on().broken, 4u);
   const auto tried = send(kRead);
   audit.on_arrived(milliseconds(1), tried, host);
   audit.on_client_gone(milliseconds(100), tried);
   audit.on_arrived(milliseconds(500), tried, other);
-  EXPECT_EQ(sent_on().cases, 5u) << "it was not waiting for its first";
+  EXPECT_EQ(sent_on().cases, 5u) << "it was not waiting for its first attempt";
   EXPECT_EQ(sent_on().broken, 4u);
   audit.on_arrived(milliseconds(401), abandoned(), host);
   EXPECT_TRUE(sent_on().failed()) << "five of six";
@@ -208,8 +210,8 @@
   EXPECT_TRUE(sent_on().failed()) << "six of twenty-one";
 }
 
-// The slack of the scenario is 300 ms, of which 20 are the rig's own.
-TEST_F(AuditorTest, OneRequestInFiveHundredAndFiveMoreMayBeUnanswered) {
+// The slack of the scenario is 300 ms, of which the testbed itself needs 20 ms.
+TEST_F(AuditorTest, AllowsOneInFiveHundredAndFiveMoreUnansweredRequests) {
   for (int i = 0; i < 494; ++i) audit.on_reply(milliseconds(1280), send(kRead), Reply::kFailed, {});
   for (int i = 0; i < 5; ++i) audit.on_reply(milliseconds(1281), send(kRead), Reply::kFailed, {});
   EXPECT_EQ(unanswered().broken, 5u);
@@ -225,8 +227,8 @@
   EXPECT_TRUE(unanswered().failed());
 }
 
-// A link that held an attempt up does not tell when it began.
-TEST_F(AuditorTest, ArrivalsOverLinksThatDelayAreNotHeldAgainstTheClientsTime) {
+// The arrival of an attempt over a delaying link does not show when it began.
+TEST_F(AuditorTest, SkipsDeadlineChecksWhileLinksDelay) {
   const auto r = send(kRead);
   audit.on_arrived(milliseconds(1), r, host, milliseconds(999));
   audit.on_links_delay(milliseconds(800));
@@ -237,13 +239,13 @@
   EXPECT_EQ(told().broken, 1u);
 }
 
-TEST(ToldTimeTest, ReadsWholeMillisecondsOnly) {
+TEST(ToldTimeTest, AcceptsWholeMillisecondsOnly) {
   EXPECT_EQ(told_time("480"), milliseconds(480));
   for (const char* bad : {"", "x", "48x", "4.8", "99999999999999999999"})
     EXPECT_FALSE(told_time(bad)) << bad;
 }
 
-TEST_F(AuditorTest, ManyBreachesAreCountedAndFewKept) {
+TEST_F(AuditorTest, CountsAllBreachesAndKeepsAFew) {
   for (int i = 0; i < 1000; ++i) audit.on_lost(milliseconds(1), send(kRead), "test");
   expect(1000, 0, 0, 0);
   EXPECT_LE(audit.breaches().size(), 50u);
--- a/tests/testbed/host_model_test.cc
+++ b/tests/testbed/host_model_test.cc
@@ -1,5 +1,5 @@
-// The host model in simulated time, against sums done by hand and properties that must hold for any
-// work.
+// Tests the host model in simulated time against values calculated by hand and against properties
+// that hold for any work.
 #include "testbed/model/host_model.h"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
   return s;
 }
 
-// Runs it to the end; when each job was done.
+// Runs the model to the end and returns when each job was done.
 std::map<Job, Time> finish(HostModel& model, Time now = Time{0}) {
   std::map<Job, Time> done;
   for (;;) {
@@ -38,7 +38,7 @@
 
 void expect_near(Time t, double ms) { EXPECT_NEAR(millis(t), ms, 0.01); }
 
-TEST(HostModelTest, JobsShareACore) {
+TEST(HostModelTest, SharesACoreAmongJobs) {
   HostModel model(spec(), Time{0}, false);
   model.submit(Time{0}, 1, 0.010);
   model.submit(Time{0}, 2, 0.020);
@@ -47,7 +47,7 @@
   expect_near(done[2], 30);
 }
 
-TEST(HostModelTest, TwoCoresAreNotShared) {
+TEST(HostModelTest, GivesEachOfTwoJobsItsOwnCore) {
   HostModel model(spec(2), Time{0}, false);
   model.submit(Time{0}, 1, 0.010);
   model.submit(Time{0}, 2, 0.020);
@@ -56,7 +56,7 @@
   expect_near(done[2], 20);
 }
 
-TEST(HostModelTest, SpeedAndSlownessScale) {
+TEST(HostModelTest, ScalesWithSpeedAndSlowness) {
   HostSpec s = spec();
   s.speed = 2;
   HostModel model(s, Time{0}, false);
@@ -65,20 +65,20 @@
   expect_near(finish(model)[1], 20);
 }
 
-TEST(HostModelTest, BusyBeyondSlotsAndWaitingRoom) {
+TEST(HostModelTest, AnswersBusyWhenSlotsAndQueueAreFull) {
   HostModel model(spec(1, 2, 3), Time{0}, false);
   for (Job j = 1; j <= 5; ++j) EXPECT_EQ(model.submit(Time{0}, j, 0.01), HostModel::Answer::kTaken);
   EXPECT_EQ(model.submit(Time{0}, 6, 0.01), HostModel::Answer::kBusy);
   EXPECT_EQ(finish(model).size(), 5u);
 }
 
-TEST(HostModelTest, CrowdingCostsEfficiency) {
+TEST(HostModelTest, LosesEfficiencyWhenCrowded) {
   HostSpec s = spec(1, 4);
   s.crowded_at = 2;
   s.crowded_loss = 0.25;
   HostModel model(s, Time{0}, false);
   for (Job j = 1; j <= 4; ++j) model.submit(Time{0}, j, 0.010);
-  // Four a core, two beyond the bound: half of the efficiency, and all end together.
+  // Four requests per core, two above the limit: half of the efficiency, and all finish together.
   for (const auto& [job, at] : finish(model)) expect_near(at, 80);
 }
 
@@ -94,7 +94,7 @@
   EXPECT_NEAR(millis(finish(model)[1]), 98, 3);  // a little under 100 ms at the cold share
 }
 
-TEST(HostModelTest, WarmsUpWithWorkNeverSlowerThanWithTime) {
+TEST(HostModelTest, WarmsUpWithWorkNoSlowerThanWithTime) {
   HostSpec s = spec(1, 100, 100);
   s.cold_share = 0.8;
   s.cold_time = std::chrono::seconds(10);
@@ -107,7 +107,7 @@
   EXPECT_GT(busy.warmth(std::chrono::seconds(6)), 0.92);
 }
 
-TEST(HostModelTest, FallsOverWhenPushedCold) {
+TEST(HostModelTest, FailsWhenOverloadedWhileCold) {
   HostSpec s = spec(2, 1000, 1000);
   s.cold_share = 0.1;
   s.cold_time = std::chrono::seconds(30);
@@ -115,7 +115,7 @@
   s.tip_time = std::chrono::seconds(3);
   HostModel model(s, Time{0}, true);
   Time now{0};
-  // 0.1 of 2 cores, three times over for 3 s: some 1.8 s of work and the slack.
+  // Three times the cold capacity (0.1 of 2 cores) for 3 s: about 1.8 s of work, plus the slack.
   int sent = 0;
   while (model.submit(now, static_cast<Job>(sent + 1), 0.050, sent % 2) !=
          HostModel::Answer::kDown) {
@@ -126,14 +126,14 @@
   EXPECT_TRUE(model.fallen());
   EXPECT_EQ(model.next(), kNever);
   EXPECT_EQ(model.pushed_by().size(), 2u);
-  // The same work against a warm one is no more than work.
+  // A warm host accepts the same work.
   HostModel warm(s, Time{0}, false);
   for (Job j = 1; j <= 100; ++j)
     EXPECT_EQ(warm.submit(Time{0}, j, 0.05), HostModel::Answer::kTaken);
 }
 
-// The hard case: what waited through a pause is overdue, and runs all the same.
-TEST(HostModelTest, APauseKeepsItsQueueAndRunsIt) {
+// The difficult case: requests that waited during a pause are overdue and still run.
+TEST(HostModelTest, KeepsItsQueueDuringAPauseAndRunsItAfter) {
   HostModel model(spec(1, 2, 100), Time{0}, false);
   model.submit(Time{0}, 1, 0.010);
   model.advance(milliseconds(5));
@@ -151,7 +151,7 @@
   expect_near(done.rbegin()->second - std::chrono::seconds(9), 85);
 }
 
-TEST(HostModelTest, CancelStopsWhatItsHostAllows) {
+TEST(HostModelTest, CancelsOnlyWhatTheHostAllows) {
   for (const Cancel cancel : {Cancel::kNone, Cancel::kQueued, Cancel::kAll}) {
     HostSpec s = spec(1, 1, 10);
     s.cancel = cancel;
@@ -166,9 +166,9 @@
   }
 }
 
-// For any work: each job taken is done exactly once or dropped by a cancel, begun before it is
-// done, time never goes back, and no more work is done than cores and time allow.
-TEST(HostModelTest, AnyWorkIsDoneOnceAndInTime) {
+// For any work: each accepted job is done exactly once or dropped by a cancel, and begins before it
+// is done; time never decreases; and no more work is done than cores and time allow.
+TEST(HostModelTest, DoesEachJobOnceForAnyWork) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     Random random(seed);
@@ -184,7 +184,7 @@
     HostModel model(s, Time{0}, random.chance(0.5));
     std::map<Job, int> state;  // 1 taken, 2 begun, 3 done, 4 dropped
     Time now{0}, seen{0};
-    const auto hear = [&] {
+    const auto collect_events = [&] {
       for (const auto& e : model.advance(now)) {
         EXPECT_GE(e.at, seen);
         EXPECT_LE(e.at, now);
@@ -197,7 +197,7 @@
     Job next = 1;
     for (int step = 0; step < 300; ++step) {
       now += from_seconds(random.exponential(0.01));
-      hear();
+      collect_events();
       const double what = random.uniform();
       if (what < 0.7) {
         const Job job = next++;
@@ -207,7 +207,7 @@
       } else if (what < 0.8 && next > 1) {
         const Job job = 1 + random.below(next - 1);
         if (model.cancel(now, job)) {
-          hear();  // what had begun before the cancel
+          collect_events();  // jobs that began before the cancel
           EXPECT_LT(state[job], 3);
           state[job] = 4;
         }
@@ -218,14 +218,14 @@
       } else {
         model.set_slowness(now, random.uniform(0.5, 4));
       }
-      hear();
+      collect_events();
       EXPECT_LE(model.in_work(), static_cast<std::size_t>(s.slots));
       EXPECT_LE(model.waiting(), static_cast<std::size_t>(s.waiting));
     }
     model.thaw(now);
     for (int i = 0; model.next() != kNever && i < 100'000; ++i) {
       now = std::max(now, model.next());
-      hear();
+      collect_events();
     }
     for (const auto& [job, is] : state) EXPECT_GE(is, 3) << "job " << job;
     EXPECT_LE(model.work_done(), 2 * s.cores * s.speed * seconds(now) + 1e-6);
@@ -233,7 +233,7 @@
   }
 }
 
-TEST(ObjectStoreTest, LeastRecentlyUsedGoesFirst) {
+TEST(ObjectStoreTest, EvictsTheLeastRecentlyUsedFirst) {
   ObjectStore store(3 * (100 + 1 + 64));
   for (const char* key : {"a", "b", "c"}) store.put(key, 100);
   EXPECT_TRUE(store.find("a"));
@@ -250,8 +250,8 @@
   EXPECT_EQ(store.bytes(), 0u);
 }
 
-// Against the sorted list itself, for any durations.
-TEST(HistogramTest, PercentilesAreWithinTheirBound) {
+// Compares percentiles with those of the sorted list, for random durations.
+TEST(HistogramTest, KeepsPercentilesWithinTheErrorBound) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     Random random(seed);
--- a/tests/testbed/planted_test.cc
+++ b/tests/testbed/planted_test.cc
@@ -1,4 +1,5 @@
-// Breaches planted in a balancer of the test's own: the judge has to catch each, and nothing else.
+// Plants faults in a balancer of the test itself. The auditor has to detect each of them, and
+// nothing else.
 #include <set>
 
 #include "rig_harness.h"
@@ -42,7 +43,7 @@
     EXPECT_FALSE(context->auditor.breaches().front().story.empty());
   }
 
-  // These of the checks fail, each with an example, and no other.
+  // Expects that exactly these checks fail, each with an example.
   void expect_failed(const std::set<std::string>& names) {
     std::set<std::string> failed;
     for (const Check& c : context->auditor.checks())
@@ -59,7 +60,7 @@
   std::unique_ptr<Load> load;
 };
 
-TEST_F(PlantedTest, AnHonestBalancerBreaksNothing) {
+TEST_F(PlantedTest, AcceptsACorrectBalancer) {
   begin();
   play();
   for (const Breach& b : context->auditor.breaches())
@@ -68,11 +69,11 @@
   EXPECT_EQ(context->auditor.totals().served, context->auditor.totals().tries);
   for (const Check& c : context->auditor.checks())
     EXPECT_EQ(c.broken, 0u) << c.name << " of " << c.cases << "\n" << c.example;
-  EXPECT_GT(context->auditor.checks().front().cases, 0u) << "some were fetched behind a miss";
+  EXPECT_GT(context->auditor.checks().front().cases, 0u) << "some were fetched after a miss";
 }
 
-// What 5ed96c3 mended in the balancer.
-TEST_F(PlantedTest, AFetchBehindAMissThatTellsTheWholeTime) {
+// Guards against the fault that commit 5ed96c3 fixed in the balancer.
+TEST_F(PlantedTest, DetectsAFetchAfterAMissThatStatesTheWholeDeadline) {
   begin();
   balancer->faults.tells_whole_time = true;
   for (KindSpec& k : scenario.kinds) k.memory_mb = 0;  // every read misses
@@ -81,7 +82,7 @@
   expect_failed({"further attempts told more time than is left"});
 }
 
-TEST_F(PlantedTest, AnHonestBalancerIsNotBlamedForClientsThatLeave) {
+TEST_F(PlantedTest, AcceptsACorrectBalancerWhenClientsLeave) {
   begin();
   scenario.load.impatient = 0.5;
   play();
@@ -89,7 +90,7 @@
   expect_failed({});
 }
 
-TEST_F(PlantedTest, ARequestThatIsSentOnForAClientThatHasGone) {
+TEST_F(PlantedTest, DetectsAttemptsAfterTheClientClosed) {
   begin();
   scenario.load.impatient = 0.5;
   balancer->faults.heeds_no_close = true;
@@ -99,7 +100,7 @@
                  "waiting requests sent on behind the close"});
 }
 
-TEST_F(PlantedTest, AnAnswerThatIsDropped) {
+TEST_F(PlantedTest, DetectsADroppedAnswer) {
   begin();
   balancer->faults.drops = true;
   play();
@@ -107,45 +108,46 @@
   expect_failed({"requests with no answer when their time is up"});
 }
 
-TEST_F(PlantedTest, ASecondAnswer) {
+TEST_F(PlantedTest, DetectsASecondAnswer) {
   begin();
   balancer->faults.answers_twice = true;
   play();
   expect_only(1);
 }
 
-TEST_F(PlantedTest, AValueThatNobodyMade) {
+TEST_F(PlantedTest, DetectsAValueThatNoHostProduced) {
   begin();
   balancer->faults.serves_nonsense = true;
   play();
   expect_only(1);
 }
 
-TEST_F(PlantedTest, AnUnsafeRequestThatRunsTwice) {
+TEST_F(PlantedTest, DetectsAnUnsafeRequestThatRunsTwice) {
   begin();
   balancer->faults.repeats_unsafe = true;
   play();
   expect_only(2);
 }
 
-TEST_F(PlantedTest, ARefusalOfWhatMayHaveRun) {
+TEST_F(PlantedTest, DetectsTheRefusalOfARequestThatMayHaveRun) {
   begin();
   balancer->faults.refuses_sent = true;
   play();
   expect_only(2);
 }
 
-TEST_F(PlantedTest, ASendAfterTheDrainsGrace) {
+TEST_F(PlantedTest, DetectsAnAttemptAfterTheDrainGrace) {
   begin("[[incident]]\nwhat = \"drain\"\nhost = \"h0\"\nat_s = 1\n");
   play();
   expect_only(3);
 }
 
-TEST_F(PlantedTest, AColdHostThatIsPushedOver) {
+TEST_F(PlantedTest, DetectsAnOverloadedColdHost) {
   begin(
       "[[incident]]\nwhat = \"restart\"\nhost = \"h0\"\nat_s = 0.2\nfor_s = 0.1\n"
       "[[incident]]\nwhat = \"demand\"\nat_s = 0.4\nfor_s = 2\nfactor = 3\n");
-  // Work enough to push it: 10% of 2 cores, three times that for 0.5 s.
+  // Enough work to overload the cold host: its capacity is 10% of 2 cores, and the limit is three
+  // times that for 0.5 s.
   for (ClassSpec& c : scenario.classes) c.work_ms = 8;
   scenario.kinds[0].miss_us = 8000;
   play();
--- a/tests/testbed/readiness_test.cc
+++ b/tests/testbed/readiness_test.cc
@@ -1,4 +1,4 @@
-// How long restarted balancers took, with the test's own time.
+// Tests the readiness checks with simulated time.
 #include "testbed/audit/readiness.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
   Time now{0};
 };
 
-TEST_F(ReadinessTest, OneInTenMayTakeLongerThanTenSeconds) {
+TEST_F(ReadinessTest, AllowsOneInTenToTakeLongerThanTenSeconds) {
   for (int b = 0; b < 19; ++b) restart(b, seconds(10));
   restart(19, milliseconds(10'001));
   restart(19, milliseconds(30'000));
@@ -35,14 +35,14 @@
   EXPECT_NE(soon().example.find("balancer 19"), std::string::npos) << soon().example;
 }
 
-TEST_F(ReadinessTest, NoneMayTakeLongerThanThirtySeconds) {
+TEST_F(ReadinessTest, FailsIfABalancerTakesLongerThanThirtySeconds) {
   for (int b = 0; b < 99; ++b) restart(b, seconds(1));
   restart(99, milliseconds(30'001));
   EXPECT_FALSE(soon().failed());
   EXPECT_TRUE(latest().failed());
 }
 
-TEST_F(ReadinessTest, OneThatNeverComesUpCountsWhenTheRunEnds) {
+TEST_F(ReadinessTest, CountsABalancerThatIsNotReadyAtTheEnd) {
   readiness.on_start(seconds(1), 0);
   readiness.on_start(seconds(31), 1);
   readiness.on_end(seconds(32));
@@ -51,7 +51,7 @@
   EXPECT_EQ(latest().broken, 1u);
 }
 
-TEST_F(ReadinessTest, OneThatIsStruckAgainWhileItStartsIsLeftOut) {
+TEST_F(ReadinessTest, IgnoresABalancerThatIsKilledWhileItStarts) {
   readiness.on_start(seconds(0), 0);
   readiness.on_struck(0);
   readiness.on_ready(seconds(50), 0);
--- a/tests/testbed/scenario_test.cc
+++ b/tests/testbed/scenario_test.cc
@@ -1,4 +1,5 @@
-// Scenarios are checked before anything starts, and an error names file, line, key and reason.
+// Tests that scenarios are checked before anything starts, and that errors name file, line, key and
+// reason.
 #include "testbed/model/scenario.h"
 
 #include <filesystem>
@@ -21,7 +22,7 @@
   return "none";
 }
 
-TEST(ScenarioTest, TheSmallOneIsGood) {
+TEST(ScenarioTest, ParsesTheSmallScenario) {
   const Scenario s = parse_scenario(scenario_text(), "x.toml");
   EXPECT_EQ(s.hosts(), 2);
   EXPECT_EQ(s.classes[2].effect, Effect::kUnsafe);
@@ -29,7 +30,7 @@
   EXPECT_EQ(s.rules.drain_grace, std::chrono::milliseconds(100));
 }
 
-TEST(ScenarioTest, AllThatAreShippedAreGood) {
+TEST(ScenarioTest, LoadsAllShippedScenarios) {
   int n = 0;
   for (const auto& file : std::filesystem::directory_iterator(BALANCER_SCENARIOS)) {
     SCOPED_TRACE(file.path().string());
@@ -44,7 +45,7 @@
   EXPECT_EQ(error_of(good), "none");
   const std::vector<std::pair<std::string, std::string>> all{
       {"nane = \"x\"\n", "x.toml:1: name: is missing"},
-      {"name = \"x\"\n", "x.toml:1: class: there is none"},
+      {"name = \"x\"\n", "x.toml:1: class: at least one is required"},
       {"name = 7\n" + good.substr(11), "x.toml:1: name: must be text"},
       {"name = \"a b\"\n" + good.substr(11),
        "x.toml:1: name: may hold letters, digits, '-', '_' and '.' only"},
@@ -60,7 +61,7 @@
       {good + "[load\n", "x.toml:6: "},
       {good + "[[incident]]\nat_s = 1\n", "x.toml:6: what: is missing"},
       {good + "[[incident]]\nwhat = \"pause\"\n",
-       "x.toml:6: for_s: is missing: this one needs a length"},
+       "x.toml:6: for_s: is missing: this incident needs a length"},
       {good + "[[incident]]\nwhat = \"pause\"\nfor_s = 1\nhost = \"h1\"\n",
        "x.toml:9: host: must be 'origin' or h0 to h0"},
       {good + "[[incident]]\nwhat = \"pause\"\nfor_s = 1\nkind = \"z\"\n",
@@ -68,7 +69,7 @@
       {good + "[[incident]]\nwhat = \"balancer-kill\"\nbalancer = 3\n",
        "x.toml:8: balancer: must lie from 0 to 0"},
       {good + "[[incident]]\nwhat = \"demand\"\nfor_s = 1\nkind = \"k\"\n",
-       "x.toml:7: what: 'demand' strikes no host"},
+       "x.toml:7: what: 'demand' does not affect hosts"},
       {good + "[[incident]]\nwhat = \"pause\"\nat_s = 21\nfor_s = 1\n",
        "x.toml:8: at_s: is 21; it must lie from 0 to 20"},
       {good + "[load]\n[[load]]\n", "x.toml:7: "},
@@ -78,7 +79,7 @@
         << "wanted " << error << "\ngot    " << error_of(text);
 }
 
-TEST(ScenarioTest, TooLargeForTheMachineIsRefusedWithTheFigure) {
+TEST(ScenarioTest, RefusesAScenarioThatNeedsTooManyDescriptors) {
   Scenario s = parse_scenario(scenario_text(), "x.toml");
   EXPECT_NO_THROW(check_machine(s, 100'000));
   try {
@@ -90,8 +91,8 @@
   }
 }
 
-// Any bytes give a scenario or one error, and never anything else.
-TEST(ScenarioTest, AnyTextGivesAScenarioOrAnError) {
+// Parsing any bytes gives a scenario or a ScenarioError.
+TEST(ScenarioTest, ParsesAnyTextToAScenarioOrAnError) {
   const std::string good = scenario_text("[[incident]]\nwhat = \"pause\"\nat_s = 1\nfor_s = 1\n");
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
@@ -114,7 +115,7 @@
 
 // ---- arrivals
 
-TEST(ArrivalsTest, OneSeedOneStream) {
+TEST(ArrivalsTest, GivesTheSameStreamForTheSameSeed) {
   const Scenario s = parse_scenario(scenario_text(), "x.toml");
   Arrivals a(s), b(s);
   for (int i = 0; i < 1000; ++i) {
@@ -126,7 +127,7 @@
   }
 }
 
-TEST(ArrivalsTest, TheRateFollowsTheScenario) {
+TEST(ArrivalsTest, FollowsTheRateOfTheScenario) {
   const Scenario s = parse_scenario(
       scenario_text("[[tenant]]\nname = \"a\"\nshare = 1\n[[tenant]]\nname = \"b\"\nshare = 1\n"
                     "[[incident]]\nwhat = \"demand\"\nat_s = 1\nfor_s = 1\nfactor = 3\n"
@@ -156,13 +157,13 @@
     most = std::max(most, n);
     all += n;
   }
-  // The first of 50 keys has 1 / H(50) = 22% of a Zipf law of 1.
+  // With Zipf exponent 1, the first of 50 keys gets 1 / H(50) = 22% of the requests.
   EXPECT_NEAR(most, all * 0.222, all * 0.03);
 }
 
-// Whatever the seed: a scenario that can be played, with clients below what the hosts can do and no
-// news kept back while hosts come and go; over the seeds every kind of trouble comes.
-TEST(Drawn, EverySeedCanBePlayed) {
+// Every seed gives a valid scenario, with a load below the capacity of the hosts and without a
+// discovery outage while hosts come and go. Over the seeds at least 20 kinds of incidents occur.
+TEST(ScenarioGeneratorTest, GeneratesAValidScenarioForEverySeed) {
   std::set<What> seen;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
@@ -186,8 +187,8 @@
   EXPECT_GE(seen.size(), 20u);
 }
 
-// Which balancers an incident strikes: one seed, one choice, as many as its share says.
-TEST(Drawn, BalancersAreStruckByShare) {
+// The same seed gives the same choice of balancers, as many as the incident's share states.
+TEST(ScenarioTest, ChoosesAffectedBalancersByShare) {
   Scenario s = parse_scenario(scenario_text("[[incident]]\nwhat = \"balancer-stop\"\nat_s = 1\n"
                                             "for_s = 1\nshare = 0.6\n",
                                             "[balancers]\ncount = 12\n"),
