--- a/src/testbed/audit/auditor.cc
+++ b/src/testbed/audit/auditor.cc
@@ -7,7 +7,7 @@
 namespace balancer::testbed {
 namespace {
 
-std::string at(Time t) {
+std::string format_time(Time t) {
   char text[32];
   std::snprintf(text, sizeof text, "%.3f s", seconds(t));
   return text;
@@ -60,8 +60,8 @@
 
 void Auditor::on_reply(Time now, RequestNumber r, Reply reply, std::string_view text) {
   Record& record = records_[r];
-  const bool again = record.replied != kNever;
-  if (again) return breach(1, r, "a second answer, at " + at(now));
+  const bool repeated = record.replied != kNever;
+  if (repeated) return breach(1, r, "a second answer, at " + format_time(now));
   record.replied = now;
   const ClassSpec& request_class =
       scenario_.classes[static_cast<std::size_t>(record.request_class)];
@@ -91,12 +91,12 @@
   }
   check_answered_in_time(r, now - record.deadline);
   if (now > record.deadline + scenario_.rules.answer_slack)
-    breach(1, r, "answered " + at(now - record.deadline) + " behind the client's time");
+    breach(1, r, "answered " + format_time(now - record.deadline) + " behind the client's time");
 }
 
 void Auditor::on_unexpected_bytes(Time now, RequestNumber last, std::string_view bytes) {
   breach(1, last,
-         "at " + at(now) + " bytes behind the final answer, or none that can be read: '" +
+         "at " + format_time(now) + " bytes behind the final answer, or none that can be read: '" +
              std::string(bytes.substr(0, 60)) + "'");
 }
 
@@ -148,7 +148,8 @@
   abandoned_requests_.set_example(story(r));
   if (abandoned_requests_.exceeds_allowance())
     breach(1, r,
-           "an attempt began " + at(now - record.client_closed) + " after its client had gone");
+           "an attempt began " + format_time(now - record.client_closed) +
+               " after its client had gone");
 }
 
 int Auditor::on_arrived(Time now, RequestNumber r, int host, std::optional<Duration> told) {
@@ -168,21 +169,22 @@
     const auto first = first_may_have_run_.find(record.effect);
     if (first != first_may_have_run_.end() && now > first->second + request_class.window)
       breach(2, r,
-             "a keyed request was sent again " + at(now - first->second) +
+             "a keyed request was sent again " + format_time(now - first->second) +
                  " behind an attempt that may have run; repeats are discarded for " +
-                 at(request_class.window));
+                 format_time(request_class.window));
   }
   const auto drained = drained_.find({record.balancer, host});
   if (drained != drained_.end() && now > drained->second + scenario_.rules.drain_grace)
     breach(3, r,
-           "sent to " + hosts_[static_cast<std::size_t>(host)] + " " + at(now - drained->second) +
-               " after balancer " + std::to_string(record.balancer) + " was told of its drain");
+           "sent to " + hosts_[static_cast<std::size_t>(host)] + " " +
+               format_time(now - drained->second) + " after balancer " +
+               std::to_string(record.balancer) + " was told of its drain");
   return number;
 }
 
 void Auditor::on_forged(Time now, int host, std::string_view line) {
   breach(1, "a host was sent what no client had sent",
-         hosts_[static_cast<std::size_t>(host)] + " got, at " + at(now) + ": '" +
+         hosts_[static_cast<std::size_t>(host)] + " got, at " + format_time(now) + ": '" +
              std::string(line.substr(0, 200)) + "'\n");
 }
 
@@ -226,19 +228,20 @@
 
 void Auditor::on_pushed_over(Time now, int host, const std::map<int, double>& by_balancer,
                              std::string_view how) {
-  double all = 0, told = 0;
-  std::string story = "host " + host_name(host) + " " + std::string(how) + " at " + at(now) +
-                      ", sent in the time before:\n";
+  double total_work = 0, informed_work = 0;
+  std::string story = "host " + host_name(host) + " " + std::string(how) + " at " +
+                      format_time(now) + ", sent in the time before:\n";
   for (const auto& [balancer, work] : by_balancer) {
-    all += work;
+    total_work += work;
     const auto start = started_.find({balancer, host});
-    if (start != started_.end()) told += work;
-    story += "  " + at(from_seconds(work)) + " of work by balancer " + std::to_string(balancer) +
+    if (start != started_.end()) informed_work += work;
+    story += "  " + format_time(from_seconds(work)) + " of work by balancer " +
+             std::to_string(balancer) +
              (start == started_.end() ? ", which was not told of its start"
-                                      : ", told of its start at " + at(start->second)) +
+                                      : ", told of its start at " + format_time(start->second)) +
              "\n";
   }
-  if (told * 3 >= all * 2)
+  if (informed_work * 3 >= total_work * 2)
     breach(4, "the cold host " + host_name(host) + " " + std::string(how), story);
 }
 
@@ -269,17 +272,20 @@
   std::string text = "request " + std::to_string(r) + " (" + request_class.name + ", key " +
                      record.key + ", effect " + std::to_string(record.effect) +
                      ") sent to balancer " + std::to_string(record.balancer) + " at " +
-                     at(record.sent) + ", time until " + at(record.deadline) + "\n";
+                     format_time(record.sent) + ", time until " + format_time(record.deadline) +
+                     "\n";
   for (const Attempt& a : record.attempts) {
-    text += "  reached " + hosts_[static_cast<std::size_t>(a.host)] + " at " + at(a.arrived);
-    if (a.told) text += ", told " + at(*a.told);
-    if (a.begun != kNever) text += ", begun " + at(a.begun);
+    text +=
+        "  reached " + hosts_[static_cast<std::size_t>(a.host)] + " at " + format_time(a.arrived);
+    if (a.told) text += ", told " + format_time(*a.told);
+    if (a.begun != kNever) text += ", begun " + format_time(a.begun);
     if (a.never_ran) text += ", never ran";
-    text += a.ended == kNever ? ", still out" : ", " + a.end + " at " + at(a.ended);
+    text += a.ended == kNever ? ", still out" : ", " + a.end + " at " + format_time(a.ended);
     text += "\n";
   }
-  text += record.replied == kNever ? "  no answer so far\n"
-                                   : "  " + record.end + " at " + at(record.replied) + "\n";
+  text += record.replied == kNever
+              ? "  no answer so far\n"
+              : "  " + record.end + " at " + format_time(record.replied) + "\n";
   return text;
 }
 
--- a/src/testbed/load/load.cc
+++ b/src/testbed/load/load.cc
@@ -51,6 +51,7 @@
       self->send();
     });
   }
+  // Sends the call's request on this idle connection.
   void start(CallPtr call, Time until) {
     call_ = std::move(call);
     until_ = until;
@@ -188,23 +189,23 @@
         call_->request.request_class >= 0 &&
         context_.scenario.classes[static_cast<std::size_t>(call_->request.request_class)].write();
     if (!rest.empty()) context_.auditor.on_unexpected_bytes(now, last_request_, rest);
-    TryOutcome how = TryOutcome::kFailed;
+    TryOutcome outcome = TryOutcome::kFailed;
     if ((head.kind == Kind::kValue && !write) || (head.kind == Kind::kStored && write)) {
-      how = TryOutcome::kServed;
+      outcome = TryOutcome::kServed;
       context_.auditor.on_reply(now, last_request_, Reply::kServed, write ? head.receipt : value_);
     } else if (head.kind == Kind::kBusy) {
-      how = TryOutcome::kRefused;
+      outcome = TryOutcome::kRefused;
       context_.auditor.on_reply(now, last_request_, Reply::kRefused, {});
     } else {
       context_.auditor.on_reply(now, last_request_, Reply::kFailed, {});
     }
-    finish_try(how, milliseconds(std::min<std::uint64_t>(head.retry_after_ms, 3'600'000)),
+    finish_try(outcome, milliseconds(std::min<std::uint64_t>(head.retry_after_ms, 3'600'000)),
                rest.empty());
   }
 
   // Ends the current try. The connection returns to the idle list if `keep`, unless churn closes
   // it.
-  void finish_try(TryOutcome how, Duration retry_after, bool keep) {
+  void finish_try(TryOutcome outcome, Duration retry_after, bool keep) {
     timer_.cancel();
     const CallPtr call = std::exchange(call_, nullptr);
     if (!keep || load_.random_.chance(context_.scenario.load.churn)) {
@@ -213,7 +214,7 @@
       load_.idle_[static_cast<std::size_t>(zone_)].push_back(shared_from_this());
       read();
     }
-    load_.on_try_end(call, how, retry_after);
+    load_.on_try_end(call, outcome, retry_after);
   }
 
   void unreachable() {
@@ -361,11 +362,11 @@
   do {
     next_ = arrivals_.next();
   } while (next_.due < now);
-  arm_timer();
+  schedule_next_request();
   if (context_.scenario.load.rude_per_s > 0) schedule_invalid_input();
 }
 
-void Load::arm_timer() {
+void Load::schedule_next_request() {
   timer_.expires_at(context_.steady(next_.due));
   timer_.async_wait([this](const error_code& e) {
     if (e || ended_) return;
@@ -376,13 +377,13 @@
         return;
       }
       lateness_.add(now - next_.due);
-      begin(std::exchange(next_, arrivals_.next()));
+      start_call(std::exchange(next_, arrivals_.next()));
     }
-    arm_timer();
+    schedule_next_request();
   });
 }
 
-void Load::begin(Wish request) {
+void Load::start_call(Wish request) {
   auto call = std::make_shared<Call>();
   const ClassSpec& request_class =
       context_.scenario.classes[static_cast<std::size_t>(request.request_class)];
@@ -399,11 +400,11 @@
 }
 
 int Load::pick_balancer(int zone) {
-  for (const bool anywhere : {false, true})
+  for (const bool any_zone : {false, true})
     for (std::size_t i = 0; i < targets_.size(); ++i) {
-      const std::size_t b = (next_target_ + i) % targets_.size();
-      if (!targets_[b].listed || (!anywhere && targets_[b].zone != zone)) continue;
-      next_target_ = b + 1;
+      const std::size_t b = (next_balancer_ + i) % targets_.size();
+      if (!targets_[b].listed || (!any_zone && targets_[b].zone != zone)) continue;
+      next_balancer_ = b + 1;
       return static_cast<int>(b);
     }
   return -1;
@@ -414,12 +415,12 @@
   const ClassSpec& request_class =
       context_.scenario.classes[static_cast<std::size_t>(call->request.request_class)];
   const Range& share = context_.scenario.load.try_share;
-  const Duration patience =
+  const Duration try_timeout =
       from_seconds(seconds(request_class.deadline) * call->random.uniform(share.low, share.high));
   const Time begun = call->tries == 0 ? call->request.due : now;
-  const Time until = std::min(call->deadline, begun + patience);
+  const Time until = std::min(call->deadline, begun + try_timeout);
   ++call->tries;
-  if (until - now < kMinBudget) return end(call, End::kFailed);
+  if (until - now < kMinBudget) return finish_call(call, End::kFailed);
   if (request_class.cluster >= 0)
     return resp_[static_cast<std::size_t>(request_class.cluster)]->start(call);
   auto& idle = idle_[static_cast<std::size_t>(call->request.zone)];
@@ -472,10 +473,10 @@
   const ClassSpec& request_class =
       context_.scenario.classes[static_cast<std::size_t>(call->request.request_class)];
   if (outcome == TryOutcome::kServed)
-    return end(call, now <= call->request.due + request_class.aim ? End::kInAim
-                     : now <= call->deadline                      ? End::kLate
-                                                                  : End::kFailed);
-  if (outcome == TryOutcome::kLeft) return end(call, End::kLeft);
+    return finish_call(call, now <= call->request.due + request_class.aim ? End::kInAim
+                             : now <= call->deadline                      ? End::kLate
+                                                                          : End::kFailed);
+  if (outcome == TryOutcome::kLeft) return finish_call(call, End::kLeft);
   // A request that may have run is retried only if a repeat is harmless.
   const bool harmless =
       outcome == TryOutcome::kRefused || outcome == TryOutcome::kUnreachable ||
@@ -490,7 +491,7 @@
   if (call->honours_retry_after)
     wait = std::max(wait, std::min(retry_after, context_.scenario.max_retry_after));
   if (!harmless || call->tries > load.retries || now + wait + kMinBudget > call->deadline)
-    return end(call, outcome == TryOutcome::kRefused ? End::kRefused : End::kFailed);
+    return finish_call(call, outcome == TryOutcome::kRefused ? End::kRefused : End::kFailed);
   if (wait == Duration{0}) {
     asio::post(context_.io, [this, call] { start_try(call); });
   } else {
@@ -498,7 +499,7 @@
   }
 }
 
-void Load::end(const CallPtr& call, End end) {
+void Load::finish_call(const CallPtr& call, End end) {
   --open_;
   tally_.on_end(call->request.due, context_.now(), call->request.request_class,
                 call->request.tenant, call->worth, end);
--- a/src/testbed/load/load.h
+++ b/src/testbed/load/load.h
@@ -53,8 +53,8 @@
   class InvalidInputClient;
   using ConnectionPtr = std::shared_ptr<Connection>;
 
-  void arm_timer();
-  void begin(Wish request);
+  void schedule_next_request();
+  void start_call(Wish request);
   void start_try(const CallPtr& call);
   // Implements Front.
   void on_try_end(const CallPtr& call, TryOutcome outcome, Duration retry_after) override;
@@ -65,14 +65,14 @@
   }
   bool listed(int balancer) const override { return target(balancer).listed; }
 
-  void end(const CallPtr& call, End end);
+  void finish_call(const CallPtr& call, End end);
   void resend(const CallPtr& call, RequestNumber request);
   void schedule_invalid_input();
 
   Context& context_;
   Tally& tally_;
   Arrivals arrivals_;
-  Random random_;  // for client behaviour; each request has its own
+  Random random_;  // for client behaviour; each call has its own
   struct Target {
     asio::ip::tcp::endpoint address;
     int zone;
@@ -85,7 +85,7 @@
   std::vector<std::vector<ConnectionPtr>> idle_;    // by zone
   std::set<ConnectionPtr> all_;
   std::set<std::shared_ptr<InvalidInputClient>> invalid_input_clients_;
-  std::size_t next_target_ = 0;
+  std::size_t next_balancer_ = 0;
   Wish next_;
   asio::steady_timer timer_;
   std::uint64_t open_ = 0;
--- a/src/testbed/load/resp_clients.cc
+++ b/src/testbed/load/resp_clients.cc
@@ -108,9 +108,9 @@
   void flush() {
     if (!connected_ || writing_ || out_.empty() || closed_) return;
     writing_ = true;
-    auto held = std::make_shared<std::string>(std::exchange(out_, {}));
-    asio::async_write(socket_, asio::buffer(*held),
-                      [self = shared_from_this(), held](const error_code& e, std::size_t) {
+    auto buffer = std::make_shared<std::string>(std::exchange(out_, {}));
+    asio::async_write(socket_, asio::buffer(*buffer),
+                      [self = shared_from_this(), buffer](const error_code& e, std::size_t) {
                         self->writing_ = false;
                         if (!e) self->flush();  // the pending read reports errors
                       });
@@ -258,8 +258,8 @@
 RespClients::~RespClients() { close_all(); }
 
 void RespClients::close_all() {
-  for (const auto& of_one : open_) {
-    const auto all = of_one;
+  for (const auto& open_connections : open_) {
+    const auto all = open_connections;
     for (const auto& c : all) c->close();
   }
 }
--- a/src/testbed/model/host_model.cc
+++ b/src/testbed/model/host_model.cc
@@ -111,12 +111,12 @@
   while (now_ < now && !frozen_ && !running_.empty()) {
     const double r = rate(now_);
     const Time step = warmth(now_) < 1 ? std::min(now, now_ + kWarmStep) : now;
-    const double needed = running_.begin()->first - attained_;
-    const Time finished = now_ + from_seconds(std::max(0.0, needed) / r) + Duration{1};
+    const double remaining = running_.begin()->first - attained_;
+    const Time finished = now_ + from_seconds(std::max(0.0, remaining) / r) + Duration{1};
     const Time to = std::min(step, finished);
-    const double grown = r * seconds(to - now_);
-    attained_ += grown;
-    done_ += grown * static_cast<double>(running_.size());
+    const double progress = r * seconds(to - now_);
+    attained_ += progress;
+    done_ += progress * static_cast<double>(running_.size());
     now_ = to;
     while (!running_.empty() && running_.begin()->first <= attained_) {
       const Job job = running_.begin()->second;
@@ -132,8 +132,8 @@
 
 Time HostModel::next() const {
   if (frozen_ || running_.empty()) return kNever;
-  const double needed = std::max(0.0, running_.begin()->first - attained_);
-  const Time finished = now_ + from_seconds(needed / rate(now_)) + Duration{1};
+  const double remaining = std::max(0.0, running_.begin()->first - attained_);
+  const Time finished = now_ + from_seconds(remaining / rate(now_)) + Duration{1};
   return warmth(now_) < 1 ? std::min(finished, now_ + kWarmStep) : finished;
 }
 
--- a/src/testbed/model/scenario_generator.cc
+++ b/src/testbed/model/scenario_generator.cc
@@ -77,11 +77,11 @@
 
  private:
   double pick(double low, double high) { return random_.uniform(low, high); }
-  void begin(const char* what, double at, double length) {
+  void begin_incident(const char* what, double at, double length) {
     append(out_, "\n[[incident]]\nwhat = \"%s\"\nat_s = %.2f\n", what, at);
     if (length > 0) append(out_, "for_s = %.2f\n", length);
   }
-  void host_or_kind() {
+  void add_target() {
     if (random_.chance(0.6)) {
       append(out_, "host = \"h%d\"\n", static_cast<int>(random_.below(hosts())));
     } else {
@@ -94,16 +94,16 @@
     switch (random_.below(12)) {
       case 0:
       case 1:
-        begin("balancer-kill", at, pick(0.5, 2));
+        begin_incident("balancer-kill", at, pick(0.5, 2));
         append(out_, "share = %.2f\nstagger_s = %.2f\n", pick(0.25, 1),
                random_.chance(0.5) ? 0 : pick(0.05, 0.5));
         return;
       case 2:
-        begin("balancer-stop", at, pick(0.3, 9));
+        begin_incident("balancer-stop", at, pick(0.3, 9));
         append(out_, "share = %.2f\n", pick(0.2, 0.6));
         return;
       case 3:
-        begin("balancer-restart", at, pick(0.5, 1));
+        begin_incident("balancer-restart", at, pick(0.5, 1));
         append(out_, "share = %.2f\nstagger_s = %.2f\n", pick(0.3, 1), pick(0.3, 1));
         return;
       case 4: {
@@ -112,45 +112,45 @@
         static constexpr const char* kDepartures[] = {"kill", "restart", "replace"};
         if (!hosts_change_ || departures_ >= (std_hosts_ + slow_hosts_) / 3) return host_fault(at);
         ++departures_;
-        begin(kDepartures[random_.below(3)], at, pick(0.5, 2));
+        begin_incident(kDepartures[random_.below(3)], at, pick(0.5, 2));
         append(out_, "host = \"h%d\"\ndrain_s = %.2f\n", static_cast<int>(random_.below(hosts())),
                random_.chance(0.5) ? 0 : pick(2, 9));
         return;
       }
       case 5:
       case 6:
-        return link(at);
+        return link_incident(at);
       case 7:
-        begin(random_.chance(0.5) ? "slow" : "pause", at, pick(0.5, 3));
+        begin_incident(random_.chance(0.5) ? "slow" : "pause", at, pick(0.5, 3));
         append(out_, "host = \"origin\"\nfactor = %.1f\n", pick(2, 4));
         return;
       case 8:
         if (random_.chance(0.5)) {
-          begin("flush", at, 0);
+          begin_incident("flush", at, 0);
           append(out_, "factor = %.2f\n", pick(0.3, 1));
         } else {
-          begin("demand", at, pick(1, kMaxLength));
+          begin_incident("demand", at, pick(1, kMaxLength));
           append(out_, "factor = %.2f\n", pick(1.2, 2.5));
         }
         return;
       case 9:
         // While hosts come and go, discovery must keep announcing it to the balancers.
         if (hosts_change_) return host_fault(at);
-        begin("discovery-down", at, pick(1, kMaxLength));
+        begin_incident("discovery-down", at, pick(1, kMaxLength));
         return;
       default:
         return host_fault(at);
     }
   }
 
-  void link(double at) {
-    static constexpr const char* kWays[] = {"both", "to-host", "to-balancer"};
+  void link_incident(double at) {
+    static constexpr const char* kDirections[] = {"both", "to-host", "to-balancer"};
     const auto kind = random_.below(3);
-    begin(kind == 0   ? "link-stall"
-          : kind == 1 ? "link-delay"
-                      : "link-reset",
-          at, pick(0.5, kMaxLength));
-    append(out_, "way = \"%s\"\nshare = %.2f\nfactor = %.3f\n", kWays[random_.below(3)],
+    begin_incident(kind == 0   ? "link-stall"
+                   : kind == 1 ? "link-delay"
+                               : "link-reset",
+                   at, pick(0.5, kMaxLength));
+    append(out_, "way = \"%s\"\nshare = %.2f\nfactor = %.3f\n", kDirections[random_.below(3)],
            pick(0.2, 0.7), kind == 1 ? pick(5, 150) : pick(0.01, 0.1));
     if (random_.chance(0.3)) {
       out_ += "host = \"origin\"\n";
@@ -164,11 +164,11 @@
         {"pause", 0},    {"hang", 0},   {"slow", 4},   {"errors", 0.5},
         {"resets", 0.3}, {"refuse", 0}, {"silent", 0}, {"spoil", 0.2}};
     const auto& [what, max_factor] = kHostFaults[random_.below(8)];
-    begin(what, at, pick(0.5, kMaxLength));
+    begin_incident(what, at, pick(0.5, kMaxLength));
     if (max_factor > 0)
       append(out_, "factor = %.2f\n",
              max_factor > 1 ? pick(1.5, max_factor) : pick(0.02, max_factor));
-    host_or_kind();
+    add_target();
   }
 
   const std::uint64_t seed_;
@@ -199,8 +199,8 @@
         static_cast<unsigned long long>(seed_), static_cast<unsigned long long>(seed_),
         static_cast<unsigned long long>(seed_ % (1u << 30)), kSoakLength,
         static_cast<int>(2 + random_.below(4)), crowd ? 80 : 256);
-    faults();
-    classes();
+    add_faults();
+    add_classes();
     append(out_,
            "[[tenant]]\nname = \"t\"\n[[kind]]\nname = \"std\"\ncount = %d\ncores = 2\n"
            "speed = [0.85, 1.1]\nslots = 16\ncold_s = 6\nmemory_mb = 8\n"
@@ -212,7 +212,7 @@
            kSoakHosts, random_.chance(0.25) ? "ask" : "push", random_.uniform(60, 140),
            static_cast<int>(random_.below(3)), random_.chance(0.5) ? 0.02 : 0.0,
            random_.chance(0.5) ? 0.03 : 0.0, crowd ? 60 : 2);
-    signals();
+    add_signals();
     hosts();
     return out_;
   }
@@ -221,7 +221,7 @@
   static constexpr double kSoakLength = 18;
   static constexpr int kSoakHosts = 5;
 
-  void faults() {
+  void add_faults() {
     static constexpr int kSteps[] = {-3600, -3, 3, 3600};
     std::string plan;
     if (random_.chance(0.6)) {
@@ -234,7 +234,7 @@
     if (!plan.empty()) append(out_, "faults = \"%s\"\n", plan.c_str());
   }
 
-  void classes() {
+  void add_classes() {
     static constexpr int kDeadlines[] = {120, 250, 750, 3000};
     const int read = kDeadlines[random_.below(4)], write = kDeadlines[random_.below(4)];
     append(out_,
@@ -249,7 +249,7 @@
   }
 
   // The second signal of a pair arrives while the balancer still handles the first.
-  void signals() {
+  void add_signals() {
     for (double at = 4; at < 13; at += random_.uniform(2.5, 4)) {
       incident("balancer-restart", at);
       append(out_, "for_s = %.2f\nshare = %.2f\nstagger_s = %.2f\n", random_.uniform(0.1, 0.6),
@@ -264,20 +264,20 @@
   }
 
   void hosts() {
-    const auto one = [this] {
+    const auto random_host = [this] {
       return static_cast<int>(random_.below(static_cast<std::size_t>(kSoakHosts)));
     };
     incident("hang", random_.uniform(4, 11));
-    append(out_, "for_s = %.2f\nhost = \"h%d\"\n", random_.uniform(0.5, 5), one());
+    append(out_, "for_s = %.2f\nhost = \"h%d\"\n", random_.uniform(0.5, 5), random_host());
     if (random_.chance(0.6)) {
       static constexpr const char* kDepartures[] = {"restart", "replace"};
       incident(kDepartures[random_.below(2)], random_.uniform(4, 10));
-      append(out_, "for_s = 0.5\nhost = \"h%d\"\ndrain_s = %.2f\n", one(),
+      append(out_, "for_s = 0.5\nhost = \"h%d\"\ndrain_s = %.2f\n", random_host(),
              random_.chance(0.5) ? 0 : random_.uniform(2, 4));
     }
     if (random_.chance(0.5)) {
       incident("resets", random_.uniform(4, 12));
-      append(out_, "for_s = 2\nfactor = 0.1\nhost = \"h%d\"\n", one());
+      append(out_, "for_s = 2\nfactor = 0.1\nhost = \"h%d\"\n", random_host());
     }
   }
 
--- a/tests/testbed/planted_test.cc
+++ b/tests/testbed/planted_test.cc
@@ -24,18 +24,18 @@
     const auto at = list.find("\"dial\":\"", list.find("\"host\":\"" + host + "\"")) + 8;
     return list.substr(at, list.find('"', at) - at);
   }
-  void play() {
+  void run_scenario() {
     for (const IncidentSpec& i : scenario.incidents)
       context->at(i.at, [this, &i] { fleet->strike(i); });
     load->start();
     ASSERT_TRUE(run_until(io, [this] { return load->done(); }));
     load->close_all();
   }
-  std::uint64_t broken(int rule) const { return context->auditor.breach_count(rule); }
+  std::uint64_t breach_count(int rule) const { return context->auditor.breach_count(rule); }
   void expect_only(int rule) {
-    EXPECT_GT(broken(rule), 0u);
+    EXPECT_GT(breach_count(rule), 0u);
     for (int other = 1; other <= 4; ++other) {
-      if (other == rule || broken(other) == 0) continue;
+      if (other == rule || breach_count(other) == 0) continue;
       for (const Breach& b : context->auditor.breaches())
         ADD_FAILURE() << "rule " << b.rule << ": " << b.what << "\n" << b.story;
     }
@@ -62,7 +62,7 @@
 
 TEST_F(PlantedTest, AcceptsACorrectBalancer) {
   begin();
-  play();
+  run_scenario();
   for (const Breach& b : context->auditor.breaches())
     ADD_FAILURE() << "rule " << b.rule << ": " << b.what << "\n" << b.story;
   EXPECT_GT(context->auditor.totals().served, 200u);
@@ -77,16 +77,16 @@
   begin();
   balancer->faults.tells_whole_time = true;
   for (KindSpec& k : scenario.kinds) k.memory_mb = 0;  // every read misses
-  play();
-  for (int rule = 1; rule <= 4; ++rule) EXPECT_EQ(broken(rule), 0u) << "rule " << rule;
+  run_scenario();
+  for (int rule = 1; rule <= 4; ++rule) EXPECT_EQ(breach_count(rule), 0u) << "rule " << rule;
   expect_failed({"further attempts told more time than is left"});
 }
 
 TEST_F(PlantedTest, AcceptsACorrectBalancerWhenClientsLeave) {
   begin();
   scenario.load.impatient = 0.5;
-  play();
-  for (int rule = 1; rule <= 4; ++rule) EXPECT_EQ(broken(rule), 0u) << "rule " << rule;
+  run_scenario();
+  for (int rule = 1; rule <= 4; ++rule) EXPECT_EQ(breach_count(rule), 0u) << "rule " << rule;
   expect_failed({});
 }
 
@@ -94,7 +94,7 @@
   begin();
   scenario.load.impatient = 0.5;
   balancer->faults.heeds_no_close = true;
-  play();
+  run_scenario();
   expect_only(1);
   expect_failed({"attempts begun late behind the client's close",
                  "waiting requests sent on behind the close"});
@@ -103,7 +103,7 @@
 TEST_F(PlantedTest, DetectsADroppedAnswer) {
   begin();
   balancer->faults.drops = true;
-  play();
+  run_scenario();
   expect_only(1);
   expect_failed({"requests with no answer when their time is up"});
 }
@@ -111,34 +111,34 @@
 TEST_F(PlantedTest, DetectsASecondAnswer) {
   begin();
   balancer->faults.answers_twice = true;
-  play();
+  run_scenario();
   expect_only(1);
 }
 
 TEST_F(PlantedTest, DetectsAValueThatNoHostProduced) {
   begin();
   balancer->faults.serves_nonsense = true;
-  play();
+  run_scenario();
   expect_only(1);
 }
 
 TEST_F(PlantedTest, DetectsAnUnsafeRequestThatRunsTwice) {
   begin();
   balancer->faults.repeats_unsafe = true;
-  play();
+  run_scenario();
   expect_only(2);
 }
 
 TEST_F(PlantedTest, DetectsTheRefusalOfARequestThatMayHaveRun) {
   begin();
   balancer->faults.refuses_sent = true;
-  play();
+  run_scenario();
   expect_only(2);
 }
 
 TEST_F(PlantedTest, DetectsAnAttemptAfterTheDrainGrace) {
   begin("[[incident]]\nwhat = \"drain\"\nhost = \"h0\"\nat_s = 1\n");
-  play();
+  run_scenario();
   expect_only(3);
 }
 
@@ -150,8 +150,8 @@
   // times that for 0.5 s.
   for (ClassSpec& c : scenario.classes) c.work_ms = 8;
   scenario.kinds[0].miss_us = 8000;
-  play();
-  EXPECT_GT(broken(4), 0u);
+  run_scenario();
+  EXPECT_GT(breach_count(4), 0u);
 }
 
 }  // namespace
