--- a/src/testbed/audit/auditor.cc
+++ b/src/testbed/audit/auditor.cc
@@ -7,7 +7,7 @@
 namespace balancer::testbed {
 namespace {
 
-std::string at(Time t) {
+std::string format_time(Time t) {
   char text[32];
   std::snprintf(text, sizeof text, "%.3f s", seconds(t));
   return text;
@@ -24,7 +24,8 @@
 
 void Auditor::breach(int rule, std::string what, std::string story) {
   ++counts_[rule];
-  if (breaches_.size() < kMaxKept) breaches_.push_back({rule, std::move(what), std::move(story)});
+  if (breaches_.size() < kMaxKeptBreaches)
+    breaches_.push_back({rule, std::move(what), std::move(story)});
 }
 
 void Auditor::breach(int rule, RequestNumber r, std::string what) {
@@ -50,7 +51,7 @@
   return static_cast<RequestNumber>(records_.size() - 1);
 }
 
-void Auditor::on_moved(Time, RequestNumber r, int balancer) {
+void Auditor::on_resent(Time, RequestNumber r, int balancer) {
   Record& record = records_[r];
   if (!record.attempts.empty())
     return breach(1, r, "the connection was closed without an answer to a request that was read");
@@ -59,8 +60,8 @@
 
 void Auditor::on_reply(Time now, RequestNumber r, Reply reply, std::string_view text) {
   Record& record = records_[r];
-  const bool again = record.replied != kNever;
-  if (again) return breach(1, r, "a second answer, at " + at(now));
+  const bool repeated = record.replied != kNever;
+  if (repeated) return breach(1, r, "a second answer, at " + format_time(now));
   record.replied = now;
   const ClassSpec& request_class =
       scenario_.classes[static_cast<std::size_t>(record.request_class)];
@@ -78,7 +79,7 @@
     }
     case Reply::kRefused: {
       record.end = "refused";
-      // A keyed request's repeats are discarded everywhere here, so its refusal does no harm.
+      // Hosts of the testbed discard repeats of keyed requests, so refusing one is harmless.
       const bool proven = std::all_of(record.attempts.begin(), record.attempts.end(),
                                       [](const Attempt& a) { return a.never_ran; });
       if (request_class.effect == Effect::kUnsafe && !proven)
@@ -88,14 +89,14 @@
     case Reply::kFailed:
       record.end = "failed";
   }
-  check_answered(r, now - record.deadline);
+  check_answered_in_time(r, now - record.deadline);
   if (now > record.deadline + scenario_.rules.answer_slack)
-    breach(1, r, "answered " + at(now - record.deadline) + " behind the client's time");
+    breach(1, r, "answered " + format_time(now - record.deadline) + " behind the client's time");
 }
 
-void Auditor::on_stray(Time now, RequestNumber last, std::string_view bytes) {
+void Auditor::on_unexpected_bytes(Time now, RequestNumber last, std::string_view bytes) {
   breach(1, last,
-         "at " + at(now) + " bytes behind the final answer, or none that can be read: '" +
+         "at " + format_time(now) + " bytes behind the final answer, or none that can be read: '" +
              std::string(bytes.substr(0, 60)) + "'");
 }
 
@@ -104,17 +105,17 @@
   if (record.replied != kNever) return;
   record.replied = now;
   record.end = "lost: " + std::string(how);
-  check_answered(r, kNever);
+  check_answered_in_time(r, kNever);
   breach(1, r, "no final answer: " + std::string(how));
 }
 
-void Auditor::check_answered(RequestNumber r, Duration late) {
+void Auditor::check_answered_in_time(RequestNumber r, Duration late) {
   if (unanswered_.on_end(late)) unanswered_.set_example(story(r));
 }
 
 void Auditor::on_client_gone(Time now, RequestNumber r) {
-  records_[r].gone = now;
-  client_gone_.on_gone(records_[r].attempts.empty());
+  records_[r].client_closed = now;
+  abandoned_requests_.on_client_close(records_[r].attempts.empty());
 }
 
 void Auditor::on_excused(Time now, RequestNumber r, std::string_view why) {
@@ -132,18 +133,23 @@
   return static_cast<int>(hosts_.size()) - 1;
 }
 
-// Holds the last attempt of the request, which arrives now, against the client's time.
-void Auditor::check_time(Time now, RequestNumber r) {
+// Checks the request's latest attempt, which arrives at `now`, against the client's deadline and
+// close.
+void Auditor::check_attempt_time(Time now, RequestNumber r) {
   if (now < links_delay_until_) return;
   const Record& record = records_[r];
   const bool first = record.attempts.size() == 1;
   const Duration left = record.deadline - std::max(now, record.sent);
-  if (!first && told_time_.on_further_attempt(left, record.attempts.back().told))
-    told_time_.set_example(story(r));
-  if (now <= record.gone || !client_gone_.on_attempt(now - record.gone, first)) return;
-  client_gone_.set_example(story(r));
-  if (client_gone_.beyond_chance())
-    breach(1, r, "an attempt began " + at(now - record.gone) + " after its client had gone");
+  if (!first && stated_time_.on_further_attempt(left, record.attempts.back().told))
+    stated_time_.set_example(story(r));
+  if (now <= record.client_closed ||
+      !abandoned_requests_.on_attempt(now - record.client_closed, first))
+    return;
+  abandoned_requests_.set_example(story(r));
+  if (abandoned_requests_.exceeds_allowance())
+    breach(1, r,
+           "an attempt began " + format_time(now - record.client_closed) +
+               " after its client had gone");
 }
 
 int Auditor::on_arrived(Time now, RequestNumber r, int host, std::optional<Duration> told) {
@@ -152,7 +158,7 @@
       scenario_.classes[static_cast<std::size_t>(record.request_class)];
   const int number = static_cast<int>(record.attempts.size());
   record.attempts.push_back({host, now, kNever, kNever, false, told, 0, {}});
-  check_time(now, r);
+  check_attempt_time(now, r);
   ++totals_.attempts;
   if (request_class.effect == Effect::kUnsafe) {
     const auto earlier = std::find_if(record.attempts.begin(), record.attempts.end() - 1,
@@ -163,21 +169,22 @@
     const auto first = first_may_have_run_.find(record.effect);
     if (first != first_may_have_run_.end() && now > first->second + request_class.window)
       breach(2, r,
-             "a keyed request was sent again " + at(now - first->second) +
+             "a keyed request was sent again " + format_time(now - first->second) +
                  " behind an attempt that may have run; repeats are discarded for " +
-                 at(request_class.window));
+                 format_time(request_class.window));
   }
   const auto drained = drained_.find({record.balancer, host});
   if (drained != drained_.end() && now > drained->second + scenario_.rules.drain_grace)
     breach(3, r,
-           "sent to " + hosts_[static_cast<std::size_t>(host)] + " " + at(now - drained->second) +
-               " after balancer " + std::to_string(record.balancer) + " was told of its drain");
+           "sent to " + hosts_[static_cast<std::size_t>(host)] + " " +
+               format_time(now - drained->second) + " after balancer " +
+               std::to_string(record.balancer) + " was told of its drain");
   return number;
 }
 
 void Auditor::on_forged(Time now, int host, std::string_view line) {
   breach(1, "a host was sent what no client had sent",
-         hosts_[static_cast<std::size_t>(host)] + " got, at " + at(now) + ": '" +
+         hosts_[static_cast<std::size_t>(host)] + " got, at " + format_time(now) + ": '" +
              std::string(line.substr(0, 200)) + "'\n");
 }
 
@@ -221,19 +228,20 @@
 
 void Auditor::on_pushed_over(Time now, int host, const std::map<int, double>& by_balancer,
                              std::string_view how) {
-  double all = 0, told = 0;
-  std::string story = "host " + host_name(host) + " " + std::string(how) + " at " + at(now) +
-                      ", sent in the time before:\n";
+  double total_work = 0, informed_work = 0;
+  std::string story = "host " + host_name(host) + " " + std::string(how) + " at " +
+                      format_time(now) + ", sent in the time before:\n";
   for (const auto& [balancer, work] : by_balancer) {
-    all += work;
+    total_work += work;
     const auto start = started_.find({balancer, host});
-    if (start != started_.end()) told += work;
-    story += "  " + at(from_seconds(work)) + " of work by balancer " + std::to_string(balancer) +
+    if (start != started_.end()) informed_work += work;
+    story += "  " + format_time(from_seconds(work)) + " of work by balancer " +
+             std::to_string(balancer) +
              (start == started_.end() ? ", which was not told of its start"
-                                      : ", told of its start at " + at(start->second)) +
+                                      : ", told of its start at " + format_time(start->second)) +
              "\n";
   }
-  if (told * 3 >= all * 2)
+  if (informed_work * 3 >= total_work * 2)
     breach(4, "the cold host " + host_name(host) + " " + std::string(how), story);
 }
 
@@ -264,17 +272,20 @@
   std::string text = "request " + std::to_string(r) + " (" + request_class.name + ", key " +
                      record.key + ", effect " + std::to_string(record.effect) +
                      ") sent to balancer " + std::to_string(record.balancer) + " at " +
-                     at(record.sent) + ", time until " + at(record.deadline) + "\n";
+                     format_time(record.sent) + ", time until " + format_time(record.deadline) +
+                     "\n";
   for (const Attempt& a : record.attempts) {
-    text += "  reached " + hosts_[static_cast<std::size_t>(a.host)] + " at " + at(a.arrived);
-    if (a.told) text += ", told " + at(*a.told);
-    if (a.begun != kNever) text += ", begun " + at(a.begun);
+    text +=
+        "  reached " + hosts_[static_cast<std::size_t>(a.host)] + " at " + format_time(a.arrived);
+    if (a.told) text += ", told " + format_time(*a.told);
+    if (a.begun != kNever) text += ", begun " + format_time(a.begun);
     if (a.never_ran) text += ", never ran";
-    text += a.ended == kNever ? ", still out" : ", " + a.end + " at " + at(a.ended);
+    text += a.ended == kNever ? ", still out" : ", " + a.end + " at " + format_time(a.ended);
     text += "\n";
   }
-  text += record.replied == kNever ? "  no answer so far\n"
-                                   : "  " + record.end + " at " + at(record.replied) + "\n";
+  text += record.replied == kNever
+              ? "  no answer so far\n"
+              : "  " + record.end + " at " + format_time(record.replied) + "\n";
   return text;
 }
 
