--- a/src/testbed/balancer_process.cc
+++ b/src/testbed/balancer_process.cc
@@ -25,8 +25,8 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-constexpr Duration kLook = std::chrono::milliseconds(20);
-const std::string kListening = "listening on ", kResp = "RESP on ";
+constexpr Duration kPollInterval = std::chrono::milliseconds(20);
+const std::string kListeningLine = "listening on ", kRespLine = "RESP on ";
 
 std::string read_file(const std::string& file) {
   std::ifstream in(file);
@@ -69,7 +69,7 @@
 }
 
 BalancerProcess::~BalancerProcess() {
-  ++life_;
+  ++generation_;
   if (!running()) return;
   ::kill(pid_, SIGKILL);
   ::waitpid(pid_, nullptr, 0);
@@ -80,31 +80,32 @@
     std::ofstream(file + ".new") << text;
     std::filesystem::rename(file + ".new", file);
   };
-  if (files_.platform)
-    write(folder_ + "/" + name() + ".json", files_.platform(text_of(files_.listen)));
-  if (files_.added) write(folder_ + "/" + name() + ".toml", files_.added());
+  if (files_.platform_config)
+    write(folder_ + "/" + name() + ".json", files_.platform_config(text_of(files_.listen)));
+  if (files_.operator_config) write(folder_ + "/" + name() + ".toml", files_.operator_config());
 }
 
 void BalancerProcess::start(std::function<void()> ready) {
   write_configuration();
   const std::string log = folder_ + "/" + name() + ".log";
-  log_from_ = read_file(log).size();
+  log_offset_ = read_file(log).size();
   const std::string variable = "ROUTER_CONFIG=" + folder_ + "/" + name() + ".json";
   std::string program = program_;
   std::string env = variable;
   std::string option = "--operator", added = folder_ + "/" + name() + ".toml";
-  char* const args[] = {program.data(), files_.added ? option.data() : nullptr, added.data(),
-                        nullptr};
+  char* const args[] = {program.data(), files_.operator_config ? option.data() : nullptr,
+                        added.data(), nullptr};
   std::string faults = std::string(kFaultPlanVariable) + "=" + files_.faults;
   std::string preload = "LD_PRELOAD=" BALANCER_FAULT_LIBRARY;
   std::string sanitizer = "ASAN_OPTIONS=verify_asan_link_order=0";
   std::vector<char*> environment;
-  if (files_.platform) environment.push_back(env.data());
+  if (files_.platform_config) environment.push_back(env.data());
   if (!files_.faults.empty())
     for (std::string* const added_variable : {&faults, &preload, &sanitizer})
       environment.push_back(added_variable->data());
   environment.push_back(nullptr);
-  // What is sent to it before it runs the program must not end in the rig's own handlers.
+  // Blocks signals across fork(), so that one sent to the child before exec does not run the
+  // testbed's handlers.
   sigset_t all, before;
   ::sigfillset(&all);
   ::sigprocmask(SIG_SETMASK, &all, &before);
@@ -119,8 +120,8 @@
       ::dup2(out, 1);
       ::dup2(out, 2);
     }
-    ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // it ends with the rig, however that ends
-    // The rig's sockets are not the balancer's.
+    ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // the child is killed however the testbed ends
+    // The balancer must not inherit the testbed's sockets.
     for (int fd = 3; fd < 65'536; ++fd) ::close(fd);
     ::execve(program.c_str(), args, environment.data());
     ::_exit(127);
@@ -129,48 +130,51 @@
   exit_expected_ = stopped_ = false;
   cpu_before_ = 0;
   sampled_at_ = context_.now();
-  await_listening(++life_, std::move(ready));
+  await_listening(++generation_, std::move(ready));
 }
 
-void BalancerProcess::await_listening(int life, std::function<void()> ready) {
-  context_.after(kLook, [this, life, ready = std::move(ready)]() mutable {
-    if (life != life_ || !running()) return;
+void BalancerProcess::await_listening(int generation, std::function<void()> ready) {
+  context_.after(kPollInterval, [this, generation, ready = std::move(ready)]() mutable {
+    if (generation != generation_ || !running()) return;
     const std::string log = read_file(folder_ + "/" + name() + ".log");
     const std::string line =
-        files_.standby ? kResp : (files_.platform ? kListening : kResp) + text_of(files_.listen);
-    const auto at = log.find(line, log_from_);
+        files_.group_member
+            ? kRespLine
+            : (files_.platform_config ? kListeningLine : kRespLine) + text_of(files_.listen);
+    const auto at = log.find(line, log_offset_);
     if (at == std::string::npos || log.find('\n', at) == std::string::npos)
-      return await_listening(life, std::move(ready));
-    if (files_.standby) return ready();
-    await_answer(life, std::move(ready));
+      return await_listening(generation, std::move(ready));
+    if (files_.group_member) return ready();
+    await_answer(generation, std::move(ready));
   });
 }
 
-// It is in use once it has answered `mn`, as on the platform, or PING.
-void BalancerProcess::await_answer(int life, std::function<void()> ready) {
+// The balancer is ready once it has answered `mn`, as on the platform, or PING.
+void BalancerProcess::await_answer(int generation, std::function<void()> ready) {
   struct Ask {
     explicit Ask(asio::io_context& io) : socket(io) {}
     tcp::socket socket;
     std::array<char, 4> answer;
   };
   const auto ask = std::make_shared<Ask>(context_.io);
-  ask->socket.async_connect(
-      files_.listen, [this, life, ask, ready = std::move(ready)](const error_code& e) mutable {
-        if (life != life_) return;
-        if (e) return await_listening(life, std::move(ready));
-        asio::async_write(ask->socket,
-                          files_.platform ? asio::buffer("mn\r\n", 4) : asio::buffer("PING\r\n", 6),
-                          [ask](const error_code&, std::size_t) {});
-        asio::async_read(
-            ask->socket, asio::buffer(ask->answer),
-            [this, life, ask, ready = std::move(ready)](const error_code& error, std::size_t) {
-              if (life != life_) return;
-              if (error ||
-                  std::string_view(ask->answer.data(), 4) != (files_.platform ? "MN\r\n" : "+PON"))
-                return await_listening(life, ready);
-              ready();
-            });
-      });
+  ask->socket.async_connect(files_.listen, [this, generation, ask,
+                                            ready = std::move(ready)](const error_code& e) mutable {
+    if (generation != generation_) return;
+    if (e) return await_listening(generation, std::move(ready));
+    asio::async_write(
+        ask->socket,
+        files_.platform_config ? asio::buffer("mn\r\n", 4) : asio::buffer("PING\r\n", 6),
+        [ask](const error_code&, std::size_t) {});
+    asio::async_read(
+        ask->socket, asio::buffer(ask->answer),
+        [this, generation, ask, ready = std::move(ready)](const error_code& error, std::size_t) {
+          if (generation != generation_) return;
+          if (error || std::string_view(ask->answer.data(), 4) !=
+                           (files_.platform_config ? "MN\r\n" : "+PON"))
+            return await_listening(generation, ready);
+          ready();
+        });
+  });
 }
 
 void BalancerProcess::signal(int number) {
--- a/src/testbed/balancer_process.h
+++ b/src/testbed/balancer_process.h
@@ -12,20 +12,22 @@
 
 namespace balancer::testbed {
 
-// One balancer as a process of its own, which ends with this object. Its log and configuration stay
-// in the run's folder.
+// Runs one balancer as a separate process, which is killed when this object is destroyed. Its log
+// and configuration remain in the run's folder.
 class BalancerProcess {
  public:
-  // What it is started with. Each is called for each start.
+  // Configuration of the process. The functions are called for each start.
   struct Files {
-    std::function<std::string(const std::string& listen)> platform;  // none: it has only the other
-    std::function<std::string()> added;                              // the operator's; none: none
-    // One of a group, which listens only while it holds an address: up once it runs.
-    bool standby = false;
-    // Where it listens for clients, at each start. Of the run's own, so that others' connections
-    // are not given its port while it is away. Unused by one of a group.
+    // The platform's file and the operator's file; either may be unset.
+    std::function<std::string(const std::string& listen)> platform_config;
+    std::function<std::string()> operator_config;
+    // A group member listens only while it holds a service address, so it counts as ready once it
+    // runs.
+    bool group_member = false;
+    // The client listener's address at each start. Reserved for the run, so that no other
+    // connection is assigned its port while the process is down. Unused by group members.
     asio::ip::tcp::endpoint listen{};
-    std::string faults{};  // a FaultPlan's text; empty: none
+    std::string faults{};  // text of a FaultPlan; empty for no faults
   };
   BalancerProcess(Context& context, std::string program, std::string folder, int number,
                   Files files);
@@ -33,17 +35,17 @@
   BalancerProcess(const BalancerProcess&) = delete;
   BalancerProcess& operator=(const BalancerProcess&) = delete;
 
-  // Calls `ready` once it has answered on its address. Throws std::runtime_error if it cannot be
-  // started at all.
+  // Starts the process and calls `ready` once it answers on its address. Throws std::runtime_error
+  // if no process can be created.
   void start(std::function<void()> ready);
   void signal(int number);
   bool stopped() const { return stopped_; }  // by SIGSTOP
-  void reload();                             // writes the configuration anew, then SIGHUP
-  // From now on its exit is no crash.
+  void reload();                             // rewrites the configuration, then sends SIGHUP
+  // From now on an exit does not count as a crash.
   void expect_exit() { exit_expected_ = true; }
-  bool running();                     // reaps it
-  pid_t pid() const { return pid_; }  // 0: it is not running
-  void sample();
+  bool running();                     // reaps the process if it has exited
+  pid_t pid() const { return pid_; }  // 0 if not running
+  void sample();                      // records CPU, memory and descriptors
   const asio::ip::tcp::endpoint& address() const { return files_.listen; }
   std::string last_log_lines() const;
   const BalancerFigures& figures() const { return figures_; }
@@ -51,22 +53,23 @@
 
  private:
   void write_configuration();
-  void await_listening(int life, std::function<void()> ready);
-  void await_answer(int life, std::function<void()> ready);
+  void await_listening(int generation, std::function<void()> ready);
+  void await_answer(int generation, std::function<void()> ready);
 
   Context& context_;
   const std::string program_, folder_;
   const Files files_;
   BalancerFigures figures_;
   pid_t pid_ = 0;
-  int life_ = 0;
+  int generation_ = 0;
   bool exit_expected_ = false, stopped_ = false;
-  std::size_t log_from_ = 0;
+  std::size_t log_offset_ = 0;
   double cpu_before_ = 0;
   Time sampled_at_{0};
 };
 
-// Of any process of this machine's; pid 0: this one. False if it has gone.
+// Reads the usage of any process on this machine; pid 0 is this process. Returns false if the
+// process no longer exists.
 bool read_process(pid_t pid, double& cpu_seconds, double& memory_mb, int& descriptors);
 
 }  // namespace balancer::testbed
--- a/src/testbed/failover_test.cc
+++ b/src/testbed/failover_test.cc
@@ -29,11 +29,11 @@
 using std::chrono::seconds;
 using tcp = asio::ip::tcp;
 
-constexpr Duration kProbeEvery = milliseconds(10), kDirectEvery = milliseconds(20);
-constexpr Duration kProbeLimit = milliseconds(500), kDirectLimit = milliseconds(150);
-// Two answers of one instance that lie further apart are not one stretch of serving.
-constexpr Duration kGap = milliseconds(60);
-constexpr Duration kTakesOver = seconds(20);
+constexpr Duration kProbeInterval = milliseconds(10), kDirectProbeInterval = milliseconds(20);
+constexpr Duration kProbeTimeout = milliseconds(500), kDirectProbeTimeout = milliseconds(150);
+// Answers of an instance that are further apart than this do not belong to the same serving period.
+constexpr Duration kMaxAnswerGap = milliseconds(60);
+constexpr Duration kTakeoverTimeout = seconds(20);
 
 enum class Fault { kKill, kStop, kIsolate, kNoVoters, kNoRouter, kMove, kRestart };
 constexpr std::array<std::pair<Fault, const char*>, 7> kFaults{
@@ -44,14 +44,15 @@
      {Fault::kNoRouter, "cut off from the router"},
      {Fault::kMove, "told to hand over"},
      {Fault::kRestart, "ended by SIGTERM"}}};
-bool in_order(Fault f) { return f == Fault::kMove || f == Fault::kRestart; }
-// For how long two may serve: where the old one hands over, the overlap of its file.
-Duration may_overlap(Fault f) {
-  return in_order(f) || f == Fault::kNoRouter ? GroupNet::kOverlap : Duration{0};
+bool is_orderly(Fault f) { return f == Fault::kMove || f == Fault::kRestart; }
+// Returns how long two instances may serve at once: the configured overlap if the old holder hands
+// over.
+Duration allowed_overlap(Fault f) {
+  return is_orderly(f) || f == Fault::kNoRouter ? GroupNet::kOverlap : Duration{0};
 }
 
-// One question on a connection of its own: who are you, and is this key there? The first is
-// answered by whoever has the connection, the second only by one that may serve.
+// Sends CLUSTER MYID and a GET over a new connection. Any instance answers the first; only one that
+// may serve answers the second.
 class Probe : public std::enable_shared_from_this<Probe> {
  public:
   struct Answer {
@@ -128,17 +129,19 @@
 struct Round {
   Fault fault;
   int old_holder = -1;
-  Time struck{0};
-  std::optional<Time> served_again;  // by another
-  Duration longest_gap{0};           // between two answers through the router
+  Time injected_at{0};
+  std::optional<Time> served_again;  // by another instance
+  Duration longest_gap{0};           // between two answers through the router, since the fault
   int failed_probes = 0;
   Duration two_routes{0}, two_serve{0};
-  std::vector<Duration> late_serving;  // the old one answered when it no more might
+  // Times since the fault of requests that the old holder answered when it was no longer allowed
+  // to.
+  std::vector<Duration> late_serving;
 };
 
-class Moves {
+class FailoverRun {
  public:
-  explicit Moves(const MoveOptions& options)
+  explicit FailoverRun(const FailoverOptions& options)
       : options_(options),
         context_(io_, scenario_),
         cluster_(io_, 1, 0),
@@ -153,8 +156,8 @@
     net_.router().on_change = [this](const BgpRouter::Change& c) { note_routes(c.routes); };
     for (int i = 0; i < options.instances; ++i) {
       BalancerProcess::Files files;
-      files.standby = true;
-      files.added = [this, i] { return operator_file(i); };
+      files.group_member = true;
+      files.operator_config = [this, i] { return operator_file(i); };
       files.faults = options.faults;
       processes_.push_back(std::make_unique<BalancerProcess>(context_, options.program,
                                                              options.folder, i, std::move(files)));
@@ -163,21 +166,22 @@
 
   int operator()() {
     for (int i = 0; i < options_.instances; ++i) start(i);
-    if (!until([this] { return up_ == options_.instances; }, seconds(20))) {
+    if (!until([this] { return started_count_ == options_.instances; }, seconds(20))) {
       for (auto& p : processes_)
         std::fprintf(stderr, "%s: %s\n", p->name().c_str(), p->last_log_lines().c_str());
       return 2;
     }
     probe();
     for (int i = 0; i < options_.instances; ++i) probe_directly(i);
-    if (!until([this] { return well(); }, kTakesOver)) return fail("nobody took the address");
+    if (!until([this] { return is_stable(); }, kTakeoverTimeout))
+      return fail("no instance took the service address");
     std::optional<Fault> only;
     for (const auto& [fault, name] : kFaults)
       if (options_.only == name) only = fault;
     for (int r = 0; r < options_.rounds; ++r) {
       const Fault fault =
           only ? *only : kFaults[static_cast<std::size_t>(r) % kFaults.size()].first;
-      if (!play(fault)) break;
+      if (!run_round(fault)) break;
       if (options_.progress) progress(r + 1);
     }
     ended_ = true;
@@ -194,7 +198,7 @@
     return "[process]\nname = \"" + GroupNet::name_of(i) +
            "\"\nsockets = 512\n[[pool]]\nname = " + "\"p\"\nseeds = [\"" + cluster_.address(0) +
            "\"]\n[[listener]]\nname = \"l\"\n" + "address = \"" + net_.listen(i) +
-           "\"\npool = \"p\"\nservice = \"" + GroupNet::kService + "\"\n" + net_.tables(i);
+           "\"\npool = \"p\"\nservice = \"" + GroupNet::kService + "\"\n" + net_.config_tables(i);
   }
   int fail(const std::string& why) {
     std::fprintf(stderr, "balancer_testbed: %s; logs in %s\n", why.c_str(),
@@ -211,68 +215,68 @@
     return !interrupted_;
   }
   void start(int i) {
-    processes_[static_cast<std::size_t>(i)]->start([this] { ++up_; });
+    processes_[static_cast<std::size_t>(i)]->start([this] { ++started_count_; });
   }
-  // All run, one holds it and has been answering for a while.
-  bool well() {
-    bool all = up_ == options_.instances;
+  // Returns whether all instances run and one of them has held and served the address for a while.
+  bool is_stable() {
+    bool all = started_count_ == options_.instances;
     for (auto& p : processes_) all = p->running() && all;
     const Time now = context_.now();
     return all && net_.owner() >= 0 && now - last_failed_ > milliseconds(1200) &&
            now - last_served_ < milliseconds(200) && net_.routes() == 1;
   }
 
-  // ---- what is seen
+  // ---- observations
 
   void probe() {
     if (ended_) return;
     std::make_shared<Probe>(context_, [this](const Probe::Answer& a) {
       if (!a.served) {
         last_failed_ = a.answered;
-        if (round_ && a.asked > round_->struck) ++round_->failed_probes;
+        if (round_ && a.asked > round_->injected_at) ++round_->failed_probes;
         return;
       }
       const int who = instance_of(a.who);
-      if (round_ && a.answered > round_->struck) {
+      if (round_ && a.answered > round_->injected_at) {
         round_->longest_gap =
-            std::max(round_->longest_gap, a.answered - std::max(last_served_, round_->struck));
+            std::max(round_->longest_gap, a.answered - std::max(last_served_, round_->injected_at));
         if (who >= 0 && who != round_->old_holder && !round_->served_again)
           round_->served_again = a.answered;
       }
       last_served_ = std::max(last_served_, a.answered);
-    })->start(net_.service(), kProbeLimit);
-    context_.after(kProbeEvery, [this] { probe(); });
+    })->start(net_.service(), kProbeTimeout);
+    context_.after(kProbeInterval, [this] { probe(); });
   }
-  // At each instance's own address: who serves, whatever the route says.
+  // Probes an instance at its own address, to see who serves regardless of the route.
   void probe_directly(int i) {
     if (ended_) return;
     std::make_shared<Probe>(context_, [this, i](const Probe::Answer& a) {
       if (!a.who.empty()) ids_[static_cast<std::size_t>(i)] = a.who;
       if (a.served) note_serving(i, a.asked, a.answered);
-    })->start(net_.direct(i), kDirectLimit);
-    context_.after(kDirectEvery, [this, i] { probe_directly(i); });
+    })->start(net_.direct_endpoint(i), kDirectProbeTimeout);
+    context_.after(kDirectProbeInterval, [this, i] { probe_directly(i); });
   }
   int instance_of(const std::string& id) const {
     for (std::size_t i = 0; i < ids_.size(); ++i)
       if (ids_[i] == id) return static_cast<int>(i);
     return -1;
   }
-  // Stretches of serving, as far as answers prove them: from the asking of one to the asking of the
-  // last that was answered.
+  // Extends the instance's serving period as far as answers prove it: from the first to the last
+  // request that was answered. Records overlaps with other instances and late serving.
   void note_serving(int i, Time asked, Time answered) {
     auto& s = serving_[static_cast<std::size_t>(i)];
-    if (asked - s.last > kGap) s.first = asked;
+    if (asked - s.last > kMaxAnswerGap) s.first = asked;
     s.last = asked;
     if (!round_) return;
     for (std::size_t j = 0; j < serving_.size(); ++j) {
-      if (static_cast<int>(j) == i || answered - serving_[j].last > kGap) continue;
+      if (static_cast<int>(j) == i || answered - serving_[j].last > kMaxAnswerGap) continue;
       const Time from = std::max(s.first, serving_[j].first);
       const Time to = std::min(s.last, serving_[j].last);
       if (to > from) round_->two_serve = std::max(round_->two_serve, to - from);
     }
     if (i == round_->old_holder && round_->served_again &&
-        asked > *round_->served_again + may_overlap(round_->fault) && net_.owner() != i)
-      round_->late_serving.push_back(asked - round_->struck);
+        asked > *round_->served_again + allowed_overlap(round_->fault) && net_.owner() != i)
+      round_->late_serving.push_back(asked - round_->injected_at);
   }
   void note_routes(std::size_t routes) {
     const Time now = context_.now();
@@ -284,36 +288,37 @@
     }
   }
 
-  // ---- what befalls the holder
+  // ---- faults
 
-  bool play(Fault fault) {
-    if (!until([this] { return well(); }, kTakesOver)) return lost_ = true, false;
+  bool run_round(Fault fault) {
+    if (!until([this] { return is_stable(); }, kTakeoverTimeout))
+      return takeover_failed_ = true, false;
     const Time at = context_.now() + from_seconds(random_.uniform());
     until([&] { return context_.now() >= at; }, seconds(2));
     const int old_holder = net_.owner();
-    if (old_holder < 0) return lost_ = true, false;
+    if (old_holder < 0) return takeover_failed_ = true, false;
     Round round;
     round.fault = fault;
     round.old_holder = old_holder;
-    round.struck = context_.now();
+    round.injected_at = context_.now();
     round_ = &round;
-    strike(fault, old_holder);
-    const bool taken = until([&] { return round.served_again.has_value(); }, kTakesOver);
-    if (!in_order(fault))
-      until([&] { return context_.now() - round.struck > seconds(3); }, seconds(4));
-    mend(fault, old_holder);
-    // What the old one does when it is back belongs to the round.
-    until([&] { return context_.now() - round.struck > seconds(4); }, seconds(5));
+    inject(fault, old_holder);
+    const bool taken = until([&] { return round.served_again.has_value(); }, kTakeoverTimeout);
+    if (!is_orderly(fault))
+      until([&] { return context_.now() - round.injected_at > seconds(3); }, seconds(4));
+    clear_fault(fault, old_holder);
+    // The round includes what the old holder does after its return.
+    until([&] { return context_.now() - round.injected_at > seconds(4); }, seconds(5));
     round_ = nullptr;
     rounds_.push_back(round);
-    lost_ = lost_ || !taken;
+    takeover_failed_ = takeover_failed_ || !taken;
     return taken;
   }
-  void strike(Fault fault, int i) {
+  void inject(Fault fault, int i) {
     BalancerProcess& p = *processes_[static_cast<std::size_t>(i)];
     switch (fault) {
       case Fault::kKill:
-        --up_;
+        --started_count_;
         return p.signal(SIGKILL);
       case Fault::kStop:
         return p.signal(SIGSTOP);
@@ -325,15 +330,15 @@
       case Fault::kNoRouter:
         return net_.cut_from_router(i, true);
       case Fault::kMove:
-        net_.tell(i, std::string("move ") + GroupNet::kService);
+        net_.send_command(i, std::string("move ") + GroupNet::kService);
         return;
       case Fault::kRestart:
-        --up_;
+        --started_count_;
         p.expect_exit();
         return p.signal(SIGTERM);
     }
   }
-  void mend(Fault fault, int i) {
+  void clear_fault(Fault fault, int i) {
     BalancerProcess& p = *processes_[static_cast<std::size_t>(i)];
     switch (fault) {
       case Fault::kKill:
@@ -359,7 +364,7 @@
   }
   int report() {
     nlohmann::json all = nlohmann::json::array();
-    bool bad = lost_;
+    bool bad = takeover_failed_;
     std::printf("%-24s %6s  %27s  %8s %8s  %9s  %9s  %s\n", "the holder was", "moves",
                 "without an owner, ms", "gap", "probes", "two", "two", "old one");
     std::printf("%-24s %6s  %8s %8s %9s  %8s %8s  %9s  %9s  %s\n", "", "", "median", "p99", "worst",
@@ -371,24 +376,25 @@
       for (const Round& r : rounds_) {
         if (r.fault != fault) continue;
         ++count;
-        if (r.served_again) times.push_back(millis(*r.served_again - r.struck));
+        if (r.served_again) times.push_back(millis(*r.served_again - r.injected_at));
         gap = std::max(gap, millis(r.longest_gap));
         routes = std::max(routes, millis(r.two_routes));
         serve = std::max(serve, millis(r.two_serve));
         failed += r.failed_probes;
         late += !r.late_serving.empty();
-        // Under any trouble another hand-over may follow, where a loop is late for example.
+        // A further hand-over may follow any fault, for example when an event loop is delayed, so
+        // the overlap applies to all of them.
         too_long += r.two_serve > GroupNet::kOverlap;
         std::vector<double> late_ms;
         for (const Duration d : r.late_serving) late_ms.push_back(millis(d));
         all.push_back(
             {{"fault", name},
-             {"served_again_ms", r.served_again ? millis(*r.served_again - r.struck) : -1},
+             {"served_again_ms", r.served_again ? millis(*r.served_again - r.injected_at) : -1},
              {"gap_ms", millis(r.longest_gap)},
              {"probes_failed", r.failed_probes},
              {"two_routes_ms", millis(r.two_routes)},
              {"two_serve_ms", millis(r.two_serve)},
-             {"struck_at_s", millis(r.struck) / 1e3},
+             {"struck_at_s", millis(r.injected_at) / 1e3},
              {"old", GroupNet::name_of(r.old_holder)},
              {"old_served_late_ms", late_ms}});
       }
@@ -406,11 +412,11 @@
       bad = bad || late > 0 || too_long > 0;
     }
     std::ofstream(options_.folder + "/moves.json") << all.dump(1) << "\n";
-    if (lost_) return fail("nobody took the address over");
-    return bad ? fail("two served for longer than they may") : 0;
+    if (takeover_failed_) return fail("no instance took over the service address");
+    return bad ? fail("two instances served at once for longer than the overlap allows") : 0;
   }
 
-  const MoveOptions options_;
+  const FailoverOptions options_;
   Scenario scenario_;
   asio::io_context io_{1};
   Context context_;
@@ -418,8 +424,8 @@
   Random random_;
   GroupNet net_;
   std::vector<std::unique_ptr<BalancerProcess>> processes_;
-  int up_ = 0;
-  std::vector<std::string> ids_;  // how each calls itself, once it has said so
+  int started_count_ = 0;
+  std::vector<std::string> ids_;  // by instance: its node ID, once it is known
   struct Serving {
     Time first = Time::min() / 2, last = Time::min() / 2;
   };
@@ -429,26 +435,26 @@
   Round* round_ = nullptr;
   std::vector<Round> rounds_;
   asio::signal_set signals_;
-  bool interrupted_ = false, ended_ = false, lost_ = false;
+  bool interrupted_ = false, ended_ = false, takeover_failed_ = false;
 };
 
 }  // namespace
 
-std::string check_moves(const MoveOptions& options) {
+std::string check_failover_options(const FailoverOptions& options) {
   const bool known = std::any_of(kFaults.begin(), kFaults.end(),
                                  [&](const auto& f) { return options.only == f.second; });
-  if (!options.only.empty() && !known) return "there is no trouble '" + options.only + "'";
-  if (options.voters > options.instances) return "more are to vote than there are";
+  if (!options.only.empty() && !known) return "unknown fault '" + options.only + "'";
+  if (options.voters > options.instances) return "more voters than instances";
   return {};
 }
 
-int run_moves(const MoveOptions& options) {
-  if (const std::string why = check_moves(options); !why.empty()) {
+int run_failover_test(const FailoverOptions& options) {
+  if (const std::string why = check_failover_options(options); !why.empty()) {
     std::fprintf(stderr, "balancer_testbed: %s\n", why.c_str());
     return 2;
   }
   std::filesystem::create_directories(options.folder);
-  return Moves(options)();
+  return FailoverRun(options)();
 }
 
 }  // namespace balancer::testbed
--- a/src/testbed/group_net.cc
+++ b/src/testbed/group_net.cc
@@ -26,9 +26,9 @@
       port_(context.loopback.next_port()) {
   for (int i = 0; i < instances; ++i) {
     members_.emplace_back(context.loopback.address(i), context.loopback.next_port());
-    const std::string of_instance = folder_ + "/" + name_of(i);
-    std::filesystem::remove_all(of_instance);
-    std::filesystem::create_directories(of_instance);
+    const std::string instance_folder = folder_ + "/" + name_of(i);
+    std::filesystem::remove_all(instance_folder);
+    std::filesystem::create_directories(instance_folder);
   }
   relay_ = std::make_unique<DatagramRelay>(context.io, members_, seed);
   service_ = {asio::ip::make_address("127.0.0.1"), router_.forward(prefix_, port_)};
@@ -46,7 +46,7 @@
   return ip_of(instance) + ":" + std::to_string(port_);
 }
 
-tcp::endpoint GroupNet::direct(int instance) const {
+tcp::endpoint GroupNet::direct_endpoint(int instance) const {
   return {asio::ip::make_address(ip_of(instance)), port_};
 }
 
@@ -54,7 +54,7 @@
   return folder_ + "/" + name_of(instance) + "/" + name_of(instance) + ".sock";
 }
 
-std::string GroupNet::tables(int instance) const {
+std::string GroupNet::config_tables(int instance) const {
   const auto me = static_cast<std::size_t>(instance);
   std::string text = "[group]\nname = \"" + name_of(instance) + "\"\nlisten = \"" +
                      members_[me].address().to_string() + ":" +
@@ -88,7 +88,7 @@
 
 void GroupNet::cut_from_router(int instance, bool on) { router_.cut(address_of(instance), on); }
 
-bool GroupNet::tell(int instance, const std::string& line) {
+bool GroupNet::send_command(int instance, const std::string& line) {
   asio::local::stream_protocol::socket socket(context_.io);
   error_code error;
   socket.connect(asio::local::stream_protocol::endpoint(status_socket(instance)), error);
--- a/src/testbed/group_net.h
+++ b/src/testbed/group_net.h
@@ -14,38 +14,39 @@
 
 namespace balancer::testbed {
 
-// The surroundings of a group of balancers on one machine: an address of its own for each, a router
-// that forwards clients of the service address, a network between them that can be cut, folders and
-// a key.
+// The environment of a group of balancers on one machine: an address for each instance, a router
+// that forwards clients of the service address, a network between the members that can be cut,
+// folders and the group key.
 class GroupNet {
  public:
   static constexpr const char* kService = "svc";
-  // For how long both may serve where the address is handed over.
+  // Time for which both holders may serve during a hand-over.
   static constexpr Duration kOverlap = std::chrono::milliseconds(300);
 
-  // The first `voters` instances vote. Folders are made in `folder`, and what was in them is gone.
-  // There are at most LoopbackBlock::kAddresses instances.
+  // The first `voters` instances are voters. Creates a folder for each instance in `folder` and
+  // deletes its earlier contents. `instances` is at most LoopbackBlock::kAddresses.
   GroupNet(Context& context, const std::string& folder, int instances, int voters,
            std::uint64_t seed);
 
-  // [group], [[address]] and [bgp] of one instance's file.
-  std::string tables(int instance) const;
-  // Where it takes clients while it holds the address.
+  // Returns the [group], [[address]] and [bgp] tables of an instance's configuration.
+  std::string config_tables(int instance) const;
+  // Returns the address at which the instance accepts clients while it holds the service address.
   std::string listen(int instance) const;
-  asio::ip::tcp::endpoint direct(int instance) const;
+  asio::ip::tcp::endpoint direct_endpoint(int instance) const;
   std::string status_socket(int instance) const;
-  // Where clients come, whoever holds the address.
+  // Returns the endpoint to which clients connect; the router forwards them to the holder.
   asio::ip::tcp::endpoint service() const { return service_; }
 
   BgpRouter& router() { return router_; }
   DatagramRelay& relay() { return *relay_; }
-  // The instance that the route leads to; -1: there is none.
+  // Returns the next hop of the best route as an instance number, or -1 without a route.
   int owner() const;
   std::size_t routes() const;
   void cut_from_router(int instance, bool on);
 
-  // Asks a member through its status socket, without waiting; false: it is not there.
-  bool tell(int instance, const std::string& line);
+  // Sends a command to a member's status socket without waiting for the reply. Returns false if the
+  // socket cannot be reached.
+  bool send_command(int instance, const std::string& line);
 
   static std::string name_of(int instance) { return "n" + std::to_string(instance); }
 
@@ -62,7 +63,7 @@
   BgpRouter router_;
   std::unique_ptr<DatagramRelay> relay_;
   std::vector<DatagramRelay::Endpoint> members_;
-  const std::uint16_t port_;  // of all instances' listeners
+  const std::uint16_t port_;  // listener port of all instances
   asio::ip::tcp::endpoint service_;
 };
 
--- a/src/testbed/main.cc
+++ b/src/testbed/main.cc
@@ -42,13 +42,13 @@
   return report_verdict(json.str());
 }
 
-std::string beside_this_program(const char* name) {
+std::string path_in_own_folder(const char* name) {
   std::error_code error;
   const auto self = std::filesystem::read_symlink("/proc/self/exe", error);
   return (error ? std::filesystem::path("build") : self.parent_path()) / name;
 }
 
-// Prints the nodes' addresses, and runs until it is interrupted.
+// Prints the nodes' addresses and runs until interrupted.
 int run_cluster(int nodes, int replicas) {
   raise_descriptor_limit();
   asio::io_context io(1);
@@ -58,10 +58,10 @@
   asio::signal_set signals(io, SIGINT, SIGTERM);
   signals.async_wait([&io](const boost::system::error_code&, int) { io.stop(); });
   io.run();
-  std::printf("%llu commands, %zu writes, %llu redirections, %llu questions for the map\n",
+  std::printf("%llu commands, %zu writes, %llu redirections, %llu requests for the slot map\n",
               static_cast<unsigned long long>(all.commands()), all.runs().size(),
               static_cast<unsigned long long>(all.redirections()),
-              static_cast<unsigned long long>(all.map_questions()));
+              static_cast<unsigned long long>(all.map_queries()));
   return 0;
 }
 
@@ -70,8 +70,8 @@
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
   CLI::App app{
-      "Rehearses a day for balancer on one machine: emulated hosts, clients, troubles, "
-      "and a judge of the four rules. All on loopback addresses."};
+      "Tests balancer on one machine with emulated hosts, clients and faults, and audits the four "
+      "rules. Uses loopback addresses only."};
   app.require_subcommand(1);
   std::string file, folder;
   RehearsalOptions options;
@@ -88,59 +88,61 @@
     sub->add_flag("--quiet", quiet, "no progress line");
     return sub;
   };
-  CLI::App* check = add("check", "check a scenario, and whether this machine has room for it");
+  CLI::App* check =
+      add("check", "check a scenario, and whether this machine has the resources for it");
   CLI::App* rehearse =
-      add_run("rehearse", "fleet, balancers and clients together; ends with a report");
-  rehearse->add_option("--program", options.program, "the balancer (balancer beside this program)");
-  CLI::App* fleet = add_run("fleet", "the emulated fleet alone, for balancers that you start");
-  CLI::App* load = add_run("load", "the clients alone");
+      add_run("rehearse", "run fleet, balancers and clients together, and write a report");
+  rehearse->add_option("--program", options.program,
+                       "the balancer (balancer in this program's folder)");
+  CLI::App* fleet = add_run("fleet", "run only the emulated fleet, for balancers that you start");
+  CLI::App* load = add_run("load", "run only the clients");
   load->add_option("--to", balancers, "ADDRESS:PORT of each balancer")->required();
   CLI::App* show =
-      app.add_subcommand("report", "print an earlier run's report, make its page anew");
-  show->add_option("DIR", folder, "that run's folder")->required();
+      app.add_subcommand("report", "print the report of an earlier run and rewrite its HTML page");
+  show->add_option("DIR", folder, "folder of the run")->required();
   int nodes = 3, replicas = 1;
   CLI::App* cluster = app.add_subcommand(
-      "cluster", "an emulated RESP cluster alone, for balancers and clients that you start");
-  cluster->add_option("--nodes", nodes, "primaries")->check(CLI::Range(1, 100));
-  cluster->add_option("--replicas", replicas, "of each primary")->check(CLI::Range(0, 5));
+      "cluster", "run only an emulated RESP cluster, for balancers and clients that you start");
+  cluster->add_option("--nodes", nodes, "number of primaries")->check(CLI::Range(1, 100));
+  cluster->add_option("--replicas", replicas, "replicas of each primary")->check(CLI::Range(0, 5));
   int count = 0;
   std::uint64_t seed = 0;
   for (CLI::App* sub : {check, rehearse}) {
-    sub->add_option("--balancers", count, "so many in place of the scenario's")
+    sub->add_option("--balancers", count, "override the scenario's number of balancers")
         ->check(CLI::Range(1, 64));
-    sub->add_option("--seed", seed, "in place of the scenario's")->check(CLI::PositiveNumber);
+    sub->add_option("--seed", seed, "override the scenario's seed")->check(CLI::PositiveNumber);
   }
   balancer::fleet_simulation::TableOptions table;
   bool brief = false;
-  CLI::App* plant = add("plant", "the scenario in simulated time, with every loop's signal");
-  plant->add_option("--balancers", count, "so many in place of the scenario's")
+  CLI::App* plant =
+      add("plant", "run the scenario in simulated time and print the signals of all control loops");
+  plant->add_option("--balancers", count, "override the scenario's number of balancers")
       ->check(CLI::Range(1, 1000));
-  plant->add_option("--seed", seed, "the first one")->check(CLI::PositiveNumber);
-  plant->add_option("--seeds", table.seeds, "so many runs")->check(CLI::Range(1, 10000));
+  plant->add_option("--seed", seed, "first seed")->check(CLI::PositiveNumber);
+  plant->add_option("--seeds", table.seeds, "number of runs")->check(CLI::Range(1, 10000));
   plant
       ->add_option("--hold-origin", table.plant.origin_held, "keep the origin's gate this far open")
       ->check(CLI::Range(0.05, 1.0));
   plant->add_option("--hold-caches", table.plant.caches_held, "keep the caches' gate this far open")
       ->check(CLI::Range(0.05, 1.0));
-  plant->add_flag("--brief", brief, "a line a seed alone");
+  plant->add_flag("--brief", brief, "print only one line for each seed");
   std::uint64_t drawn = 0;
-  CLI::App* draw = app.add_subcommand("draw", "print a scenario drawn at random, to be played");
+  CLI::App* draw = app.add_subcommand("draw", "print a random scenario that can be run");
   draw->add_option("SEED", drawn)->required()->check(CLI::PositiveNumber);
   bool soak = false;
-  draw->add_flag("--soak", soak, "restarts in series, short deadlines and machines at fault");
-  MoveOptions moves;
-  CLI::App* move = app.add_subcommand(
-      "moves", "a group of balancers whose service address moves, again and again");
-  move->add_option("--rounds", moves.rounds, "moves; each kind of trouble in turn")
+  draw->add_flag("--soak", soak, "with repeated restarts, short deadlines and machine faults");
+  FailoverOptions moves;
+  CLI::App* move =
+      app.add_subcommand("moves", "move the service address of a group of balancers repeatedly");
+  move->add_option("--rounds", moves.rounds, "number of moves; the faults are injected in turn")
       ->check(CLI::Range(1, 100000));
   move->add_option("--instances", moves.instances)->check(CLI::Range(2, 20));
-  move->add_option("--voters", moves.voters, "the first so many of them vote")
-      ->check(CLI::Range(1, 7));
-  move->add_option("--only", moves.only, "one kind of trouble, as the report names it");
+  move->add_option("--voters", moves.voters, "number of voters")->check(CLI::Range(1, 7));
+  move->add_option("--only", moves.only, "inject only this fault, named as in the report");
   move->add_option("--seed", moves.seed);
-  move->add_option("--faults", moves.faults, "what is wrong with each process's machine");
+  move->add_option("--faults", moves.faults, "fault plan for each process");
   move->add_option("--out", moves.folder, "folder for state and logs (rehearsals/moves)");
-  move->add_option("--program", moves.program, "the balancer (balancer beside this program)");
+  move->add_option("--program", moves.program, "the balancer (balancer in this program's folder)");
   move->add_flag("--quiet", quiet, "no progress line");
   scale::SweepOptions sweep;
   std::string sweep_name, sweep_names;
@@ -149,11 +151,12 @@
   CLI::App* measure = app.add_subcommand(
       "scale", "measure what a quantity costs at several sizes, with a fit; CSV and charts");
   measure->add_option("SWEEP", sweep_name, sweep_names)->required();
-  measure->add_flag("--short", sweep.quick, "few sizes, for the counts alone");
+  measure->add_flag("--short", sweep.quick, "few sizes; only the counts are meaningful");
   measure->add_option("--seeds", sweep.seeds, "one run of each size for each seed");
   measure->add_option("--out", sweep.folder,
                       "folder for tables, charts and logs (rehearsals/scale)");
-  measure->add_option("--program", sweep.program, "the balancer (balancer beside this program)");
+  measure->add_option("--program", sweep.program,
+                      "the balancer (balancer in this program's folder)");
   measure->add_flag("--quiet", quiet, "no progress lines");
   try {
     app.parse(argc, argv);
@@ -169,14 +172,14 @@
     if (*cluster) return run_cluster(nodes, replicas);
     if (*move) {
       if (moves.folder.empty()) moves.folder = "rehearsals/moves";
-      if (moves.program.empty()) moves.program = beside_this_program("balancer");
+      if (moves.program.empty()) moves.program = path_in_own_folder("balancer");
       moves.progress = !quiet;
       raise_descriptor_limit();
-      return run_moves(moves);
+      return run_failover_test(moves);
     }
     if (*measure) {
       if (sweep.folder.empty()) sweep.folder = "rehearsals/scale";
-      if (sweep.program.empty()) sweep.program = beside_this_program("balancer");
+      if (sweep.program.empty()) sweep.program = path_in_own_folder("balancer");
       sweep.progress = !quiet;
       raise_descriptor_limit();
       scale::run_and_write(sweep_name, sweep);
@@ -198,14 +201,14 @@
       return 0;
     }
     if (options.folder.empty()) options.folder = "rehearsals/" + scenario.name;
-    if (options.program.empty()) options.program = beside_this_program("balancer");
+    if (options.program.empty()) options.program = path_in_own_folder("balancer");
     options.progress = !quiet;
     if (*fleet) return run_fleet(scenario, options);
     if (*load) return run_load(scenario, balancers, options);
     if (*rehearse) {
       if (::access(options.program.c_str(), X_OK) != 0)
         throw ScenarioError(options.program +
-                            ": is no program; build it, or name one with --program");
+                            ": is not an executable; build it or name another with --program");
       return run_rehearsal(scenario, options);
     }
   } catch (const std::exception& e) {
--- a/src/testbed/rehearsal.cc
+++ b/src/testbed/rehearsal.cc
@@ -24,18 +24,18 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-constexpr Duration kComesUp = std::chrono::seconds(10);
+constexpr Duration kStartupTimeout = std::chrono::seconds(10);
 constexpr Duration kLagProbe = milliseconds(5);
-// Clients come from then on at the earliest, so that every run of a scenario has the same ones.
-constexpr Duration kClientsCome = std::chrono::seconds(1);
-// A planned restart, as the platform does it: the front goes on for a moment, and the kill comes no
-// sooner than the longest deadline (3 s at most) and 0.7 s more.
-constexpr Duration kFrontGoesOn = milliseconds(300);
-constexpr Duration kKillBehind = milliseconds(700);
+// Earliest start of the clients, so that every run of a scenario has the same clients.
+constexpr Duration kClientsStart = std::chrono::seconds(1);
+// A planned restart as on the platform: the front end keeps sending for 0.3 s, and the process is
+// killed no earlier than the longest deadline (at most 3 s) plus 0.7 s.
+constexpr Duration kFrontDelay = milliseconds(300);
+constexpr Duration kKillMargin = milliseconds(700);
 constexpr Duration kLongestDrain = std::chrono::seconds(3);
-constexpr Duration kDefaultAway = std::chrono::seconds(1);
-// A member of a group hands over first, which takes a lease and an overlap at most.
-constexpr Duration kMemberLeaves = milliseconds(2500);
+constexpr Duration kDefaultDowntime = std::chrono::seconds(1);
+// A group member hands over first, which takes at most a lease and an overlap.
+constexpr Duration kHandoverTime = milliseconds(2500);
 
 Duration longest_deadline(const Scenario& s) {
   Duration longest{0};
@@ -43,7 +43,8 @@
   return longest;
 }
 
-// What all three ways to run have in common: the loop, its lag, the progress line, the end.
+// Common parts of all three kinds of run: the event loop, its measured lag, the progress line and
+// the termination.
 class Run {
  public:
   Run(const Scenario& s, const RehearsalOptions& options)
@@ -58,7 +59,7 @@
     probe();
   }
 
-  // False: interrupted, or it took longer than `limit`.
+  // Runs the loop until `done` returns true. Returns false if interrupted or after `limit`.
   template <typename Done>
   bool until(Done&& done, Duration limit) {
     const Time end = context.now() + limit;
@@ -142,7 +143,8 @@
          ",\"settings\":" + fleet.settings_json() + "}\n";
 }
 
-// The operator's file of a balancer. `listeners`: of each cluster, those of all balancers.
+// Returns the operator's file of a balancer. `listeners`: for each cluster, the listeners of all
+// balancers.
 std::string operator_file(const Scenario& s,
                           const std::vector<std::unique_ptr<RespFleet>>& clusters,
                           const std::vector<std::vector<asio::ip::tcp::endpoint>>& listeners,
@@ -176,7 +178,7 @@
     return text + "[[listener]]\nname = \"" + s.clusters[0].name + "\"\naddress = \"" +
            group->listen(static_cast<int>(balancer)) + "\"\npool = \"" + s.clusters[0].name +
            "\"\nservice = \"" + GroupNet::kService + "\"\n" +
-           group->tables(static_cast<int>(balancer));
+           group->config_tables(static_cast<int>(balancer));
   for (std::size_t c = 0; c < clusters.size(); ++c) {
     text += "[[listener]]\nname = \"" + s.clusters[c].name +
             "\"\naddress = " + name(listeners[c][balancer]) + "\npool = \"" + s.clusters[c].name +
@@ -217,16 +219,16 @@
     }
     for (int b = 0; b < s.balancers; ++b) {
       BalancerProcess::Files files;
-      files.standby = group_ != nullptr;
+      files.group_member = group_ != nullptr;
       files.faults = s.faults;
       files.listen = s.memcache() ? run_.context.loopback.next_endpoint()
                                   : listeners_.front()[static_cast<std::size_t>(b)];
       if (s.memcache())
-        files.platform = [this, b](const std::string& listen) {
+        files.platform_config = [this, b](const std::string& listen) {
           return configuration(s_, fleet_, b, seeds_.next(), listen);
         };
       if (!clusters_.empty())
-        files.added = [this, b] {
+        files.operator_config = [this, b] {
           return operator_file(s_, clusters_, listeners_, static_cast<std::size_t>(b),
                                group_.get());
         };
@@ -238,7 +240,7 @@
   int operator()() {
     std::size_t up = 0;
     for (auto& b : balancers_) b->start([&up] { ++up; });
-    if (!run_.until([&] { return up == balancers_.size() || !all_running(); }, kComesUp) ||
+    if (!run_.until([&] { return up == balancers_.size() || !all_running(); }, kStartupTimeout) ||
         up < balancers_.size()) {
       if (run_.interrupted()) return 2;
       for (auto& b : balancers_)
@@ -246,13 +248,14 @@
                      b->name().c_str(), b->last_log_lines().c_str());
       return 2;
     }
-    run_.until([&] { return run_.context.now() >= kClientsCome; }, kClientsCome);
+    run_.until([&] { return run_.context.now() >= kClientsStart; }, kClientsStart);
     std::vector<asio::ip::tcp::endpoint> addresses;
     std::vector<std::vector<asio::ip::tcp::endpoint>> resp;
     if (group_) {
-      // Clients know one address.
-      if (!run_.until([&] { return group_->owner() >= 0; }, kComesUp))
-        throw std::runtime_error("nobody took the service address; logs in " + options_.folder);
+      // Clients connect to the service address only.
+      if (!run_.until([&] { return group_->owner() >= 0; }, kStartupTimeout))
+        throw std::runtime_error("no balancer took the service address; logs in " +
+                                 options_.folder);
       addresses = {group_->service()};
       resp = {{group_->service()}};
     } else {
@@ -263,18 +266,19 @@
     run_.each_second = [this] {
       for (auto& b : balancers_) b->sample();
     };
-    for (const IncidentSpec& i : s_.incidents) run_.context.at(i.at, [this, &i] { strike(i); });
+    for (const IncidentSpec& i : s_.incidents)
+      run_.context.at(i.at, [this, &i] { apply_incident(i); });
     run_.start_measuring();
     run_.sample();
     run_.load->start();
-    const Duration rest = s_.length + longest_deadline(s_) + std::chrono::seconds(2);
-    run_.until([&] { return run_.load->done(); }, rest - run_.context.now());
-    // Restarts that the scenario began end before the run does.
+    const Duration remaining = s_.length + longest_deadline(s_) + std::chrono::seconds(2);
+    run_.until([&] { return run_.load->done(); }, remaining - run_.context.now());
+    // Waits for restarts in progress.
     run_.until([&] { return restarting_ == 0; }, Readiness::kLatest + std::chrono::seconds(1));
     readiness_.on_end(run_.context.now());
     run_.each_second = nullptr;
     for (auto& b : balancers_) {
-      b->running();  // a crash until now is one
+      b->running();  // reaps, so that an earlier exit counts as a crash
       b->expect_exit();
       b->signal(SIGTERM);
     }
@@ -307,7 +311,7 @@
   }
 
   void end_balancers() {
-    const Time end = run_.context.now() + kLongestDrain + kKillBehind;
+    const Time end = run_.context.now() + kLongestDrain + kKillMargin;
     for (bool any = true; any && run_.context.now() < end;) {
       any = false;
       for (auto& b : balancers_) any = b->running() || any;
@@ -315,54 +319,55 @@
     }
   }
 
-  void strike(const IncidentSpec& i) {
-    if (i.what == What::kDemand || i.what == What::kBurst) return;  // the arrivals know
-    if (i.what >= What::kAddressMove) return strike_holder(i);
+  void apply_incident(const IncidentSpec& i) {
+    if (i.what == What::kDemand || i.what == What::kBurst) return;  // applied by Arrivals
+    if (i.what >= What::kAddressMove) return apply_to_holder(i);
     if (i.cluster >= 0) return clusters_[static_cast<std::size_t>(i.cluster)]->strike(i);
     if (i.what != What::kBalancerRestart && i.what != What::kBalancerKill &&
         i.what != What::kBalancerReload && i.what != What::kBalancerStop)
       return fleet_.strike(i);
     Duration delay{0};
     for (const int b : s_.balancers_struck(i)) {
-      run_.context.after(delay, [this, &i, b] { strike_balancer(i, b); });
+      run_.context.after(delay, [this, &i, b] { apply_to_balancer(i, b); });
       delay += i.stagger;
     }
   }
 
-  // What is in the hands of one that fails is nobody's fault, until another has the address. In an
-  // orderly move there is no such excuse.
-  void strike_holder(const IncidentSpec& i) {
+  // Requests held by a failed holder are excused until another member has the address. An orderly
+  // move excuses nothing.
+  void apply_to_holder(const IncidentSpec& i) {
     const int holder = group_->owner();
-    if (holder < 0 || struck_ >= 0) return;
+    if (holder < 0 || failed_holder_ >= 0) return;
     ++moves_;
     BalancerProcess& process = *balancers_[static_cast<std::size_t>(holder)];
     if (i.what == What::kAddressMove) {
-      group_->tell(holder, std::string("move ") + GroupNet::kService);
+      group_->send_command(holder, std::string("move ") + GroupNet::kService);
       return;
     }
-    const Duration away = i.length > Duration{0} ? i.length : kDefaultAway;
+    const Duration downtime = i.length > Duration{0} ? i.length : kDefaultDowntime;
     if (i.what == What::kHolderRestart) {
       ++restarting_;
       process.expect_exit();
       process.signal(SIGTERM);
-      return await_exit(holder, run_.context.now() + longest_deadline(s_) + kMemberLeaves, away);
+      return await_exit(holder, run_.context.now() + longest_deadline(s_) + kHandoverTime,
+                        downtime);
     }
-    struck_ = holder;
+    failed_holder_ = holder;
     run_.load->set_killed(0, true);
     switch (i.what) {
       case What::kHolderKill:
         ++restarting_;
         process.signal(SIGKILL);
-        run_.context.after(away, [this, holder] { start_again(holder); });
+        run_.context.after(downtime, [this, holder] { restart(holder); });
         return;
       case What::kHolderStop:
         process.signal(SIGSTOP);
-        run_.context.after(away, [&process] { process.signal(SIGCONT); });
+        run_.context.after(downtime, [&process] { process.signal(SIGCONT); });
         return;
       default:
         group_->relay().isolate(static_cast<std::size_t>(holder), true);
         group_->cut_from_router(holder, true);
-        run_.context.after(away, [this, holder] {
+        run_.context.after(downtime, [this, holder] {
           group_->relay().isolate(static_cast<std::size_t>(holder), false);
           group_->cut_from_router(holder, false);
         });
@@ -370,28 +375,29 @@
   }
   void on_route() {
     const int owner = group_->owner();
-    if (struck_ < 0 || owner < 0 || owner == struck_ || !run_.load) return;
-    struck_ = -1;
+    if (failed_holder_ < 0 || owner < 0 || owner == failed_holder_ || !run_.load) return;
+    failed_holder_ = -1;
     run_.load->set_killed(0, false);
-    // Connections that were made meanwhile led to the one that had failed.
+    // Connections opened meanwhile led to the failed holder.
     run_.load->set_killed(0, true);
     run_.load->set_killed(0, false);
   }
 
-  void strike_balancer(const IncidentSpec& i, int b) {
+  void apply_to_balancer(const IncidentSpec& i, int b) {
     BalancerProcess& process = *balancers_[static_cast<std::size_t>(b)];
     if (i.what == What::kBalancerReload) {
-      // The platform sends none before a balancer is ready.
+      // The platform does not reload a balancer before it is ready.
       if (phases_[static_cast<std::size_t>(b)] == Phase::kStarting) return;
       fleet_.discovery().move(b);
       process.reload();
       return;
     }
-    const Duration away = i.length > Duration{0} ? i.length : kDefaultAway;
-    if (i.what == What::kBalancerStop) return stop_balancer(b, away);
-    // What another incident has ended, and not started again yet, is not struck once more.
+    const Duration downtime = i.length > Duration{0} ? i.length : kDefaultDowntime;
+    if (i.what == What::kBalancerStop) return stop_balancer(b, downtime);
+    // A balancer that another incident has stopped and not yet restarted is left alone.
     if (phases_[static_cast<std::size_t>(b)] == Phase::kDown) return;
-    if (phases_[static_cast<std::size_t>(b)] == Phase::kStarting) --restarting_;  // that start ends
+    if (phases_[static_cast<std::size_t>(b)] == Phase::kStarting)
+      --restarting_;  // that start is aborted
     readiness_.on_struck(b);
     phases_[static_cast<std::size_t>(b)] = Phase::kDown;
     ++restarting_;
@@ -400,21 +406,21 @@
       run_.load->set_killed(b, true);
       run_.context.after(from_seconds(s_.load.front_notice_s),
                          [this, b] { run_.load->set_listed(b, false); });
-      run_.context.after(std::max(away, from_seconds(s_.load.front_notice_s)),
-                         [this, b] { start_again(b); });
+      run_.context.after(std::max(downtime, from_seconds(s_.load.front_notice_s)),
+                         [this, b] { restart(b); });
       return;
     }
     process.expect_exit();
     process.signal(SIGTERM);
-    run_.context.after(kFrontGoesOn, [this, b] { run_.load->set_listed(b, false); });
+    run_.context.after(kFrontDelay, [this, b] { run_.load->set_listed(b, false); });
     const Time kill =
-        run_.context.now() + std::min(longest_deadline(s_), kLongestDrain) + kKillBehind;
-    await_exit(b, kill, away);
+        run_.context.now() + std::min(longest_deadline(s_), kLongestDrain) + kKillMargin;
+    await_exit(b, kill, downtime);
   }
 
-  // Stands still, with all its connections open: what its clients sent it is as lost as with one
-  // that was killed. Once it goes on it has to find out for itself what is no longer true.
-  void stop_balancer(int b, Duration away) {
+  // Stops the process with SIGSTOP, with all connections open. Its clients' requests are lost as
+  // with a killed balancer. After SIGCONT it must detect by itself what has changed meanwhile.
+  void stop_balancer(int b, Duration downtime) {
     BalancerProcess& process = *balancers_[static_cast<std::size_t>(b)];
     if (!process.running() || process.stopped()) return;
     ++restarting_;
@@ -424,7 +430,7 @@
     run_.context.after(from_seconds(s_.load.front_notice_s), [this, b, &process] {
       if (process.stopped()) run_.load->set_listed(b, false);
     });
-    run_.context.after(away, [this, b, &process] {
+    run_.context.after(downtime, [this, b, &process] {
       --restarting_;
       if (!process.stopped()) return;  // killed meanwhile
       process.signal(SIGCONT);
@@ -434,22 +440,24 @@
     });
   }
 
-  void await_exit(int b, Time kill, Duration away) {
+  void await_exit(int b, Time kill, Duration downtime) {
     BalancerProcess& process = *balancers_[static_cast<std::size_t>(b)];
     if (!process.running()) {
-      run_.context.after(std::max(away, kFrontGoesOn), [this, b] { start_again(b); });
+      run_.context.after(std::max(downtime, kFrontDelay), [this, b] { restart(b); });
       return;
     }
     if (run_.context.now() >= kill) process.signal(SIGKILL);
-    run_.context.after(milliseconds(20), [this, b, kill, away] { await_exit(b, kill, away); });
+    run_.context.after(milliseconds(20),
+                       [this, b, kill, downtime] { await_exit(b, kill, downtime); });
   }
 
-  void start_again(int b) {
-    fleet_.discovery().forget(b);
+  void restart(int b) {
+    fleet_.discovery().on_balancer_restart(b);
     phases_[static_cast<std::size_t>(b)] = Phase::kStarting;
     readiness_.on_start(run_.context.now(), b);
     balancers_[static_cast<std::size_t>(b)]->start([this, b] {
-      if (phases_[static_cast<std::size_t>(b)] != Phase::kStarting) return;  // told to end already
+      if (phases_[static_cast<std::size_t>(b)] != Phase::kStarting)
+        return;  // has been ordered to exit meanwhile
       phases_[static_cast<std::size_t>(b)] = Phase::kUp;
       readiness_.on_ready(run_.context.now(), b);
       if (group_) {
@@ -467,7 +475,7 @@
   Run run_;
   Fleet fleet_;
   std::vector<std::unique_ptr<RespFleet>> clusters_;
-  // Of each cluster, by balancer.
+  // By cluster and balancer.
   std::vector<std::vector<asio::ip::tcp::endpoint>> listeners_;
   Random seeds_;
   std::unique_ptr<GroupNet> group_;
@@ -476,7 +484,7 @@
   std::vector<Phase> phases_ = std::vector<Phase>(static_cast<std::size_t>(s_.balancers));
   int restarting_ = 0;
   Readiness readiness_;
-  int struck_ = -1;  // the holder that has failed, until another has its address
+  int failed_holder_ = -1;  // the failed holder, until another member has its address; -1: none
   int moves_ = 0;
 };
 
--- a/src/testbed/rehearsal.h
+++ b/src/testbed/rehearsal.h
@@ -9,17 +9,20 @@
 namespace balancer::testbed {
 
 struct RehearsalOptions {
-  std::string program;  // the balancer's
-  std::string folder;   // for reports, logs and configurations; made if it is not there
+  std::string program;  // path of the balancer
+  std::string folder;   // for reports, logs and configurations; created if missing
   bool progress = true;
 };
 
-// Each runs to its end, or until SIGINT or SIGTERM, and ends what it has started. Returns the exit
-// code: 0, 1 where a rule was broken or a balancer crashed, 2 where it could not be carried out.
+// Each function runs to its end, or until SIGINT or SIGTERM, and stops all processes that it
+// started. Returns the exit code: 0 on success, 1 if a rule was broken or a balancer crashed, 2 if
+// the run could not be carried out.
 int run_rehearsal(const Scenario& scenario, const RehearsalOptions& options);
-// The fleet alone, for balancers that somebody else starts; writes a configuration for each.
+// Runs only the emulated fleet, for balancers started by the user, and writes a configuration for
+// each of them.
 int run_fleet(const Scenario& scenario, const RehearsalOptions& options);
-// The clients alone, against balancers at these addresses. What hosts did cannot be judged.
+// Runs only the clients, against balancers at these addresses. The behaviour of hosts is not
+// audited.
 int run_load(const Scenario& scenario, const std::vector<std::string>& balancers,
              const RehearsalOptions& options);
 
--- a/src/testbed/scale/balancer_processes.cc
+++ b/src/testbed/scale/balancer_processes.cc
@@ -22,7 +22,7 @@
     return;
   }
   std::string name = std::filesystem::temp_directory_path() / "balancer-scale-XXXXXX";
-  if (!::mkdtemp(name.data())) throw std::runtime_error("no temporary folder can be made");
+  if (!::mkdtemp(name.data())) throw std::runtime_error("cannot create a temporary folder");
   path_ = name;
   temporary_ = true;
 }
@@ -38,7 +38,7 @@
   for (int i = 0; i < settings.count; ++i) {
     BalancerProcess::Files files;
     files.listen = context_.loopback.next_endpoint();
-    files.platform = [i, settings, dial = discovery.dial(i)](const std::string& listen) {
+    files.platform_config = [i, settings, dial = discovery.dial(i)](const std::string& listen) {
       ProcessConfiguration configuration;
       configuration.number = i;
       configuration.listen = listen;
--- a/src/testbed/scale/balancer_processes.h
+++ b/src/testbed/scale/balancer_processes.h
@@ -10,7 +10,7 @@
 
 namespace balancer::testbed::scale {
 
-// The platform's configuration file of one balancer.
+// Contents of the platform's configuration file of one balancer.
 struct ProcessConfiguration {
   int number = 0;
   std::string listen, discovery;  // IP and port
@@ -20,8 +20,8 @@
 };
 std::string configuration_json(const ProcessConfiguration& configuration);
 
-// Where a sweep's processes keep configurations and logs: below `options.folder`, or a temporary
-// folder that ends with this object.
+// The folder for configurations and logs of a sweep's processes: below `options.folder`, or a
+// temporary folder that the destructor removes.
 class RunFolder {
  public:
   explicit RunFolder(const SweepOptions& options);
@@ -35,7 +35,7 @@
   bool temporary_ = false;
 };
 
-// Processes of the program against a discovery service. They end with this object.
+// Balancer processes that use a discovery service. The destructor stops them.
 class BalancerProcesses {
  public:
   struct Settings {
@@ -47,18 +47,19 @@
   BalancerProcesses(const SweepOptions& options, DiscoveryService& discovery,
                     const Settings& settings);
 
-  // Starts all of them at once. False if one has not answered a client within `limit`.
+  // Starts all processes at once. Returns false if one of them has not answered a client within
+  // `limit`.
   bool start(Duration limit);
   bool run_until(const std::function<bool()>& done, Duration limit);
   void run_for(Duration length);
   int ready() const { return ready_; }
 
   struct Usage {
-    double cpu_ms = 0;       // user and system, in steps of 10 ms
-    double resident_mb = 0;  // of the one that holds most
-    int descriptors = 0;     // likewise
+    double cpu_ms = 0;       // user and system time of all processes, with a resolution of 10 ms
+    double resident_mb = 0;  // of the largest process
+    int descriptors = 0;     // most of any one process
   };
-  Usage usage() const;  // of all together, but for the greatest
+  Usage usage() const;
   asio::io_context& io() { return io_; }
   const asio::ip::tcp::endpoint& address(int process) const {
     return processes_[static_cast<std::size_t>(process)]->address();
@@ -67,8 +68,9 @@
  private:
   RunFolder folder_;
   asio::io_context io_{1};
-  // Without it the loop would end whenever no process is waited for.
-  asio::executor_work_guard<asio::io_context::executor_type> work_ = asio::make_work_guard(io_);
+  // Keeps the loop running while no process is awaited.
+  asio::executor_work_guard<asio::io_context::executor_type> work_guard_ =
+      asio::make_work_guard(io_);
   Scenario scenario_;
   Context context_{io_, scenario_};
   std::deque<std::unique_ptr<BalancerProcess>> processes_;
--- a/src/testbed/scale/charts.cc
+++ b/src/testbed/scale/charts.cc
@@ -14,7 +14,7 @@
   return text;
 }
 
-// Points and the line through them, over axes that begin at 0.
+// Draws points and their fitted line over axes that begin at 0.
 class Chart {
  public:
   explicit Chart(const NamedFit& fit) : fit_(fit) {
--- a/src/testbed/scale/control_plane.cc
+++ b/src/testbed/scale/control_plane.cc
@@ -38,11 +38,11 @@
 }
 
 bool run_until(asio::io_context& io, const std::function<bool()>& done, Duration limit) {
-  constexpr Duration kLook = std::chrono::milliseconds(5);
+  constexpr Duration kPollInterval = std::chrono::milliseconds(5);
   const auto end = std::chrono::steady_clock::now() + limit;
   while (!done()) {
     if (std::chrono::steady_clock::now() > end) return false;
-    io.run_one_for(kLook);
+    io.run_one_for(kPollInterval);
   }
   return true;
 }
@@ -88,7 +88,7 @@
       random_(seed, 2),
       timer_(io_),
       in_force_(static_cast<std::size_t>(balancers)),
-      work_(asio::make_work_guard(io_)) {
+      work_guard_(asio::make_work_guard(io_)) {
   server_.add(origin_entry());
   for (int host = 0; host < hosts; ++host) server_.add(ChangeSource::entry(host));
   server_.on_call = [this](int balancer, std::optional<std::uint64_t> version) {
@@ -98,7 +98,7 @@
 }
 
 DiscoveryService::~DiscoveryService() {
-  work_.reset();
+  work_guard_.reset();
   io_.stop();
   thread_.join();
 }
@@ -118,7 +118,7 @@
   return address;
 }
 
-void DiscoveryService::list(const DiscoveryServer::Entry& entry) {
+void DiscoveryService::add_host(const DiscoveryServer::Entry& entry) {
   call([&] { server_.publish(entry); });
 }
 
@@ -174,7 +174,7 @@
   call([&] { server_.set_down(down); });
 }
 
-Histogram DiscoveryService::take_in_force() {
+Histogram DiscoveryService::take_propagation_delays() {
   Histogram taken;
   call([&] { std::swap(taken, delays_); });
   return taken;
@@ -217,8 +217,8 @@
 
 // ---- balancers
 
-HollowBalancers::HollowBalancers(DiscoveryService& discovery, int balancers, bool asked,
-                                 std::uint64_t seed) {
+InProcessBalancers::InProcessBalancers(DiscoveryService& discovery, int balancers, bool asked,
+                                       std::uint64_t seed) {
   simdjson::dom::parser parser;
   const std::string settings = platform_settings(balancers, asked);
   node::Config config;
@@ -233,9 +233,9 @@
   }
 }
 
-void HollowBalancers::run_for(Duration length) { io_.run_for(length); }
+void InProcessBalancers::run_for(Duration length) { io_.run_for(length); }
 
-bool HollowBalancers::run_until(const std::function<bool()>& done, Duration limit) {
+bool InProcessBalancers::run_until(const std::function<bool()>& done, Duration limit) {
   return scale::run_until(io_, done, limit);
 }
 
--- a/src/testbed/scale/control_plane.h
+++ b/src/testbed/scale/control_plane.h
@@ -17,26 +17,26 @@
 #include "testbed/model/histogram.h"
 #include "testbed/servers/discovery_server.h"
 
-// The control side of a fleet on loopback sockets: a discovery service with a thread of its own,
-// and hollow balancers, which are the program's real parts without clients, on the caller's thread.
-// So the processor time of either side is known on its own.
+// The control plane of a fleet on loopback sockets: a discovery service on its own thread, and
+// balancers without clients, made of the program's real components, on the caller's thread. The
+// separate threads allow the CPU time of each side to be measured separately.
 namespace balancer::testbed::scale {
 
-// The settings object of a platform's configuration for `balancers` balancers.
-// `asked`: lists have to be asked for; otherwise they are pushed.
+// Returns the `settings` object of the platform's configuration for `balancers` balancers.
+// `asked`: balancers have to request lists; otherwise lists are pushed.
 std::string platform_settings(int balancers, bool asked);
 
-// Runs the loop until `done` holds; false if it does not within `limit`.
+// Runs the loop until `done` returns true. Returns false if it does not within `limit`.
 bool run_until(asio::io_context& io, const std::function<bool()>& done, Duration limit);
 
-// Processor time, user and system, that the calling thread has used so far.
+// Returns the CPU time, user and system, of the calling thread.
 Duration thread_cpu_time();
 
-// Host changes as a list tells them: a host drains, is gone and comes back started anew, then
-// another one does. One change at each call.
+// Generates host changes as discovery publishes them: a random host drains, is gone and returns
+// restarted, then the next host does. Each call returns one change.
 class ChangeSource {
  public:
-  // `hosts`: at least one before next() is called.
+  // `hosts` must be at least 1 if next() is called.
   ChangeSource(int hosts, std::uint64_t seed) : hosts_(hosts), random_(seed, 1) {}
   DiscoveryServer::Entry next();
   static DiscoveryServer::Entry entry(int host);
@@ -49,8 +49,9 @@
   std::int64_t born_ms_ = 1'700'000'000'000;
 };
 
-// Lists, their changes, and which balancer has which version in force: a watch names the version
-// that its balancer has applied. Has its own thread, which ends with this object.
+// A discovery service that publishes changes and tracks the version that each balancer has applied,
+// which is the version that the balancer's watch names. Runs on its own thread, which the
+// destructor joins.
 class DiscoveryService {
  public:
   DiscoveryService(int hosts, int balancers, std::uint64_t seed);
@@ -59,37 +60,38 @@
   DiscoveryService& operator=(const DiscoveryService&) = delete;
 
   struct Usage {
-    std::uint64_t calls = 0, whole_lists = 0;  // whole lists are among the calls
+    std::uint64_t calls = 0, whole_lists = 0;  // `calls` includes `whole_lists`
     std::uint64_t bytes_in = 0, bytes_out = 0;
     std::uint64_t changes = 0;
     Duration cpu{0};
     Usage since(const Usage& before) const;
   };
 
-  // Each may be called from any thread, and waits for the service's own.
+  // These may be called from any thread and block until the service's thread has done the work.
   std::string dial(int balancer);
-  void list(const DiscoveryServer::Entry& entry);  // one more host
+  void add_host(const DiscoveryServer::Entry& entry);  // adds a host
   Usage usage();
-  void begin_changes(double per_second);  // at random moments, from now on
-  void publish(int changes);  // all at once, each of another host as long as there are some
+  void begin_changes(double per_second);  // starts random changes at this mean rate
+  // Publishes the changes at once, each for a different host as long as there are enough hosts.
+  void publish(int changes);
   void stop_changes();
-  void break_watches();  // discovery is away for a moment
-  // While it is down watches are ended, and calls are turned away.
+  void break_watches();  // ends all watches by a momentary outage
+  // While down, the service ends watches and rejects calls with status 503.
   void set_down(bool down);
-  // Of the changes that all balancers have had in force since the last call of this: from when they
-  // were listed until the last balancer had them.
-  Histogram take_in_force();
+  // Returns and clears the propagation delays: for each change that all balancers have applied
+  // since the last call, the time from its publication until the last balancer had applied it.
+  Histogram take_propagation_delays();
 
-  // Balancers that have a list in force; from any thread, without waiting.
+  // Number of balancers that have applied a list. May be called from any thread; does not block.
   int listed() const { return listed_; }
-  // Changes that some balancer lacks.
+  // Number of changes that some balancer has not applied yet.
   std::size_t outstanding() const { return outstanding_; }
 
  private:
   struct Pending {
     std::uint64_t version;
     Time published;
-    int lacking;  // balancers
+    int lacking;  // number of balancers that have not applied it
   };
   void call(const std::function<void()>& work);
   void publish_change(const DiscoveryServer::Entry& changed);
@@ -105,26 +107,26 @@
   asio::steady_timer timer_;
   double changes_per_second_ = 0;
   Usage usage_;
-  std::vector<std::uint64_t> in_force_;  // version by balancer; 0: no list yet
+  std::vector<std::uint64_t> in_force_;  // applied version by balancer; 0: no list yet
   std::deque<Pending> pending_;
   Histogram delays_;
   std::atomic<int> listed_{0};
   std::atomic<std::size_t> outstanding_{0};
-  std::optional<asio::executor_work_guard<asio::io_context::executor_type>> work_;
+  std::optional<asio::executor_work_guard<asio::io_context::executor_type>> work_guard_;
   std::thread thread_;
 };
 
-// Balancers without clients, all on one event loop that the caller drives.
-class HollowBalancers {
+// Balancers without clients on one event loop, which the caller runs.
+class InProcessBalancers {
  public:
-  HollowBalancers(DiscoveryService& discovery, int balancers, bool asked, std::uint64_t seed);
+  InProcessBalancers(DiscoveryService& discovery, int balancers, bool asked, std::uint64_t seed);
 
   void run_for(Duration length);
-  // False if it does not come to hold within `limit`.
+  // Returns false if `done` does not return true within `limit`.
   bool run_until(const std::function<bool()>& done, Duration limit);
 
  private:
-  std::deque<Limits> limits_;  // outlive the event loop's last handlers
+  std::deque<Limits> limits_;  // must outlive the event loop's last handlers
   asio::io_context io_{1};
   std::deque<node::Balancer> balancers_;
 };
--- a/src/testbed/scale/long_values.cc
+++ b/src/testbed/scale/long_values.cc
@@ -12,12 +12,12 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-// The longest that the balancer passes on.
+// The longest value that the balancer forwards.
 constexpr std::size_t kValueBytes = 4u << 20;
-// So that little of the value comes to rest in the client's own buffer.
+// Small, so that the client's receive buffer absorbs little of the value.
 constexpr int kClientBuffer = 4096;
 
-// The word behind " O" of a command line; empty if there is none.
+// Returns the word after " O" in a command line; empty if there is none.
 std::string request_id(const std::string& line) {
   const auto at = line.find(" O");
   if (at == std::string::npos) return {};
@@ -69,7 +69,7 @@
       });
 }
 
-RestingReaders::RestingReaders(asio::io_context& io, const tcp::endpoint& balancer, int count) {
+IdleReaders::IdleReaders(asio::io_context& io, const tcp::endpoint& balancer, int count) {
   for (int i = 0; i < count; ++i) {
     tcp::socket& socket = connections_.emplace_back(io);
     socket.open(tcp::v4());
--- a/src/testbed/scale/long_values.h
+++ b/src/testbed/scale/long_values.h
@@ -7,18 +7,18 @@
 
 #include "testbed/model/base.h"
 
-// Transfers of long values that stay open: a cache host that answers every read with a value longer
-// than the system's buffers hold, and clients that ask for one and read nothing of it.
+// Transfers of long values that stay open: a cache host that answers every read with a value that
+// exceeds the kernel's socket buffers, and clients that request one and read nothing.
 namespace balancer::testbed::scale {
 
 namespace asio = boost::asio;
 
 class LongValueHost {
  public:
-  // Listens when it returns. Serves for as long as it and the loop live.
+  // Listens once constructed. Serves while this object and the loop exist.
   explicit LongValueHost(asio::io_context& io);
   std::string dial() const;
-  int begun() const { return begun_; }  // answers, whole or not
+  int begun() const { return begun_; }  // responses started, complete or not
 
  private:
   struct Connection;
@@ -30,10 +30,10 @@
   int begun_ = 0;
 };
 
-class RestingReaders {
+class IdleReaders {
  public:
-  // `count` clients ask the balancer for a value each, over a connection of their own.
-  RestingReaders(asio::io_context& io, const asio::ip::tcp::endpoint& balancer, int count);
+  // Opens `count` connections to the balancer and requests a value over each.
+  IdleReaders(asio::io_context& io, const asio::ip::tcp::endpoint& balancer, int count);
 
  private:
   std::deque<asio::ip::tcp::socket> connections_;
--- a/src/testbed/scale/sweep.cc
+++ b/src/testbed/scale/sweep.cc
@@ -21,7 +21,7 @@
   if (!out.flush()) throw std::runtime_error(path + ": cannot be written");
 }
 
-std::string fit_line_of_text(const NamedFit& fit) {
+std::string fit_text(const NamedFit& fit) {
   const LinearFit& line = fit.line;
   return fit.name + ": slope " + number(line.slope) + ", intercept " + number(line.intercept) +
          ", residual " + number(line.residual) + ", R2 " + number(line.r_squared) + ", exponent " +
@@ -90,10 +90,10 @@
   const auto& all = sweeps();
   const auto entry =
       std::find_if(all.begin(), all.end(), [&](const SweepEntry& e) { return e.name == name; });
-  if (entry == all.end()) throw std::invalid_argument("no sweep is named " + name);
+  if (entry == all.end()) throw std::invalid_argument("unknown sweep: " + name);
   if (!options.folder.empty()) std::filesystem::create_directories(options.folder);
   const SweepResult result = entry->run(options);
-  for (const NamedFit& fit : result.fits) std::printf("%s\n", fit_line_of_text(fit).c_str());
+  for (const NamedFit& fit : result.fits) std::printf("%s\n", fit_text(fit).c_str());
   if (options.folder.empty()) return;
   const std::string base = options.folder + "/" + name;
   write_file(base + ".csv", result.table.csv());
--- a/src/testbed/scale/sweep_changes.cc
+++ b/src/testbed/scale/sweep_changes.cc
@@ -1,6 +1,6 @@
-// What changes of the host list cost a balancer and discovery, one watch call a change as today:
-// bytes, calls and processor time by changes a second, by listed hosts and by balancers, and how
-// long a change takes until the last balancer has it in force.
+// Cost of host list changes to a balancer and to discovery, with one watch call for each change:
+// bytes, calls and CPU time by changes per second, by listed hosts and by balancers, and the time
+// until the last balancer has applied a change.
 #include <algorithm>
 
 #include "testbed/scale/control_plane.h"
@@ -9,22 +9,23 @@
 namespace balancer::testbed::scale {
 namespace {
 
-// Those of a region of the size to design for, and all of them; one size between and one beyond.
+// The hosts of one region of the size to design for, and of all regions; one size between and one
+// above.
 constexpr int kAllHosts = 1400;
 constexpr std::initializer_list<int> kHosts{28, 200, kAllHosts, 3200};
 
-constexpr Duration kGetsReady = std::chrono::seconds(60);
-// Above the longest backoff of a balancer whose watch broke.
-constexpr Duration kAsksAgain = std::chrono::seconds(3);
-// From a balancer's call for a list until it has read it and its next watch is out.
-constexpr Duration kReadsTheList = std::chrono::milliseconds(50);
+constexpr Duration kReadyTimeout = std::chrono::seconds(60);
+// Above the longest backoff of a balancer whose watch has broken.
+constexpr Duration kReconnectTimeout = std::chrono::seconds(3);
+// Time from a balancer's call for a list until it has read the list and sent its next watch.
+constexpr Duration kListReadTime = std::chrono::milliseconds(50);
 
 struct ChangeRun {
   bool asked = false;
   int hosts = 0, balancers = 1;
   double changes_per_second = 0;
-  int burst = 0;   // changes at once, in place of a rate
-  int breaks = 0;  // of all watches, one after the other
+  int burst = 0;   // number of changes at once, instead of a rate
+  int breaks = 0;  // number of times that all watches are broken
   Duration length{0};
 };
 
@@ -49,7 +50,8 @@
                                         "in_force_max_ms",
                                         "outstanding"};
 
-// One list at all balancers, then what `run` says, until the last balancer has all of it in force.
+// Waits until all balancers have a list, applies the changes of `run`, and measures until the last
+// balancer has applied them.
 class ChangeMeasurement {
  public:
   ChangeMeasurement(const ChangeRun& run, std::uint64_t seed)
@@ -59,18 +61,19 @@
         balancers_(discovery_, run.balancers, run.asked, seed) {}
 
   std::vector<double> row() {
-    if (!balancers_.run_until([this] { return discovery_.listed() == run_.balancers; }, kGetsReady))
+    if (!balancers_.run_until([this] { return discovery_.listed() == run_.balancers; },
+                              kReadyTimeout))
       throw std::runtime_error(std::to_string(run_.balancers - discovery_.listed()) +
                                " balancers got no list of " + std::to_string(run_.hosts) +
                                " hosts");
     const auto before = discovery_.usage();
     const Duration cpu_before = thread_cpu_time();
     const auto began = std::chrono::steady_clock::now();
-    trouble();
+    apply_changes();
     const Duration cpu = thread_cpu_time() - cpu_before;
     const Duration length = std::chrono::steady_clock::now() - began;
     const auto used = discovery_.usage().since(before);
-    const Histogram in_force = discovery_.take_in_force();
+    const Histogram in_force = discovery_.take_propagation_delays();
     return {static_cast<double>(run_.asked),
             static_cast<double>(run_.hosts),
             static_cast<double>(run_.balancers),
@@ -94,37 +97,38 @@
   }
 
  private:
-  void trouble() {
+  void apply_changes() {
     for (int i = 0; i < run_.breaks; ++i) break_once();
     if (run_.burst > 0) discovery_.publish(run_.burst);
     discovery_.begin_changes(run_.changes_per_second);
     balancers_.run_for(run_.length);
     discovery_.stop_changes();
-    balancers_.run_until([this] { return discovery_.outstanding() == 0; }, kGetsReady);
+    balancers_.run_until([this] { return discovery_.outstanding() == 0; }, kReadyTimeout);
   }
-  // A balancer that is between two calls at that moment has no watch to lose: it is tried again.
+  // Breaks the watches of all balancers. Retries, because a balancer that is between two calls has
+  // no watch to break.
   void break_once() {
-    const auto wanted = discovery_.usage().whole_lists + static_cast<std::uint64_t>(run_.balancers);
-    const auto done = [&] { return discovery_.usage().whole_lists >= wanted; };
+    const auto target = discovery_.usage().whole_lists + static_cast<std::uint64_t>(run_.balancers);
+    const auto done = [&] { return discovery_.usage().whole_lists >= target; };
     constexpr int kTries = 10;
     for (int i = 0; i < kTries && !done(); ++i) {
       discovery_.break_watches();
-      balancers_.run_until(done, kAsksAgain);
+      balancers_.run_until(done, kReconnectTimeout);
     }
     if (!done()) throw std::runtime_error("a balancer did not ask for the whole list");
-    balancers_.run_for(kReadsTheList);
+    balancers_.run_for(kListReadTime);
   }
 
   const ChangeRun run_;
   const std::uint64_t seed_;
   DiscoveryService discovery_;
-  HollowBalancers balancers_;
+  InProcessBalancers balancers_;
 };
 
 std::vector<ChangeRun> full_runs() {
   using std::chrono::milliseconds;
   std::vector<ChangeRun> runs;
-  // By changes a second and by listed hosts, at one balancer.
+  // One balancer, by changes per second and by listed hosts.
   for (const bool asked : {false, true})
     for (const int hosts : kHosts)
       for (const double rate : {0.0, 10.0, 20.0, 40.0, 80.0}) {
@@ -132,7 +136,8 @@
         runs.push_back({asked, hosts, 1, rate, 0, 0, milliseconds(2000)});
       }
   for (const int hosts : kHosts) runs.push_back({false, hosts, 1, 0, 0, 6, milliseconds(0)});
-  // By balancers: calls and processor time at discovery, and time to the last of them.
+  // By balancers: calls and CPU time at discovery, and the time until the last balancer is up to
+  // date.
   for (const int balancers : {25, 50, 100, 200, 400})
     runs.push_back({false, 200, balancers, 5, 0, 0, milliseconds(2000)});
   return runs;
@@ -148,7 +153,7 @@
   };
 }
 
-// Returns the CPU ms of a change.
+// Fits the costs of one balancer and returns its CPU time per change in ms.
 double fit_one_balancer(SweepResult& result, bool asked, int hosts) {
   const Table& t = result.table;
   const auto chosen = [&t, asked, hosts](std::size_t row) {
--- a/src/testbed/scale/sweep_group.cc
+++ b/src/testbed/scale/sweep_group.cc
@@ -1,6 +1,6 @@
-// What membership and leases cost a member of a group, in simulated time: datagrams and bytes a
-// second, sealed, and processor time, by the size of the group; at rest, and while a tenth of the
-// members is killed and comes back.
+// Cost of membership and leases to a group member, in simulated time: datagrams and bytes (sealed)
+// per second and CPU time, by group size; at rest, and while a tenth of the members is killed and
+// restarted.
 #include <algorithm>
 
 #include "fleet_simulation/group_sim.h"
@@ -15,10 +15,10 @@
 using std::chrono::seconds;
 
 constexpr int kAddresses = 1, kVoters = 5;
-constexpr Duration kForms = seconds(20);
+constexpr Duration kFormationTime = seconds(20);
 
 struct GroupCost {
-  double datagrams = 0, bytes = 0, cpu_ms = 0;  // of all members
+  double datagrams = 0, bytes = 0, cpu_ms = 0;  // of all members together
 };
 
 GroupCost cost_of(GroupSim& sim, Duration length) {
@@ -32,7 +32,7 @@
   return cost;
 }
 
-// Members that `observer` holds for alive, itself included.
+// Returns the number of members that `observer` considers alive, including itself.
 int alive_for(GroupSim& sim, const std::string& observer) {
   int alive = 0;
   for (const auto& [name, member] : sim.instance(observer)->membership().members())
@@ -40,7 +40,7 @@
   return alive;
 }
 
-// The least number of members that any member which runs holds for alive.
+// Returns the smallest number of members that any running member considers alive.
 int min_alive(GroupSim& sim) {
   int least = static_cast<int>(sim.names().size());
   for (const std::string& name : sim.names())
@@ -58,7 +58,7 @@
 
 std::vector<double> measure(int members, bool restarts, std::uint64_t seed, Duration length) {
   GroupSim sim(seed, members, kAddresses, kVoters);
-  sim.run(kForms);
+  sim.run(kFormationTime);
   if (restarts) kill_and_restart_a_tenth(sim, members);
   const GroupCost cost = cost_of(sim, length);
   const double member_seconds = members * balancer::testbed::seconds(length);
--- a/src/testbed/scale/sweep_hosts.cc
+++ b/src/testbed/scale/sweep_hosts.cc
@@ -1,41 +1,41 @@
-// What listed hosts cost a real process: resident memory and processor time until the first list is
-// in force, and after changes that replace hosts.
+// Cost of listed hosts to a real process: resident memory and CPU time until the first list is
+// applied, and after changes that replace hosts.
 #include "testbed/scale/balancer_processes.h"
 #include "testbed/scale/sweep.h"
 
 namespace balancer::testbed::scale {
 namespace {
 
-constexpr Duration kGetsReady = std::chrono::seconds(60);
-constexpr Duration kTakesList = std::chrono::seconds(10);
+constexpr Duration kReadyTimeout = std::chrono::seconds(60);
+constexpr Duration kListTimeout = std::chrono::seconds(10);
 
-// Whether the one process has the list of so many hosts, what it then holds, and what it holds
-// after `changes` more.
+// Returns a row: whether one process has applied a list of `hosts` hosts, its usage then, and its
+// usage after `changes` changes.
 std::vector<double> measure(const SweepOptions& options, int hosts, int changes,
                             std::uint64_t seed) {
   DiscoveryService discovery(hosts, 1, seed);
   BalancerProcesses::Settings settings;
   settings.seed = seed;
   BalancerProcesses process(options, discovery, settings);
-  if (!process.start(kGetsReady)) throw std::runtime_error("the balancer did not come up");
-  // What discovery answers is counted even where the balancer cannot take it.
-  const bool listed = process.run_until([&] { return discovery.listed() == 1; }, kTakesList);
+  if (!process.start(kReadyTimeout)) throw std::runtime_error("the balancer did not come up");
+  // Discovery's responses are counted even if the balancer cannot apply them.
+  const bool listed = process.run_until([&] { return discovery.listed() == 1; }, kListTimeout);
   const auto first = process.usage();
-  const auto told = discovery.usage();
+  const auto initial = discovery.usage();
   constexpr double kChangesPerSecond = 200;
   if (listed) {
     discovery.begin_changes(kChangesPerSecond);
     process.run_for(from_seconds(changes / kChangesPerSecond));
     discovery.stop_changes();
-    process.run_until([&] { return discovery.outstanding() == 0; }, kGetsReady);
+    process.run_until([&] { return discovery.outstanding() == 0; }, kReadyTimeout);
   }
   const auto last = process.usage();
-  const auto used = discovery.usage().since(told);
+  const auto used = discovery.usage().since(initial);
   return {static_cast<double>(hosts),
           static_cast<double>(seed),
           static_cast<double>(listed),
-          static_cast<double>(told.whole_lists),
-          static_cast<double>(told.bytes_out),
+          static_cast<double>(initial.whole_lists),
+          static_cast<double>(initial.bytes_out),
           first.resident_mb,
           first.cpu_ms,
           static_cast<double>(first.descriptors),
--- a/src/testbed/scale/sweep_load.cc
+++ b/src/testbed/scale/sweep_load.cc
@@ -1,5 +1,5 @@
-// What requests and connections cost a real process, against the rig's hosts and clients: processor
-// time by requests a second and by bytes of a value, memory by client connections.
+// Cost of requests and connections to a real process, with the testbed's hosts and clients: CPU
+// time by requests per second and by value size, memory by client connections.
 #include <algorithm>
 #include <boost/asio/read.hpp>
 #include <boost/asio/write.hpp>
@@ -15,19 +15,20 @@
 
 using std::chrono::seconds;
 
-constexpr Duration kGetsReady = seconds(30);
-// Hosts are warm and the first connections are open by then.
-constexpr Duration kWarmsUp = seconds(1);
+constexpr Duration kReadyTimeout = seconds(30);
+// After this time hosts are warm and the first connections are open.
+constexpr Duration kWarmUpTime = seconds(1);
 constexpr int kMemoryMb = 256;
-constexpr Duration kStreamsBegin = seconds(10);
-// Below the time after which the balancer closes on a client that takes nothing, 5 s.
-constexpr Duration kWindowsFill = std::chrono::milliseconds(500);
+constexpr Duration kStreamStartTimeout = seconds(10);
+// Below 5 s, after which the balancer closes the connection of a client that reads nothing.
+constexpr Duration kBufferFillTime = std::chrono::milliseconds(500);
 
 Scenario load_scenario_of(double rate, int value_bytes, std::uint64_t seed, Duration length) {
   const std::string bytes = std::to_string(value_bytes);
   return parse_scenario(
       "name = \"load\"\nwarm_up_s = 0\nlength_s = " +
-          std::to_string(testbed::seconds(kWarmsUp + length)) + "\nseed = " + std::to_string(seed) +
+          std::to_string(testbed::seconds(kWarmUpTime + length)) +
+          "\nseed = " + std::to_string(seed) +
           "\n[balancers]\ncount = 1\nmemory_mb = " + std::to_string(kMemoryMb) +
           "\n[[class]]\nname = \"read\"\nwork_ms = 0.2\naim_ms = 1000\ndeadline_ms = 3000\n"
           "[[kind]]\nname = \"std\"\ncount = 4\ncores = 8\nslots = 64\nmemory_mb = 256\n"
@@ -37,7 +38,7 @@
       "load.toml");
 }
 
-// One balancer under a rate of requests.
+// Measures one balancer under a constant request rate.
 class LoadMeasurement {
  public:
   LoadMeasurement(const SweepOptions& options, double rate, int value_bytes, std::uint64_t seed,
@@ -58,11 +59,11 @@
     bool ready = false;
     process_.start([&ready] { ready = true; });
     if (!run_until(
-            io_, [&ready] { return ready; }, kGetsReady))
+            io_, [&ready] { return ready; }, kReadyTimeout))
       throw std::runtime_error("the balancer did not come up");
     Load load(context_, tally_, {process_.address()});
     load.start();
-    io_.run_for(kWarmsUp);
+    io_.run_for(kWarmUpTime);
     const Figures first = figures();
     io_.run_for(length_);
     const Figures last = figures();
@@ -84,7 +85,7 @@
   BalancerProcess::Files files(std::uint64_t seed) {
     BalancerProcess::Files files;
     files.listen = context_.loopback.next_endpoint();
-    files.platform = [this, seed](const std::string& listen) {
+    files.platform_config = [this, seed](const std::string& listen) {
       ProcessConfiguration configuration;
       configuration.listen = listen;
       configuration.discovery = fleet_.discovery().dial(0);
@@ -117,14 +118,15 @@
   BalancerProcess process_;
 };
 
-// Resident memory with so many connections of clients that have asked `mn` once and rest.
+// Returns the resident memory in MB with `clients` connections that have sent `mn` once and are
+// idle.
 double resident_with_clients(const SweepOptions& options, int clients, std::uint64_t seed) {
   DiscoveryService discovery(50, 1, seed);
   BalancerProcesses::Settings settings;
   settings.seed = seed;
   settings.sockets = 16'384;
   BalancerProcesses process(options, discovery, settings);
-  if (!process.start(kGetsReady)) throw std::runtime_error("the balancer did not come up");
+  if (!process.start(kReadyTimeout)) throw std::runtime_error("the balancer did not come up");
   std::deque<asio::ip::tcp::socket> connections;
   for (int i = 0; i < clients; ++i) {
     connections.emplace_back(process.io()).connect(process.address(0));
@@ -140,8 +142,9 @@
   double resident_mb = 0;
 };
 
-// Resident memory while so many clients each have a long value on its way and read nothing of it.
-StreamCost with_streams(const SweepOptions& options, int streams, std::uint64_t seed) {
+// Measures resident memory while `streams` clients each have a long value in transfer and read none
+// of it.
+StreamCost measure_streams(const SweepOptions& options, int streams, std::uint64_t seed) {
   DiscoveryService discovery(0, 1, seed);
   BalancerProcesses::Settings settings;
   settings.seed = seed;
@@ -150,17 +153,17 @@
   LongValueHost host(process.io());
   DiscoveryServer::Entry entry = ChangeSource::entry(0);
   entry.dial = host.dial();
-  discovery.list(entry);
-  if (!process.start(kGetsReady) ||
-      !process.run_until([&] { return discovery.listed() == 1; }, kGetsReady))
+  discovery.add_host(entry);
+  if (!process.start(kReadyTimeout) ||
+      !process.run_until([&] { return discovery.listed() == 1; }, kReadyTimeout))
     throw std::runtime_error("the balancer did not come up");
-  RestingReaders clients(process.io(), process.address(0), streams);
-  process.run_until([&] { return host.begun() >= streams; }, kStreamsBegin);
-  process.run_for(kWindowsFill);
+  IdleReaders clients(process.io(), process.address(0), streams);
+  process.run_until([&] { return host.begun() >= streams; }, kStreamStartTimeout);
+  process.run_for(kBufferFillTime);
   return {host.begun(), process.usage().resident_mb};
 }
 
-// One row of the table; what a run does not vary or measure is 0.
+// One row of the table. Quantities that a run does not vary or measure are 0.
 struct LoadRow {
   double rate = 0;
   int value_bytes = 0, clients = 0, streams = 0;
@@ -207,7 +210,7 @@
 
 void add_stream_row(SweepResult& result, const SweepOptions& options, int streams,
                     std::uint64_t seed) {
-  const StreamCost cost = with_streams(options, streams, seed);
+  const StreamCost cost = measure_streams(options, streams, seed);
   LoadRow row{0, 0, 0, cost.begun, seed, {}};
   row.cost.resident_mb = cost.resident_mb;
   result.table.add(values(row));
--- a/src/testbed/scale/sweep_origin.cc
+++ b/src/testbed/scale/sweep_origin.cc
@@ -1,6 +1,7 @@
-// Fetches of the origin by number of balancers, in simulated time: the same clients and hosts,
-// whose stores are lost once, with the requests dealt out among more and more balancers. Beyond
-// what one balancer needs, a fetch is a repeated one: another balancer had the same key on its way.
+// Origin fetches by number of balancers, in simulated time: the same clients and hosts, whose
+// stores are flushed once, with the requests distributed among more and more balancers. Fetches in
+// excess of those of a single balancer are repeated: another balancer was already fetching the same
+// key.
 #include <cstdint>
 
 #include "fleet_simulation/plant.h"
@@ -11,10 +12,10 @@
 
 struct OriginLoad {
   double rate = 0;  // requests a second
-  int read_ms = 0;  // the origin's time for a fetch
+  int read_ms = 0;  // the origin's service time of a fetch
 };
 
-// Only reads; neither hosts nor the origin are short, so that nothing but balancers differs.
+// Reads only, with ample capacity at hosts and origin, so that runs differ only in the balancers.
 Scenario origin_scenario(int balancers, const OriginLoad& load, std::uint64_t seed, bool quick) {
   return parse_scenario(
       "name = \"origin\"\nwarm_up_s = 1\nlength_s = " + std::string(quick ? "4" : "14") +
@@ -44,8 +45,9 @@
   return cost;
 }
 
-// Of n balancers that share requests evenly, another than the one that has a key on its way gets
-// the next request for it with a chance of 1 - 1/n; so that, and not n, is what repeats grow with.
+// With n balancers that share requests evenly, the next request for a key that is being fetched
+// reaches another balancer with probability 1 - 1/n. Repeated fetches therefore grow with 1 - 1/n,
+// not with n.
 void fit_other_balancers(SweepResult& result, const OriginLoad& load) {
   const Table& t = result.table;
   result.fit(
@@ -75,13 +77,14 @@
           : std::vector<OriginLoad>{{150, 30}, {600, 30}, {2400, 30}, {600, 240}, {2400, 240}};
   for (const OriginLoad& load : loads)
     for (const std::uint64_t seed : options.seeds) {
-      double alone = 0;
+      double single_balancer_fetches = 0;
       for (const int balancers : sizes) {
         const OriginCost cost = measure(balancers, load, seed, options.quick);
-        if (balancers == 1) alone = cost.fetches;
+        if (balancers == 1) single_balancer_fetches = cost.fetches;
         result.table.add({static_cast<double>(balancers), load.rate,
                           static_cast<double>(load.read_ms), static_cast<double>(seed), cost.tries,
-                          cost.fetches, alone, (cost.fetches - alone) / cost.fetches});
+                          cost.fetches, single_balancer_fetches,
+                          (cost.fetches - single_balancer_fetches) / cost.fetches});
         report_progress(options, "origin: %d balancers, %.0f requests a second, %d ms, seed %llu",
                         balancers, load.rate, load.read_ms, static_cast<unsigned long long>(seed));
       }
--- a/src/testbed/scale/sweep_restart.cc
+++ b/src/testbed/scale/sweep_restart.cc
@@ -1,26 +1,28 @@
-// What starts and an outage cost discovery: hollow balancers and real processes that start all at
-// once, and hollow balancers that call while discovery is away and after its return.
+// Cost of starts and of an outage to discovery: in-process balancers and real processes that all
+// start at once, and in-process balancers that call during an outage of discovery and after it.
 #include "testbed/scale/balancer_processes.h"
 #include "testbed/scale/sweep.h"
 
 namespace balancer::testbed::scale {
 namespace {
 
-constexpr Duration kGetsReady = std::chrono::seconds(60);
+constexpr Duration kReadyTimeout = std::chrono::seconds(60);
 constexpr int kHosts = 1400;
-// Of hollow balancers, which share one core: at rest each takes a part of it that grows with hosts.
-constexpr int kHollowHosts = 200;
+// For in-process balancers, which share one core: at rest each uses a part of it that grows with
+// the number of hosts.
+constexpr int kInProcessHosts = 200;
 
-enum class Kind { kHollowStart, kProcessStart, kOutage };
+enum class Kind { kInProcessStart, kProcessStart, kOutage };
 
 struct RestartCost {
-  Kind kind = Kind::kHollowStart;
+  Kind kind = Kind::kInProcessStart;
   int processes = 0;
   double outage_s = 0, outage_calls = 0;
-  // Until all have their list; of an outage, from its end until all have asked for the whole list.
+  // Time until all have their list; for an outage, from its end until all have requested the full
+  // list.
   double ready_s = 0;
   DiscoveryService::Usage discovery;
-  double cpu_ms = 0;  // of all that started
+  double cpu_ms = 0;  // of all balancers
 };
 
 std::vector<double> row(const RestartCost& cost, std::uint64_t seed) {
@@ -42,13 +44,13 @@
   return seconds(std::chrono::steady_clock::now() - began);
 }
 
-// All come up on one event loop, as fast as one core lets them.
-RestartCost restart_hollow(int balancers, std::uint64_t seed) {
-  DiscoveryService discovery(kHollowHosts, balancers, seed);
+// Starts all balancers on one event loop, as fast as one core allows.
+RestartCost restart_in_process(int balancers, std::uint64_t seed) {
+  DiscoveryService discovery(kInProcessHosts, balancers, seed);
   const auto began = std::chrono::steady_clock::now();
   const Duration cpu = thread_cpu_time();
-  HollowBalancers started(discovery, balancers, false, seed);
-  if (!started.run_until([&] { return discovery.listed() == balancers; }, kGetsReady))
+  InProcessBalancers started(discovery, balancers, false, seed);
+  if (!started.run_until([&] { return discovery.listed() == balancers; }, kReadyTimeout))
     throw std::runtime_error("a balancer got no list");
   RestartCost cost;
   cost.processes = balancers;
@@ -65,8 +67,8 @@
   settings.seed = seed;
   BalancerProcesses all(options, discovery, settings);
   const auto began = std::chrono::steady_clock::now();
-  if (!all.start(kGetsReady) ||
-      !all.run_until([&] { return discovery.listed() == processes; }, kGetsReady))
+  if (!all.start(kReadyTimeout) ||
+      !all.run_until([&] { return discovery.listed() == processes; }, kReadyTimeout))
     throw std::runtime_error("a balancer did not come up");
   RestartCost cost;
   cost.processes = processes;
@@ -77,10 +79,10 @@
   return cost;
 }
 
-RestartCost outage_of_discovery(int balancers, std::uint64_t seed, Duration length) {
-  DiscoveryService discovery(kHollowHosts, balancers, seed);
-  HollowBalancers all(discovery, balancers, false, seed);
-  if (!all.run_until([&] { return discovery.listed() == balancers; }, kGetsReady))
+RestartCost measure_discovery_outage(int balancers, std::uint64_t seed, Duration length) {
+  DiscoveryService discovery(kInProcessHosts, balancers, seed);
+  InProcessBalancers all(discovery, balancers, false, seed);
+  if (!all.run_until([&] { return discovery.listed() == balancers; }, kReadyTimeout))
     throw std::runtime_error("a balancer got no list");
   const auto before = discovery.usage();
   discovery.set_down(true);
@@ -92,7 +94,7 @@
   const auto asked = [&] {
     return discovery.usage().since(at_return).whole_lists >= static_cast<std::uint64_t>(balancers);
   };
-  if (!all.run_until(asked, kGetsReady))
+  if (!all.run_until(asked, kReadyTimeout))
     throw std::runtime_error("a balancer did not ask for the whole list");
   RestartCost cost;
   cost.kind = Kind::kOutage;
@@ -113,21 +115,21 @@
       Table({"kind", "processes", "seed", "outage_s", "outage_calls", "ready_s", "calls",
              "whole_lists", "bytes_in", "bytes_out", "discovery_cpu_ms", "cpu_ms"}),
       {}};
-  const std::vector<int> hollow =
+  const std::vector<int> in_process =
       options.quick ? std::vector<int>{2, 8} : std::vector<int>{5, 10, 20, 40, 80};
   const std::vector<int> real =
       options.quick ? std::vector<int>{4} : std::vector<int>{10, 25, 50, 100};
   const Duration outage = std::chrono::seconds(options.quick ? 2 : 4);
   for (const std::uint64_t seed : options.seeds) {
-    for (const int balancers : hollow) {
-      result.table.add(row(restart_hollow(balancers, seed), seed));
-      report_progress(options, "restart: %d hollow balancers, seed %llu", balancers,
+    for (const int balancers : in_process) {
+      result.table.add(row(restart_in_process(balancers, seed), seed));
+      report_progress(options, "restart: %d in-process balancers, seed %llu", balancers,
                       static_cast<unsigned long long>(seed));
     }
-    for (const int balancers : hollow) {
-      result.table.add(row(outage_of_discovery(balancers, seed, outage), seed));
-      report_progress(options, "restart: %d hollow balancers, discovery away, seed %llu", balancers,
-                      static_cast<unsigned long long>(seed));
+    for (const int balancers : in_process) {
+      result.table.add(row(measure_discovery_outage(balancers, seed, outage), seed));
+      report_progress(options, "restart: %d in-process balancers, discovery away, seed %llu",
+                      balancers, static_cast<unsigned long long>(seed));
     }
     for (const int processes : real) {
       result.table.add(row(restart_processes(options, processes, seed), seed));
@@ -145,12 +147,13 @@
         },
         [&t, kind](std::size_t i) { return t.at(i, "kind") == static_cast<double>(kind); });
   };
-  by_processes("discovery calls of a restart", "calls", "calls", Kind::kHollowStart);
-  by_processes("discovery bytes of a restart, 200 hosts", "bytes", "bytes_out", Kind::kHollowStart);
+  by_processes("discovery calls of a restart", "calls", "calls", Kind::kInProcessStart);
+  by_processes("discovery bytes of a restart, 200 hosts", "bytes", "bytes_out",
+               Kind::kInProcessStart);
   by_processes("discovery CPU of a restart, 200 hosts (stand-in)", "CPU ms", "discovery_cpu_ms",
-               Kind::kHollowStart);
+               Kind::kInProcessStart);
   by_processes("CPU of starting hollow balancers, 200 hosts", "CPU ms", "cpu_ms",
-               Kind::kHollowStart);
+               Kind::kInProcessStart);
   by_processes("CPU of starting processes, 1400 hosts", "CPU ms", "cpu_ms", Kind::kProcessStart);
   by_processes("time until all processes are ready, 1400 hosts", "s", "ready_s",
                Kind::kProcessStart);
--- a/src/testbed/servers/bgp_router.cc
+++ b/src/testbed/servers/bgp_router.cc
@@ -15,21 +15,23 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-constexpr std::uint16_t kHold = 3;  // seconds: the least there is
-constexpr Duration kLook = std::chrono::milliseconds(100);
+// The smallest hold time other than 0 that RFC 4271 permits.
+constexpr std::uint16_t kHoldTimeSeconds = 3;
+constexpr Duration kTickInterval = std::chrono::milliseconds(100);
 
-// RFC 4271, section 9.1, as far as it matters here.
+// Orders routes by the part of RFC 4271, section 9.1, that the testbed needs; the smallest rank is
+// the best route.
 auto rank(std::uint32_t next_hop, const bgp::Attributes& a) {
-  const bool going = std::find(a.communities.begin(), a.communities.end(),
-                               bgp::kGracefulShutdown) != a.communities.end();
-  const std::uint32_t preference = going ? 0 : a.local_pref.value_or(100);
+  const bool shutting_down = std::find(a.communities.begin(), a.communities.end(),
+                                       bgp::kGracefulShutdown) != a.communities.end();
+  const std::uint32_t preference = shutting_down ? 0 : a.local_pref.value_or(100);
   return std::tuple(std::numeric_limits<std::uint32_t>::max() - preference, a.as_path.size(),
                     a.med.value_or(0), next_hop);
 }
 
 }  // namespace
 
-// ---- a neighbour
+// ---- BGP session
 
 class BgpRouter::Session : public std::enable_shared_from_this<Session> {
  public:
@@ -39,10 +41,10 @@
   void start() {
     bgp::Open open;
     open.as = router_->as_;
-    open.hold_time = kHold;
+    open.hold_time = kHoldTimeSeconds;
     open.id = 0x7f000001;
     send(encode(open));
-    heard_ = router_->clock_();
+    last_received_ = router_->clock_();
     tick();
     read();
   }
@@ -58,17 +60,17 @@
                                      [this](const auto& s) { return s->peer_ == peer_; });
     if (!another) router.drop_all(peer_);
   }
-  // What waited to be read is read now.
-  void wake() {
+  // Resumes reading after a cut or a freeze.
+  void resume_reading() {
     if (router_ && !reading_) read();
   }
 
  private:
   void send(std::string bytes) {
     if (router_->is_cut(peer_)) return;
-    const auto held = std::make_shared<std::string>(std::move(bytes));
-    asio::async_write(socket_, asio::buffer(*held),
-                      [self = shared_from_this(), held](const error_code&, std::size_t) {});
+    const auto buffer = std::make_shared<std::string>(std::move(bytes));
+    asio::async_write(socket_, asio::buffer(*buffer),
+                      [self = shared_from_this(), buffer](const error_code&, std::size_t) {});
   }
   void read() {
     if (router_->frozen_ || router_->is_cut(peer_)) return;
@@ -78,21 +80,21 @@
           self->reading_ = false;
           if (!self->router_) return;
           if (self->router_->is_cut(self->peer_)) {
-            self->lost_ = true;  // it got lost on its way, and with it all that follows
+            self->stream_broken_ = true;  // a lost segment makes the rest of the stream unusable
             return;
           }
-          if (e || self->lost_) return self->end();
+          if (e || self->stream_broken_) return self->end();
           self->reader_.feed({self->in_.data(), n});
           while (auto item = self->reader_.next()) {
             if (!std::holds_alternative<bgp::Message>(*item) ||
-                !self->take(std::get<bgp::Message>(*item)))
+                !self->handle(std::get<bgp::Message>(*item)))
               return self->end();
           }
           self->read();
         });
   }
-  bool take(const bgp::Message& message) {
-    heard_ = router_->clock_();
+  bool handle(const bgp::Message& message) {
+    last_received_ = router_->clock_();
     if (const auto* open = std::get_if<bgp::Open>(&message)) {
       reader_.set_four_octets(open->four_octets);
       send(encode(bgp::Keepalive{}));
@@ -107,14 +109,15 @@
     return true;
   }
   void tick() {
-    timer_.expires_after(kLook);
+    timer_.expires_after(kTickInterval);
     timer_.async_wait([self = shared_from_this()](const error_code& e) {
       if (e || !self->router_) return;
       BgpRouter& router = *self->router_;
       const Time now = router.clock_();
-      if (!router.frozen_ && now - self->heard_ > std::chrono::seconds(kHold)) return self->end();
-      if (now - self->sent_ > std::chrono::seconds(kHold) / 3) {
-        self->sent_ = now;
+      if (!router.frozen_ && now - self->last_received_ > std::chrono::seconds(kHoldTimeSeconds))
+        return self->end();
+      if (now - self->last_keepalive_ > std::chrono::seconds(kHoldTimeSeconds) / 3) {
+        self->last_keepalive_ = now;
         self->send(encode(bgp::Keepalive{}));
       }
       self->tick();
@@ -127,11 +130,11 @@
   const Address peer_;
   bgp::Reader reader_;
   std::array<char, 4096> in_{};
-  Time heard_{0}, sent_{0};
-  bool reading_ = false, lost_ = false;
+  Time last_received_{0}, last_keepalive_{0};
+  bool reading_ = false, stream_broken_ = false;
 };
 
-// ---- a client's connection
+// ---- forwarded client connection
 
 class BgpRouter::Flow : public std::enable_shared_from_this<Flow> {
  public:
@@ -148,13 +151,13 @@
                               error_code ignored;
                               for (auto& s : self->sides_)
                                 s.set_option(tcp::no_delay(true), ignored);
-                              self->up_ = true;
+                              self->connected_ = true;
                               self->read(0);
                               self->read(1);
                             });
   }
-  void wake() {
-    if (!up_ || !router_) return;
+  void resume_reading() {
+    if (!connected_ || !router_) return;
     for (const int side : {0, 1})
       if (!busy_[side]) read(side);
   }
@@ -178,7 +181,7 @@
           if (!self->router_) return;
           if (e) {
             self->busy_[side] = false;
-            // What has been read before goes out first, and the other side hears of the end.
+            // Forwards the end of the stream; data that was read before has been written already.
             error_code ignored;
             self->sides_[1 - side].shutdown(tcp::socket::shutdown_send, ignored);
             self->ended_[side] = true;
@@ -186,12 +189,12 @@
             if (e != asio::error::eof) self->end();
             return;
           }
-          self->held_[side] = n;
+          self->pending_[side] = n;
           self->write(side);
         });
   }
   void write(int side) {
-    asio::async_write(sides_[1 - side], asio::buffer(buffers_[side].data(), held_[side]),
+    asio::async_write(sides_[1 - side], asio::buffer(buffers_[side].data(), pending_[side]),
                       [self = shared_from_this(), side](const error_code& e, std::size_t) {
                         if (!self->router_) return;
                         self->busy_[side] = false;
@@ -204,9 +207,9 @@
   std::array<tcp::socket, 2> sides_;  // client, next hop
   const Address next_hop_;
   std::array<std::array<char, 16384>, 2> buffers_{};
-  std::array<std::size_t, 2> held_{};
+  std::array<std::size_t, 2> pending_{};
   std::array<bool, 2> busy_{}, ended_{};
-  bool up_ = false;
+  bool connected_ = false;
 };
 
 // ---- the router
@@ -257,7 +260,7 @@
                               std::uint16_t to_port) {
   acceptor.async_accept([this, &acceptor, prefix, to_port](const error_code& e, tcp::socket s) {
     if (e == asio::error::operation_aborted) return;
-    // Without a route the client hears that at once.
+    // Without a route the connection is closed at once.
     if (const Address to = owner(prefix); !e && to != 0) {
       const auto flow = std::make_shared<Flow>(*this, std::move(s), to);
       flows_.insert(flow);
@@ -296,10 +299,10 @@
 }
 
 void BgpRouter::drop_all(Address next_hop) {
-  std::vector<bgp::Prefix> had;
+  std::vector<bgp::Prefix> affected;
   for (const auto& [prefix, all] : routes_)
-    if (all.count(next_hop) > 0) had.push_back(prefix);
-  for (const auto& prefix : had) set(prefix, next_hop, nullptr);
+    if (all.count(next_hop) > 0) affected.push_back(prefix);
+  for (const auto& prefix : affected) set(prefix, next_hop, nullptr);
 }
 
 void BgpRouter::cut(Address next_hop, bool on) {
@@ -308,14 +311,14 @@
     return;
   }
   cut_.erase(next_hop);
-  for (const auto& s : std::set(sessions_)) s->wake();
-  for (const auto& f : std::set(flows_)) f->wake();
+  for (const auto& s : std::set(sessions_)) s->resume_reading();
+  for (const auto& f : std::set(flows_)) f->resume_reading();
 }
 
 void BgpRouter::set_frozen(bool on) {
   frozen_ = on;
   if (on) return;
-  for (const auto& s : std::set(sessions_)) s->wake();
+  for (const auto& s : std::set(sessions_)) s->resume_reading();
 }
 
 void BgpRouter::break_sessions() {
--- a/src/testbed/servers/bgp_router.h
+++ b/src/testbed/servers/bgp_router.h
@@ -18,13 +18,13 @@
 
 namespace asio = boost::asio;
 
-// A stand-in for a router, from RFC 4271: takes BGP sessions, keeps the routes that they announce,
-// and forwards clients' connections to the best route's next hop. Established connections stay with
-// the next hop that they were opened to. A session that says nothing for its hold time, or breaks,
-// takes its routes with it.
+// An emulated router after RFC 4271: accepts BGP sessions, stores the routes that they announce and
+// forwards client connections to the next hop of the best route. An established connection stays
+// with the next hop that it was opened to. When a session breaks, or stays silent for its hold
+// time, its routes are removed.
 class BgpRouter {
  public:
-  using Address = std::uint32_t;  // IPv4, host order: a next hop
+  using Address = std::uint32_t;  // IPv4 address of a next hop, in host byte order
   struct Route {
     bgp::Attributes attributes;
     Time since{0};
@@ -33,20 +33,21 @@
   BgpRouter(asio::io_context& io, std::uint32_t as, std::function<Time()> clock);
   ~BgpRouter();
 
-  std::string address() const;  // where it takes sessions
-  // A port at which clients' connections to the prefix arrive; `to_port`: where the next hops take
-  // them.
+  // The address at which BGP sessions are accepted.
+  std::string address() const;
+  // Starts accepting client connections to the prefix and returns the port that accepts them. Each
+  // is forwarded to `to_port` of the best route's next hop.
   std::uint16_t forward(const bgp::Prefix& prefix, std::uint16_t to_port);
 
   const std::map<Address, Route>* routes(const bgp::Prefix& prefix) const;
-  // The next hop of the best route; 0: there is none.
+  // Returns the next hop of the best route, or 0 if there is no route.
   Address owner(const bgp::Prefix& prefix) const;
   std::size_t sessions() const { return sessions_.size(); }
 
-  // ---- troubles
-  // Nothing of this next hop's gets through any more, either way; connections stay as they are.
+  // ---- faults
+  // While on, blocks the traffic of this next hop in both directions; its connections stay open.
   void cut(Address next_hop, bool on);
-  // It goes on keeping its sessions up and takes no updates: it does not read.
+  // While on, the router sends keepalives but reads nothing, so it processes no updates.
   void set_frozen(bool on);
   void break_sessions();
 
--- a/src/testbed/servers/cache_server.cc
+++ b/src/testbed/servers/cache_server.cc
@@ -15,7 +15,7 @@
 using tcp = asio::ip::tcp;
 
 constexpr std::size_t kReadSize = 16u << 10;
-constexpr std::size_t kMaxPipelined = 512;  // beyond it the connection is not read
+constexpr std::size_t kMaxPipelined = 512;  // above this limit the connection is not read
 constexpr int kBacklog = 1024;
 
 void reset(tcp::socket& socket) {
@@ -26,22 +26,22 @@
 
 }  // namespace
 
-// One connection: commands are begun as they come, and answered in their order.
+// One client connection. Commands start in order of arrival and are answered in the same order.
 class CacheServer::Session : public std::enable_shared_from_this<Session> {
  public:
-  Session(CacheServer& server, tcp::socket socket, bool over_cap)
+  Session(CacheServer& server, tcp::socket socket, bool over_limit)
       : server_(server),
         context_(server.context_),
         socket_(std::move(socket)),
         idle_(context_.io),
-        over_cap_(over_cap) {}
+        over_limit_(over_limit) {}
 
-  // `late_since`: the host stood still since then, with the connection in its queue.
-  void start(std::optional<Time> late_since) {
+  // `earliest_arrival`: start of the pause during which the connection may have been queued.
+  void start(std::optional<Time> earliest_arrival) {
     error_code ignored;
     socket_.non_blocking(true, ignored);
     socket_.set_option(tcp::no_delay(true), ignored);
-    if (late_since) return read_late(*late_since);
+    if (earliest_arrival) return read_after_pause(*earliest_arrival);
     read();
   }
 
@@ -54,10 +54,11 @@
       if (!e && !self->closed_ && !self->server_.paused_) self->on_readable();
     });
   }
-  // The host stood still since then: what has come meanwhile may have come at any time since.
-  void read_late(Time since) {
+  // Reads after a pause that began at `since`. Pending input may have arrived at any time since
+  // then.
+  void read_after_pause(Time since) {
     error_code ignored;
-    if (socket_.available(ignored) > 0) late_since_ = since;
+    if (socket_.available(ignored) > 0) earliest_arrival_ = since;
     read();
   }
 
@@ -76,7 +77,7 @@
       if (self->server_.running_) self->server_.sessions_.erase(self);
     });
   }
-  // The process has gone: nothing may be told to its engine any more.
+  // Closes the connection of a stopped process, whose engine must not be called any more.
   void abort() {
     for (Slot& s : slots_) s.job = 0;
     close();
@@ -105,9 +106,9 @@
         context_.auditor.on_forged(context_.now(), server_.audit_id_, "what can't be read");
         return close();
       }
-      take(std::move(std::get<memcache::Command>(*item)));
+      handle_command(std::move(std::get<memcache::Command>(*item)));
     }
-    late_since_.reset();
+    earliest_arrival_.reset();
     if (!closed_) read();
   }
 
@@ -115,14 +116,15 @@
     slots_.emplace_back();
     return slots_.back();
   }
-  // Slots are found again by number: those before it may have been answered.
+  // Returns the slot with this number; null if it has been answered. Slots are looked up by number
+  // because earlier ones may have been removed.
   Slot* find(std::uint64_t number) {
     if (closed_ || number < first_slot_) return nullptr;
     return &slots_[static_cast<std::size_t>(number - first_slot_)];
   }
   std::uint64_t last_number() const { return first_slot_ + slots_.size() - 1; }
 
-  void take(const memcache::Command& command) {
+  void handle_command(const memcache::Command& command) {
     idle_.cancel();
     Slot& slot = add_slot();
     if (command.kind == memcache::Command::Kind::kNoop) {
@@ -135,11 +137,11 @@
       return answer(slot, "CLIENT_ERROR bad request\r\n");
     }
     slot.request = *r;
-    const Time arrived = late_since_.value_or(context_.now());
+    const Time arrived = earliest_arrival_.value_or(context_.now());
     slot.attempt =
         context_.auditor.on_arrived(arrived, *r, server_.audit_id_, told_time(command.prop("d")));
-    count_cold(*r, arrived);
-    if (over_cap_) return turn_away(slot);
+    count_cold_load(*r, arrived);
+    if (over_limit_) return reject_busy(slot);
     if (server_.engine_.model() && server_.engine_.model()->warmth(arrived) < 1)
       context_.stampede.count(Stampede::Kind::kColdAttempt, arrived);
     const bool set = command.kind == memcache::Command::Kind::kSet;
@@ -156,14 +158,14 @@
          [self = shared_from_this(), r = *r, attempt = slot.attempt, number, hit, id = command.id,
           key = command.key](Time at) { self->done(at, r, attempt, number, hit, id, key); }});
     if (closed_) return;
-    Slot* taken = find(number);
-    if (!taken) return;
-    if (server_.engine_.fallen()) return server_.fall();
-    if (job == 0) return turn_away(*taken);
-    taken->job = job;
+    Slot* pending = find(number);
+    if (!pending) return;
+    if (server_.engine_.fallen()) return server_.crash_from_overload();
+    if (job == 0) return reject_busy(*pending);
+    pending->job = job;
   }
 
-  void count_cold(RequestNumber r, Time arrived) {
+  void count_cold_load(RequestNumber r, Time arrived) {
     const HostModel* model = server_.engine_.model();
     if (!model) return;
     ColdLoads& loads = context_.cold_loads;
@@ -174,7 +176,7 @@
                                       "was sent more than its bound");
   }
 
-  void turn_away(Slot& slot) {
+  void reject_busy(Slot& slot) {
     ++server_.turned_away_;
     context_.auditor.on_never_ran(context_.now(), slot.request, slot.attempt, "busy");
     answer(slot, "SERVER_ERROR busy\r\n");
@@ -203,29 +205,30 @@
     std::string value =
         id + "." + std::to_string(server_.audit_id_) + "." + std::to_string(attempt) + ".";
     value.resize(std::max(value.size(), server_.value_size(key)), 'v');
-    std::string whole =
+    std::string response =
         "VA " + std::to_string(value.size()) + " O" + id + " h1\r\n" + value + "\r\n";
-    if (random.chance(server_.spoils_)) {
+    if (random.chance(server_.corruption_share_)) {
       context_.auditor.on_ended(at, r, attempt, "done, answer spoilt");
-      return answer(*slot, spoil(std::move(whole)));
+      return answer(*slot, corrupt(std::move(response)));
     }
     context_.auditor.on_made(at, r, attempt, value);
-    answer(*slot, std::move(whole));
+    answer(*slot, std::move(response));
   }
 
-  // What a client must never see, in the kinds that hosts were seen to send.
-  std::string spoil(std::string whole) {
+  // Corrupts a response in one of the ways that real hosts were observed to. None of these may
+  // reach a client.
+  std::string corrupt(std::string response) {
     switch (server_.random_.below(5)) {
       case 0:
         return "VA -3 O\x01\xff\r\n";
       case 1:
-        return std::string(6000, '#');  // a line without an end
+        return std::string(6000, '#');  // a line without a terminator
       case 2:
-        return "VA 3000000000" + whole.substr(whole.find(" O"));
-      case 3:  // the id of another request
-        return whole.replace(whole.find(" O") + 2, 16, "00000000deadbeef");
+        return "VA 3000000000" + response.substr(response.find(" O"));
+      case 3:  // the ID of another request
+        return response.replace(response.find(" O") + 2, 16, "00000000deadbeef");
       default:
-        return whole.substr(0, whole.size() / 2);
+        return response.substr(0, response.size() / 2);
     }
   }
 
@@ -238,7 +241,7 @@
       ++first_slot_;
     }
     flush();
-    if (!closed_ && over_cap_ && slots_.empty() && out_.empty()) return close();
+    if (!closed_ && over_limit_ && slots_.empty() && out_.empty()) return close();
     if (!closed_) read();
   }
 
@@ -272,8 +275,8 @@
   std::deque<Slot> slots_;
   std::uint64_t first_slot_ = 0;
   std::string out_;
-  std::optional<Time> late_since_;
-  const bool over_cap_;
+  std::optional<Time> earliest_arrival_;
+  const bool over_limit_;
   bool first_ = true, reading_ = false, writing_ = false, closed_ = false;
 };
 
@@ -298,7 +301,7 @@
   close_sessions();
 }
 
-// The address is the host's own while it is away, too (LoopbackBlock).
+// LoopbackBlock keeps the address reserved for this host while it is down.
 void CacheServer::listen() {
   acceptor_.open(address_.protocol());
   acceptor_.set_option(asio::socket_base::reuse_address(true));
@@ -319,17 +322,17 @@
   if (cold) objects_ = ObjectStore(static_cast<std::size_t>(kind_.memory_mb * (1 << 20)));
   running_ = true;
   paused_ = refusing_ = false;
-  accepts_late_since_.reset();
+  earliest_accept_.reset();
   if (!acceptor_.is_open()) listen();
-  ++accepts_;
+  ++accept_generation_;
   accept();
 }
 
-void CacheServer::fall() {
+void CacheServer::crash_from_overload() {
   context_.auditor.on_pushed_over(context_.now(), audit_id_, engine_.model()->pushed_by(),
                                   "fell over");
   kill();
-  if (on_fallen) on_fallen();
+  if (on_overload_crash) on_overload_crash();
 }
 
 void CacheServer::kill() {
@@ -337,10 +340,10 @@
   running_ = false;
   engine_.stop();
   error_code ignored;
-  ++accepts_;
+  ++accept_generation_;
   acceptor_.close(ignored);
-  fillers_.clear();
-  silent_ = false;
+  backlog_fillers_.clear();
+  unreachable_ = false;
   close_sessions();
 }
 
@@ -349,25 +352,26 @@
 }
 
 void CacheServer::accept() {
-  if (!running_ || paused_ || silent_ || !acceptor_.is_open()) return;
-  acceptor_.async_wait(tcp::acceptor::wait_read, [this, turn = accepts_](const error_code& e) {
-    if (e || turn != accepts_) return;
-    for (int i = 0; i < 64; ++i) {
-      tcp::socket socket(context_.io);
-      error_code error;
-      acceptor_.accept(socket, error);
-      if (error) {
-        accepts_late_since_.reset();
-        break;
-      }
-      const bool over = sessions_.size() >= static_cast<std::size_t>(kind_.connections);
-      const auto session = std::make_shared<Session>(*this, std::move(socket), over);
-      sessions_.insert(session);
-      context_.stampede.count(Stampede::Kind::kConnection, context_.now());
-      session->start(accepts_late_since_);
-    }
-    accept();
-  });
+  if (!running_ || paused_ || unreachable_ || !acceptor_.is_open()) return;
+  acceptor_.async_wait(
+      tcp::acceptor::wait_read, [this, generation = accept_generation_](const error_code& e) {
+        if (e || generation != accept_generation_) return;
+        for (int i = 0; i < 64; ++i) {
+          tcp::socket socket(context_.io);
+          error_code error;
+          acceptor_.accept(socket, error);
+          if (error) {
+            earliest_accept_.reset();
+            break;
+          }
+          const bool over = sessions_.size() >= static_cast<std::size_t>(kind_.connections);
+          const auto session = std::make_shared<Session>(*this, std::move(socket), over);
+          sessions_.insert(session);
+          context_.stampede.count(Stampede::Kind::kConnection, context_.now());
+          session->start(earliest_accept_);
+        }
+        accept();
+      });
 }
 
 void CacheServer::pause(bool on) {
@@ -375,16 +379,16 @@
   paused_ = on;
   if (on) {
     paused_at_ = context_.now();
-    ++accepts_;
+    ++accept_generation_;
     error_code ignored;
     acceptor_.cancel(ignored);
     engine_.freeze();
     return;
   }
   engine_.thaw();
-  accepts_late_since_ = paused_at_;
+  earliest_accept_ = paused_at_;
   const auto all = sessions_;
-  for (const auto& session : all) session->read_late(paused_at_);
+  for (const auto& session : all) session->read_after_pause(paused_at_);
   accept();
 }
 
@@ -400,7 +404,7 @@
 void CacheServer::refuse(bool on) {
   if (refusing_ == on || !running_) return;
   refusing_ = on;
-  ++accepts_;
+  ++accept_generation_;
   error_code ignored;
   if (on) {
     acceptor_.close(ignored);
@@ -410,27 +414,27 @@
   }
 }
 
-// With a backlog of nothing, and that full, the kernel drops what asks to connect.
-void CacheServer::be_silent(bool on) {
-  if (silent_ == on || !running_ || !acceptor_.is_open()) return;
-  silent_ = on;
-  ++accepts_;
+// With a backlog of 0 that is full, the kernel drops new connection requests.
+void CacheServer::set_unreachable(bool on) {
+  if (unreachable_ == on || !running_ || !acceptor_.is_open()) return;
+  unreachable_ = on;
+  ++accept_generation_;
   error_code ignored;
   if (on) {
     acceptor_.cancel(ignored);
     acceptor_.listen(0, ignored);
     for (int i = 0; i < 2; ++i) {
-      fillers_.emplace_back(context_.io);
-      fillers_.back().open(address_.protocol(), ignored);
-      fillers_.back().non_blocking(true, ignored);
-      // Not asio's connect: that waits until the connection is up, which is never.
-      (void)::connect(fillers_.back().native_handle(), address_.data(),
+      backlog_fillers_.emplace_back(context_.io);
+      backlog_fillers_.back().open(address_.protocol(), ignored);
+      backlog_fillers_.back().non_blocking(true, ignored);
+      // Asio's connect would wait for a connection that never completes.
+      (void)::connect(backlog_fillers_.back().native_handle(), address_.data(),
                       static_cast<socklen_t>(address_.size()));
     }
     return;
   }
   acceptor_.listen(kBacklog, ignored);
-  fillers_.clear();
+  backlog_fillers_.clear();
   accept();
 }
 
--- a/src/testbed/servers/cache_server.h
+++ b/src/testbed/servers/cache_server.h
@@ -14,32 +14,33 @@
 
 namespace balancer::testbed {
 
-// A cache host on a socket of its own: the meta commands as the platform's protocol has them.
-// Garbage from a peer ends that peer's connection and nothing else.
+// An emulated cache host with its own socket. It serves the memcache meta commands of the
+// platform's protocol. Malformed input closes the connection that it came from and has no other
+// effect.
 class CacheServer {
  public:
-  // A miss leaves the host's mark for the origin's fetch.
+  // Called for each miss, so that the value can be stored here once the origin has served it.
   using OnMiss = std::function<void(RequestNumber, CacheServer&)>;
 
-  // `id`: as in the audit. Throws boost::system::system_error if the address cannot be bound.
+  // Listens at `address`. Throws boost::system::system_error if the address cannot be bound.
   CacheServer(Context& context, const KindSpec& kind, double speed, int zone,
               const asio::ip::tcp::endpoint& address, std::uint64_t seed, OnMiss on_miss);
   ~CacheServer();
 
   void start(int audit_id, bool cold);
-  void kill();  // resets its connections; new ones are refused
+  void kill();  // resets all connections and refuses new ones
   bool running() const { return running_; }
-  std::function<void()> on_fallen;  // pushed over, and down for good
+  std::function<void()> on_overload_crash;  // called when overload has killed the host for good
 
-  // Troubles. Each stays until it is set back.
-  void pause(bool on);  // reads nothing and does nothing; what came is taken when it is over
-  void hang(bool on);   // takes work and does nothing
+  // Faults. Each stays in force until it is reset.
+  void pause(bool on);  // stops reading and working; queued input is processed afterwards
+  void hang(bool on);   // accepts requests and does not process them
   void slow(double factor) { engine_.set_slowness(factor); }
   void set_errors(double share) { errors_ = share; }
   void set_resets(double share) { resets_ = share; }
-  void set_spoils(double share) { spoils_ = share; }
+  void set_corruption_share(double share) { corruption_share_ = share; }
   void refuse(bool on);
-  void be_silent(bool on);  // connects never come up
+  void set_unreachable(bool on);  // connection attempts time out
 
   void store(const std::string& key, std::size_t bytes) {
     if (running_) objects_.put(key, bytes);
@@ -58,7 +59,7 @@
   class Session;
   friend class Session;
 
-  void fall();
+  void crash_from_overload();
   void listen();
   void accept();
   void close_sessions();
@@ -73,16 +74,17 @@
   Random random_;
   OnMiss on_miss_;
   asio::ip::tcp::acceptor acceptor_;
-  std::vector<asio::ip::tcp::socket> fillers_;  // of the backlog, while it is silent
+  // Connections that fill the backlog while the host is unreachable.
+  std::vector<asio::ip::tcp::socket> backlog_fillers_;
   Engine engine_;
   ObjectStore objects_;
   std::set<std::shared_ptr<Session>> sessions_;
   int audit_id_ = -1;
-  bool running_ = false, paused_ = false, silent_ = false, refusing_ = false;
-  std::uint64_t accepts_ = 0;
+  bool running_ = false, paused_ = false, unreachable_ = false, refusing_ = false;
+  std::uint64_t accept_generation_ = 0;
   Time paused_at_{0};
-  std::optional<Time> accepts_late_since_;  // while what came during a pause is taken
-  double errors_ = 0, resets_ = 0, spoils_ = 0;
+  std::optional<Time> earliest_accept_;  // set while connections queued during a pause are accepted
+  double errors_ = 0, resets_ = 0, corruption_share_ = 0;
   std::uint64_t served_ = 0, turned_away_ = 0;
 };
 
--- a/src/testbed/servers/datagram_relay.h
+++ b/src/testbed/servers/datagram_relay.h
@@ -14,19 +14,19 @@
 
 namespace balancer::testbed {
 
-// The network between the members of a group: each has a public endpoint here, and what is sent to
-// it is passed on from the sender's, so that any direction can be cut or made to lose some. Members
-// are told apart by the addresses that they send from.
+// Emulates the network between the members of a group. Each member has a public endpoint here; a
+// datagram sent to it is forwarded from the sender's public endpoint, so that each direction can be
+// cut or made lossy. Members are identified by the address that they send from.
 class DatagramRelay {
  public:
   using Endpoint = boost::asio::ip::udp::endpoint;
 
-  // `members`: where each listens; all at different addresses.
+  // `members`: the endpoint at which each member listens. All addresses must differ.
   DatagramRelay(boost::asio::io_context& io, const std::vector<Endpoint>& members,
                 std::uint64_t seed);
 
   std::string public_address(std::size_t member) const;
-  // Cuts or mends one direction.
+  // Cuts or restores one direction.
   void cut(std::size_t from, std::size_t to, bool on);
   void isolate(std::size_t member, bool on);
   void set_loss(double share) { loss_ = share; }
--- a/src/testbed/servers/discovery_server.cc
+++ b/src/testbed/servers/discovery_server.cc
@@ -9,9 +9,9 @@
 
 using boost::system::error_code;
 
-constexpr Duration kToldAnyway = std::chrono::seconds(6);
-constexpr Duration kOldAddress = std::chrono::milliseconds(1500);
-constexpr std::uint64_t kLongestWait = 60'000;
+constexpr Duration kAssumedDelivery = std::chrono::seconds(6);
+constexpr Duration kOldAddressGrace = std::chrono::milliseconds(1500);
+constexpr std::uint64_t kMaxWaitMs = 60'000;
 
 std::optional<std::uint64_t> query(std::string_view target, std::string_view name) {
   const auto at = target.find(name);
@@ -26,61 +26,61 @@
 }  // namespace
 
 DiscoveryServer::DiscoveryServer(Context& context, int balancers, std::uint64_t seed)
-    : context_(context), random_(seed), outlets_(static_cast<std::size_t>(balancers)) {
+    : context_(context), random_(seed), endpoints_(static_cast<std::size_t>(balancers)) {
   for (int b = 0; b < balancers; ++b) open(b);
 }
 
 DiscoveryServer::~DiscoveryServer() = default;
 
 void DiscoveryServer::open(int balancer) {
-  outlets_[static_cast<std::size_t>(balancer)].http = std::make_unique<HttpServer>(
+  endpoints_[static_cast<std::size_t>(balancer)].http = std::make_unique<HttpServer>(
       context_, context_.loopback.next_endpoint(), 64,
       [this, balancer](const HttpServer::SessionPtr& s) { serve(balancer, s); });
 }
 
 std::string DiscoveryServer::dial(int balancer) const {
-  return outlets_[static_cast<std::size_t>(balancer)].http->dial();
+  return endpoints_[static_cast<std::size_t>(balancer)].http->dial();
 }
 
 void DiscoveryServer::move(int balancer) {
-  Outlet& outlet = outlets_[static_cast<std::size_t>(balancer)];
-  outlet.http->stop_accepting();
-  outlet.old.push_back(std::move(outlet.http));
-  HttpServer* old = outlet.old.back().get();
-  context_.after(kOldAddress, [old] { old->close_all(); });
+  BalancerEndpoint& endpoint = endpoints_[static_cast<std::size_t>(balancer)];
+  endpoint.http->stop_accepting();
+  endpoint.old.push_back(std::move(endpoint.http));
+  HttpServer* old = endpoint.old.back().get();
+  context_.after(kOldAddressGrace, [old] { old->close_all(); });
   open(balancer);
 }
 
 void DiscoveryServer::add(const Entry& entry) { entries_[entry.host] = {entry, ++seq_}; }
 
-// Changes of one host come through in their order.
+// Changes of the same host are published in the order in which they were made.
 void DiscoveryServer::change(const Entry& entry) {
   const Range& d = context_.scenario.discovery.delay_ms;
   const Time now = context_.now();
-  Time& due = due_[entry.host];
+  Time& due = publish_at_[entry.host];
   due = std::max(due, now + from_seconds(1e-3 * d.draw(random_)));
   context_.at(due, [this, entry] { publish(entry); });
-  context_.after(kToldAnyway, [this, entry] {
+  context_.after(kAssumedDelivery, [this, entry] {
     const Entry& listed = entries_[entry.host].entry;
-    if (listed.health != entry.health || listed.born_ms != entry.born_ms) return;  // overtaken
-    for (std::size_t b = 0; b < outlets_.size(); ++b) told(static_cast<int>(b), entry);
+    if (listed.health != entry.health || listed.born_ms != entry.born_ms) return;  // superseded
+    for (std::size_t b = 0; b < endpoints_.size(); ++b) record_delivery(static_cast<int>(b), entry);
   });
 }
 
 std::uint64_t DiscoveryServer::publish(const Entry& entry) {
   entries_[entry.host] = {entry, ++seq_};
   if (down_) return seq_;
-  for (std::size_t b = 0; b < outlets_.size(); ++b)
-    for (const auto& watch : std::exchange(outlets_[b].watches, {}))
+  for (std::size_t b = 0; b < endpoints_.size(); ++b)
+    for (const auto& watch : std::exchange(endpoints_[b].watches, {}))
       answer(static_cast<int>(b), watch->session, false, watch->index);
   return seq_;
 }
 
 DiscoveryServer::Traffic DiscoveryServer::traffic() const {
   Traffic all;
-  for (const Outlet& outlet : outlets_) {
-    all.bytes_in += outlet.http->bytes_in();
-    all.bytes_out += outlet.http->bytes_out();
+  for (const BalancerEndpoint& endpoint : endpoints_) {
+    all.bytes_in += endpoint.http->bytes_in();
+    all.bytes_out += endpoint.http->bytes_out();
   }
   return all;
 }
@@ -88,8 +88,8 @@
 void DiscoveryServer::set_down(bool down) {
   down_ = down;
   if (!down) return;
-  for (Outlet& outlet : outlets_)
-    for (const auto& watch : std::exchange(outlet.watches, {})) watch->session->close();
+  for (BalancerEndpoint& endpoint : endpoints_)
+    for (const auto& watch : std::exchange(endpoint.watches, {})) watch->session->close();
 }
 
 void DiscoveryServer::serve(int balancer, const HttpServer::SessionPtr& session) {
@@ -100,7 +100,7 @@
   if (on_call) on_call(balancer, index);
   if (down_) return session->respond(503, "", "");
   if (!index) return answer(balancer, session, true, 0);
-  const auto wait = std::min(query(target, "wait=").value_or(0), kLongestWait);
+  const auto wait = std::min(query(target, "wait=").value_or(0), kMaxWaitMs);
   if (*index < seq_ || wait == 0) return answer(balancer, session, false, *index);
   auto watch = std::make_shared<Watch>();
   watch->session = session;
@@ -109,34 +109,35 @@
   watch->timer->async_wait([this, balancer, w = std::weak_ptr(watch)](const error_code& e) {
     const auto over = w.lock();
     if (e || !over) return;
-    std::erase(outlets_[static_cast<std::size_t>(balancer)].watches, over);
+    std::erase(endpoints_[static_cast<std::size_t>(balancer)].watches, over);
     if (!down_) answer(balancer, over->session, false, over->index);
   });
-  outlets_[static_cast<std::size_t>(balancer)].watches.push_back(std::move(watch));
+  endpoints_[static_cast<std::size_t>(balancer)].watches.push_back(std::move(watch));
 }
 
 void DiscoveryServer::answer(int balancer, const HttpServer::SessionPtr& session, bool whole,
                              std::uint64_t since) {
   std::string body = "{\"seq\":" + std::to_string(seq_) +
                      ",\"whole\":" + (whole ? "true" : "false") + ",\"hosts\":[";
-  std::vector<Entry> telling;
+  std::vector<Entry> delivered;
   bool first = true;
   for (const auto& [host, listed] : entries_) {
     if (!whole && listed.seq <= since) continue;
-    telling.push_back(listed.entry);
+    delivered.push_back(listed.entry);
     if (whole && listed.entry.health == Health::kGone) continue;
     body += (first ? "" : ",") + json(balancer, listed.entry);
     first = false;
   }
   session->respond(200, "Content-Type: application/json\r\n", body + "]}",
-                   [this, balancer, telling = std::move(telling)] {
-                     for (const Entry& entry : telling) told(balancer, entry);
+                   [this, balancer, delivered = std::move(delivered)] {
+                     for (const Entry& entry : delivered) record_delivery(balancer, entry);
                    });
 }
 
-// What has been overtaken by a later change of the same host in the meantime says no more than that
-// one did, and a drain stays told until the host is listed as ready again.
-void DiscoveryServer::told(int balancer, const Entry& entry) {
+// Records that a balancer has received an entry. Ignores the entry if its host is meanwhile listed
+// with another audit ID, because the later entry supersedes it. A drain stays recorded until the
+// host is listed as ready again.
+void DiscoveryServer::record_delivery(int balancer, const Entry& entry) {
   const auto it = entries_.find(entry.host);
   if (it != entries_.end() && it->second.entry.audit_id != entry.audit_id) return;
   const Time now = context_.now();
@@ -144,14 +145,16 @@
   if (entry.born_ms > 0) context_.auditor.on_told_start(now, balancer, entry.audit_id);
 }
 
-void DiscoveryServer::forget(int balancer) { context_.auditor.on_balancer_start(balancer); }
+void DiscoveryServer::on_balancer_restart(int balancer) {
+  context_.auditor.on_balancer_start(balancer);
+}
 
 std::string DiscoveryServer::json(int balancer, const Entry& e) const {
   const char* health = e.health == Health::kReady      ? "ready"
                        : e.health == Health::kDraining ? "draining"
                                                        : "gone";
   return "{\"host\":\"" + e.host + "\",\"dial\":\"" +
-         (dial_told ? dial_told(balancer, e) : e.dial) + "\",\"site\":\"" + e.zone +
+         (published_dial ? published_dial(balancer, e) : e.dial) + "\",\"site\":\"" + e.zone +
          "\",\"class\":\"" + e.kind + "\",\"block\":0,\"health\":\"" + health +
          "\",\"share\":1.0,\"born_ms\":" + std::to_string(e.born_ms) + "}";
 }
--- a/src/testbed/servers/discovery_server.h
+++ b/src/testbed/servers/discovery_server.h
@@ -13,8 +13,9 @@
 
 namespace balancer::testbed {
 
-// Discovery as the balancers meet it: the whole list, watches, and changes that come late. Each
-// balancer has an address of its own, so that the judge knows what each was told, and when.
+// The emulated discovery service: serves the full endpoint list and watches, and publishes changes
+// with a delay. Each balancer has its own address here, so that the auditor knows which entries
+// were delivered to which balancer, and when.
 class DiscoveryServer {
  public:
   enum class Health { kReady, kDraining, kGone };
@@ -22,37 +23,38 @@
     std::string host, dial, zone, kind;
     int audit_id = -1;
     Health health = Health::kReady;
-    std::int64_t born_ms = 0;  // Unix time; 0: long ago
+    std::int64_t born_ms = 0;  // Unix time; 0: before the run
   };
 
   DiscoveryServer(Context& context, int balancers, std::uint64_t seed);
   ~DiscoveryServer();
 
-  // In the list at once, as before the run.
+  // Adds an entry at once, without notifying watches. For entries from before the run.
   void add(const Entry& entry);
-  // In the list after the scenario's delay, and counted as told 6 s later at the latest.
+  // Publishes a change after the scenario's delay. The auditor assumes that all balancers know of
+  // it at the latest 6 s after this call.
   void change(const Entry& entry);
-  // In the list at once, and told to all open watches. Returns the list's version from then on.
+  // Publishes a change at once and answers all open watches. Returns the new version of the list.
   std::uint64_t publish(const Entry& entry);
   void set_down(bool down);
-  // Gives this balancer another address; the old one takes no connection any more and ends those it
-  // has 1.5 s later.
+  // Moves this balancer's discovery endpoint to a new address. The old one stops accepting at once
+  // and closes its connections 1.5 s later.
   void move(int balancer);
 
   std::string dial(int balancer) const;
-  // The whole list as JSON, as `known` in this balancer's configuration has it.
+  // Returns the full list as JSON, in the format of `known` in the balancer's configuration.
   std::string whole_list(int balancer) const;
-  // Where a balancer is told that a host listens; none: where it does.
-  std::function<std::string(int balancer, const Entry& entry)> dial_told;
-  void forget(int balancer);  // it has started anew
-  // Hears of each call for the list, also of those that are turned away: `index` is the version
-  // that a watch names, which the balancer has in force by then; none for a call for the whole
-  // list.
+  // Returns the address that is published to a balancer for a host; if unset, the host's own
+  // address.
+  std::function<std::string(int balancer, const Entry& entry)> published_dial;
+  void on_balancer_restart(int balancer);  // tells the auditor that the balancer has restarted
+  // Called for each request for the list, including rejected ones. `index` is the version that a
+  // watch names, which the balancer has already applied; nullopt for a request for the full list.
   std::function<void(int balancer, std::optional<std::uint64_t> index)> on_call;
   struct Traffic {
     std::uint64_t bytes_in = 0, bytes_out = 0;
   };
-  // Of all balancers at their present addresses.
+  // Sums the traffic of all balancers at their current addresses.
   Traffic traffic() const;
 
  private:
@@ -65,7 +67,7 @@
     std::uint64_t index;
     std::unique_ptr<asio::steady_timer> timer;
   };
-  struct Outlet {  // of one balancer
+  struct BalancerEndpoint {  // the endpoint that serves one balancer
     std::unique_ptr<HttpServer> http;
     std::vector<std::unique_ptr<HttpServer>> old;
     std::vector<std::shared_ptr<Watch>> watches;
@@ -74,16 +76,16 @@
   void open(int balancer);
   void serve(int balancer, const HttpServer::SessionPtr& session);
   void answer(int balancer, const HttpServer::SessionPtr& session, bool whole, std::uint64_t since);
-  void told(int balancer, const Entry& entry);
+  void record_delivery(int balancer, const Entry& entry);
   std::string json(int balancer, const Entry& entry) const;
 
   Context& context_;
   Random random_;
-  std::vector<Outlet> outlets_;
+  std::vector<BalancerEndpoint> endpoints_;
   std::map<std::string, Listed> entries_;
   std::uint64_t seq_ = 1;
   bool down_ = false;
-  std::map<std::string, Time> due_;  // when the latest change of a host comes through
+  std::map<std::string, Time> publish_at_;  // by host: when its latest change is published
 };
 
 }  // namespace balancer::testbed
--- a/src/testbed/servers/engine.cc
+++ b/src/testbed/servers/engine.cc
@@ -14,7 +14,7 @@
   model_.reset();
   jobs_.clear();
   timer_.cancel();
-  armed_ = kNever;
+  timer_due_ = kNever;
 }
 
 Job Engine::submit(double work, int source, Work handlers) {
@@ -54,7 +54,8 @@
   arm();
 }
 
-// Handlers may submit, and even end the process: nothing of the model is kept across them.
+// Handlers may submit jobs and even stop the process, so no reference into the model is held across
+// a call.
 void Engine::step() {
   if (!model_) return;
   for (const HostModel::Event& event : model_->advance(context_.now())) {
@@ -74,8 +75,8 @@
 
 void Engine::arm() {
   const Time next = model_ ? model_->next() : kNever;
-  if (next == armed_) return;
-  armed_ = next;
+  if (next == timer_due_) return;
+  timer_due_ = next;
   if (next == kNever) {
     timer_.cancel();
     return;
@@ -83,7 +84,7 @@
   timer_.expires_at(context_.steady(next));
   timer_.async_wait([this](const boost::system::error_code& e) {
     if (e) return;
-    armed_ = kNever;
+    timer_due_ = kNever;
     step();
   });
 }
--- a/src/testbed/servers/engine.h
+++ b/src/testbed/servers/engine.h
@@ -10,12 +10,12 @@
 
 namespace balancer::testbed {
 
-// Drives a host model in real time on the event loop, and tells of each job what becomes of it.
+// Drives a host model in real time on the event loop and reports when each job starts and ends.
 class Engine {
  public:
   explicit Engine(Context& context) : context_(context), timer_(context.io) {}
 
-  // A new process. Jobs of the one before end without a word.
+  // Starts a new process. Jobs of the previous one are dropped without a callback.
   void start(const HostSpec& spec, bool cold);
   void stop();
   bool running() const { return model_ != nullptr; }
@@ -23,7 +23,8 @@
   struct Work {
     std::function<void(Time)> begun, done;
   };
-  // 0: turned away, or the host has just fallen over (then fallen() holds).
+  // Returns 0 if the job was rejected or has just crashed the host by overload; fallen() is true in
+  // the latter case.
   Job submit(double work, int source, Work handlers);
   void cancel(Job job);
   void freeze();
@@ -31,7 +32,7 @@
   void set_slowness(double factor);
   bool fallen() const { return model_ && model_->fallen(); }
   const HostModel* model() const { return model_.get(); }
-  double done_before() const { return done_before_; }  // seconds of work by earlier processes
+  double done_before() const { return done_before_; }  // seconds of work done by earlier processes
 
  private:
   void step();
@@ -42,7 +43,7 @@
   std::unique_ptr<HostModel> model_;
   std::unordered_map<Job, Work> jobs_;
   Job next_job_ = 1;
-  Time armed_ = kNever;
+  Time timer_due_ = kNever;
   double done_before_ = 0;
 };
 
--- a/src/testbed/servers/fleet.cc
+++ b/src/testbed/servers/fleet.cc
@@ -9,12 +9,12 @@
 
 using Health = DiscoveryServer::Health;
 
-// An object is stored at the first two hosts that missed, as the platform does it.
+// An object is stored at the first two hosts that missed, as on the platform.
 constexpr std::size_t kStoredAt = 2;
-// Requests whose misses are remembered: far more than can be open at once.
+// Limit on the requests whose misses are recorded; far above the number that can be open at once.
 constexpr std::size_t kMaxMissed = 50'000;
 constexpr Duration kRestartTime = std::chrono::seconds(1);
-// For which links may still bring what they held up, once they hold nothing up any more.
+// Time that links may need to deliver held data once the fault has ended.
 constexpr Duration kLinksSettle = std::chrono::milliseconds(100);
 
 std::string ns(Duration d) { return std::to_string(d.count()); }
@@ -36,7 +36,7 @@
   for (const KindSpec& kind : s.kinds) {
     double all = 0;
     for (const double share : kind.zones) all += share;
-    // Zones are dealt out in proportion, by the largest rest.
+    // Assigns hosts to zones in proportion to the shares, by the largest remainder.
     std::vector<double> due(kind.zones.size());
     for (int i = 0; i < kind.count; ++i, ++number) {
       std::size_t zone = 0;
@@ -52,21 +52,24 @@
       host.server = std::make_unique<CacheServer>(
           context, kind, kind.speed.draw(random_), static_cast<int>(zone),
           context.loopback.next_endpoint(), random_.next(),
-          [this](RequestNumber r, CacheServer& server) { note_miss(r, server); });
+          [this](RequestNumber r, CacheServer& server) { record_miss(r, server); });
       host.server->start(host.audit_id, false);
       discovery_.add(entry(host, Health::kReady, 0));
       hosts_.push_back(std::move(host));
     }
   }
-  for (Host& host : hosts_)  // their places are final now
-    host.server->on_fallen = [this, &host] { discovery_.change(entry(host, Health::kGone, 0)); };
+  for (Host& host : hosts_)  // the elements no longer move in memory
+    host.server->on_overload_crash = [this, &host] {
+      discovery_.change(entry(host, Health::kGone, 0));
+    };
   const int id = context.auditor.add_host("origin");
   origin_ = std::make_unique<OriginServer>(
       context, id, random_.next(),
       OriginServer::Hooks{[this](RequestNumber r, const std::string& key) {
                             const auto it = missed_.find(r);
                             if (it == missed_.end()) return;
-                            // A value's size is the key's; the store needs no more than that.
+                            // A value's size follows from its key; the object store needs only a
+                            // typical size.
                             const Range& v = context_.scenario.load.value_bytes;
                             for (CacheServer* server : it->second)
                               server->store(key, static_cast<std::size_t>((v.low + v.high) / 2));
@@ -84,12 +87,12 @@
   discovery_.add(e);
   if (!s.troubles_links()) return;
   links_ = std::make_unique<Links>(context, random_.next());
-  discovery_.dial_told = [this](int balancer, const DiscoveryServer::Entry& told) {
-    return links_->dial(balancer, told.dial);
+  discovery_.published_dial = [this](int balancer, const DiscoveryServer::Entry& listed) {
+    return links_->dial(balancer, listed.dial);
   };
 }
 
-void Fleet::note_miss(RequestNumber request, CacheServer& server) {
+void Fleet::record_miss(RequestNumber request, CacheServer& server) {
   auto& missed = missed_[request];
   if (missed.empty()) missed_order_.push_back(request);
   if (missed.size() < kStoredAt) missed.push_back(&server);
@@ -136,7 +139,7 @@
 
 // ---- incidents
 
-std::vector<Fleet::Host*> Fleet::struck(const IncidentSpec& i) {
+std::vector<Fleet::Host*> Fleet::select_hosts(const IncidentSpec& i) {
   std::vector<Host*> all;
   for (Host& host : hosts_) {
     const bool named = i.host.empty() || i.host == "h" + std::to_string(host.number);
@@ -145,8 +148,8 @@
     if (named && kind && (i.zone.empty() || i.zone == context_.scenario.zones[zone].name))
       all.push_back(&host);
   }
-  // Which ones is drawn from the scenario's seed and the incident's place in it, not from the order
-  // in which things happen.
+  // The choice depends only on the scenario's seed and the incident's line, not on the order of
+  // events.
   Random draw(context_.scenario.seed, 1000 + static_cast<std::uint64_t>(i.line));
   for (std::size_t n = all.size(); n > 1; --n) std::swap(all[n - 1], all[draw.below(n)]);
   const auto wanted =
@@ -159,11 +162,12 @@
 
 void Fleet::strike(const IncidentSpec& i) {
   if (i.what >= What::kLinkStall && i.what <= What::kLinkReset) {
-    set_links(i, true);
-    context_.after(i.length, [this, &i] { set_links(i, false); });
+    set_link_faults(i, true);
+    context_.after(i.length, [this, &i] { set_link_faults(i, false); });
     return;
   }
-  if (i.what > What::kFlush && i.what != What::kDiscoveryDown) return;  // not the fleet's
+  if (i.what > What::kFlush && i.what != What::kDiscoveryDown)
+    return;  // not an incident of the fleet
   if (i.what == What::kDiscoveryDown) {
     discovery_.set_down(true);
     context_.after(i.length, [this] { discovery_.set_down(false); });
@@ -175,35 +179,35 @@
     return;
   }
   Duration delay{0};
-  for (Host* host : struck(i)) {
-    context_.after(delay, [this, host, &i] { strike_host(*host, i); });
+  for (Host* host : select_hosts(i)) {
+    context_.after(delay, [this, host, &i] { apply_to_host(*host, i); });
     delay += i.stagger;
   }
 }
 
-// The share of an incident is that of the balancers here; all hosts that fit are meant.
-void Fleet::set_links(const IncidentSpec& i, bool on) {
-  Links::Trouble trouble;
+// The share of a link incident selects balancers; it applies to all hosts that match.
+void Fleet::set_link_faults(const IncidentSpec& i, bool on) {
+  Links::Impairment impairment;
   if (on) {
-    trouble.stalled = i.what == What::kLinkStall;
-    if (i.what == What::kLinkDelay) trouble.delay = from_seconds(1e-3 * i.factor);
-    if (i.what == What::kLinkReset) trouble.reset = i.factor;
-    if (trouble.stalled || trouble.delay > Duration{0})
-      context_.auditor.on_links_delay(context_.now() + i.length + trouble.delay + kLinksSettle);
+    impairment.stalled = i.what == What::kLinkStall;
+    if (i.what == What::kLinkDelay) impairment.delay = from_seconds(1e-3 * i.factor);
+    if (i.what == What::kLinkReset) impairment.reset = i.factor;
+    if (impairment.stalled || impairment.delay > Duration{0})
+      context_.auditor.on_links_delay(context_.now() + i.length + impairment.delay + kLinksSettle);
   }
-  const Links::Way way = i.to_host && i.to_balancer ? Links::Way::kBoth
-                         : i.to_host                ? Links::Way::kToHost
-                                                    : Links::Way::kToBalancer;
+  const Links::Direction direction = i.to_host && i.to_balancer ? Links::Direction::kBoth
+                                     : i.to_host                ? Links::Direction::kToHost
+                                                                : Links::Direction::kToBalancer;
   std::vector<std::string> targets;
   if (i.host == "origin") {
     targets.push_back(origin_->dial());
   } else {
     IncidentSpec all = i;
     all.share = 1;
-    for (const Host* host : struck(all)) targets.push_back(host->server->dial());
+    for (const Host* host : select_hosts(all)) targets.push_back(host->server->dial());
   }
   for (const int b : context_.scenario.balancers_struck(i))
-    for (const std::string& target : targets) links_->set(b, target, way, trouble);
+    for (const std::string& target : targets) links_->set(b, target, direction, impairment);
 }
 
 void Fleet::set_origin(const IncidentSpec& i, bool on) {
@@ -236,11 +240,11 @@
     case What::kResets:
       return server.set_resets(on ? i.factor : 0);
     case What::kSpoil:
-      return server.set_spoils(on ? i.factor : 0);
+      return server.set_corruption_share(on ? i.factor : 0);
     case What::kRefuse:
       return server.refuse(on);
     default:
-      return server.be_silent(on);
+      return server.set_unreachable(on);
   }
 }
 
@@ -254,14 +258,14 @@
   discovery_.change(entry(host, Health::kReady, context_.unix_ms(context_.now())));
 }
 
-void Fleet::strike_host(Host& host, const IncidentSpec& i) {
+void Fleet::apply_to_host(Host& host, const IncidentSpec& i) {
   Duration drain{0};
   if (i.what == What::kDrain || i.drain > Duration{0}) {
     discovery_.change(entry(host, Health::kDraining, 0));
     drain = i.what == What::kDrain ? i.length : i.drain;
   }
   // One that has fallen over stays down, and comes back only as another.
-  const Duration away = i.length > Duration{0} ? i.length : kRestartTime;
+  const Duration downtime = i.length > Duration{0} ? i.length : kRestartTime;
   switch (i.what) {
     case What::kDrain:
       if (drain > Duration{0}) context_.after(drain, [this, &host] { kill(host); });
@@ -271,11 +275,11 @@
       return;
     case What::kRestart:
       context_.after(drain, [this, &host] { kill(host); });
-      context_.after(drain + away, [this, &host] { start_cold(host); });
+      context_.after(drain + downtime, [this, &host] { start_cold(host); });
       return;
     case What::kReplace:
       context_.after(drain, [this, &host] { kill(host); });
-      context_.after(drain + away, [this, &host] {
+      context_.after(drain + downtime, [this, &host] {
         host.name = "h" + std::to_string(host.number) + "r" + std::to_string(++host.replaced);
         host.audit_id = context_.auditor.add_host(host.name);
         start_cold(host);
@@ -295,7 +299,7 @@
   }
 }
 
-// ---- what a balancer is told
+// ---- configuration of balancers
 
 std::string Fleet::settings_json() const {
   const Scenario& s = context_.scenario;
--- a/src/testbed/servers/fleet.h
+++ b/src/testbed/servers/fleet.h
@@ -13,21 +13,22 @@
 
 namespace balancer::testbed {
 
-// All that stands behind the balancers: cache hosts, the origin and discovery, and what befalls
-// them. Real speeds are drawn here and told to nobody.
+// The emulated back ends of a run: cache hosts, the origin and discovery. Applies the scenario's
+// incidents to them. The hosts' real speeds are drawn here and are not published to balancers.
 class Fleet {
  public:
-  // Listens when it returns. Throws boost::system::system_error if an address cannot be bound.
+  // All servers listen once the constructor has returned. Throws boost::system::system_error if an
+  // address cannot be bound.
   explicit Fleet(Context& context);
 
-  // Carries out an incident that strikes hosts, the origin or discovery, from now on.
+  // Starts an incident that affects hosts, links, the origin or discovery. Ignores other incidents.
   void strike(const IncidentSpec& incident);
 
   DiscoveryServer& discovery() { return discovery_; }
   const OriginServer& origin() const { return *origin_; }
-  // The settings object of a balancer's configuration.
+  // Returns the `settings` object of a balancer's configuration, as JSON.
   std::string settings_json() const;
-  // Seconds of work a second that all hosts together can do when warm.
+  // Returns the work that all hosts together can do when warm, in seconds of work per second.
   double capacity() const;
 
   struct HostFigures {
@@ -36,8 +37,10 @@
     std::uint64_t served, turned_away;
   };
   std::vector<HostFigures> figures() const;
-  const Links* links() const { return links_.get(); }    // none where nothing troubles them
-  void warm_with(const std::vector<std::string>& keys);  // as if they had been asked for lately
+  // Null if the scenario has no link faults.
+  const Links* links() const { return links_.get(); }
+  // Stores the keys at all hosts, as if they had been requested recently.
+  void warm_with(const std::vector<std::string>& keys);
 
  private:
   struct Host {
@@ -50,14 +53,14 @@
 
   DiscoveryServer::Entry entry(const Host& host, DiscoveryServer::Health health,
                                std::int64_t born_ms) const;
-  std::vector<Host*> struck(const IncidentSpec& incident);
-  void strike_host(Host& host, const IncidentSpec& incident);
+  std::vector<Host*> select_hosts(const IncidentSpec& incident);
+  void apply_to_host(Host& host, const IncidentSpec& incident);
   void kill(Host& host);
   void start_cold(Host& host);
   void set(Host& host, const IncidentSpec& incident, bool on);
-  void note_miss(RequestNumber request, CacheServer& server);
+  void record_miss(RequestNumber request, CacheServer& server);
   void set_origin(const IncidentSpec& incident, bool on);
-  void set_links(const IncidentSpec& incident, bool on);
+  void set_link_faults(const IncidentSpec& incident, bool on);
 
   Context& context_;
   Random random_;
@@ -65,7 +68,8 @@
   std::vector<Host> hosts_;
   std::unique_ptr<OriginServer> origin_;
   std::unique_ptr<Links> links_;
-  // Hosts that missed for a request, and will hold what the origin answers; oldest first.
+  // By request: the hosts that missed and will store the origin's response. `missed_order_` has the
+  // oldest request first.
   std::unordered_map<RequestNumber, std::vector<CacheServer*>> missed_;
   std::deque<RequestNumber> missed_order_;
 };
--- a/src/testbed/servers/http_server.cc
+++ b/src/testbed/servers/http_server.cc
@@ -55,7 +55,7 @@
 HttpServer::HttpServer(Context& context, const tcp::endpoint& address, int max_connections,
                        Handler handler)
     : local_(address),
-      most_(static_cast<std::size_t>(max_connections)),
+      max_connections_(static_cast<std::size_t>(max_connections)),
       handler_(std::move(handler)),
       acceptor_(context.io) {
   reopen();
@@ -85,7 +85,7 @@
 void HttpServer::accept() {
   acceptor_.async_accept([this](const error_code& e, tcp::socket socket) {
     if (e == asio::error::operation_aborted || !acceptor_.is_open()) return;
-    if (!e && sessions_.size() < most_) {
+    if (!e && sessions_.size() < max_connections_) {
       error_code ignored;
       socket.set_option(tcp::no_delay(true), ignored);
       const auto session = std::make_shared<Session>(*this, std::move(socket));
--- a/src/testbed/servers/http_server.h
+++ b/src/testbed/servers/http_server.h
@@ -13,8 +13,8 @@
 
 namespace balancer::testbed {
 
-// HTTP/1.1 on one address of the run's, for the origin and for discovery: one request at a time on
-// a connection, kept open. What can't be read, or is too long, gets a close.
+// An HTTP/1.1 server on one address, used by the origin and discovery. Connections are persistent
+// and carry one request at a time. A malformed or too long request closes its connection.
 class HttpServer {
  public:
   using Request = boost::beast::http::request<boost::beast::http::string_body>;
@@ -24,7 +24,8 @@
     Session(HttpServer& server, asio::ip::tcp::socket socket)
         : server_(&server), socket_(std::move(socket)) {}
     const Request& request() const { return parser_->get(); }
-    // `extra`: further header lines, whole. `written`: once the last byte is with the kernel.
+    // `extra`: further header lines, each with its line end. `written` is called once the kernel
+    // has accepted the last byte.
     void respond(int status, const std::string& extra, const std::string& body,
                  std::function<void()> written = nullptr);
     void close();
@@ -50,11 +51,11 @@
   ~HttpServer();
   const asio::ip::tcp::endpoint& local() const { return local_; }
   std::string dial() const { return text_of(local_); }
-  std::function<void()> on_accept;  // a connection has come
+  std::function<void()> on_accept;  // called for each accepted connection
   void stop_accepting();
   void close_all();
-  void reopen();  // after stop_accepting(), at the same address
-  // Bytes of whole requests and answers on all connections so far, headers included.
+  void reopen();  // listens again at the same address after stop_accepting()
+  // Bytes of complete requests and responses on all connections so far, including headers.
   std::uint64_t bytes_in() const { return bytes_in_; }
   std::uint64_t bytes_out() const { return bytes_out_; }
 
@@ -62,7 +63,7 @@
   void accept();
 
   const asio::ip::tcp::endpoint local_;
-  const std::size_t most_;
+  const std::size_t max_connections_;
   Handler handler_;
   asio::ip::tcp::acceptor acceptor_;
   std::set<SessionPtr> sessions_;
--- a/src/testbed/servers/links.cc
+++ b/src/testbed/servers/links.cc
@@ -9,8 +9,8 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-constexpr std::size_t kPiece = 16u << 10;
-constexpr std::size_t kMaxSessions = 4096;  // of one link
+constexpr std::size_t kChunkSize = 16u << 10;
+constexpr std::size_t kMaxSessions = 4096;  // per link
 
 tcp::endpoint endpoint_of(const std::string& dial) {
   const auto colon = dial.rfind(':');
@@ -24,11 +24,12 @@
   Link(Context& context, tcp::endpoint at) : acceptor(context.io), target(std::move(at)) {}
   tcp::acceptor acceptor;
   const tcp::endpoint target;
-  std::array<Trouble, 2> troubles;  // to the host, to the balancer
+  std::array<Impairment, 2> impairments;  // to the host, to the balancer
   std::set<std::shared_ptr<Session>> sessions;
 };
 
-// Two sockets and a pump for each direction, which holds one piece at a time.
+// A forwarded connection: two sockets, and for each direction a pump that holds one chunk at a
+// time.
 class Links::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(Links& links, Link& link, tcp::socket balancer)
@@ -42,15 +43,15 @@
         error_code ignored;
         end.set_option(tcp::no_delay(true), ignored);
       }
-      for (std::size_t way = 0; way < 2; ++way) self->read(way);
+      for (std::size_t direction = 0; direction < 2; ++direction) self->read(direction);
     });
   }
 
-  void troubles_changed() {
-    for (std::size_t way = 0; way < 2; ++way)
-      if (held_[way] && !link_.troubles[way].stalled) {
-        held_[way] = false;
-        pass(way);
+  void on_impairments_changed() {
+    for (std::size_t direction = 0; direction < 2; ++direction)
+      if (held_[direction] && !link_.impairments[direction].stalled) {
+        held_[direction] = false;
+        pass(direction);
       }
   }
 
@@ -64,8 +65,8 @@
     }
     link_.sessions.erase(shared_from_this());
   }
-  // The link ends with all its sessions; nothing of it may be touched from then on.
-  void abandon() {
+  // Called when the link is destroyed with all its sessions; it must not be accessed afterwards.
+  void detach() {
     closed_ = true;
     for (auto& end : ends_) {
       error_code ignored;
@@ -74,61 +75,63 @@
   }
 
  private:
-  // Way 0 goes from the balancer's end to the host's.
-  tcp::socket& from(std::size_t way) { return ends_[way]; }
-  tcp::socket& to(std::size_t way) { return ends_[1 - way]; }
-
-  void read(std::size_t way) {
-    from(way).async_read_some(asio::buffer(pieces_[way]),
-                              [self = shared_from_this(), way](const error_code& e, std::size_t n) {
-                                if (self->closed_) return;
-                                if (e && e != asio::error::eof) return self->reset();
-                                self->sizes_[way] = e ? 0 : n;
-                                self->pass(way);
-                              });
+  // Direction 0 goes from the balancer to the host.
+  tcp::socket& from(std::size_t direction) { return ends_[direction]; }
+  tcp::socket& to(std::size_t direction) { return ends_[1 - direction]; }
+
+  void read(std::size_t direction) {
+    from(direction).async_read_some(
+        asio::buffer(chunks_[direction]),
+        [self = shared_from_this(), direction](const error_code& e, std::size_t n) {
+          if (self->closed_) return;
+          if (e && e != asio::error::eof) return self->reset();
+          self->sizes_[direction] = e ? 0 : n;
+          self->pass(direction);
+        });
   }
 
-  // An end of the stream passes like a piece of it.
-  void pass(std::size_t way) {
-    const Trouble& trouble = link_.troubles[way];
-    if (trouble.stalled) {
-      held_[way] = true;
+  // The end of the stream is subject to the same faults as a chunk of data.
+  void pass(std::size_t direction) {
+    const Impairment& impairment = link_.impairments[direction];
+    if (impairment.stalled) {
+      held_[direction] = true;
       return;
     }
-    if (trouble.delay == Duration{0}) return write(way);
-    links_.context_.after(trouble.delay, [self = shared_from_this(), way] {
+    if (impairment.delay == Duration{0}) return write(direction);
+    links_.context_.after(impairment.delay, [self = shared_from_this(), direction] {
       if (self->closed_) return;
-      if (self->link_.troubles[way].stalled) {
-        self->held_[way] = true;
+      if (self->link_.impairments[direction].stalled) {
+        self->held_[direction] = true;
       } else {
-        self->write(way);
+        self->write(direction);
       }
     });
   }
 
-  void write(std::size_t way) {
-    if (sizes_[way] == 0) {
+  void write(std::size_t direction) {
+    if (sizes_[direction] == 0) {
       error_code ignored;
-      to(way).shutdown(tcp::socket::shutdown_send, ignored);
+      to(direction).shutdown(tcp::socket::shutdown_send, ignored);
       if (++ended_ == 2) reset();
       return;
     }
-    const bool breaks = links_.random_.chance(link_.troubles[way].reset);
-    const std::size_t n = breaks ? sizes_[way] / 2 : sizes_[way];
+    const bool breaks = links_.random_.chance(link_.impairments[direction].reset);
+    const std::size_t n = breaks ? sizes_[direction] / 2 : sizes_[direction];
     links_.passed_ += n;
-    asio::async_write(to(way), asio::buffer(pieces_[way], n),
-                      [self = shared_from_this(), way, breaks](const error_code& e, std::size_t) {
-                        if (self->closed_) return;
-                        if (breaks) ++self->links_.resets_;
-                        if (e || breaks) return self->reset();
-                        self->read(way);
-                      });
+    asio::async_write(
+        to(direction), asio::buffer(chunks_[direction], n),
+        [self = shared_from_this(), direction, breaks](const error_code& e, std::size_t) {
+          if (self->closed_) return;
+          if (breaks) ++self->links_.resets_;
+          if (e || breaks) return self->reset();
+          self->read(direction);
+        });
   }
 
   Links& links_;
   Link& link_;
   std::array<tcp::socket, 2> ends_;
-  std::array<std::array<char, kPiece>, 2> pieces_;
+  std::array<std::array<char, kChunkSize>, 2> chunks_;
   std::array<std::size_t, 2> sizes_{};
   std::array<bool, 2> held_{};
   int ended_ = 0;
@@ -139,7 +142,7 @@
 
 Links::~Links() {
   for (auto& [pair, link] : links_)
-    for (const auto& session : link->sessions) session->abandon();
+    for (const auto& session : link->sessions) session->detach();
 }
 
 std::string Links::dial(int balancer, const std::string& target) {
@@ -150,19 +153,20 @@
     made->acceptor.bind({asio::ip::make_address("127.0.0.1"), 0});
     made->acceptor.listen();
     link = std::move(made);
-    // Accepts until the link has gone.
+    // Accepts connections until the link is destroyed.
     struct Accept {
       Links* links;
       Link* link;
       void operator()() const {
-        link->acceptor.async_accept([me = *this](const error_code& e, tcp::socket socket) {
-          if (e == asio::error::operation_aborted || !me.link->acceptor.is_open()) return;
-          if (!e && me.link->sessions.size() < kMaxSessions) {
-            const auto session = std::make_shared<Session>(*me.links, *me.link, std::move(socket));
-            me.link->sessions.insert(session);
+        link->acceptor.async_accept([self = *this](const error_code& e, tcp::socket socket) {
+          if (e == asio::error::operation_aborted || !self.link->acceptor.is_open()) return;
+          if (!e && self.link->sessions.size() < kMaxSessions) {
+            const auto session =
+                std::make_shared<Session>(*self.links, *self.link, std::move(socket));
+            self.link->sessions.insert(session);
             session->start();
           }
-          me();
+          self();
         });
       }
     };
@@ -172,14 +176,15 @@
   return text_of(at);
 }
 
-void Links::set(int balancer, const std::string& target, Way way, const Trouble& trouble) {
+void Links::set(int balancer, const std::string& target, Direction direction,
+                const Impairment& impairment) {
   const auto it = links_.find({balancer, target});
   if (it == links_.end()) return;
   Link& link = *it->second;
-  if (way != Way::kToBalancer) link.troubles[0] = trouble;
-  if (way != Way::kToHost) link.troubles[1] = trouble;
+  if (direction != Direction::kToBalancer) link.impairments[0] = impairment;
+  if (direction != Direction::kToHost) link.impairments[1] = impairment;
   const auto all = link.sessions;
-  for (const auto& session : all) session->troubles_changed();
+  for (const auto& session : all) session->on_impairments_changed();
 }
 
 std::size_t Links::open() const {
--- a/src/testbed/servers/links.h
+++ b/src/testbed/servers/links.h
@@ -12,18 +12,18 @@
 
 namespace balancer::testbed {
 
-// The links between balancers and hosts, one for each pair that was asked for: an address whose
-// connections are passed on, so that what passes can be held up, delayed or broken off, by pair and
-// by direction. What a cut link does to open connections is what a stalled one does: they stay open
-// and silent, and so do new ones. A host that takes no connection shows as a reset: the link has
-// accepted by then.
+// The network links between balancers and hosts, one for each pair requested through dial(). A link
+// is an address whose connections are forwarded to the host, so that data can be stalled, delayed
+// or cut off per pair and direction. A cut link is modelled as a stalled one: open and new
+// connections stay open and silent. A host that refuses connections shows as a reset, because the
+// link has already accepted the connection.
 class Links {
  public:
-  enum class Way { kToHost, kToBalancer, kBoth };
-  struct Trouble {
+  enum class Direction { kToHost, kToBalancer, kBoth };
+  struct Impairment {
     bool stalled = false;
-    Duration delay{0};  // of each piece that is passed
-    double reset = 0;   // so likely it is that a piece is cut in half and both ends are reset
+    Duration delay{0};  // added to each chunk that is forwarded
+    double reset = 0;   // probability that a chunk is cut in half and both ends are reset
   };
 
   Links(Context& context, std::uint64_t seed);
@@ -31,14 +31,16 @@
   Links(const Links&) = delete;
   Links& operator=(const Links&) = delete;
 
-  // The address of this link at the balancer's end; made at the first call. `target`: where the
-  // host listens, by "ADDRESS:PORT". Throws boost::system::system_error where none can be bound.
+  // Returns the address of this link at the balancer's end and creates the link at the first call.
+  // `target`: the host's listening address as "ADDRESS:PORT". Throws boost::system::system_error if
+  // no address can be bound.
   std::string dial(int balancer, const std::string& target);
-  // Replaces what troubles this link in that direction; both other ways stay as they are.
-  void set(int balancer, const std::string& target, Way way, const Trouble& trouble);
+  // Replaces the faults of this link in the given direction. Ignores links that do not exist.
+  void set(int balancer, const std::string& target, Direction direction,
+           const Impairment& impairment);
 
   std::uint64_t passed() const { return passed_; }  // bytes
-  std::uint64_t resets() const { return resets_; }  // connections that a trouble broke off
+  std::uint64_t resets() const { return resets_; }  // connections that a fault has reset
   std::size_t open() const;                         // connections
 
  private:
--- a/src/testbed/servers/origin_server.cc
+++ b/src/testbed/servers/origin_server.cc
@@ -11,7 +11,7 @@
 
 const char kNeverRan[] = "X-Never-Ran: 1\r\n";
 
-// Undoes what the balancer did to bytes that can't stand in a path.
+// Decodes the percent-encoding that the balancer applies to bytes that a path cannot contain.
 std::string unescape(std::string_view path) {
   std::string out;
   for (std::size_t i = 0; i < path.size(); ++i) {
@@ -51,7 +51,7 @@
     return session->respond(200, "", "ok");
   }
   const bool write = request.method() == http::verb::put;
-  memcache::Command command;  // its properties, as a client wrote them
+  memcache::Command command;  // carries the properties as the client sent them
   command.props = std::string(request["X-Props"]);
   command.id = std::string(request["X-Trace-Id"]);
   const std::string key = unescape(std::string_view(target).substr(target.empty() ? 0 : 1));
@@ -64,13 +64,14 @@
       context_.auditor.on_arrived(context_.now(), *r, audit_id_, told_time(command.prop("d")));
   if (!write) context_.stampede.count(Stampede::Kind::kFetch, context_.now());
   const OriginSpec& spec = context_.scenario.origin;
-  // Drawn from what is asked for, not from the order in which it comes: the same in every run.
+  // The work depends on the requested effect, not on the order of arrival, so that it is the same
+  // in every run.
   Random draw(context_.scenario.seed ^ context_.auditor.effect_of(*r), 8);
   const double work = 1e-3 * draw.lognormal(write ? spec.write_ms : spec.read_ms, spec.cv);
   const Job job =
       engine_.submit(work, context_.auditor.balancer_of(*r),
                      {[this, r = *r, attempt, write](Time at) {
-                        context_.auditor.on_begun(at, r, attempt, write && is_repeat(r, at));
+                        context_.auditor.on_begun(at, r, attempt, write && is_duplicate(r, at));
                       },
                       [this, session, r = *r, attempt, write, key](Time at) {
                         done(session, r, attempt, write, key, at);
@@ -81,8 +82,9 @@
   session->respond(503, kNeverRan, "busy");
 }
 
-// Decided when it begins: of two in the queue, the first runs.
-bool OriginServer::is_repeat(RequestNumber r, Time now) {
+// Returns whether a keyed write has already run within its window. Called when the work begins, so
+// that of two duplicates in the queue the first one runs.
+bool OriginServer::is_duplicate(RequestNumber r, Time now) {
   const ClassSpec& request_class =
       context_.scenario.classes[static_cast<std::size_t>(context_.auditor.class_of(r))];
   if (request_class.effect != Effect::kKeyed) return false;
--- a/src/testbed/servers/origin_server.h
+++ b/src/testbed/servers/origin_server.h
@@ -10,13 +10,13 @@
 
 namespace balancer::testbed {
 
-// The origin: HTTP/1.1, slow, with a queue of its own. It discards repeats of keyed writes for
-// their class's window, as the platform's protocol lets clients expect.
+// The emulated origin: an HTTP/1.1 server that is slow and has its own queue. It deduplicates keyed
+// writes within their class's deduplication window, as the platform's protocol guarantees.
 class OriginServer {
  public:
   struct Hooks {
-    std::function<void(RequestNumber, const std::string& key)> on_read;  // served
-    std::function<void(const std::string& key)> on_write;                // carried out
+    std::function<void(RequestNumber, const std::string& key)> on_read;  // a read was served
+    std::function<void(const std::string& key)> on_write;                // a write was executed
   };
   OriginServer(Context& context, int audit_id, std::uint64_t seed, Hooks hooks);
 
@@ -33,7 +33,7 @@
 
  private:
   void serve(const HttpServer::SessionPtr& session);
-  bool is_repeat(RequestNumber r, Time now);
+  bool is_duplicate(RequestNumber r, Time now);
   void done(const HttpServer::SessionPtr& session, RequestNumber r, int attempt, bool write,
             const std::string& key, Time at);
 
@@ -42,8 +42,8 @@
   Random random_;
   Hooks hooks_;
   Engine engine_;
-  std::unordered_map<std::uint64_t, Time> keyed_;         // by effect: when it first ran
-  std::deque<std::pair<Time, std::uint64_t>> keyed_age_;  // the same, oldest first
+  std::unordered_map<std::uint64_t, Time> keyed_;         // by effect: when it was first executed
+  std::deque<std::pair<Time, std::uint64_t>> keyed_age_;  // entries of `keyed_`, oldest first
   double errors_ = 0, resets_ = 0;
   std::uint64_t reads_ = 0, writes_ = 0, turned_away_ = 0;
   HttpServer http_;
