--- a/src/testbed/servers/resp_cluster.cc
+++ b/src/testbed/servers/resp_cluster.cc
@@ -53,19 +53,20 @@
 
   RespCluster& all_;
   const int number_;
-  tcp::acceptor port_holder_;  // bound and never listening: while the node is away nobody else
-                               // is given its port, and who connects is refused
+  // Bound and never listening: reserves the port while the node is down, so that connection
+  // attempts are refused.
+  tcp::acceptor port_holder_;
   tcp::acceptor acceptor_;
   std::uint16_t port_ = 0;
   std::set<std::shared_ptr<Connection>> connections_;
 
-  // What this node believes.
+  // The node's own view of the cluster.
   Map map_{};
-  std::optional<int> primary_;  // of which it is a replica
+  std::optional<int> primary_;  // the primary that this node replicates
   std::vector<int> replicas_;
-  std::uint64_t epoch_ = 0;  // its own configuration's
+  std::uint64_t epoch_ = 0;  // epoch of its own configuration
   std::map<Slot, int> migrating_, importing_;
-  std::shared_ptr<RespStore> store_;  // shared with its replicas where they are never behind
+  std::shared_ptr<RespStore> store_;  // shared with its replicas if the lag is 0
 
  private:
   void bind(tcp::acceptor& a) const {
@@ -98,7 +99,7 @@
         send(error("ERR " + unreadable->reason));
         return close_when_sent();
       }
-      take(std::get<Command>(*item));
+      handle_command(std::get<Command>(*item));
     }
   }
   void close() {
@@ -131,13 +132,14 @@
     if (!writing_) close();
   }
 
-  void take(const Command& c);
-  std::string carry_out(const Command& c, bool& ran);  // and sends its reply
+  void handle_command(const Command& c);
+  std::string carry_out(const Command& c, bool& ran);  // runs the command and sends its reply
   std::string hello(const Command& c);
   std::string cluster(const Command& c);
   std::string exec();
-  // The error that keeps this node from running it; empty if there is none.
-  std::string misplaced(const std::vector<std::string_view>& keys, bool write, bool asking);
+  // Returns the error that prevents this node from running a command on these keys, such as a
+  // redirection; empty if there is none.
+  std::string placement_error(const std::vector<std::string_view>& keys, bool write, bool asking);
   std::string run(const cluster::CommandInfo& info, const Command& c);
   std::vector<std::string_view> keys_of(const cluster::CommandInfo& info, const Command& c);
 
@@ -148,7 +150,7 @@
   std::string out_;
   bool writing_ = false, closing_ = false, silent_ = false, paused_ = false;
   int version_ = 2;
-  bool asking_ = false, readonly_ = false, in_multi_ = false, broken_ = false;
+  bool asking_ = false, readonly_ = false, in_multi_ = false, transaction_failed_ = false;
   std::vector<std::pair<const cluster::CommandInfo*, Command>> queued_;
 };
 
@@ -172,7 +174,7 @@
 
 // ---- commands
 
-void RespCluster::Connection::take(const Command& c) {
+void RespCluster::Connection::handle_command(const Command& c) {
   const auto is = [&c](std::string_view word) { return same_word(c[0], word); };
   if (is("HELLO")) return send(hello(c));
   if (is("AUTH")) return send("+OK\r\n");
@@ -183,7 +185,7 @@
     return send(out);
   }
   if (is("CLUSTER")) {
-    ++node_->all_.map_questions_;
+    ++node_->all_.map_queries_;
     return send(cluster(c));
   }
   if (is("READONLY") || is("READWRITE")) {
@@ -197,7 +199,7 @@
   if (is("MULTI")) {
     if (in_multi_) return send(error("ERR MULTI calls can not be nested"));
     in_multi_ = true;
-    broken_ = false;
+    transaction_failed_ = false;
     return send("+OK\r\n");
   }
   if (is("DISCARD")) {
@@ -242,18 +244,18 @@
     reply = exec();
   } else if (const auto* info = cluster::find_command(c[0]); !info) {
     reply = error("ERR unknown command '" + std::string(c[0].substr(0, 128)) + "'");
-    broken_ = true;
+    transaction_failed_ = true;
   } else if (!cluster::arity_fits(*info, c.size())) {
     std::string name(info->name);
     std::transform(name.begin(), name.end(), name.begin(),
                    [](unsigned char ch) { return static_cast<char>(std::tolower(ch)); });
     reply = error("ERR wrong number of arguments for '" + name + "' command");
-    broken_ = true;
+    transaction_failed_ = true;
   } else {
     const bool asking = std::exchange(asking_, false);
-    reply = misplaced(keys_of(*info, c), info->kind == cluster::Kind::kWrite, asking);
+    reply = placement_error(keys_of(*info, c), info->kind == cluster::Kind::kWrite, asking);
     if (!reply.empty()) {
-      broken_ = true;
+      transaction_failed_ = true;
     } else if (in_multi_) {
       queued_.emplace_back(info, c);
       reply = "+QUEUED\r\n";
@@ -275,7 +277,7 @@
       break;
     case Fault::kSlow: {
       paused_ = true;
-      const auto timer = std::make_shared<asio::steady_timer>(all.io_, all.slow_by);
+      const auto timer = std::make_shared<asio::steady_timer>(all.io_, all.slow_reply_delay);
       timer->async_wait([self = shared_from_this(), timer, reply](error_code e) {
         if (e || !self->node_) return;
         self->paused_ = false;
@@ -301,8 +303,8 @@
   return keys;
 }
 
-std::string RespCluster::Connection::misplaced(const std::vector<std::string_view>& keys,
-                                               bool write, bool asking) {
+std::string RespCluster::Connection::placement_error(const std::vector<std::string_view>& keys,
+                                                     bool write, bool asking) {
   if (keys.empty()) return {};
   Node& n = *node_;
   const Slot slot = cluster::slot_of(keys[0]);
@@ -351,14 +353,15 @@
   if (!in_multi_) return error("ERR EXEC without MULTI");
   in_multi_ = false;
   const auto queued = std::exchange(queued_, {});
-  if (broken_) return error("EXECABORT Transaction discarded because of previous errors.");
+  if (transaction_failed_)
+    return error("EXECABORT Transaction discarded because of previous errors.");
   std::vector<std::string_view> keys;
   bool write = false;
   for (const auto& [info, c] : queued) {
     for (const auto key : keys_of(*info, c)) keys.push_back(key);
     write = write || info->kind == cluster::Kind::kWrite;
   }
-  if (auto wrong = misplaced(keys, write, false); !wrong.empty()) return wrong;
+  if (auto wrong = placement_error(keys, write, false); !wrong.empty()) return wrong;
   std::string out;
   resp::append_array(out, queued.size());
   for (const auto& [info, c] : queued) out += run(*info, c);
@@ -400,7 +403,7 @@
                                std::to_string(newest) + "\r\n");
     return out;
   }
-  // Ranges by owner and epoch, as this node has them.
+  // Slot ranges by owner, as this node knows them.
   struct Range {
     Slot first, last;
     Claim claim;
@@ -417,7 +420,7 @@
     }
   }
   if (is("NODES")) {
-    // A node has one epoch for all its slots: the newest that this one knows of it.
+    // NODES lists one epoch for each node: the newest one of its slots that this node knows.
     std::string text;
     for (int i = 0; i < n.all_.size(); ++i) {
       Node& other = *n.all_.nodes_[static_cast<std::size_t>(i)];
@@ -465,17 +468,17 @@
   for (int i = 0; i < primaries * (1 + replicas); ++i)
     nodes_.push_back(std::make_unique<Node>(*this, i));
   for (std::uint32_t s = 0; s < kSlots; ++s)
-    truth_[s] = {static_cast<int>(s * static_cast<std::uint32_t>(primaries) / kSlots), 1};
+    actual_map_[s] = {static_cast<int>(s * static_cast<std::uint32_t>(primaries) / kSlots), 1};
   for (int i = 0; i < size(); ++i) {
     Node& n = *nodes_[static_cast<std::size_t>(i)];
-    n.map_ = truth_;
+    n.map_ = actual_map_;
     if (i < primaries) {
       n.store_ = std::make_shared<RespStore>();
       n.epoch_ = 1;
     } else {
       const int primary = (i - primaries) % primaries;
       n.primary_ = primary;
-      follow(n, *nodes_[static_cast<std::size_t>(primary)]);
+      copy_from_primary(n, *nodes_[static_cast<std::size_t>(primary)]);
       nodes_[static_cast<std::size_t>(primary)]->replicas_.push_back(i);
     }
   }
@@ -487,8 +490,8 @@
 
 // ---- replicas
 
-void RespCluster::follow(Node& replica, Node& primary) {
-  std::erase_if(news_, [&](const News& n) { return n.to == replica.number_; });
+void RespCluster::copy_from_primary(Node& replica, Node& primary) {
+  std::erase_if(pending_changes_, [&](const PendingChange& n) { return n.to == replica.number_; });
   replica.store_ =
       lag_ == Duration{0} ? primary.store_ : std::make_shared<RespStore>(*primary.store_);
 }
@@ -496,23 +499,26 @@
 void RespCluster::replicate(Node& primary, std::string_view key) {
   if (lag_ == Duration{0}) return;
   const auto copy = primary.store_->copy(key);
-  for (const int r : primary.replicas_) news_.push_back({now() + lag_, r, std::string(key), copy});
-  if (!news_.empty() && news_.size() == primary.replicas_.size()) deliver();
+  for (const int r : primary.replicas_)
+    pending_changes_.push_back({now() + lag_, r, std::string(key), copy});
+  if (!pending_changes_.empty() && pending_changes_.size() == primary.replicas_.size())
+    apply_pending_changes();
 }
 
-void RespCluster::deliver() {
-  for (; !news_.empty() && news_.front().at <= now(); news_.pop_front())
-    nodes_[static_cast<std::size_t>(news_.front().to)]->store_->put(news_.front().key,
-                                                                    *news_.front().copy);
-  if (news_.empty()) return;
-  news_timer_.expires_at(began_ + news_.front().at);
-  news_timer_.async_wait([this](error_code e) {
-    if (!e) deliver();
+void RespCluster::apply_pending_changes() {
+  for (; !pending_changes_.empty() && pending_changes_.front().at <= now();
+       pending_changes_.pop_front())
+    nodes_[static_cast<std::size_t>(pending_changes_.front().to)]->store_->put(
+        pending_changes_.front().key, *pending_changes_.front().copy);
+  if (pending_changes_.empty()) return;
+  replication_timer_.expires_at(start_time_ + pending_changes_.front().at);
+  replication_timer_.async_wait([this](error_code e) {
+    if (!e) apply_pending_changes();
   });
 }
 
 void RespCluster::fill(const resp::Command& command) {
-  Node& owner = *nodes_[static_cast<std::size_t>(truth_[cluster::slot_of(command[1])].owner)];
+  Node& owner = *nodes_[static_cast<std::size_t>(actual_map_[cluster::slot_of(command[1])].owner)];
   owner.store_->run(now(), command, 2);
   if (lag_ > Duration{0})
     for (const int r : owner.replicas_)
@@ -536,19 +542,19 @@
 bool RespCluster::up(int node) const { return nodes_[static_cast<std::size_t>(node)]->up(); }
 
 void RespCluster::begin_move(Slot slot, int to) {
-  const int from = truth_[slot].owner;
+  const int from = actual_map_[slot].owner;
   nodes_[static_cast<std::size_t>(from)]->migrating_[slot] = to;
   nodes_[static_cast<std::size_t>(to)]->importing_[slot] = from;
 }
 
 std::optional<int> RespCluster::moving_to(Slot slot) const {
-  const auto& from = nodes_[static_cast<std::size_t>(truth_[slot].owner)];
+  const auto& from = nodes_[static_cast<std::size_t>(actual_map_[slot].owner)];
   const auto it = from->migrating_.find(slot);
   return it == from->migrating_.end() ? std::nullopt : std::optional(it->second);
 }
 
 bool RespCluster::move_key(Slot slot) {
-  Node& from = *nodes_[static_cast<std::size_t>(truth_[slot].owner)];
+  Node& from = *nodes_[static_cast<std::size_t>(actual_map_[slot].owner)];
   Node& to = *nodes_[static_cast<std::size_t>(from.migrating_.at(slot))];
   for (const auto& key : from.store_->keys())
     if (cluster::slot_of(key) == slot) {
@@ -561,15 +567,15 @@
 }
 
 void RespCluster::end_move(Slot slot) {
-  Node& from = *nodes_[static_cast<std::size_t>(truth_[slot].owner)];
+  Node& from = *nodes_[static_cast<std::size_t>(actual_map_[slot].owner)];
   Node& to = *nodes_[static_cast<std::size_t>(from.migrating_.at(slot))];
   while (move_key(slot)) {
   }
-  truth_[slot] = {to.number_, ++epoch_};
+  actual_map_[slot] = {to.number_, ++epoch_};
   to.epoch_ = epoch_;
   from.migrating_.erase(slot);
   to.importing_.erase(slot);
-  from.map_[slot] = to.map_[slot] = truth_[slot];
+  from.map_[slot] = to.map_[slot] = actual_map_[slot];
 }
 
 int RespCluster::fail_over(int primary) {
@@ -578,8 +584,8 @@
   for (const int r : old.replicas_)
     if (next < 0 && up(r)) next = r;
   if (next < 0) return -1;
-  Node& heir = *nodes_[static_cast<std::size_t>(next)];
-  // Moves under way end: the heir knows nothing of them.
+  Node& new_primary = *nodes_[static_cast<std::size_t>(next)];
+  // Moves in progress are cancelled: the new primary does not know of them.
   for (const auto& [slot, to] : old.migrating_) {
     Node& target = *nodes_[static_cast<std::size_t>(to)];
     target.importing_.erase(slot);
@@ -587,7 +593,7 @@
       if (cluster::slot_of(key) == slot) {
         target.store_->move_to(*old.store_, key);
         replicate(target, key);
-        heir.store_->put(key, *old.store_->copy(key));
+        new_primary.store_->put(key, *old.store_->copy(key));
       }
   }
   for (const auto& [slot, from] : old.importing_) {
@@ -602,41 +608,41 @@
   old.migrating_.clear();
   old.importing_.clear();
   ++epoch_;
-  heir.epoch_ = epoch_;
-  heir.primary_.reset();
-  heir.replicas_ = old.replicas_;
-  std::erase(heir.replicas_, next);
+  new_primary.epoch_ = epoch_;
+  new_primary.primary_.reset();
+  new_primary.replicas_ = old.replicas_;
+  std::erase(new_primary.replicas_, next);
   for (std::uint32_t s = 0; s < kSlots; ++s)
-    if (truth_[s].owner == primary) heir.map_[s] = truth_[s] = {next, epoch_};
-  // The old one keeps what it has, and is on its own until it is told. What the heir had not heard
-  // of is lost, as with the real thing.
+    if (actual_map_[s].owner == primary) new_primary.map_[s] = actual_map_[s] = {next, epoch_};
+  // The old primary keeps its data and acts alone until it is updated. Changes that the new primary
+  // had not received are lost, as in a real cluster.
   old.replicas_.clear();
-  std::erase_if(news_, [next](const News& n) { return n.to == next; });
+  std::erase_if(pending_changes_, [next](const PendingChange& n) { return n.to == next; });
   if (lag_ == Duration{0})
-    heir.store_ = std::exchange(old.store_, std::make_shared<RespStore>(*old.store_));
-  for (const int r : heir.replicas_) {
+    new_primary.store_ = std::exchange(old.store_, std::make_shared<RespStore>(*old.store_));
+  for (const int r : new_primary.replicas_) {
     Node& other = *nodes_[static_cast<std::size_t>(r)];
     other.primary_ = next;
-    follow(other, heir);
+    copy_from_primary(other, new_primary);
   }
   return next;
 }
 
 void RespCluster::tell(int node) {
   Node& n = *nodes_[static_cast<std::size_t>(node)];
-  int heir = -1;
+  int new_primary = -1;
   for (std::uint32_t s = 0; s < kSlots; ++s) {
-    if (n.map_[s].owner == node && truth_[s].owner != node) heir = truth_[s].owner;
-    n.map_[s] = truth_[s];
+    if (n.map_[s].owner == node && actual_map_[s].owner != node) new_primary = actual_map_[s].owner;
+    n.map_[s] = actual_map_[s];
   }
-  const bool owns =
-      std::any_of(truth_.begin(), truth_.end(), [node](const Claim& c) { return c.owner == node; });
-  if (!n.primary_ && !owns && heir >= 0) {
-    n.primary_ = heir;
+  const bool owns = std::any_of(actual_map_.begin(), actual_map_.end(),
+                                [node](const Claim& c) { return c.owner == node; });
+  if (!n.primary_ && !owns && new_primary >= 0) {
+    n.primary_ = new_primary;
     n.replicas_.clear();
-    Node& h = *nodes_[static_cast<std::size_t>(heir)];
+    Node& h = *nodes_[static_cast<std::size_t>(new_primary)];
     h.replicas_.push_back(node);
-    follow(n, h);
+    copy_from_primary(n, h);
   }
 }
 
@@ -646,11 +652,11 @@
 
 void RespCluster::kill(int node) { nodes_[static_cast<std::size_t>(node)]->stop(); }
 
-void RespCluster::restart(int node, bool empty_mapped) {
+void RespCluster::restart(int node, bool clear_map) {
   Node& n = *nodes_[static_cast<std::size_t>(node)];
   n.stop();
   n.listen();
-  if (empty_mapped) n.map_.fill({});
+  if (clear_map) n.map_.fill({});
 }
 
 }  // namespace balancer::testbed
--- a/src/testbed/servers/resp_cluster.h
+++ b/src/testbed/servers/resp_cluster.h
@@ -21,14 +21,15 @@
 
 namespace asio = boost::asio;
 
-// A RESP cluster in one process on loopback: slots, migration key by key, redirections, replicas,
-// failover and epochs, after the public cluster specification. Each node acts by its own map, which
-// others' news reach only by spread(). Whoever drives it scripts moves and faults, and reads the
-// log of what ran where.
+// A RESP cluster emulated in one process on loopback, after the public cluster specification:
+// slots, migration key by key, redirections, replicas, failover and epochs. Each node acts on its
+// own slot map, which spread() and tell() bring up to date. The owner scripts moves and faults and
+// reads the log of executed writes.
 class RespCluster {
  public:
-  // Ports are given by the system. Node i < primaries is a primary; its replicas follow in turn,
-  // and come to know of each change `lag` after their primary; at 0 they are never behind.
+  // The kernel assigns the ports. Nodes below `primaries` are primaries; the replicas follow and
+  // are assigned to them in turn. Replicas apply each change `lag` after their primary; with a lag
+  // of 0 they share its data.
   RespCluster(asio::io_context& io, int primaries, int replicas, Duration lag = Duration{0});
   ~RespCluster();
   RespCluster(const RespCluster&) = delete;
@@ -37,66 +38,69 @@
   int size() const { return static_cast<int>(nodes_.size()); }
   std::string address(int node) const;
   std::vector<std::string> addresses() const;
-  int owner(cluster::Slot slot) const { return truth_[slot].owner; }
+  int owner(cluster::Slot slot) const { return actual_map_[slot].owner; }
   const std::vector<int>& replicas(int primary) const;
   bool up(int node) const;
 
-  // ---- what happens to the cluster
+  // ---- changes to the cluster
 
-  // SETSLOT MIGRATING and IMPORTING at the two, then keys one by one, then SETSLOT NODE.
+  // A slot migration: begin_move() is SETSLOT MIGRATING and IMPORTING at the two nodes, move_key()
+  // moves one key, end_move() moves the remaining keys and is SETSLOT NODE.
   void begin_move(cluster::Slot slot, int to);
-  bool move_key(cluster::Slot slot);  // false: none is left
+  bool move_key(cluster::Slot slot);  // returns false if no key is left
   void end_move(cluster::Slot slot);
   std::optional<int> moving_to(cluster::Slot slot) const;
-  // One of its replicas takes its slots over with a new epoch. The old one, if it is still up, goes
-  // on as it was until it hears.
+  // Promotes a live replica, which takes over the slots with a new epoch. Returns its node, or -1
+  // if there is none. The old primary, if it is still up, acts as before until tell() updates it.
   int fail_over(int primary);
-  // Every node hears of everything.
+  // Gives every node the current slot map.
   void spread();
-  // One node hears of everything; it becomes a replica of whoever took its slots over.
+  // Gives one node the current slot map. A primary that has lost all slots becomes a replica of the
+  // node that took them over.
   void tell(int node);
-  void kill(int node);  // its connections break; its data stays
-  void restart(int node, bool empty_mapped = false);
+  void kill(int node);  // closes its connections; its data stays
+  void restart(int node, bool clear_map = false);
 
-  // ---- faults, asked for each command of a client but the handshakes
+  // ---- faults, chosen by `fault` for each client command other than handshakes
 
   enum class Fault {
     kNone,
-    kCloseBefore,  // closes without running it
-    kCloseAfter,   // runs it, and closes without a reply
-    kHalfReply,    // runs it, sends half of the reply, closes
-    kSilent,       // runs it, and never replies
-    kGarbage,      // noise in front of the reply
-    kLie,          // names itself
-    kSlow,         // replies `slow_by` later; what comes behind it on the connection waits
+    kCloseBefore,  // closes the connection without running the command
+    kCloseAfter,   // runs the command and closes without a reply
+    kHalfReply,    // runs the command, sends half of the reply and closes
+    kSilent,       // runs the command and never replies
+    kGarbage,      // sends garbage before the reply
+    kLie,          // replies MOVED to itself
+    kSlow,         // replies after `slow_reply_delay`; later commands on the connection wait
   };
-  Duration slow_by{std::chrono::milliseconds(50)};
+  Duration slow_reply_delay{std::chrono::milliseconds(50)};
   std::function<Fault(int node, const resp::Command& command)> fault;
 
-  // Whoever times and judges the data commands of clients, transactions left out. Without one each
-  // runs as it comes.
+  // Schedules and audits the data commands of clients, except transactions. Without an observer
+  // each command runs on arrival.
   class Observer {
    public:
     virtual ~Observer() = default;
-    // One has come whole. Calls `run` when its turn has come, once, at once or from the event loop;
-    // until then nothing behind it on its connection is looked at. Returns its own name for it.
+    // Called when a complete command has arrived. Must call `run` exactly once, immediately or
+    // later from the event loop; later commands on the connection wait until then. Returns an
+    // identifier that on_reply() receives.
     virtual int on_command(int node, const resp::Command& command, std::function<void()> run) = 0;
-    // Answered with `reply`, having run here, or not.
+    // Called with the reply. `ran`: whether the command ran at this node.
     virtual void on_reply(int node, const resp::Command& command, int name, bool ran,
                           std::string_view reply) = 0;
   };
   Observer* observer = nullptr;
-  // As if it had been written to its slot's owner, and its replicas knew.
+  // Runs a write at the owner of its slot and at the owner's replicas, without counting it.
   void fill(const resp::Command& command);
 
   struct Run {
     int node;
-    std::string command, key, argument;  // the second word behind the name, if there is one
+    std::string command, key, argument;  // `argument`: the second word after the name, if any
   };
-  const std::vector<Run>& runs() const { return runs_; }  // of writes
-  std::uint64_t commands() const { return commands_; }    // data commands that came, to any node
+  const std::vector<Run>& runs() const { return runs_; }  // executed writes
+  std::uint64_t commands() const { return commands_; }    // data commands received by all nodes
   std::uint64_t redirections() const { return redirections_; }
-  std::uint64_t map_questions() const { return map_questions_; }
+  std::uint64_t map_queries() const { return map_queries_; }
 
  private:
   class Node;
@@ -107,29 +111,29 @@
   };
   using Map = std::array<Claim, cluster::kSlots>;
 
-  // What replicas are still to hear of: of `node`'s store, at this time.
-  struct News {
+  // A change that replica `to` applies at time `at`.
+  struct PendingChange {
     Time at;
     int to;
     std::string key;
     std::shared_ptr<const RespStore::Copy> copy;
   };
   void replicate(Node& primary, std::string_view key);
-  void follow(Node& replica, Node& primary);
-  void deliver();
+  void copy_from_primary(Node& replica, Node& primary);
+  void apply_pending_changes();
 
-  Time now() const { return std::chrono::steady_clock::now() - began_; }
+  Time now() const { return std::chrono::steady_clock::now() - start_time_; }
 
   asio::io_context& io_;
-  const std::chrono::steady_clock::time_point began_ = std::chrono::steady_clock::now();
+  const std::chrono::steady_clock::time_point start_time_ = std::chrono::steady_clock::now();
   const Duration lag_;
-  std::deque<News> news_;  // in the order of their times
-  asio::steady_timer news_timer_{io_};
-  Map truth_;
+  std::deque<PendingChange> pending_changes_;  // ordered by time
+  asio::steady_timer replication_timer_{io_};
+  Map actual_map_;
   std::uint64_t epoch_ = 1;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::vector<Run> runs_;
-  std::uint64_t commands_ = 0, redirections_ = 0, map_questions_ = 0;
+  std::uint64_t commands_ = 0, redirections_ = 0, map_queries_ = 0;
 };
 
 }  // namespace balancer::testbed
--- a/src/testbed/servers/resp_fleet.cc
+++ b/src/testbed/servers/resp_fleet.cc
@@ -8,10 +8,10 @@
 using std::chrono::milliseconds;
 
 constexpr std::int64_t kReadBase = 1'000'000'000'000;
-// A key of a slot that moves takes so long, and others hear of the move so much later.
-constexpr Duration kKeyMoves = milliseconds(2), kNewsTakes = milliseconds(100);
-// A dead primary is noticed after this, and comes back as a replica after that.
-constexpr Duration kNoticed = milliseconds(200), kBack = std::chrono::seconds(1);
+// Time to move one key of a migrating slot, and time until other nodes learn of a finished move.
+constexpr Duration kKeyMoveTime = milliseconds(2), kPropagationDelay = milliseconds(100);
+// Time until the death of a primary is detected, and then until it rejoins as a replica.
+constexpr Duration kDetectionDelay = milliseconds(200), kRejoinDelay = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -80,7 +80,7 @@
   }
   const int name = next_open_++;
   open_[name] = {*r, context_.auditor.on_arrived(context_.now(), *r, n.audit_id)};
-  // The caller has no use for the name before this returns.
+  // `run` is posted, because the caller needs the returned name before it runs.
   n.engine.submit(context_.auditor.work_of(*r), 0,
                   {nullptr, [this, run = std::move(run)](Time) { asio::post(context_.io, run); }});
   return name;
@@ -122,7 +122,8 @@
   return all;
 }
 
-// Every second one is the slot of a key that is wanted, so that moves meet requests.
+// On average, half of the moves take the slot of a popular key, so that moves coincide with
+// requests.
 void RespFleet::move_slots(const IncidentSpec& i, Time until) {
   if (context_.now() >= until) return;
   context_.after(from_seconds(1 / std::max(i.factor, 0.1)),
@@ -132,63 +133,64 @@
   const auto& classes = context_.scenario.classes;
   const auto request_class = std::find_if(
       classes.begin(), classes.end(), [this](const ClassSpec& c) { return c.cluster == number_; });
-  const bool wanted = random_.chance(0.5) && !keys_.empty() && request_class != classes.end();
+  const bool popular = random_.chance(0.5) && !keys_.empty() && request_class != classes.end();
   const auto slot =
-      wanted ? cluster::slot_of(request_class->prefix +
-                                keys_[random_.below(std::min<std::size_t>(keys_.size(), 50))])
-             : static_cast<cluster::Slot>(random_.below(cluster::kSlots));
+      popular ? cluster::slot_of(request_class->prefix +
+                                 keys_[random_.below(std::min<std::size_t>(keys_.size(), 50))])
+              : static_cast<cluster::Slot>(random_.below(cluster::kSlots));
   const int to = all[random_.below(all.size())], from = cluster_.owner(slot);
   if (to == from || !cluster_.up(from) || cluster_.moving_to(slot)) return;
   cluster_.begin_move(slot, to);
-  move_on(slot);
+  move_next_key(slot);
 }
 
-void RespFleet::move_on(cluster::Slot slot) {
-  context_.after(kKeyMoves, [this, slot] {
-    if (!cluster_.moving_to(slot)) return;  // a failover has ended it
-    if (cluster_.move_key(slot)) return move_on(slot);
+void RespFleet::move_next_key(cluster::Slot slot) {
+  context_.after(kKeyMoveTime, [this, slot] {
+    if (!cluster_.moving_to(slot)) return;  // a failover has cancelled the move
+    if (cluster_.move_key(slot)) return move_next_key(slot);
     cluster_.end_move(slot);
-    hear_later();
+    propagate_later();
   });
 }
 
-void RespFleet::hear_later() {
-  context_.after(kNewsTakes, [this] {
+void RespFleet::propagate_later() {
+  context_.after(kPropagationDelay, [this] {
     for (int n = 0; n < cluster_.size(); ++n)
-      if (!unaware_.count(n)) cluster_.tell(n);
+      if (!uninformed_.count(n)) cluster_.tell(n);
   });
 }
 
-// With a length the old owner goes on accepting for so long; without it it is dead.
+// Fails over a random primary. If the incident has a length, the old primary keeps accepting
+// commands for that time; otherwise it is killed.
 void RespFleet::fail_over(const IncidentSpec& i) {
-  std::vector<int> able;
+  std::vector<int> candidates;
   for (const int o : owners()) {
     const auto& replicas = cluster_.replicas(o);
     if (std::any_of(replicas.begin(), replicas.end(), [this](int r) { return cluster_.up(r); }))
-      able.push_back(o);
+      candidates.push_back(o);
   }
-  if (able.empty()) return;
-  const int old = able[random_.below(able.size())];
-  unaware_.insert(old);
-  const auto learns = [this, old] {
-    unaware_.erase(old);
+  if (candidates.empty()) return;
+  const int old = candidates[random_.below(candidates.size())];
+  uninformed_.insert(old);
+  const auto update_map = [this, old] {
+    uninformed_.erase(old);
     cluster_.tell(old);
   };
   if (i.length > Duration{0}) {
     cluster_.fail_over(old);
-    hear_later();
-    return context_.after(i.length, learns);
+    propagate_later();
+    return context_.after(i.length, update_map);
   }
   cluster_.kill(old);
   nodes_[static_cast<std::size_t>(old)]->engine.stop();
-  context_.after(kNoticed, [this, old] {
+  context_.after(kDetectionDelay, [this, old] {
     cluster_.fail_over(old);
-    hear_later();
+    propagate_later();
   });
-  context_.after(kNoticed + kBack, [this, old, learns] {
+  context_.after(kDetectionDelay + kRejoinDelay, [this, old, update_map] {
     start(old);
     cluster_.restart(old);
-    learns();
+    update_map();
   });
 }
 
--- a/src/testbed/servers/resp_fleet.h
+++ b/src/testbed/servers/resp_fleet.h
@@ -12,20 +12,21 @@
 
 namespace balancer::testbed {
 
-// One RESP cluster of a scenario: times each node's commands by its class, tells the judge what
-// reached, ran and was answered where, and carries out the cluster's incidents.
+// One RESP cluster of a scenario. Delays each node's commands by their class's work, reports to the
+// auditor which attempt arrived, ran and was answered at which node, and applies the cluster's
+// incidents.
 //
-// What a command does for which request stands in the command: a read is LRANGE key -3 N, with N
-// the request's number above a million million; a write is RPUSH key ID, with its id on the wire.
+// Each command names its request: a read is LRANGE key -3 N, where N is 10^12 plus the request
+// number; a write is RPUSH key ID, where ID is the request's ID on the wire.
 class RespFleet : private RespCluster::Observer {
  public:
   RespFleet(Context& context, int number);
 
   void strike(const IncidentSpec& incident);
-  // Each key of the cluster's classes holds a list of one.
+  // Gives each key of the cluster's classes a list with one element.
   void fill(const std::vector<std::string>& keys);
   std::vector<std::string> addresses() const { return cluster_.addresses(); }
-  // The wire form of a request.
+  // Returns the command that carries a request.
   static resp::Command command(const Context& context, const ClassSpec& request_class,
                                RequestNumber r, std::string_view key);
 
@@ -57,9 +58,9 @@
 
   void start(int node);
   void move_slots(const IncidentSpec& incident, Time until);
-  void move_on(cluster::Slot slot);
+  void move_next_key(cluster::Slot slot);
   void fail_over(const IncidentSpec& incident);
-  void hear_later();
+  void propagate_later();
   std::vector<int> owners() const;
 
   Context& context_;
@@ -68,8 +69,8 @@
   Random random_;
   RespCluster cluster_;
   std::vector<std::unique_ptr<Node>> nodes_;
-  std::set<int> unaware_;          // nodes that have lost their slots and not heard of it
-  std::vector<std::string> keys_;  // the most wanted first
+  std::set<int> uninformed_;       // nodes that have lost their slots and do not know it yet
+  std::vector<std::string> keys_;  // the most popular first
   std::unordered_map<int, Open> open_;
   int next_open_ = 0;
 };
--- a/src/testbed/servers/resp_store.cc
+++ b/src/testbed/servers/resp_store.cc
@@ -34,7 +34,7 @@
   return out;
 }
 
-// Places as lists count them: negative ones from the end.
+// Converts a list index; negative ones count from the end.
 std::int64_t place(std::int64_t at, std::size_t size) {
   return at < 0 ? std::max<std::int64_t>(0, at + static_cast<std::int64_t>(size)) : at;
 }
@@ -101,8 +101,8 @@
   if (empty) entries_.erase(it);
 }
 
-// SCAN cursor [COUNT n]. The keys in the order of their hash, so that what comes and goes moves no
-// other key; the cursor is the last hash that was told.
+// SCAN cursor [COUNT n]. Returns keys in the order of their hashes, so that adding or removing a
+// key moves no other key. The cursor is the last hash that was returned.
 std::string RespStore::scan(const Command& c) const {
   const auto cursor = resp::parse_integer(c.size() > 1 ? c[1] : "");
   const auto count = c.size() > 3 && same_word(c[2], "COUNT") ? resp::parse_integer(c[3]) : 10;
@@ -112,19 +112,19 @@
     const auto hash = static_cast<std::int64_t>(std::hash<std::string>()(key) >> 2) + 1;
     if (hash > *cursor) order.emplace(hash, key);
   }
-  std::int64_t last = 0, told = 0;
+  std::int64_t last = 0, returned = 0;
   std::string keys;
   for (const auto& [hash, key] : order) {
-    if (told >= *count && hash != last) break;
+    if (returned >= *count && hash != last) break;
     resp::append_bulk(keys, key);
     last = hash;
-    ++told;
+    ++returned;
   }
   std::string out;
   resp::append_array(out, 2);
-  resp::append_bulk(out,
-                    static_cast<std::size_t>(told) == order.size() ? "0" : std::to_string(last));
-  resp::append_array(out, static_cast<std::size_t>(told));
+  resp::append_bulk(
+      out, static_cast<std::size_t>(returned) == order.size() ? "0" : std::to_string(last));
+  resp::append_array(out, static_cast<std::size_t>(returned));
   return out + keys;
 }
 
--- a/src/testbed/servers/resp_store.h
+++ b/src/testbed/servers/resp_store.h
@@ -15,19 +15,19 @@
 
 namespace balancer::testbed {
 
-// The keys of one emulated RESP server, and the data commands on them: strings and counters,
-// hashes, lists, sets, expiry. Written from the public reference of the commands. No I/O; time is
-// handed in.
+// The keys of one emulated RESP server and the data commands on them: strings and counters, hashes,
+// lists, sets and expiry, after the public command reference. Does no I/O; the caller passes the
+// time.
 class RespStore {
  public:
-  // The reply to a data command; nothing if the command is not one of those.
+  // Runs a data command and returns its reply; nullopt if the command is not implemented.
   std::optional<std::string> run(Time now, const resp::Command& command, int version);
 
   bool has(Time now, std::string_view key);
   std::vector<std::string> keys() const;
-  // Takes the key out of this store into another.
+  // Moves the key to another store.
   void move_to(RespStore& other, const std::string& key);
-  // Makes the key what it is in another store, which may be nothing.
+  // Makes the key equal to its copy from another store. An empty copy removes it.
   struct Copy;
   std::shared_ptr<const Copy> copy(std::string_view key) const;
   void put(std::string_view key, const Copy& copy);
@@ -43,7 +43,7 @@
   };
 
   Entry* find(Time now, std::string_view key);
-  // The key's value if it is of this type, made if it is not there; null if it is of another.
+  // Returns the key's value, which is created if the key is absent; null if it has another type.
   template <typename T>
   T* need(Time now, std::string_view key);
   void drop_if_empty(std::string_view key);
--- a/tests/testbed/failover_test.cc
+++ b/tests/testbed/failover_test.cc
@@ -1,5 +1,5 @@
-// A service address that moves, against real processes: each kind of trouble once. What is asserted
-// is that another serves afterwards, and that the old one does not; the times are the report's.
+// Failover of a service address between real processes. The tests assert that another instance
+// serves afterwards and that the old holder does not; they do not check the reported times.
 #include "testbed/failover_test.h"
 
 #include <gtest/gtest.h>
@@ -12,15 +12,15 @@
 namespace balancer::testbed {
 namespace {
 
-TEST(FailoverTest, EachKindOfTroubleOnce) {
+TEST(FailoverTest, MovesAddressAfterEachKindOfFault) {
   char name[] = "/tmp/balancer-moves-XXXXXX";
   ASSERT_NE(::mkdtemp(name), nullptr);
-  MoveOptions options;
+  FailoverOptions options;
   options.program = BALANCER_PROGRAM;
   options.folder = name;
   options.rounds = 7;
   options.progress = false;
-  EXPECT_EQ(run_moves(options), 0);
+  EXPECT_EQ(run_failover_test(options), 0);
   const auto moves = nlohmann::json::parse(std::ifstream(std::string(name) + "/moves.json"));
   ASSERT_EQ(moves.size(), 7u);
   for (const auto& m : moves) {
@@ -30,30 +30,31 @@
   std::filesystem::remove_all(name);
 }
 
-// Each process starts while no file can be written or synced. Once that is over its voters vote.
-TEST(FailoverTest, VotersWhoseStorageFailsAtTheStartVoteOnceItWorks) {
+// Each process starts while writes and syncs of files fail. The voters must vote once storage
+// works.
+TEST(FailoverTest, VotersRecoverFromStorageFailureAtStart) {
   char name[] = "/tmp/balancer-moves-XXXXXX";
   ASSERT_NE(::mkdtemp(name), nullptr);
-  MoveOptions options;
+  FailoverOptions options;
   options.program = BALANCER_PROGRAM;
   options.folder = name;
   options.rounds = 1;
   options.progress = false;
   options.faults = "storage_until_ms=1500";
-  EXPECT_EQ(run_moves(options), 0);
+  EXPECT_EQ(run_failover_test(options), 0);
   std::filesystem::remove_all(name);
 }
 
-TEST(FailoverTest, AnUnknownTroubleIsNamed) {
-  MoveOptions options;
+TEST(FailoverTest, RejectsInvalidOptions) {
+  FailoverOptions options;
   options.program = BALANCER_PROGRAM;
   options.folder = "/tmp";
   options.only = "frob";
-  EXPECT_EQ(check_moves(options), "there is no trouble 'frob'");
+  EXPECT_EQ(check_failover_options(options), "unknown fault 'frob'");
   options.only = "killed";
-  EXPECT_EQ(check_moves(options), "");
+  EXPECT_EQ(check_failover_options(options), "");
   options.voters = 6;
-  EXPECT_NE(check_moves(options), "");
+  EXPECT_NE(check_failover_options(options), "");
 }
 
 }  // namespace
--- a/tests/testbed/links_test.cc
+++ b/tests/testbed/links_test.cc
@@ -1,4 +1,4 @@
-// What passes a link between a balancer and a host, and what a trouble makes of it.
+// Forwarding over a link between a balancer and a host, with and without link faults.
 #include "testbed/servers/links.h"
 
 #include <gtest/gtest.h>
@@ -43,21 +43,21 @@
     near.non_blocking(true);
     far.non_blocking(true);
   }
-  // What has come there so far; "!" behind it where the connection has ended, by a reset or not.
+  // Appends available bytes to `all`, and "!" once the connection has been closed or reset.
   std::string& read(tcp::socket& socket, std::string& all) {
     if (all.ends_with('!')) return all;
-    char piece[4096];
+    char chunk[4096];
     error_code e;
-    const auto n = socket.read_some(asio::buffer(piece), e);
-    all.append(piece, n);
+    const auto n = socket.read_some(asio::buffer(chunk), e);
+    all.append(chunk, n);
     if (e && e != asio::error::would_block && e != asio::error::try_again) all += "!";
     return all;
   }
-  bool comes(tcp::socket& socket, const std::string& text) {
+  bool receives(tcp::socket& socket, const std::string& text) {
     std::string all;
     return until([&] { return read(socket, all) == text; });
   }
-  void say(tcp::socket& socket, const std::string& text) {
+  void write(tcp::socket& socket, const std::string& text) {
     asio::write(socket, asio::buffer(text));
   }
 
@@ -70,63 +70,63 @@
   std::string target;
 };
 
-TEST_F(LinksTest, PassesBothWaysAndEnds) {
+TEST_F(LinksTest, ForwardsBothDirectionsAndHalfCloses) {
   connect();
-  say(near, "mn\r\n");
-  EXPECT_TRUE(comes(far, "mn\r\n"));
-  say(far, "MN\r\n");
-  EXPECT_TRUE(comes(near, "MN\r\n"));
+  write(near, "mn\r\n");
+  EXPECT_TRUE(receives(far, "mn\r\n"));
+  write(far, "MN\r\n");
+  EXPECT_TRUE(receives(near, "MN\r\n"));
   EXPECT_EQ(links.dial(0, target), links.dial(0, target));
-  EXPECT_NE(links.dial(0, target), links.dial(1, target)) << "each balancer has its own";
+  EXPECT_NE(links.dial(0, target), links.dial(1, target)) << "each balancer has its own link";
   near.shutdown(tcp::socket::shutdown_send);
-  EXPECT_TRUE(comes(far, "!"));
-  say(far, "last");  // the other direction lives on
-  EXPECT_TRUE(comes(near, "last"));
+  EXPECT_TRUE(receives(far, "!"));
+  write(far, "last");  // the other direction stays open
+  EXPECT_TRUE(receives(near, "last"));
   far.close();
   EXPECT_TRUE(until([&] { return links.open() == 0; }));
 }
 
-TEST_F(LinksTest, AStalledDirectionHoldsWhatItHasAndTheOtherPasses) {
+TEST_F(LinksTest, StalledDirectionHoldsDataWhileOtherForwards) {
   connect();
-  links.set(0, target, Links::Way::kToHost, {true, Duration{0}, 0});
-  say(near, "held");
-  say(far, "passes");
-  EXPECT_TRUE(comes(near, "passes"));
-  std::string there;
-  EXPECT_FALSE(until([&] { return !read(far, there).empty(); }, milliseconds(50)));
-  // Of another balancer: no effect here.
-  links.set(1, target, Links::Way::kBoth, {});
-  EXPECT_FALSE(until([&] { return !read(far, there).empty(); }, milliseconds(20)));
-  links.set(0, target, Links::Way::kToHost, {});
-  EXPECT_TRUE(comes(far, "held"));
+  links.set(0, target, Links::Direction::kToHost, {true, Duration{0}, 0});
+  write(near, "held");
+  write(far, "passes");
+  EXPECT_TRUE(receives(near, "passes"));
+  std::string received;
+  EXPECT_FALSE(until([&] { return !read(far, received).empty(); }, milliseconds(50)));
+  // A change to another balancer's link has no effect here.
+  links.set(1, target, Links::Direction::kBoth, {});
+  EXPECT_FALSE(until([&] { return !read(far, received).empty(); }, milliseconds(20)));
+  links.set(0, target, Links::Direction::kToHost, {});
+  EXPECT_TRUE(receives(far, "held"));
 }
 
-TEST_F(LinksTest, BreaksOffInTheMiddleOfAPiece) {
+TEST_F(LinksTest, ResetCutsChunkInHalf) {
   connect();
-  links.set(0, target, Links::Way::kToBalancer, {false, Duration{0}, 1});
-  say(far, "0123456789");
+  links.set(0, target, Links::Direction::kToBalancer, {false, Duration{0}, 1});
+  write(far, "0123456789");
   std::string got;
   EXPECT_TRUE(until([&] { return read(near, got).ends_with('!'); }));
-  EXPECT_TRUE(got == "!" || got == "01234!") << got;  // a reset may overtake what came before it
+  EXPECT_TRUE(got == "!" || got == "01234!") << got;  // a reset may discard data sent before it
   EXPECT_EQ(links.resets(), 1u);
   EXPECT_EQ(links.open(), 0u);
 }
 
-TEST_F(LinksTest, ADelayKeepsTheOrderOfWhatPasses) {
+TEST_F(LinksTest, DelayPreservesOrder) {
   connect();
-  links.set(0, target, Links::Way::kToHost, {false, milliseconds(30), 0});
+  links.set(0, target, Links::Direction::kToHost, {false, milliseconds(30), 0});
   const Time began = context.now();
-  say(near, "a");
-  std::string there;
-  ASSERT_TRUE(until([&] { return read(far, there) == "a"; }));
+  write(near, "a");
+  std::string received;
+  ASSERT_TRUE(until([&] { return read(far, received) == "a"; }));
   EXPECT_GE(context.now() - began, milliseconds(30));
-  say(near, "b");
-  links.set(0, target, Links::Way::kToHost, {});
-  say(near, "c");
-  EXPECT_TRUE(until([&] { return read(far, there) == "abc"; }));
+  write(near, "b");
+  links.set(0, target, Links::Direction::kToHost, {});
+  write(near, "c");
+  EXPECT_TRUE(until([&] { return read(far, received) == "abc"; }));
 }
 
-TEST_F(LinksTest, AHostThatTakesNothingShowsAsAnEnd) {
+TEST_F(LinksTest, RefusedHostConnectionClosesClient) {
   host.close();
   bool up = false;
   near.async_connect(at(links.dial(0, target)), [&up](const error_code& e) { up = !e; });
--- a/tests/testbed/program_test.cc
+++ b/tests/testbed/program_test.cc
@@ -1,4 +1,5 @@
-// The rig's program: whole rehearsals of a few seconds with the real balancer, and bad input.
+// The testbed program: complete rehearsals of a few seconds with the real balancer, and invalid
+// input.
 #include <signal.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -28,7 +29,7 @@
     std::ofstream(dir_ + "/s.toml") << text;
     return dir_ + "/s.toml";
   }
-  // Its exit code; what it printed is in out_.
+  // Runs the program and returns its exit code; stores its output in `out_`.
   int run(const std::string& arguments) {
     const std::string command =
         std::string(BALANCER_TESTBED) + " " + arguments + " >" + dir_ + "/out 2>&1";
@@ -43,7 +44,7 @@
   std::string dir_, out_;
 };
 
-TEST_F(RigProgramTest, ARehearsalWithTheRealBalancer) {
+TEST_F(RigProgramTest, RehearsalWithRealBalancerBreaksNoRule) {
   write(
       scenario_text("[[incident]]\nwhat = \"pause\"\nhost = \"h1\"\nat_s = 1.5\nfor_s = 0.5\n"
                     "[[incident]]\nwhat = \"balancer-kill\"\nbalancer = 0\nat_s = 2\nfor_s = 0.3\n"
@@ -62,9 +63,9 @@
   EXPECT_NE(out_.find("requests lost 0"), std::string::npos);
 }
 
-// Faults between processes: links that stall in one direction and break off, balancers that stand
-// still and go on, half of them killed, and killed again while they come back.
-TEST_F(RigProgramTest, FaultsBetweenProcesses) {
+// Faults between processes: links that stall in one direction or are reset, a balancer that is
+// stopped and resumed, and half of the balancers killed and killed again during their restart.
+TEST_F(RigProgramTest, FaultsBetweenProcessesBreakNoRule) {
   write(scenario_text(
       "[[incident]]\nwhat = \"link-stall\"\nway = \"to-balancer\"\nhost = \"h0\"\n"
       "share = 0.5\nat_s = 0.5\nfor_s = 1\n"
@@ -84,7 +85,7 @@
   EXPECT_NE(out_.find("  list calls"), std::string::npos) << out_;
 }
 
-// The scenario, with its troubles from the first seconds on.
+// Returns the scenario cold-throng, shortened, with its incidents from the first seconds on.
 std::string short_cold_throng() {
   std::ifstream in(BALANCER_SCENARIOS "/cold-throng.toml");
   std::ostringstream whole;
@@ -103,9 +104,9 @@
   return text;
 }
 
-// Twenty-four processes, hosts that join cold and others that return cold, under a burst. What all
-// together send each cold host stays within its bound.
-TEST_F(RigProgramTest, TheRampOfColdHostsHoldsForTheWholeFleet) {
+// Twenty-four processes under a burst, with hosts that join cold and hosts that return cold. The
+// work that all balancers together send to each cold host must stay within its bound.
+TEST_F(RigProgramTest, FleetRespectsSlowStartOfColdHosts) {
   write(short_cold_throng());
   EXPECT_EQ(run(rehearse()), 0) << out_;
   EXPECT_NE(out_.find("cold hosts: the most that all balancers sent in one window"),
@@ -114,8 +115,9 @@
   EXPECT_NE(out_.find(", cold hosts 0\n"), std::string::npos) << out_;
 }
 
-// The same with a planted defect: balancers that are told that hosts start with all their capacity.
-TEST_F(RigProgramTest, AFleetThatIgnoresTheRampIsFound) {
+// The same with a planted defect: the balancers' configuration says that hosts start with full
+// capacity.
+TEST_F(RigProgramTest, DetectsFleetThatIgnoresSlowStart) {
   write(short_cold_throng());
   std::ofstream(dir_ + "/rampless")
       << "#!/bin/sh\nsed -i 's/\"startCapacity\":[0-9.]*/\"startCapacity\":1.0/' "
@@ -126,28 +128,28 @@
   EXPECT_NE(out_.find("was sent more than its bound"), std::string::npos) << out_;
 }
 
-TEST_F(RigProgramTest, DrawsAScenarioThatCanBePlayed) {
+TEST_F(RigProgramTest, DrawsRunnableScenario) {
   EXPECT_EQ(run("draw 7"), 0);
   const std::string first = out_;
   EXPECT_EQ(run("draw 7"), 0);
-  EXPECT_EQ(out_, first) << "one seed, one text";
+  EXPECT_EQ(out_, first) << "the same seed must give the same text";
   EXPECT_EQ(run("check " + write(out_)), 0) << out_;
   EXPECT_EQ(run("draw 0"), 2);
 }
 
-// The short form of bench/soak, whose seeds are played by hand.
+// The short form of bench/soak, whose seeds are run manually.
 class SoakTest : public RigProgramTest, public ::testing::WithParamInterface<int> {};
 INSTANTIATE_TEST_SUITE_P(Seeds, SoakTest, ::testing::Range(1, 5));
 
-TEST_P(SoakTest, ADayOfRestartsBreaksNoRule) {
+TEST_P(SoakTest, RepeatedRestartsBreakNoRule) {
   EXPECT_EQ(run("draw --soak " + std::to_string(GetParam())), 0);
   write(out_);
   EXPECT_EQ(run(rehearse()), 0) << out_;
 }
 
-// Both dialects behind the same balancers, and the RESP one alone, while slots move, a primary
-// fails over and balancers restart.
-TEST_F(RigProgramTest, RehearsalsWithClusters) {
+// RESP alone, with a restarting balancer, and RESP together with memcache on the same balancers,
+// while slots move and primaries fail over.
+TEST_F(RigProgramTest, RehearsalsWithClustersBreakNoRule) {
   const std::string cluster =
       "[[cluster]]\nname = \"c\"\nreplicas = 1\npipeline = 8\nby_slot = true\n"
       "replica_lag_ms = 5\nslow_after_ms = 400\n";
@@ -172,9 +174,9 @@
   EXPECT_NE(out_.find("requests lost 0, effects twice 0"), std::string::npos) << out_;
 }
 
-// Every read misses, and its host takes 0.2 s to say so: each fetch behind it begins with that much
-// less of the client's time.
-TEST_F(RigProgramTest, FetchesBehindSlowMissesTellWhatIsLeft) {
+// Every read misses, and the host takes 0.2 s to answer the miss, so that each origin fetch starts
+// with 0.2 s less of the client's time limit.
+TEST_F(RigProgramTest, FetchAfterSlowMissCarriesRemainingTime) {
   std::string text = scenario_text();
   const std::string kind = "name = \"std\"\n";
   text.insert(text.find(kind) + kind.size(), "slots = 64\nmemory_mb = 0.01\nmiss_us = 200000\n");
@@ -184,7 +186,7 @@
       << out_;
 }
 
-TEST_F(RigProgramTest, BadInputEndsWithTwoBeforeAnythingStarts) {
+TEST_F(RigProgramTest, InvalidInputExitsWithTwoBeforeStart) {
   EXPECT_EQ(run("rehearse " + dir_ + "/none.toml"), 2);
   EXPECT_NE(out_.find("none.toml: cannot be read"), std::string::npos) << out_;
   write(scenario_text("[[incident]]\nwhat = \"eclipse\"\n"));
@@ -199,7 +201,7 @@
   EXPECT_NE(out_.find("descriptors; this process may hold"), std::string::npos) << out_;
 }
 
-TEST_F(RigProgramTest, ABalancerThatDoesNotComeUpEndsItWithItsLog) {
+TEST_F(RigProgramTest, FailedBalancerStartPrintsItsLog) {
   write(scenario_text());
   std::ofstream(dir_ + "/dud") << "#!/bin/sh\necho no luck today\nexit 3\n";
   std::filesystem::permissions(dir_ + "/dud", std::filesystem::perms::owner_all);
@@ -207,7 +209,7 @@
   EXPECT_NE(out_.find("no luck today"), std::string::npos) << out_;
 }
 
-TEST_F(RigProgramTest, AnInterruptEndsWhatItStarted) {
+TEST_F(RigProgramTest, InterruptStopsStartedProcesses) {
   std::string scenario = scenario_text();
   write(scenario.replace(scenario.find("length_s = 3"), 12, "length_s = 60"));
   const std::string folder = dir_ + "/r";
--- a/tests/testbed/resp_fleet_test.cc
+++ b/tests/testbed/resp_fleet_test.cc
@@ -1,5 +1,5 @@
-// The judge and the RESP side of a run: commands sent by hand to emulated nodes, each of which
-// breaks a rule or breaks none.
+// Auditing of the RESP side of a run: the tests send commands to emulated nodes that follow or
+// break a rule.
 #include "testbed/servers/resp_fleet.h"
 
 #include "rig_harness.h"
@@ -32,17 +32,18 @@
     return context->auditor.on_sent(context->now(), k, 0, effect,
                                     context->now() + std::chrono::seconds(20), key, 1e-3);
   }
-  // The reply to the request's command, from the node that has its slot or the other.
-  std::string ask(RequestNumber r, int k, const std::string& key, bool astray = false) {
+  // Sends the request's command to the owner of its slot, or with `misdirected` to the other node,
+  // and returns the reply.
+  std::string ask(RequestNumber r, int k, const std::string& key, bool misdirected = false) {
     auto addresses = fleet->addresses();
     const bool first = cluster::slot_of(request_class(k).prefix + key) < cluster::kSlots / 2;
     tcp::socket socket(io);
-    socket.connect(endpoint_of(addresses[first != astray ? 0 : 1]));
+    socket.connect(endpoint_of(addresses[first != misdirected ? 0 : 1]));
     asio::write(socket,
                 asio::buffer(RespFleet::command(*context, request_class(k), r, key).wire()));
     std::string reply;
     resp::ReplyReader reader{resp::Bounds{}};
-    bool whole = false;
+    bool complete = false;
     std::array<char, 4096> chunk;
     std::function<void()> read = [&] {
       socket.async_read_some(asio::buffer(chunk), [&](auto e, auto n) {
@@ -50,14 +51,14 @@
         std::string_view input(chunk.data(), n);
         for (auto event = reader.next(input); event != resp::ReplyReader::Event::kMore;
              event = reader.next(input)) {
-          if (event == resp::ReplyReader::Event::kEnd) whole = true;
+          if (event == resp::ReplyReader::Event::kEnd) complete = true;
           if (event == resp::ReplyReader::Event::kData) reply += reader.data();
         }
-        if (!whole) read();
+        if (!complete) read();
       });
     };
     read();
-    EXPECT_TRUE(run_until(io, [&] { return whole; }));
+    EXPECT_TRUE(run_until(io, [&] { return complete; }));
     return reply;
   }
   std::uint64_t broken(int rule) const { return context->auditor.breach_count(rule); }
@@ -68,7 +69,7 @@
   std::unique_ptr<RespFleet> fleet;
 };
 
-TEST_F(RespFleetTest, WhatRanAndIsAnsweredAsItWasBreaksNothing) {
+TEST_F(RespFleetTest, CorrectRepliesBreakNoRule) {
   begin(resp_scenario());
   const auto book = sent(1, "a", 1);
   const auto booked = ask(book, 1, "a");
@@ -81,7 +82,7 @@
   EXPECT_EQ(context->auditor.totals().runs, 2u);
 }
 
-TEST_F(RespFleetTest, AnAnswerMadeForAnotherIsALostOne) {
+TEST_F(RespFleetTest, ReplyOfAnotherRequestCountsAsLost) {
   begin(resp_scenario());
   const auto one = sent(0, "a", 1), two = sent(0, "b", 2);
   ask(one, 0, "a");
@@ -90,16 +91,16 @@
   EXPECT_EQ(broken(1), 1u);
 }
 
-TEST_F(RespFleetTest, ABookingThatIsReplayed) {
+TEST_F(RespFleetTest, DetectsRepeatedNonIdempotentWrite) {
   begin(resp_scenario());
   const auto book = sent(1, "a", 1);
   ask(book, 1, "a");
   EXPECT_EQ(broken(2), 0u);
   ask(book, 1, "a");
-  EXPECT_EQ(broken(2), 2u) << "sent again, and its effect happened twice";
+  EXPECT_EQ(broken(2), 2u) << "one breach for the repeated attempt, one for the repeated effect";
 }
 
-TEST_F(RespFleetTest, ARedirectionIsProofThatNothingRan) {
+TEST_F(RespFleetTest, RedirectedCommandCountsAsNotRun) {
   begin(resp_scenario());
   const auto book = sent(1, "a", 1);
   EXPECT_TRUE(ask(book, 1, "a", true).starts_with("-MOVED "));
@@ -108,15 +109,15 @@
   EXPECT_EQ(context->auditor.totals().never_ran, 1u);
 }
 
-TEST_F(RespFleetTest, CommandsThatNoClientSent) {
+TEST_F(RespFleetTest, DetectsCommandThatNoClientSent) {
   begin(resp_scenario());
   RequestNumber unknown = 77;
   ask(unknown, 0, "a");
   EXPECT_EQ(broken(1), 1u);
 }
 
-// Clients straight at the nodes, in cluster mode, as nodes answer CLUSTER SLOTS too.
-TEST_F(RespFleetTest, ClientsInClusterModeGoToTheSlotsOwner) {
+// The clients connect directly to the nodes, which also answer CLUSTER SLOTS.
+TEST_F(RespFleetTest, ClusterModeClientsUseSlotOwner) {
   begin(resp_scenario("pipeline = 8\nby_slot = true\n"));
   scenario.balancers = 2;
   Tally tally(scenario);
@@ -128,12 +129,12 @@
   for (int rule = 1; rule <= 4; ++rule) EXPECT_EQ(broken(rule), 0u) << rule;
   const auto served = context->auditor.totals().served;
   EXPECT_GT(served, 300u);
-  // Until the first answer to CLUSTER SLOTS it goes by chance.
+  // Clients choose nodes at random until the first answer to CLUSTER SLOTS.
   EXPECT_LT(fleet->redirections(), 50u);
   EXPECT_LT(load.connections(), 40u);
 }
 
-TEST_F(RespFleetTest, ReplicasAreBehindByTheirLag) {
+TEST_F(RespFleetTest, ReplicasApplyWritesAfterLag) {
   begin(resp_scenario("replicas = 1\nreplica_lag_ms = 150\n"));
   const auto book = sent(1, "a", 1);
   ask(book, 1, "a");
@@ -147,18 +148,18 @@
                              RespFleet::command(*context, request_class(0), r, "a").wire()));
     std::string got;
     std::array<char, 4096> chunk;
-    bool whole = false;
+    bool complete = false;
     std::function<void()> more = [&] {
       socket.async_read_some(asio::buffer(chunk), [&](auto e, auto n) {
         got.append(chunk.data(), e ? 0 : n);
         // +OK, then an array of one or two strings.
-        whole = e || (got.size() >= 9 && got.ends_with("\r\n") &&
-                      std::count(got.begin(), got.end(), '\n') >= 2 * (got[6] - '0') + 2);
-        if (!whole) more();
+        complete = e || (got.size() >= 9 && got.ends_with("\r\n") &&
+                         std::count(got.begin(), got.end(), '\n') >= 2 * (got[6] - '0') + 2);
+        if (!complete) more();
       });
     };
     more();
-    EXPECT_TRUE(run_until(io, [&] { return whole; }));
+    EXPECT_TRUE(run_until(io, [&] { return complete; }));
     return got;
   };
   const auto first = read();
@@ -167,7 +168,7 @@
   EXPECT_EQ(first.find("-MOVED"), std::string::npos);
 }
 
-TEST(RespScenarioTest, ErrorsOfClusters) {
+TEST(RespScenarioTest, RejectsInvalidClusters) {
   const auto fault = [](const std::string& text) {
     try {
       parse_scenario(text, "t.toml");
--- a/tests/testbed/rig_harness.h
+++ b/tests/testbed/rig_harness.h
@@ -16,7 +16,7 @@
 
 using tcp = asio::ip::tcp;
 
-// A small whole scenario; `extra` follows its tables.
+// Returns a small complete scenario. `top` is inserted before its tables, `extra` is appended.
 inline std::string scenario_text(const std::string& extra = "", const std::string& top = "") {
   return "name = \"test\"\nlength_s = 3\nwarm_up_s = 0\n" + top +
          "[[class]]\nname = \"read\"\nshare = 8\nwork_ms = 2\naim_ms = 300\ndeadline_ms = 1000\n"
@@ -36,7 +36,7 @@
   const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(seconds);
   while (!done()) {
     if (std::chrono::steady_clock::now() > end)
-      return ::testing::AssertionFailure() << "it never came to that";
+      return ::testing::AssertionFailure() << "the condition did not hold in time";
     io.run_one_for(std::chrono::milliseconds(5));
   }
   return ::testing::AssertionSuccess();
@@ -48,19 +48,19 @@
           static_cast<std::uint16_t>(std::stoul(dial.substr(colon + 1)))};
 }
 
-// What stands in for a balancer: reads go to one host and on a miss to the origin, writes to the
-// origin, over a new connection each. It keeps the rules, and breaks one when asked to.
+// An emulated balancer: sends reads to one host and on a miss to the origin, and writes to the
+// origin, each over a new connection. It follows the rules unless a fault is set.
 class PlantedBalancer {
  public:
   struct Faults {
-    bool drops = false;            // answers a part of the requests never
-    bool answers_twice = false;    // and again
-    bool repeats_unsafe = false;   // sends a booking twice
-    bool refuses_sent = false;     // says busy of a booking that is out
-    bool serves_nonsense = false;  // with a value that nobody made
-    // Holds each request back for a while, and sends it on though its client has gone.
+    bool drops = false;            // never answers every tenth request
+    bool answers_twice = false;    // sends each answer twice
+    bool repeats_unsafe = false;   // sends a non-idempotent write twice
+    bool refuses_sent = false;     // answers busy to a non-idempotent write that was sent
+    bool serves_nonsense = false;  // serves a value that no server produced
+    // Delays each request by 600 ms and sends it even if its client has disconnected.
     bool heeds_no_close = false;
-    // Fetches late behind a miss, and tells the origin the whole time that the client wrote.
+    // Fetches 200 ms after a miss and passes the client's full time limit on to the origin.
     bool tells_whole_time = false;
   };
 
@@ -85,7 +85,7 @@
         if (e) return;
         self->reader.feed({self->chunk, n});
         while (auto item = self->reader.next())
-          self->balancer.take(self, std::get<memcache::Command>(std::move(*item)));
+          self->balancer.handle_command(self, std::get<memcache::Command>(std::move(*item)));
         self->read();
       });
     }
@@ -113,20 +113,20 @@
       accept();
     });
   }
-  // Is told all, and heeds nothing of it.
+  // Watches the endpoint list and ignores its contents.
   void watch() {
     const std::string call = "GET /discovery/hosts?index=" + std::to_string(index_) +
                              "&wait=200 HTTP/1.1\r\nHost: d\r\n\r\n";
     asio::write(discovery_, asio::buffer(call));
-    discovery_.async_read_some(asio::buffer(heard_), [this](auto e, auto n) {
+    discovery_.async_read_some(asio::buffer(discovery_buffer_), [this](auto e, auto n) {
       if (e) return;
-      const std::string text(heard_, n);
+      const std::string text(discovery_buffer_, n);
       const auto seq = text.find("\"seq\":");
       if (seq != std::string::npos) index_ = std::stoul(text.substr(seq + 6));
       watch();
     });
   }
-  static bool whole(const std::string& in) {
+  static bool is_complete(const std::string& in) {
     if (in.starts_with("VA ")) {
       const auto line = in.find("\r\n");
       return line != std::string::npos && in.size() >= line + 4 + std::stoul(in.substr(3));
@@ -135,72 +135,79 @@
     const auto end = in.find("\r\n\r\n"), at = in.find("Content-Length: ");
     return end != std::string::npos && in.size() >= end + 4 + std::stoul(in.substr(at + 16));
   }
-  void ask(const std::string& dial, std::string out, std::function<void(const std::string&)> then) {
+  void send_upstream(const std::string& dial, std::string out,
+                     std::function<void(const std::string&)> then) {
     const auto up = std::make_shared<Upstream>(context_.io);
     up->out = std::move(out);
     up->socket.async_connect(endpoint_of(dial), [this, up, then](auto e) {
       if (e) return then("");
       boost::system::error_code ignored;
       asio::write(up->socket, asio::buffer(up->out), ignored);
-      hear(up, then);
+      read_response(up, then);
     });
   }
-  void hear(const std::shared_ptr<Upstream>& up, std::function<void(const std::string&)> then) {
+  void read_response(const std::shared_ptr<Upstream>& up,
+                     std::function<void(const std::string&)> then) {
     up->socket.async_read_some(asio::buffer(up->chunk), [this, up, then](auto e, auto n) {
       if (e) return then("");
       up->in.append(up->chunk, n);
-      if (whole(up->in)) return then(up->in);
-      hear(up, then);
+      if (is_complete(up->in)) return then(up->in);
+      read_response(up, then);
     });
   }
-  void take(const ClientPtr& client, memcache::Command command) {
-    const Time taken = context_.now();
-    if (!faults.heeds_no_close) return send(client, command, taken);
+  void handle_command(const ClientPtr& client, memcache::Command command) {
+    const Time received_at = context_.now();
+    if (!faults.heeds_no_close) return send(client, command, received_at);
     context_.after(std::chrono::milliseconds(600),
-                   [this, client, command, taken] { send(client, command, taken); });
+                   [this, client, command, received_at] { send(client, command, received_at); });
   }
-  void send(const ClientPtr& client, const memcache::Command& command, Time taken) {
-    ++taken_;
+  void send(const ClientPtr& client, const memcache::Command& command, Time received_at) {
+    ++request_count_;
     const bool set = command.kind == memcache::Command::Kind::kSet;
-    if (faults.drops && taken_ % 10 == 0) return ask(host_, command.line + "\r\n", [](auto&) {});
-    if (set) return to_origin(client, command, taken);
-    ask(host_, encoded(command, taken), [this, client, command, taken](const std::string& in) {
-      if (in.starts_with("EN")) return fetch(client, command, taken);
-      if (in.empty()) return client->answer("SERVER_ERROR failed\r\n");
-      answer(client, in);
-    });
+    if (faults.drops && request_count_ % 10 == 0)
+      return send_upstream(host_, command.line + "\r\n", [](auto&) {});
+    if (set) return to_origin(client, command, received_at);
+    send_upstream(host_, encoded(command, received_at),
+                  [this, client, command, received_at](const std::string& in) {
+                    if (in.starts_with("EN")) return fetch(client, command, received_at);
+                    if (in.empty()) return client->answer("SERVER_ERROR failed\r\n");
+                    answer(client, in);
+                  });
   }
-  void fetch(const ClientPtr& client, const memcache::Command& command, Time taken) {
-    if (!faults.tells_whole_time) return to_origin(client, command, taken);
-    context_.after(std::chrono::milliseconds(200),
-                   [this, client, command, taken] { to_origin(client, command, taken); });
+  void fetch(const ClientPtr& client, const memcache::Command& command, Time received_at) {
+    if (!faults.tells_whole_time) return to_origin(client, command, received_at);
+    context_.after(std::chrono::milliseconds(200), [this, client, command, received_at] {
+      to_origin(client, command, received_at);
+    });
   }
-  // What an attempt that begins now tells its server: what is left, or all that the client wrote.
-  std::chrono::milliseconds told(const memcache::Command& command, Time taken) const {
+  // Returns the time limit that an attempt starting now passes on: the remaining time, or with the
+  // fault set the client's full limit.
+  std::chrono::milliseconds remaining_time(const memcache::Command& command,
+                                           Time received_at) const {
     const Duration written = told_time(command.prop("d")).value_or(Duration{0});
-    const Duration passed = faults.tells_whole_time ? Duration{0} : context_.now() - taken;
+    const Duration passed = faults.tells_whole_time ? Duration{0} : context_.now() - received_at;
     return std::chrono::floor<std::chrono::milliseconds>(
         std::max<Duration>(written - passed, std::chrono::milliseconds(1)));
   }
-  std::string encoded(const memcache::Command& command, Time taken) const {
-    return command.encode(told(command, taken));
+  std::string encoded(const memcache::Command& command, Time received_at) const {
+    return command.encode(remaining_time(command, received_at));
   }
-  void to_origin(const ClientPtr& client, const memcache::Command& command, Time taken) {
+  void to_origin(const ClientPtr& client, const memcache::Command& command, Time received_at) {
     const bool set = command.kind == memcache::Command::Kind::kSet;
-    const std::string out = std::string(set ? "PUT /" : "GET /") + command.key +
-                            " HTTP/1.1\r\nHost: o\r\nX-Trace-Id: " + command.id +
-                            "\r\nX-Props: " + command.props_with_deadline(told(command, taken)) +
-                            "\r\nContent-Length: " + std::to_string(command.body.size()) +
-                            "\r\n\r\n" + command.body;
+    const std::string out =
+        std::string(set ? "PUT /" : "GET /") + command.key +
+        " HTTP/1.1\r\nHost: o\r\nX-Trace-Id: " + command.id +
+        "\r\nX-Props: " + command.props_with_deadline(remaining_time(command, received_at)) +
+        "\r\nContent-Length: " + std::to_string(command.body.size()) + "\r\n\r\n" + command.body;
     const bool unsafe = command.prop("c") == "book";
-    if (unsafe && faults.repeats_unsafe) ask(origin_, out, [](auto&) {});
+    if (unsafe && faults.repeats_unsafe) send_upstream(origin_, out, [](auto&) {});
     if (unsafe && faults.refuses_sent) {
-      ask(origin_, out, [](auto&) {});
+      send_upstream(origin_, out, [](auto&) {});
       context_.after(std::chrono::milliseconds(100),
                      [client] { client->answer("SERVER_ERROR busy\r\n"); });
       return;
     }
-    ask(origin_, out, [this, client, set, id = command.id](const std::string& in) {
+    send_upstream(origin_, out, [this, client, set, id = command.id](const std::string& in) {
       if (!in.starts_with("HTTP/1.1 200")) return client->answer("SERVER_ERROR failed\r\n");
       const std::string body = in.substr(in.find("\r\n\r\n") + 4);
       answer(client,
@@ -218,9 +225,9 @@
   const std::string host_, origin_;
   tcp::acceptor acceptor_;
   tcp::socket discovery_;
-  char heard_[8192];
+  char discovery_buffer_[8192];
   std::size_t index_ = 0;
-  int taken_ = 0;
+  int request_count_ = 0;
 };
 
 }  // namespace balancer::testbed
--- a/tests/testbed/scale_test.cc
+++ b/tests/testbed/scale_test.cc
@@ -1,5 +1,4 @@
-// The short forms of the scale sweeps: what they count holds on any machine, and how long it took
-// is not looked at.
+// Short forms of the scale sweeps. The counts must hold on any machine; times are not checked.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -18,7 +17,7 @@
   return options;
 }
 
-TEST(LinearFit, FindsTheLineThroughItsPoints) {
+TEST(LinearFit, FitsExactLine) {
   const LinearFit fit = fit_line({{1, 5}, {2, 7}, {4, 11}});
   EXPECT_NEAR(fit.slope, 2, 1e-12);
   EXPECT_NEAR(fit.intercept, 3, 1e-12);
@@ -27,27 +26,27 @@
   EXPECT_NEAR(fit.at(10), 23, 1e-12);
 }
 
-TEST(LinearFit, TellsHowFarPointsLieFromTheLine) {
+TEST(LinearFit, ReportsResidualAroundLine) {
   const LinearFit fit = fit_line({{0, 1}, {1, -1}, {2, -1}, {3, 1}});
   EXPECT_NEAR(fit.slope, 0, 1e-12);
   EXPECT_NEAR(fit.residual, 1, 1e-12);
   EXPECT_NEAR(fit.r_squared, 0, 1e-12);
 }
 
-TEST(LinearFit, GivesThePowerLawWhereALineDoesNotFit) {
+TEST(LinearFit, FitsPowerLawExponent) {
   std::vector<Point> squares;
   for (double x = 1; x <= 8; x *= 2) squares.push_back({x, 3 * x * x});
   EXPECT_NEAR(fit_line(squares).exponent, 2, 1e-12);
 }
 
-TEST(LinearFit, HasNoSlopeWithoutTwoSizes) {
+TEST(LinearFit, HasZeroSlopeForFewerThanTwoSizes) {
   EXPECT_EQ(fit_line({}).points, 0u);
   EXPECT_EQ(fit_line({{2, 5}}).slope, 0);
   EXPECT_EQ(fit_line({{2, 5}, {2, 7}}).slope, 0);
   EXPECT_NEAR(fit_line({{2, 5}, {2, 7}}).intercept, 6, 1e-12);
 }
 
-TEST(ScaleTable, WritesItsRowsAndRefusesUnknownColumns) {
+TEST(ScaleTable, WritesCsvAndRejectsUnknownColumns) {
   Table table({"hosts", "bytes"});
   table.add({50, 0.5});
   EXPECT_EQ(table.csv(), "hosts,bytes\n50,0.5\n");
@@ -55,7 +54,7 @@
   EXPECT_THROW(table.at(0, "calls"), std::out_of_range);
 }
 
-TEST(ScaleSweep, AnUnknownNameIsRefused) {
+TEST(ScaleSweep, RejectsUnknownName) {
   EXPECT_THROW(run_and_write("moons", {}), std::invalid_argument);
 }
 
@@ -67,8 +66,8 @@
   }
 };
 
-// Each change is in force at each balancer in the end, and no watch broke under them.
-TEST_F(ChangesSweep, EveryChangeComesIntoForceEverywhere) {
+// Every balancer applies every change, and no change is left outstanding.
+TEST_F(ChangesSweep, EveryBalancerAppliesEveryChange) {
   for (std::size_t row = 0; row < table().rows(); ++row) {
     SCOPED_TRACE(row);
     EXPECT_EQ(table().at(row, "outstanding"), 0);
@@ -79,15 +78,16 @@
   }
 }
 
-// Calls of a balancer that are no answer to a change: watches whose wait was over, the one that is
-// out at the end, and, on a machine that stalls, whole lists with the watch behind each.
+// Returns the upper bound on a balancer's calls that no change answers: expired watches, the watch
+// that is open at the end and, on a machine that stalls, full lists with the watch after each.
 double idle_calls(const Table& table, std::size_t row) {
   constexpr double kPushedWaitSeconds = 1;
   return 2 + table.at(row, "seconds") / kPushedWaitSeconds + 2 * table.at(row, "whole_lists");
 }
 
-// Changes that come together are told together: never more than a call a change and balancer.
-TEST_F(ChangesSweep, AWatchTakesACallAChangeAtMost) {
+// Simultaneous changes are delivered together, so there is at most one call per change and
+// balancer.
+TEST_F(ChangesSweep, WatchMakesAtMostOneCallPerChange) {
   for (std::size_t row = 0; row < table().rows(); ++row) {
     if (table().at(row, "breaks") > 0) continue;
     SCOPED_TRACE(row);
@@ -96,7 +96,7 @@
   }
 }
 
-TEST_F(ChangesSweep, AWholeListGrowsWithItsHosts) {
+TEST_F(ChangesSweep, FullListSizeGrowsWithHosts) {
   double bytes_of_50 = 0, bytes_of_400 = 0;
   for (std::size_t row = 0; row < table().rows(); ++row) {
     if (table().at(row, "breaks") == 0) continue;
@@ -110,7 +110,7 @@
   EXPECT_LT(per_host, 200);
 }
 
-TEST_F(ChangesSweep, ABurstIsToldInOneCall) {
+TEST_F(ChangesSweep, DeliversBurstInOneCall) {
   for (std::size_t row = 0; row < table().rows(); ++row) {
     if (table().at(row, "burst") == 0) continue;
     EXPECT_EQ(table().at(row, "changes"), 100);
@@ -118,11 +118,11 @@
   }
 }
 
-// Each member probes another one every 200 ms, whatever the size of the group, and has two
-// datagrams of each probe: a ping, and an acknowledgement of another's.
-TEST(GroupSweep, DatagramsOfAMemberDoNotGrowWithTheGroup) {
+// Each member probes one other member every 200 ms regardless of group size, and sends two
+// datagrams per probe: a ping, and an acknowledgement of another member's ping.
+TEST(GroupSweep, DatagramsPerMemberDoNotGrowWithGroupSize) {
   const SweepResult result = sweep_group(quick(1));
-  constexpr double kProbesPerSecond = 5, kDatagramsOfAProbe = 2;
+  constexpr double kProbesPerSecond = 5, kDatagramsPerProbe = 2;
   double smallest = 0, largest = 0;
   for (std::size_t row = 0; row < result.table.rows(); ++row) {
     SCOPED_TRACE(row);
@@ -131,12 +131,12 @@
     if (result.table.at(row, "restarts") > 0) continue;
     if (smallest == 0) smallest = result.table.at(row, "datagrams_per_s");
     largest = result.table.at(row, "datagrams_per_s");
-    EXPECT_GE(largest, 0.95 * kProbesPerSecond * kDatagramsOfAProbe);
+    EXPECT_GE(largest, 0.95 * kProbesPerSecond * kDatagramsPerProbe);
   }
   EXPECT_LT(largest, 1.5 * smallest);
 }
 
-TEST(GroupSweep, OneSeedGivesOneResult) {
+TEST(GroupSweep, SameSeedGivesSameResult) {
   const SweepResult first = sweep_group(quick(7)), second = sweep_group(quick(7));
   ASSERT_EQ(first.table.rows(), second.table.rows());
   for (std::size_t row = 0; row < first.table.rows(); ++row) {
@@ -145,7 +145,7 @@
   }
 }
 
-TEST(OriginSweep, MoreBalancersFetchAKeyMoreOften) {
+TEST(OriginSweep, RepeatedFetchesGrowWithBalancers) {
   const SweepResult result = sweep_origin(quick(1));
   ASSERT_EQ(result.table.rows(), 3u);
   EXPECT_EQ(result.table.at(0, "repeated_share"), 0);
@@ -159,7 +159,7 @@
   return options;
 }
 
-TEST(HostsSweep, AProcessTakesItsListAndTheChangesBehindIt) {
+TEST(HostsSweep, ProcessAppliesListAndLaterChanges) {
   const SweepResult result = sweep_hosts(quick_with_program());
   ASSERT_EQ(result.table.rows(), 2u);
   for (std::size_t row = 0; row < result.table.rows(); ++row) {
@@ -171,11 +171,11 @@
   }
 }
 
-// A balancer that starts, or has lost discovery, asks for one whole list, and then watches.
-TEST(RestartSweep, AStartAndAnOutageTakeAWholeListEach) {
+// A balancer that starts or has lost discovery requests one full list and then watches.
+TEST(RestartSweep, StartAndOutageEachRequestOneFullList) {
   const SweepResult result = sweep_restart(quick_with_program());
   ASSERT_EQ(result.table.rows(), 5u);
-  // While discovery is away the retries of a balancer lie this far apart at the least.
+  // Minimum interval between a balancer's retries during an outage of discovery.
   constexpr double kMinRetrySeconds = 0.25;
   for (std::size_t row = 0; row < result.table.rows(); ++row) {
     SCOPED_TRACE(row);
@@ -191,16 +191,16 @@
   }
 }
 
-TEST(LoadSweep, RequestsAreServedAndStreamsStayOpen) {
+TEST(LoadSweep, ServesRequestsAndKeepsStreamsOpen) {
   const SweepResult result = sweep_load(quick_with_program());
   ASSERT_EQ(result.table.rows(), 3u);
   EXPECT_GT(result.table.at(0, "served"), 0);
   EXPECT_EQ(result.table.at(1, "clients"), 20);
-  // More only where the balancer has asked again on a machine that stalls.
+  // More only if the balancer has retried on a machine that stalls.
   EXPECT_GE(result.table.at(2, "streams"), 4);
 }
 
-TEST(ScaleSweep, WritesItsTablesAndCharts) {
+TEST(ScaleSweep, WritesTablesAndCharts) {
   char folder[] = "/tmp/balancer-scale-test-XXXXXX";
   ASSERT_NE(::mkdtemp(folder), nullptr);
   SweepOptions options = quick(1);
--- a/tests/testbed/servers_test.cc
+++ b/tests/testbed/servers_test.cc
@@ -1,4 +1,4 @@
-// The emulated servers on sockets, with the test as their client.
+// The emulated servers, with the test as their client over sockets.
 #include <filesystem>
 #include <fstream>
 #include <set>
@@ -61,8 +61,8 @@
     return "mg " + key + " v O" + request(0, key) + " Pc=read,d=900\r\n";
   }
   ::testing::AssertionResult wait(const std::function<bool()>& done) { return run_until(io, done); }
-  // Strikes the first incident, a pause, and returns once it has begun, however late the test runs.
-  void pause_begins() {
+  // Applies the first incident, a pause, and returns once it has begun, even on a slow machine.
+  void begin_pause() {
     fleet->strike(scenario.incidents[0]);
     const Time end = context->now() + std::chrono::milliseconds(20);
     ASSERT_TRUE(wait([&] { return context->now() > end; }));
@@ -77,18 +77,19 @@
   std::uint64_t effects = 0;
 };
 
-TEST_F(ServersTest, HitsMissesAndNoopsInOrder) {
+TEST_F(ServersTest, AnswersHitsMissesAndNoopsInOrder) {
   begin();
   fleet->warm_with({"kept"});
   auto p = peer(h0);
   p->send(get("kept") + get("other") + "mn\r\n");
   ASSERT_TRUE(wait([&] { return p->in.ends_with("MN\r\n"); }));
   EXPECT_TRUE(p->in.starts_with("VA ")) << p->in;
-  EXPECT_NE(p->in.find("\r\nEN O"), std::string::npos) << "answered before the one ahead of it";
+  EXPECT_NE(p->in.find("\r\nEN O"), std::string::npos)
+      << "the no-op was answered before the request ahead of it";
 }
 
-// What the origin answers is kept where it was missed; a write drops it again.
-TEST_F(ServersTest, AMissIsFilledByTheOriginAndDroppedByAWrite) {
+// A value that the origin serves is stored at the host that missed it; a write removes it.
+TEST_F(ServersTest, OriginReadFillsMissAndWriteInvalidates) {
   begin();
   auto cache = peer(h0), source = peer(origin);
   const std::string id = request(0, "k");
@@ -110,7 +111,7 @@
   EXPECT_EQ(context->auditor.breach_count(1) + context->auditor.breach_count(2), 0u);
 }
 
-TEST_F(ServersTest, TheOriginDiscardsRepeatsOfAKeyedWrite) {
+TEST_F(ServersTest, OriginDeduplicatesKeyedWrite) {
   begin();
   auto source = peer(origin);
   RequestNumber number = 0;
@@ -126,7 +127,7 @@
   EXPECT_EQ(context->auditor.breach_count(2), 0u);
 }
 
-TEST_F(ServersTest, GarbageCostsThatConnectionOnly) {
+TEST_F(ServersTest, MalformedInputClosesOnlyItsConnection) {
   begin();
   fleet->warm_with({"k"});
   auto good = peer(h0);
@@ -147,12 +148,12 @@
   }
   good->send(get("k"));
   ASSERT_TRUE(wait([&] { return good->in.starts_with("VA "); }));
-  EXPECT_EQ(context->auditor.breach_count(1), 3u) << "the judge heard of what no client sent";
+  EXPECT_EQ(context->auditor.breach_count(1), 3u)
+      << "commands that no client sent are reported to the auditor";
 }
 
-// The hard case: what was sent to a paused host runs when it is back, though its connection has
-// gone.
-TEST_F(ServersTest, APausedHostRunsWhatNobodyWaitsForAnyMore) {
+// Requests sent to a paused host run once it resumes, even though their connection has been closed.
+TEST_F(ServersTest, PausedHostRunsRequestsOfClosedConnection) {
   begin("[[incident]]\nwhat = \"pause\"\nhost = \"h0\"\nat_s = 0\nfor_s = 1\n");
   fleet->warm_with({"k"});
   fleet->strike(scenario.incidents[0]);
@@ -172,11 +173,12 @@
   EXPECT_GE(context->now(), std::chrono::seconds(1));
 }
 
-// A host that stood still cannot tell when a request came; it may have been at any time since. Here
-// the connection itself waited, and behind it the request is the client's second attempt.
-TEST_F(ServersTest, APausedHostHoldsNoTimeAgainstWhatCameMeanwhile) {
+// A paused host cannot know when a request arrived during the pause, so the earliest possible time
+// counts. Here the connection itself waited in the backlog, and the request on it is the client's
+// second attempt.
+TEST_F(ServersTest, RequestDuringPauseCountsFromPauseStart) {
   begin("[[incident]]\nwhat = \"pause\"\nhost = \"h0\"\nat_s = 0\nfor_s = 0.5\n");
-  pause_begins();
+  begin_pause();
   RequestNumber number = 0;
   const std::string id = request(0, "k", &number);
   context->auditor.on_arrived(context->now(), number, 1);
@@ -184,22 +186,22 @@
   p->send("mg k v O" + id + " Pc=read,d=5000\r\n");
   ASSERT_TRUE(wait([&] { return !p->in.empty(); }));
   EXPECT_GE(context->now(), std::chrono::milliseconds(500));
-  const Check told = context->auditor.checks().front();
-  EXPECT_EQ(told.cases, 1u);
-  EXPECT_EQ(told.broken, 0u) << told.example;
+  const Check check = context->auditor.checks().front();
+  EXPECT_EQ(check.cases, 1u);
+  EXPECT_EQ(check.broken, 0u) << check.example;
 }
 
-// What comes once it has gone on is held against the time at which it comes, also on a connection
-// that was open and silent through the pause.
-TEST_F(ServersTest, WhatComesBehindAPauseCountsFromThen) {
+// A request that arrives after a pause counts from its actual arrival, even on a connection that
+// was open and idle during the pause.
+TEST_F(ServersTest, RequestAfterPauseCountsFromArrival) {
   begin("[[incident]]\nwhat = \"pause\"\nhost = \"h0\"\nat_s = 0\nfor_s = 0.2\n");
   auto p = peer(h0);
   p->send("mn\r\n");
   ASSERT_TRUE(wait([&] { return p->in == "MN\r\n"; }));
-  pause_begins();
+  begin_pause();
   auto other = peer(h0);
   other->send("mn\r\n");
-  ASSERT_TRUE(wait([&] { return other->in == "MN\r\n"; })) << "it has gone on";
+  ASSERT_TRUE(wait([&] { return other->in == "MN\r\n"; })) << "the host has resumed";
   EXPECT_GE(context->now(), std::chrono::milliseconds(200));
   RequestNumber number = 0;
   const std::string id = request(0, "k", &number);
@@ -209,10 +211,11 @@
   p->in.clear();
   p->send("mg k v O" + id + " Pc=read,d=5000\r\n");
   ASSERT_TRUE(wait([&] { return !p->in.empty(); }));
-  EXPECT_EQ(context->auditor.checks().at(1).broken, 1u) << "begun late behind the client's close";
+  EXPECT_EQ(context->auditor.checks().at(1).broken, 1u)
+      << "the attempt began long after the client's close";
 }
 
-TEST_F(ServersTest, RefusedAndSilentConnects) {
+TEST_F(ServersTest, RefusesOrIgnoresConnections) {
   begin(
       "[[incident]]\nwhat = \"refuse\"\nhost = \"h0\"\nat_s = 0\nfor_s = 0.3\n"
       "[[incident]]\nwhat = \"silent\"\nhost = \"h1\"\nat_s = 0\nfor_s = 0.5\n");
@@ -227,7 +230,7 @@
   bool up = false;
   silent.async_connect(endpoint_of(h1), [&](auto e) { up = !e; });
   const Time before = context->now();
-  ASSERT_TRUE(wait([&] { return up; }));  // the kernel tries again, after a second
+  ASSERT_TRUE(wait([&] { return up; }));  // the kernel retries after one second
   EXPECT_GT(context->now() - before, std::chrono::milliseconds(300));
   fleet->warm_with({"k"});
   auto p = peer(h0);
@@ -235,7 +238,7 @@
   ASSERT_TRUE(wait([&] { return p->in.starts_with("VA "); }));
 }
 
-TEST_F(ServersTest, DiscoveryTellsWatchersOfChanges) {
+TEST_F(ServersTest, DiscoveryAnswersWatchesWithChanges) {
   begin("[[incident]]\nwhat = \"restart\"\nhost = \"h1\"\nat_s = 0\nfor_s = 0.3\ndrain_s = 0.3\n");
   auto p = peer(fleet->discovery().dial(0));
   p->send("GET /discovery/hosts HTTP/1.1\r\nHost: d\r\n\r\n");
@@ -254,11 +257,12 @@
     EXPECT_GT(next, seq);
     seq = next;
   }
-  EXPECT_EQ(p->in.find("\"born_ms\":0}"), std::string::npos) << "a restarted host tells its start";
+  EXPECT_EQ(p->in.find("\"born_ms\":0}"), std::string::npos) << "a restarted host has a start time";
 }
 
-// A check that fails is in the verdict with no rule broken, and its first case in the text.
-TEST_F(ServersTest, AFailedCheckIsInTheReportAndTheVerdict) {
+// A failed check makes the verdict fail even if no rule is broken, and the report shows its first
+// case.
+TEST_F(ServersTest, FailedCheckAppearsInReportAndVerdict) {
   begin();
   Tally tally(scenario);
   Load load(*context, tally, {});
@@ -284,9 +288,9 @@
       << text;
 }
 
-// Hosts and balancers are away at times, and members of a group are yet to start: meanwhile the
-// kernel may give their ports to nobody, and another run may not use their addresses.
-TEST_F(ServersTest, TwoRunsAtOnceShareNoAddress) {
+// Hosts and balancers are down at times, and group members start late. Meanwhile the kernel must
+// not assign their ports to other sockets, and a concurrent run must not use their addresses.
+TEST_F(ServersTest, ConcurrentRunsShareNoAddress) {
   begin();
   char folder[] = "/tmp/balancer-servers-XXXXXX";
   ASSERT_NE(::mkdtemp(folder), nullptr);
@@ -299,8 +303,9 @@
   std::ifstream("/proc/sys/net/ipv4/ip_local_port_range") >> low >> high;
   std::set<std::string> all;
   const auto add = [&](const tcp::endpoint& e) {
-    EXPECT_TRUE(e.port() < low || e.port() > high) << e << " is one that the kernel gives away";
-    EXPECT_TRUE(all.insert(text_of(e)).second) << e << " is had twice";
+    EXPECT_TRUE(e.port() < low || e.port() > high)
+        << e << " is in the kernel's ephemeral port range";
+    EXPECT_TRUE(all.insert(text_of(e)).second) << e << " is used twice";
   };
   for (Fleet* f : {fleet.get(), &other_fleet}) {
     const std::string list = f->discovery().whole_list(0);
@@ -309,18 +314,18 @@
   }
   for (const GroupNet* g : {&group, &other_group})
     for (int i = 0; i < kInstances; ++i) {
-      add(g->direct(i));
-      const std::string tables = g->tables(i), key = "\nlisten = \"";
+      add(g->direct_endpoint(i));
+      const std::string tables = g->config_tables(i), key = "\nlisten = \"";
       const auto at = tables.find(key) + key.size();
       add(endpoint_of(tables.substr(at, tables.find('"', at) - at)));
     }
   for (int i = 0; i < kInstances; ++i)
-    EXPECT_NE(group.direct(i).address(), other_group.direct(i).address());
+    EXPECT_NE(group.direct_endpoint(i).address(), other_group.direct_endpoint(i).address());
   std::filesystem::remove_all(folder);
 }
 
-// The report is made of its own JSON, and nonsense in its place is an error.
-TEST_F(ServersTest, AReportIsMadeOfItsJson) {
+// The text and HTML reports are generated from the JSON report; malformed JSON is an error.
+TEST_F(ServersTest, GeneratesReportsFromJson) {
   begin();
   Tally tally(scenario);
   tally.on_asked(std::chrono::seconds(1), 0, 0, 2);
