--- a/src/testbed/balancer_process.cc
+++ b/src/testbed/balancer_process.cc
@@ -80,8 +80,8 @@
     std::ofstream(file + ".new") << text;
     std::filesystem::rename(file + ".new", file);
   };
-  if (files_.platform_config)
-    write(folder_ + "/" + name() + ".json", files_.platform_config(text_of(files_.listen)));
+  if (files_.platform)
+    write(folder_ + "/" + name() + ".json", files_.platform(text_of(files_.listen)));
   if (files_.operator_config) write(folder_ + "/" + name() + ".toml", files_.operator_config());
 }
 
@@ -99,7 +99,7 @@
   std::string preload = "LD_PRELOAD=" BALANCER_FAULT_LIBRARY;
   std::string sanitizer = "ASAN_OPTIONS=verify_asan_link_order=0";
   std::vector<char*> environment;
-  if (files_.platform_config) environment.push_back(env.data());
+  if (files_.platform) environment.push_back(env.data());
   if (!files_.faults.empty())
     for (std::string* const added_variable : {&faults, &preload, &sanitizer})
       environment.push_back(added_variable->data());
@@ -137,10 +137,9 @@
   context_.after(kPollInterval, [this, generation, ready = std::move(ready)]() mutable {
     if (generation != generation_ || !running()) return;
     const std::string log = read_file(folder_ + "/" + name() + ".log");
-    const std::string line =
-        files_.group_member
-            ? kRespLine
-            : (files_.platform_config ? kListeningLine : kRespLine) + text_of(files_.listen);
+    const std::string line = files_.group_member ? kRespLine
+                                                 : (files_.platform ? kListeningLine : kRespLine) +
+                                                       text_of(files_.listen);
     const auto at = log.find(line, log_offset_);
     if (at == std::string::npos || log.find('\n', at) == std::string::npos)
       return await_listening(generation, std::move(ready));
@@ -161,16 +160,15 @@
                                             ready = std::move(ready)](const error_code& e) mutable {
     if (generation != generation_) return;
     if (e) return await_listening(generation, std::move(ready));
-    asio::async_write(
-        ask->socket,
-        files_.platform_config ? asio::buffer("mn\r\n", 4) : asio::buffer("PING\r\n", 6),
-        [ask](const error_code&, std::size_t) {});
+    asio::async_write(ask->socket,
+                      files_.platform ? asio::buffer("mn\r\n", 4) : asio::buffer("PING\r\n", 6),
+                      [ask](const error_code&, std::size_t) {});
     asio::async_read(
         ask->socket, asio::buffer(ask->answer),
         [this, generation, ask, ready = std::move(ready)](const error_code& error, std::size_t) {
           if (generation != generation_) return;
-          if (error || std::string_view(ask->answer.data(), 4) !=
-                           (files_.platform_config ? "MN\r\n" : "+PON"))
+          if (error ||
+              std::string_view(ask->answer.data(), 4) != (files_.platform ? "MN\r\n" : "+PON"))
             return await_listening(generation, ready);
           ready();
         });
--- a/src/testbed/balancer_process.h
+++ b/src/testbed/balancer_process.h
@@ -19,7 +19,7 @@
   // Configuration of the process. The functions are called for each start.
   struct Files {
     // The platform's file and the operator's file; either may be unset.
-    std::function<std::string(const std::string& listen)> platform_config;
+    std::function<std::string(const std::string& listen)> platform;
     std::function<std::string()> operator_config;
     // A group member listens only while it holds a service address, so it counts as ready once it
     // runs.
--- a/src/testbed/rehearsal.cc
+++ b/src/testbed/rehearsal.cc
@@ -224,7 +224,7 @@
       files.listen = s.memcache() ? run_.context.loopback.next_endpoint()
                                   : listeners_.front()[static_cast<std::size_t>(b)];
       if (s.memcache())
-        files.platform_config = [this, b](const std::string& listen) {
+        files.platform = [this, b](const std::string& listen) {
           return configuration(s_, fleet_, b, seeds_.next(), listen);
         };
       if (!clusters_.empty())
--- a/src/testbed/scale/balancer_processes.cc
+++ b/src/testbed/scale/balancer_processes.cc
@@ -38,7 +38,7 @@
   for (int i = 0; i < settings.count; ++i) {
     BalancerProcess::Files files;
     files.listen = context_.loopback.next_endpoint();
-    files.platform_config = [i, settings, dial = discovery.dial(i)](const std::string& listen) {
+    files.platform = [i, settings, dial = discovery.dial(i)](const std::string& listen) {
       ProcessConfiguration configuration;
       configuration.number = i;
       configuration.listen = listen;
--- a/src/testbed/scale/sweep_load.cc
+++ b/src/testbed/scale/sweep_load.cc
@@ -85,7 +85,7 @@
   BalancerProcess::Files files(std::uint64_t seed) {
     BalancerProcess::Files files;
     files.listen = context_.loopback.next_endpoint();
-    files.platform_config = [this, seed](const std::string& listen) {
+    files.platform = [this, seed](const std::string& listen) {
       ProcessConfiguration configuration;
       configuration.listen = listen;
       configuration.discovery = fleet_.discovery().dial(0);
