--- a/src/testbed/scale/balancer_processes.cc
+++ b/src/testbed/scale/balancer_processes.cc
@@ -22,7 +22,7 @@
     return;
   }
   std::string name = std::filesystem::temp_directory_path() / "balancer-scale-XXXXXX";
-  if (!::mkdtemp(name.data())) throw std::runtime_error("no temporary folder can be made");
+  if (!::mkdtemp(name.data())) throw std::runtime_error("cannot create a temporary folder");
   path_ = name;
   temporary_ = true;
 }
