--- a/src/fleet_simulation/plant.cc
+++ b/src/fleet_simulation/plant.cc
@@ -177,7 +177,8 @@
   for (const testbed::IncidentSpec& i : scenario_.incidents)
     at(i.at, [this, &i] { start_incident(i); });
   at(options_.sample_period, [this] { sample(); });
-  if (options_.origin_held || options_.caches_held) restore_held_fractions();
+  if (options_.fixed_origin_admit_fraction || options_.fixed_caches_admit_fraction)
+    restore_held_fractions();
   arrive();
 }
 
@@ -671,9 +672,10 @@
   for (const auto& b : balancers_) {
     if (!b->policy) continue;
     const Policy::PolicyCheckpoint l = b->policy->checkpoint(now_);
-    b->policy->restore(
-        now_,
-        {0, options_.origin_held.value_or(l.origin), options_.caches_held.value_or(l.caches), {}});
+    b->policy->restore(now_, {0,
+                              options_.fixed_origin_admit_fraction.value_or(l.origin),
+                              options_.fixed_caches_admit_fraction.value_or(l.caches),
+                              {}});
   }
   after(kHoldPeriod, [this] { restore_held_fractions(); });
 }
--- a/src/fleet_simulation/plant.h
+++ b/src/fleet_simulation/plant.h
@@ -26,7 +26,7 @@
 struct Options {
   // If set, fixes the admit fraction of the origin or of the caches for the whole run, which shows
   // which control loops oscillate against each other.
-  std::optional<double> origin_held, caches_held;
+  std::optional<double> fixed_origin_admit_fraction, fixed_caches_admit_fraction;
   // Network delay between any two processes.
   Duration one_way_delay = std::chrono::microseconds(60);
   Duration sample_period = std::chrono::milliseconds(500);
--- a/src/frontend/resp/cluster_pool.cc
+++ b/src/frontend/resp/cluster_pool.cc
@@ -14,20 +14,20 @@
 using boost::system::error_code;
 using cluster::View;
 
-// Time limit of one slot query to a node, connection set-up included.
-constexpr Duration kProbeTimeout = std::chrono::milliseconds(500);
+// Time limit of one slot map query to a node, including connection setup.
+constexpr Duration kQueryTimeout = std::chrono::milliseconds(500);
 // Large enough for a reply with one range per slot.
-constexpr resp::Bounds kProbeBounds{
+constexpr resp::Bounds kReplyBounds{
     .bulk = 4u << 20, .elements = 1u << 20, .total = 16u << 20, .line = 64u << 10, .depth = 8};
 
 }  // namespace
 
-// One slot query to one node. Prefers CLUSTER NODES, whose reply has epochs. If the node does not
-// know or allow that command, falls back to SHARDS, whose reply has the nodes' health, then to
-// SLOTS.
-class ClusterPool::Probe : public std::enable_shared_from_this<Probe> {
+// Queries one node for the slot map. Tries CLUSTER NODES first, as its reply has epochs. If the
+// node does not know or allow that command, or its reply cannot be parsed, falls back to CLUSTER
+// SHARDS, whose reply has the nodes' health, then to CLUSTER SLOTS.
+class ClusterPool::SlotMapQuery : public std::enable_shared_from_this<SlotMapQuery> {
  public:
-  Probe(ClusterPool& pool, std::string node)
+  SlotMapQuery(ClusterPool& pool, std::string node)
       : pool_(&pool),
         node_(std::move(node)),
         socket_(pool.io_),
@@ -37,8 +37,8 @@
 
   void start() {
     const auto to = parse_endpoint(node_);
-    if (!to) return finish_soon();
-    timer_.expires_after(kProbeTimeout);
+    if (!to) return fail_asynchronously();
+    timer_.expires_after(kQueryTimeout);
     timer_.async_wait([self = shared_from_this()](const error_code& e) {
       if (!e) self->finish(std::nullopt);
     });
@@ -92,8 +92,9 @@
     return true;
   }
   bool on_reply(const std::string& reply) {
+    // The reply to the login command is ignored, even if it is an error.
     if (replies_to_skip_ > 0) return --replies_to_skip_, true;
-    const auto value = resp::parse_reply(reply, kProbeBounds);
+    const auto value = resp::parse_reply(reply, kReplyBounds);
     if (!value) return false;
     switch (replies_++) {
       case 0:
@@ -113,7 +114,7 @@
         return finish(cluster::parse_cluster_slots(*value, node_, epoch_)), true;
     }
   }
-  void finish_soon() {
+  void fail_asynchronously() {
     asio::post(socket_.get_executor(), [self = shared_from_this()] { self->finish(std::nullopt); });
   }
   void finish(const std::optional<View>& view) {
@@ -133,7 +134,7 @@
   asio::ip::tcp::socket socket_;
   asio::steady_timer timer_;
   Reservation descriptor_, bytes_;
-  resp::ReplyReader reader_{kProbeBounds};
+  resp::ReplyReader reader_{kReplyBounds};
   std::array<char, 16384> chunk_;
   std::string reply_;
   std::optional<View> view_;
@@ -153,28 +154,29 @@
           io, clock, settings_.site, seed, limits,
           [this](bool, AttemptEvents& events,
                  UpstreamOwner& owner) -> std::shared_ptr<UpstreamConnection> {
-            const std::size_t most = settings_.max_value;
-            return std::make_shared<RespConnection>(io_, limits_, events, owner, login_,
-                                                    resp::Bounds{.bulk = most,
-                                                                 .elements = 256u << 10,
-                                                                 .total = 2 * most + (64u << 10),
-                                                                 .line = 64u << 10,
-                                                                 .depth = 16});
+            const std::size_t max_value_size = settings_.max_value;
+            return std::make_shared<RespConnection>(
+                io_, limits_, events, owner, login_,
+                resp::Bounds{.bulk = max_value_size,
+                             .elements = 256u << 10,
+                             .total = 2 * max_value_size + (64u << 10),
+                             .line = 64u << 10,
+                             .depth = 16});
           },
           [] {}, this),
       timer_(io) {
   apply_nodes();
-  schedule();
+  schedule_refresh();
 }
 
 ClusterPool::~ClusterPool() {
-  if (probe_) probe_->cancel();
+  if (query_) query_->cancel();
 }
 
 void ClusterPool::stop() {
   stopped_ = true;
   timer_.cancel();
-  if (probe_) std::exchange(probe_, nullptr)->cancel();
+  if (query_) std::exchange(query_, nullptr)->cancel();
 }
 
 // ---- requests
@@ -190,8 +192,8 @@
   attempt.replica = router_.reads_replica(attempt.request, attempt.host);
 }
 
-// Follows a redirection only if its reply is complete. After a partial reply the request may have
-// run.
+// Only a complete reply (kOk) can be a redirection. After a partial reply the request may have been
+// executed.
 Result ClusterPool::interpret(const Attempt& attempt, Result result, const std::string& value) {
   using Verdict = cluster::Router::Verdict;
   if (result == Result::kConnectFailed || result == Result::kReset || result == Result::kTimeout) {
@@ -209,7 +211,7 @@
         case Verdict::kAnswer:
           break;
         case Verdict::kRedirected:
-        case Verdict::kUnavailable:  // walk() offers no further node, so the request is rejected
+        case Verdict::kUnavailable:  // no node is left to try, so the request is rejected
           result = Result::kRedirected;
           break;
         case Verdict::kMalformed:
@@ -218,7 +220,7 @@
     }
   }
   if (router_.revision() != applied_revision_) apply_nodes();
-  schedule();
+  schedule_refresh();
   return result;
 }
 
@@ -235,9 +237,9 @@
   servers_.on_list(list);
 }
 
-// ---- the slots
+// ---- slot map refresh
 
-void ClusterPool::schedule() {
+void ClusterPool::schedule_refresh() {
   const auto at = router_.refresh_at();
   if (stopped_ || !at || *at >= timer_at_) return;
   timer_at_ = *at;
@@ -249,22 +251,22 @@
     if (due && *due <= clock_.now()) {
       refresh();
     } else {
-      schedule();
+      schedule_refresh();
     }
   });
 }
 
 void ClusterPool::refresh() {
   login_ = {settings_.user, settings_.password};
-  probe_ = std::make_shared<Probe>(*this, router_.begin_refresh(clock_.now()));
-  probe_->start();
+  query_ = std::make_shared<SlotMapQuery>(*this, router_.begin_refresh(clock_.now()));
+  query_->start();
 }
 
 void ClusterPool::on_refreshed(const std::optional<View>& view) {
-  probe_ = nullptr;
+  query_ = nullptr;
   router_.end_refresh(clock_.now(), view);
   if (router_.revision() != applied_revision_) apply_nodes();
-  schedule();
+  schedule_refresh();
 }
 
 }  // namespace balancer
--- a/src/frontend/resp/cluster_pool.h
+++ b/src/frontend/resp/cluster_pool.h
@@ -29,7 +29,7 @@
   void stop();
 
  private:
-  class Probe;
+  class SlotMapQuery;
 
   // RoutingExtension
   Placement& placement() override { return router_; }
@@ -39,7 +39,7 @@
   Result interpret(const Attempt& attempt, Result result, const std::string& value) override;
 
   void apply_nodes();
-  void schedule();
+  void schedule_refresh();
   void refresh();
   void on_refreshed(const std::optional<cluster::View>& view);
 
@@ -53,7 +53,7 @@
   boost::asio::steady_timer timer_;
   Time timer_at_ = Time::max();
   std::uint64_t applied_revision_ = 0;  // revision of the router's nodes that was applied last
-  std::shared_ptr<Probe> probe_;
+  std::shared_ptr<SlotMapQuery> query_;
   bool stopped_ = false;
 };
 
--- a/src/group_runtime/voter_storage.cc
+++ b/src/group_runtime/voter_storage.cc
@@ -85,7 +85,7 @@
 void VoterStorage::log_failure(const std::string& reason) {
   if (reason == last_failure_) return;
   last_failure_ = reason;
-  log_("voter: gives no vote: " + reason);
+  log_("voter: grants no votes: " + reason);
 }
 
 }  // namespace balancer::group_runtime
--- a/src/hosts/host_registry.cc
+++ b/src/hosts/host_registry.cc
@@ -19,9 +19,9 @@
                                                             const std::vector<HostEntry>& entries) {
   std::vector<HostChange> changes;
   if (kind == ListKind::kRejected) return changes;
-  ++lists_;
+  ++list_count_;
   for (const HostEntry& entry : entries) apply_entry(entry, changes);
-  remove_unlisted(kind, changes);
+  remove_gone_hosts(kind, changes);
   return changes;
 }
 
@@ -29,8 +29,8 @@
   const auto [index, is_new] = hosts_.insert(entry.id);
   Host& host = hosts_[index];
   host.id = entry.id;
-  host.last_list = lists_;
-  const bool was_placed = host.is_placed();
+  host.last_seen_list_number = list_count_;
+  const bool was_placeable = host.is_placed();
   host.origin = entry.origin;
   host.zone = entry.zone;
   host.cell = entry.cell;
@@ -38,19 +38,21 @@
   apply_start(index, entry.start, changes);
   const auto known_override = is_new ? overrides_.find(entry.id) : overrides_.end();
   if (known_override != overrides_.end()) apply_override(index, known_override->second, changes);
-  if (host.is_placed() && !was_placed) {
+  // The weight is fixed while keys may be placed on the host.
+  if (host.is_placed() && !was_placeable) {
     if (use_weights_) host.weight = bounded_weight(entry.weight);
     changes.push_back({HostChange::Kind::kJoined, index});
-  } else if (was_placed && !host.is_placed()) {
+  } else if (was_placeable && !host.is_placed()) {
     changes.push_back({HostChange::Kind::kLeft, index});
   }
 }
 
-void HostRegistry::remove_unlisted(ListKind kind, std::vector<HostChange>& changes) {
+void HostRegistry::remove_gone_hosts(ListKind kind, std::vector<HostChange>& changes) {
   total_weight_ = 0;
   for (Index i = 0; i < hosts_.size(); ++i) {
     Host& host = hosts_[i];
-    const bool is_unlisted = kind == ListKind::kComplete && host.last_list != lists_;
+    const bool is_unlisted =
+        kind == ListKind::kComplete && host.last_seen_list_number != list_count_;
     if (is_unlisted && host.state != HostState::kGone) {
       if (!host.origin) changes.push_back({HostChange::Kind::kLeft, i});
       host.state = HostState::kGone;
@@ -69,8 +71,8 @@
     if (start) changes.push_back({HostChange::Kind::kStarted, i, start->at});
   } else if (start && start->at < host.start->at) {
     host.start = start;
-    // A host that was returned to service has been restarted since, even if its list still has the
-    // old start.
+    // A host with an override counts as restarted when it returns to service, so an earlier start
+    // in the list is not reported.
     if (!overrides_.contains(host.id))
       changes.push_back({HostChange::Kind::kStartedEarlier, i, start->at});
   }
@@ -87,7 +89,7 @@
   return changes;
 }
 
-bool HostRegistry::accepts_override(Time now, std::string_view id) {
+bool HostRegistry::prepare_override(Time now, std::string_view id) {
   std::erase_if(overrides_, [&](const auto& entry) {
     const OperatorOverride& known = entry.second;
     return !known.out_of_service && now - known.since > override_retention_;
@@ -103,7 +105,7 @@
 }
 
 // A host that returns to service counts as restarted, even if no list has reported a new start. It
-// goes through slow start, and what was recorded about the old process must not keep it unused.
+// goes through slow start, and failures recorded for the previous process must not exclude it.
 void HostRegistry::apply_override(Index i, const OperatorOverride& operator_override,
                                   std::vector<HostChange>& changes) {
   Host& host = hosts_[i];
--- a/src/hosts/host_registry.h
+++ b/src/hosts/host_registry.h
@@ -54,7 +54,7 @@
 
   struct Host {
     std::string id;
-    std::uint64_t last_list = 0;  // number of the last list that contained it
+    std::uint64_t last_seen_list_number = 0;  // number of the last list that contained it
     bool origin = false;
     int zone = 0;
     int cell = 0;
@@ -97,7 +97,8 @@
   HostRegistry(bool use_weights, Duration override_retention)
       : use_weights_(use_weights), override_retention_(override_retention) {}
 
-  // Applies a host list. Returns the changes in the order of the list.
+  // Applies a host list. Returns the changes of listed hosts in the order of the list, then those
+  // of hosts that left or were removed, in the order of their indices.
   std::vector<HostChange> on_list(ListKind kind, const std::vector<HostEntry>& entries);
   // Applies an override; the host need not be listed. Returns the changes. Ignores the override if
   // there are already kMaxOverrides overrides of other hosts.
@@ -105,7 +106,7 @@
   // Removes overrides whose retention has expired, then returns whether an override of the host can
   // be stored: the host already has one, or it is a listed cache host and there are fewer than
   // kMaxOverrides.
-  bool accepts_override(Time now, std::string_view id);
+  bool prepare_override(Time now, std::string_view id);
   // Returns whether `out_of_service` differs from the current override of the host.
   bool differs_from_override(std::string_view id, bool out_of_service) const;
   // Returns the current overrides, including those of hosts that returned to service within the
@@ -134,14 +135,16 @@
                    std::vector<HostChange>& changes);
   void apply_override(Index i, const OperatorOverride& operator_override,
                       std::vector<HostChange>& changes);
-  void remove_unlisted(ListKind kind, std::vector<HostChange>& changes);
+  // Marks hosts that a complete list leaves out as gone, removes unreferenced gone hosts, and
+  // recomputes the total weight.
+  void remove_gone_hosts(ListKind kind, std::vector<HostChange>& changes);
   bool remove_if_unreferenced(Index i);
 
   const bool use_weights_;
   const Duration override_retention_;
   NamedSlots<Host> hosts_;
   double total_weight_ = 0;
-  std::uint64_t lists_ = 0;  // number of applied lists
+  std::uint64_t list_count_ = 0;  // number of applied lists
   std::map<std::string, OperatorOverride, std::less<>> overrides_;
 };
 
--- a/src/hot_restart/hot_restart.cc
+++ b/src/hot_restart/hot_restart.cc
@@ -15,10 +15,10 @@
 // A process that has connected must send a Hello within this time.
 constexpr milliseconds kHelloTimeout{1000};
 constexpr std::size_t kMaxCandidates = 4;
-// A predecessor that could not be queried is presumed to run for this long: it receives SIGTERM
+// A predecessor that could not be queried is assumed to run for this long: it receives SIGTERM
 // once this process serves, and the platform kills it at most 3.7 s later.
-constexpr milliseconds kPresumedFor{10000};
-// Interval between two reports of this process's share.
+constexpr milliseconds kUnqueriedPredecessorLifetime{10000};
+// Interval of the periodic work: candidate deadlines, retries, and reports of a changed share.
 constexpr milliseconds kTick{50};
 // Delay between two attempts to write to the folder.
 constexpr milliseconds kMinRetryDelay{100}, kMaxRetryDelay{1000};
@@ -43,7 +43,7 @@
     state_.on_predecessor(predecessor.snapshot.resources_held);
     connect_predecessor(std::move(predecessor.link));
   } else if (predecessor.is_presumed) {
-    state_.on_predecessor_presumed(clock.now() + kPresumedFor);
+    state_.on_predecessor_presumed(clock.now() + kUnqueriedPredecessorLifetime);
   }
   arm_tick();
 }
@@ -114,8 +114,8 @@
                      steady_clock::now() + kHelloTimeout};
 }
 
-// A link's handlers keep the id of its candidate. The successor's link was a candidate's before, so
-// an id that is not among the candidates is the successor's.
+// Handlers are bound to the candidate's id. When a candidate becomes the successor, its link keeps
+// that id, so an id that is not in candidates_ is the successor's.
 void HotRestart::on_candidate_packet(std::uint64_t id, Packet packet) {
   const auto at = candidates_.find(id);
   if (at == candidates_.end()) return on_peer_packet(std::move(packet), Peer::kSuccessor);
@@ -136,14 +136,14 @@
   boost::asio::post(io_, [this, id] { candidates_.erase(id); });
 }
 
-// Reduces this process's share, sends its state, and makes the candidate's link the successor's. If
-// this process cannot be replaced now, answers Busy and leaves the link to the candidate.
+// Reduces this process's share, sends its state, and promotes the candidate to successor. If this
+// process cannot be replaced now, answers Busy, and the candidate stays a candidate.
 void HotRestart::accept_successor(Candidate& candidate) {
   if (!is_serving_ || !state_.on_successor(clock_.now())) {
     candidate.link->send({encode(Busy{}), {}});
     return;  // the peer closes the link, or it is closed at the candidate's deadline
   }
-  callbacks_.log("hot restart: successor connected; this process keeps half of the limits");
+  callbacks_.log("hot restart: successor connected; both processes now share the limits");
   callbacks_.on_state_change();
   Snapshot snapshot = callbacks_.snapshot();
   reported_share_ = snapshot.resources_held = share();
@@ -190,7 +190,7 @@
 void HotRestart::on_successor_message(const Message& message) {
   if (!std::holds_alternative<Serving>(message)) return;
   state_.on_successor_serving();
-  callbacks_.log("hot restart: successor serves; new clients connect to it");
+  callbacks_.log("hot restart: successor is serving; it accepts new clients");
   callbacks_.on_state_change();
 }
 
@@ -200,10 +200,10 @@
   // Destroyed later, because its handlers may be on the stack.
   boost::asio::post(io_, [lost = std::shared_ptr<DescriptorLink>(std::move(link))] {});
   if (peer == Peer::kPredecessor) {
-    callbacks_.log("hot restart: predecessor has exited");
+    callbacks_.log("hot restart: predecessor disconnected");
     state_.on_predecessor_ended();
   } else {
-    callbacks_.log("hot restart: successor has exited; this process continues to serve");
+    callbacks_.log("hot restart: successor disconnected; this process continues to serve");
     state_.on_successor_lost();
     if (is_serving_) listener_.publish();
   }
@@ -218,13 +218,13 @@
     if (error) return;
     const auto now = steady_clock::now();
     std::erase_if(candidates_, [now](const auto& entry) { return now > entry.second.deadline; });
-    retry_files(now);
+    retry_writes_and_publish(now);
     report_share();
     arm_tick();
   });
 }
 
-void HotRestart::retry_files(steady_clock::time_point now) {
+void HotRestart::retry_writes_and_publish(steady_clock::time_point now) {
   if (now < retry_at_) return;
   retry_at_ = now + retry_delay_;
   retry_delay_ = std::min(2 * retry_delay_, kMaxRetryDelay);
@@ -232,7 +232,7 @@
   if (is_serving_ && !listener_.is_open()) listener_.publish();
 }
 
-// Reports a changed share to the successor, which may use what this process no longer holds.
+// Reports a changed share to the successor, which may use the remainder of the limits.
 void HotRestart::report_share() {
   callbacks_.on_state_change();
   if (!successor_) return;
--- a/src/hot_restart/hot_restart.h
+++ b/src/hot_restart/hot_restart.h
@@ -89,7 +89,7 @@
   void on_predecessor_message(const Message& message, std::vector<Descriptor>& descriptors);
   void on_successor_message(const Message& message);
   void on_peer_lost(Peer peer);
-  void retry_files(std::chrono::steady_clock::time_point now);
+  void retry_writes_and_publish(std::chrono::steady_clock::time_point now);
   void arm_tick();
   void report_share();
 
--- a/src/lease/lease_holder.h
+++ b/src/lease/lease_holder.h
@@ -18,7 +18,7 @@
 struct RouteAction {
   enum class Kind {
     kAnnounce,
-    kDeprefer,  // announce, but with any other announcement preferred
+    kDeprefer,  // announce with the lowest preference
     kWithdraw,
   };
   Kind kind;
@@ -30,26 +30,27 @@
 // the voters, tracks its expiry, and emits the route changes. Owned by LeaseManager. Performs no
 // I/O and reads no clock; `now` is passed to every call and must not decrease.
 //
-//   state         may hold  announced  ends when
-//   idle          no        no         wanted, and the delay has passed: candidate
-//   candidate     no        no         a majority grants: holder; denied, or timed out: idle, or
+//   state         holds  announced     ends when
+//   idle          no     no            wanted, and the delay has passed: candidate
+//   candidate     no     no            a majority grants: holder; denied, or timed out: idle, or
 //                                      partitioned if too few voters answered
-//   holder        yes       yes        hand_over(): handing over; release(), or the lease is about
+//   holder        yes    yes           hand_over(): handing over; release(), or the lease is about
 //                                      to end: releasing
-//   handing over  no        yes        the successor announces, or the overlap is over: releasing
-//   releasing     no        withdrawn  the routes are withdrawn, or the lease has ended: idle, or
+//   handing over  no     yes           the successor announces, or the overlap is over: releasing
+//   releasing     no     withdrawing   the routes are withdrawn, or the lease has ended: idle, or
 //                                      partitioned if the lease was lost
-//   partitioned   no        no         a majority of the voters answers: idle
+//   partitioned   no     no            a majority of the voters answers: idle
 //
 // A candidate begins with a pre-vote (Ongaro 2014, 9.6): it queries the voters for the holder,
 // which grants nothing, and requests votes only once a majority reports that there is none. Without
-// the pre-vote, a candidate that fails repeatedly would win over voters that the holder has not
-// reached yet, such as a new one, with terms newer than the holder's. A holder that nevertheless
-// finds a voter with a newer term, left by a failed election, raises its own term above it.
+// the pre-vote, a candidate that fails repeatedly could win votes, with a term newer than the
+// holder's, from voters that the holder has not reached yet, such as a new one. A holder that
+// nevertheless finds a voter with a newer term, left by a failed election, raises its own term
+// above it.
 //
-// A lease runs from before its request was sent, on the holder's own clock, and is shorter than a
-// voter's grant by twice the clock drift, so that no two instances hold an address at the same true
-// time.
+// The holder counts its lease from before it sent the request, on its own clock; it is shorter than
+// a voter's grant by twice the clock drift, so that no two instances hold an address at the same
+// true time.
 class LeaseHolder {
  public:
   enum class State { kIdle, kCandidate, kHolder, kHandingOver, kReleasing, kPartitioned };
@@ -60,7 +61,7 @@
   // ---- commands of the lease manager
 
   // Sets whether to run for election. `rank`: the number of other candidates that are preferred;
-  // each of them adds a delay.
+  // the election is delayed in proportion.
   void set_candidacy(Time now, bool wanted, int rank);
   // The holder at this term has reserved the address for this instance. If idle, starts an election
   // without delay and without a pre-vote.
@@ -100,16 +101,16 @@
   // Returns whether requests received on the address may be forwarded: while the lease is valid;
   // during a hand-over, for at most the overlap and never beyond the end of the lease; and after a
   // graceful release that the voters or the successor have confirmed, until `drain` after the
-  // release began, for requests accepted before. An unconfirmed release, as in a partition, does
-  // not extend the lease.
+  // release began, for requests accepted before the release. An unconfirmed release, as in a
+  // partition, does not extend the lease.
   bool may_serve(Time now, Duration drain) const;
   // Returns when the hand-over or graceful release in progress began, or nullopt if there is none.
   std::optional<Time> graceful_release_since() const;
-  // Returns whether the lease is held or being handed over. The owner keeps listening until the
+  // Returns whether the state is holder or handing over. The owner keeps listening until the
   // routes are withdrawn.
   bool should_listen() const { return state_ == State::kHolder || state_ == State::kHandingOver; }
-  Term term() const { return term_; }    // of the present or last lease
-  Time since() const { return since_; }  // when the present state was entered
+  Term term() const { return term_; }    // of the current or most recent lease
+  Time since() const { return since_; }  // when the current state was entered
   Time valid_until() const { return valid_until_; }
   const std::string& reason() const { return reason_; }  // of the last state change
   const InstanceId& believed_holder() const { return believed_holder_; }
@@ -180,7 +181,7 @@
   // State reported by the voters.
   Term newest_term_ = 0;
   InstanceId believed_holder_;
-  Time known_lease_ends_at_{0};  // end of the present holder's lease
+  Time known_lease_ends_at_{0};  // end of the current holder's lease
   std::size_t voters_reached_ = 0;
 
   // Requests to the voters.
--- a/src/net/client_listener.cc
+++ b/src/net/client_listener.cc
@@ -26,8 +26,8 @@
 
 // The order in which connections are closed to free descriptors, lowest value first. In a
 // connection flood most connections never send a request; they must not displace clients that were
-// served and reuse their connection. Clients in the middle of a command are mostly legitimate but
-// slow writers.
+// served and reuse their connection. A client that has sent part of a command is probably
+// legitimate but slow.
 enum class ClosePriority {
   kProtocolError,
   kSilent,
@@ -35,7 +35,7 @@
   kIdle,
   kNew,
   kSlowCommand,
-  kKeep,  // never closed: requests in flight, or a command just begun
+  kKeep,  // never closed to free a descriptor: requests in flight, or a recently begun command
 };
 
 ClosePriority close_priority(const ClientSession& session, Time now) {
@@ -57,7 +57,7 @@
 }  // namespace
 
 ClientListener::ClientListener(asio::io_context& io, const asio::ip::tcp::endpoint& listen,
-                               Limits& limits, const Clock& clock, RequestSink& core,
+                               Limits& limits, const Clock& clock, RequestSink& request_sink,
                                MakeDialect make_dialect, const SessionTimes& times,
                                ForwardingCheck may_forward)
     : io_(io),
@@ -66,7 +66,7 @@
       acceptor_(io),
       limits_(limits),
       clock_(clock),
-      core_(core),
+      request_sink_(request_sink),
       make_dialect_(std::move(make_dialect)),
       times_(times),
       may_forward_(std::move(may_forward)),
@@ -86,7 +86,7 @@
     acceptor_.bind(listen_);
     acceptor_.listen(kBacklog);
     acceptor_.non_blocking(true);
-    report_aborted_connections();
+    enable_connection_aborted_errors();
   } catch (...) {
     error_code ignored;
     acceptor_.close(ignored);
@@ -102,7 +102,7 @@
   acceptor_.assign(listen_.protocol(), listening.get());
   listening.release();
   acceptor_.non_blocking(true);
-  report_aborted_connections();
+  enable_connection_aborted_errors();
   local_ = acceptor_.local_endpoint();
   drain_.reset();
   arm_accept();
@@ -111,12 +111,12 @@
 // Makes accept() report connections that were reset while they waited in the backlog. Without this
 // option accept() waits for the next connection instead, which blocks the event loop even though
 // the acceptor is non-blocking.
-void ClientListener::report_aborted_connections() {
+void ClientListener::enable_connection_aborted_errors() {
   acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
 }
 
 void ClientListener::shut(Time last) {
-  stop();
+  stop();  // if it fails, the rest of the backlog is reset by close_acceptor()
   close_acceptor();
   const Time now = clock_.now();
   drain(now, std::max(now, last));
@@ -134,20 +134,21 @@
 
 void ClientListener::on_acceptable() {
   // When descriptors are short, new clients wait in the backlog until the next tick.
-  if (accept_batch() != AcceptResult::kNoRoom) arm_accept();
+  if (accept_batch() != AcceptResult::kCannotAccept) arm_accept();
 }
 
 ClientListener::AcceptResult ClientListener::accept_batch() {
   for (int i = 0; i < kAcceptBatch; ++i) {
-    if (!limits_.clients.room_for(1) && !make_room()) return AcceptResult::kNoRoom;
+    if (!limits_.clients.room_for(1) && !close_one_connection()) return AcceptResult::kCannotAccept;
     asio::ip::tcp::socket socket(io_);
     error_code error;
     acceptor_.accept(socket, error);
     if (error == asio::error::connection_aborted || error == asio::error::interrupted) continue;
     if (error == asio::error::would_block || error == asio::error::try_again)
       return AcceptResult::kNoneLeft;
-    // Out of descriptors or memory: the acceptor stays readable, so waiting for it would spin.
-    if (error) return AcceptResult::kNoRoom;
+    // For example out of descriptors or memory: the acceptor stays readable, so waiting for it
+    // would spin.
+    if (error) return AcceptResult::kCannotAccept;
     const auto session = make_session(std::move(socket));
     session->start();
     if (drain_) session->drain(drain_->next());
@@ -157,13 +158,13 @@
 
 ClientListener::SessionPtr ClientListener::make_session(asio::ip::tcp::socket socket) {
   SessionOwner& owner = *this;
-  auto session = std::make_shared<ClientSession>(std::move(socket), limits_, clock_, core_, owner,
-                                                 make_dialect_(), times_, may_forward_);
+  auto session = std::make_shared<ClientSession>(std::move(socket), limits_, clock_, request_sink_,
+                                                 owner, make_dialect_(), times_, may_forward_);
   sessions_.insert(session);
   return session;
 }
 
-// ---- hot restart: sharing with another process
+// ---- hot restart: sharing the listening socket and transferring connections
 
 void ClientListener::pause() {
   paused_ = true;
@@ -210,14 +211,14 @@
 // ---- connections
 
 void ClientListener::close_excess() {
-  while (limits_.clients.used() > limits_.clients.max() && make_room()) {
+  while (limits_.clients.used() > limits_.clients.max() && close_one_connection()) {
   }
 }
 
 // Closes the connection with the lowest ClosePriority, and among those the one that has been in its
 // state for the longest time. A connection with unread input is skipped, as its client has just
 // sent something, unless it is in a protocol error.
-bool ClientListener::make_room() {
+bool ClientListener::close_one_connection() {
   const Time now = clock_.now();
   SessionPtr chosen;
   std::pair<ClosePriority, Time> chosen_rank{ClosePriority::kKeep, Time::max()};
@@ -251,8 +252,8 @@
 // interval evenly for any number of connections. If all were closed at once, their clients would
 // reconnect to the remaining balancers at the same moment.
 Time ClientListener::DrainSchedule::next() {
-  constexpr double kGoldenRatio = 0.6180339887498949;
-  fraction += kGoldenRatio;
+  constexpr double kGoldenRatioFraction = 0.6180339887498949;
+  fraction += kGoldenRatioFraction;
   if (fraction >= 1) fraction -= 1;
   const auto length = static_cast<double>((last - first).count());
   return first + Duration(static_cast<Duration::rep>(length * fraction));
@@ -279,7 +280,7 @@
     AcceptResult accepted = AcceptResult::kMoreMayWait;
     for (int i = 0; i < kBacklog / kAcceptBatch && accepted == AcceptResult::kMoreMayWait; ++i)
       accepted = accept_batch();
-    if (accepted == AcceptResult::kNoRoom) return false;
+    if (accepted == AcceptResult::kCannotAccept) return false;
   }
   close_acceptor();
   return true;
--- a/src/net/client_listener.h
+++ b/src/net/client_listener.h
@@ -73,7 +73,7 @@
   void adopt(HandedClient client);
 
  private:
-  enum class AcceptResult { kNoneLeft, kMoreMayWait, kNoRoom };
+  enum class AcceptResult { kNoneLeft, kMoreMayWait, kCannotAccept };
   using SessionPtr = std::shared_ptr<ClientSession>;
 
   // Spreads the closing of connections over a drain.
@@ -92,12 +92,12 @@
   SessionPtr make_session(boost::asio::ip::tcp::socket socket);
   // Returns a copy, as sessions are erased from the set when they close.
   std::vector<SessionPtr> all_sessions() const { return {sessions_.begin(), sessions_.end()}; }
-  void report_aborted_connections();
+  void enable_connection_aborted_errors();
   void arm_accept();
   void on_acceptable();
   AcceptResult accept_batch();
   void close_acceptor();
-  bool make_room();
+  bool close_one_connection();
   void arm_tick();
 
   boost::asio::io_context& io_;
@@ -106,7 +106,7 @@
   boost::asio::ip::tcp::acceptor acceptor_;
   Limits& limits_;
   const Clock& clock_;
-  RequestSink& core_;
+  RequestSink& request_sink_;
   const MakeDialect make_dialect_;
   const SessionTimes times_;
   const ForwardingCheck may_forward_;
--- a/src/policy/policy.cc
+++ b/src/policy/policy.cc
@@ -131,7 +131,7 @@
 }
 
 bool Policy::on_maintenance(Time now, std::string_view id, bool out) {
-  if (!host_registry_.accepts_override(now, id)) return false;
+  if (!host_registry_.prepare_override(now, id)) return false;
   if (host_registry_.differs_from_override(id, out)) restore(now, id, {out, now});
   return true;
 }
--- a/src/route_announcement/speaker.cc
+++ b/src/route_announcement/speaker.cc
@@ -41,7 +41,7 @@
 void Speaker::announce(Time now, const std::string& address, const Prefix& prefix,
                        std::uint64_t term) {
   Route& route = routes_[address];
-  route = {prefix, term, Stage::kClaiming, now + settings_.claim_patience, false};
+  route = {prefix, term, Stage::kAnnouncing, now + settings_.claim_patience, false};
   send_route(route);
   update_routes(now);
 }
@@ -85,12 +85,12 @@
     Route& route = it->second;
     const auto acknowledged = static_cast<std::size_t>(std::count_if(
         sessions_.begin(), sessions_.end(), [](const Session& s) { return s.all_acknowledged(); }));
-    if (route.stage == Stage::kClaiming) {
+    if (route.stage == Stage::kAnnouncing) {
       if (acknowledged >= std::max<std::size_t>(settings_.routers_needed, 1)) {
         route.stage = Stage::kAnnounced;
         events_.push_back({Event::Kind::kAnnounced, address});
-      } else if (now >= route.claim_deadline) {
-        route.claim_deadline = Time::max();
+      } else if (now >= route.announcement_deadline) {
+        route.announcement_deadline = Time::max();
         events_.push_back({Event::Kind::kFailed, address});
       }
     } else if (route.stage == Stage::kWithdrawing &&
@@ -135,7 +135,7 @@
   Time first = Time::max();
   for (const Session& s : sessions_) first = std::min(first, s.next());
   for (const auto& [address, route] : routes_)
-    if (route.stage == Stage::kClaiming) first = std::min(first, route.claim_deadline);
+    if (route.stage == Stage::kAnnouncing) first = std::min(first, route.announcement_deadline);
   return first;
 }
 
--- a/src/route_announcement/speaker.h
+++ b/src/route_announcement/speaker.h
@@ -18,7 +18,7 @@
   std::vector<std::uint32_t> communities;
   // How many routers must acknowledge an announcement for the address to count as announced.
   std::size_t routers_needed = 1;
-  // Time limit for those acknowledgements; a claim that exceeds it has failed.
+  // Time limit for those acknowledgements; an announcement that exceeds it has failed.
   Duration claim_patience{std::chrono::milliseconds(500)};
 };
 
@@ -26,9 +26,9 @@
 // address has been announced or withdrawn. Performs no I/O and reads no clock.
 //
 // The announcement carries the term of the lease, so that a router that receives two announcements
-// of an address follows the newer one at once: LOCAL_PREF grows with the term, and MED, which
-// routers of another AS compare, falls. A route that is about to be withdrawn carries the community
-// GRACEFUL_SHUTDOWN (RFC 8326) and the lowest preference.
+// of an address selects the newer one at once: a higher term gives a higher LOCAL_PREF and a lower
+// MED, which routers of another AS compare. A route that is about to be withdrawn carries the
+// community GRACEFUL_SHUTDOWN (RFC 8326) and the lowest preference.
 class Speaker {
  public:
   Speaker(const SpeakerSettings& settings, const std::vector<SessionSettings>& routers,
@@ -36,11 +36,12 @@
 
   // ---- addresses
   void announce(Time now, const std::string& address, const Prefix& prefix, std::uint64_t term);
-  // Keeps the route announced with the lowest preference, so that routers prefer any other
-  // holder's.
+  // Keeps the route announced with the lowest preference, so that routers prefer a route
+  // from any other instance.
   void deprefer(Time now, const std::string& address);
   void withdraw(Time now, const std::string& address);
-  // Closes all sessions in order; the routers then drop their routes.
+  // Closes all sessions with a Cease notification; the routers then remove the routes learned from
+  // this speaker.
   void stop(Time now, std::string_view why);
 
   // ---- events of one router's session; see Session
@@ -51,7 +52,7 @@
   void on_bytes(Time now, std::size_t router, Session::Way way, std::string_view bytes);
   void on_unacknowledged(Time now, std::size_t router, Session::Way way, std::size_t bytes);
   void on_timer(Time now);
-  // When on_timer() is due; Time::max(): not at all.
+  // Returns when on_timer() is due, or Time::max() if it is not.
   Time next() const;
 
   // ---- actions for the owner to carry out, in order
@@ -65,16 +66,16 @@
   };
   std::vector<Event> take_events() { return std::exchange(events_, {}); }
 
-  // Number of routers with an established session whose messages are not overdue.
+  // Number of routers with an established session whose next message is not overdue.
   std::size_t routers_up(Time now) const;
 
  private:
-  enum class Stage { kClaiming, kAnnounced, kWithdrawing };
+  enum class Stage { kAnnouncing, kAnnounced, kWithdrawing };
   struct Route {
     Prefix prefix;
     std::uint64_t term = 0;
-    Stage stage = Stage::kClaiming;
-    Time claim_deadline{0};  // while kClaiming
+    Stage stage = Stage::kAnnouncing;
+    Time announcement_deadline{0};  // while kAnnouncing
     bool depreferred = false;
   };
 
--- a/src/settings/group_file.cc
+++ b/src/settings/group_file.cc
@@ -31,7 +31,7 @@
   return *address;
 }
 
-std::uint32_t read_as_number(Keys& keys, std::string_view key) {
+std::uint32_t read_asn(Keys& keys, std::string_view key) {
   if (!keys.has(key)) keys.bad(key, "is missing");
   return static_cast<std::uint32_t>(keys.real(key, 0, 1, 4294967294.0));
 }
@@ -49,9 +49,9 @@
            "contains an invalid community (expected a form such as 64512:100): " + text);
 }
 
-std::string read_endpoint(Keys& keys, std::string_view key, bool needed) {
+std::string read_endpoint(Keys& keys, std::string_view key, bool required) {
   std::string text = keys.text(key, "");
-  if (text.empty() && needed) keys.bad(key, "is missing");
+  if (text.empty() && required) keys.bad(key, "is missing");
   if (!text.empty() && !is_address(text, false))
     keys.bad(key, "is not an IP address and port: " + text);
   return text;
@@ -72,7 +72,8 @@
   t.withdraw_lead = keys.time("withdraw_lead_ms", 1e-3, 150, 1, 30'000);
   t.overlap = keys.time("overlap_ms", 1e-3, 300, 0, 30'000);
   t.round_timeout = keys.time("patience_ms", 1e-3, 150, 5, 30'000);
-  // A renewal starts every quarter of the lease; two must fit in before the withdrawal.
+  // A holder renews every quarter of the lease; at least two renewals must be possible before
+  // withdraw_lead begins.
   if (t.withdraw_lead > t.holder_duration() / 2)
     keys.bad("withdraw_lead_ms",
              "is more than half of the time for which a holder may use its lease");
@@ -112,7 +113,8 @@
   std::sort(g.founding.names.begin(), g.founding.names.end());
   if (g.founding.names.empty()) keys.bad("voters", "is missing");
   if (!lease::is_valid(g.founding))
-    keys.bad("voters", "must be up to " + std::to_string(lease::kMaxVoters) + " different names");
+    keys.bad("voters",
+             "must contain at most " + std::to_string(lease::kMaxVoters) + " names, all different");
   g.membership.probe_period = keys.time("probe_ms", 1e-3, 200, 20, 60'000);
   g.membership.max_probe_timeout =
       std::max<Duration>(g.membership.min_probe_timeout, g.membership.probe_period * 3 / 4);
@@ -153,7 +155,7 @@
   a.release = keys.strings("release");
   a.command_limit = keys.time("command_limit_ms", 1e-3, 1000, 10, 60'000);
   if (a.prefix && (!a.claim.empty() || !a.release.empty()))
-    keys.bad("claim", "cannot be combined with prefix");
+    keys.bad("claim", "claim and release cannot be combined with prefix");
   if (!a.prefix && (a.claim.empty() || a.release.empty()))
     keys.bad("name", "needs a prefix, or both claim and release");
   for (const auto* command : {&a.claim, &a.release})
@@ -167,7 +169,7 @@
 
 void read_bgp(Keys& keys, GroupFile& g) {
   BgpFile b;
-  b.session.local_as = b.speaker.local_as = read_as_number(keys, "as");
+  b.session.local_as = b.speaker.local_as = read_asn(keys, "as");
   b.session.id = read_ipv4(keys, "id");
   if (b.session.id == 0) keys.bad("id", "must not be 0.0.0.0");
   b.speaker.next_hop = read_ipv4(keys, "next_hop");
@@ -190,13 +192,13 @@
   keys.tables("router", [&](Keys& k) {
     BgpRouter r;
     r.address = read_endpoint(k, "address", true);
-    r.as = read_as_number(k, "as");
+    r.as = read_asn(k, "as");
     for (const auto& other : b.routers)
       if (other.address == r.address) k.bad("address", "is used by two routers");
     if (b.routers.size() >= kMaxRouters) k.bad("address", "exceeds the maximum number of routers");
     b.routers.push_back(std::move(r));
   });
-  if (b.routers.empty()) keys.bad("router", "is missing: [[bgp.router]]");
+  if (b.routers.empty()) keys.bad("router", "at least one [[bgp.router]] is required");
   if (b.speaker.routers_needed > b.routers.size())
     keys.bad("routers_needed", "is more than the number of routers");
   g.bgp = std::move(b);
--- a/src/testbed/main.cc
+++ b/src/testbed/main.cc
@@ -39,7 +39,7 @@
   json << in.rdbuf();
   std::printf("%s", report_text(json.str()).c_str());
   std::ofstream(folder + "/report.html") << report_html(json.str());
-  return report_verdict(json.str());
+  return report_exit_code(json.str());
 }
 
 std::string path_in_own_folder(const char* name) {
@@ -70,8 +70,8 @@
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
   CLI::App app{
-      "Tests balancer on one machine with emulated hosts, clients and faults, and audits the four "
-      "rules. Uses loopback addresses only."};
+      "Tests balancer on one machine with emulated hosts, clients and faults, and checks "
+      "four invariants of every request. Uses loopback addresses only."};
   app.require_subcommand(1);
   std::string file, folder;
   RehearsalOptions options;
@@ -84,16 +84,18 @@
   };
   const auto add_run = [&](const char* name, const char* what) {
     CLI::App* sub = add(name, what);
-    sub->add_option("--out", options.folder, "folder for report and logs (rehearsals/NAME)");
-    sub->add_flag("--quiet", quiet, "no progress line");
+    sub->add_option("--out", options.folder,
+                    "folder for report and logs (default: rehearsals/NAME)");
+    sub->add_flag("--quiet", quiet, "do not print progress");
     return sub;
   };
   CLI::App* check =
       add("check", "check a scenario, and whether this machine has the resources for it");
   CLI::App* rehearse =
       add_run("rehearse", "run fleet, balancers and clients together, and write a report");
-  rehearse->add_option("--program", options.program,
-                       "the balancer (balancer in this program's folder)");
+  rehearse->add_option(
+      "--program", options.program,
+      "path of the balancer executable (default: balancer in this program's directory)");
   CLI::App* fleet = add_run("fleet", "run only the emulated fleet, for balancers that you start");
   CLI::App* load = add_run("load", "run only the clients");
   load->add_option("--to", balancers, "ADDRESS:PORT of each balancer")->required();
@@ -114,50 +116,60 @@
   }
   balancer::fleet_simulation::TableOptions table;
   bool brief = false;
-  CLI::App* plant =
-      add("plant", "run the scenario in simulated time and print the signals of all control loops");
-  plant->add_option("--balancers", count, "override the scenario's number of balancers")
+  CLI::App* simulate = add(
+      "plant",
+      "run the scenario in simulated time and print the inputs and outputs of all control loops");
+  simulate->add_option("--balancers", count, "override the scenario's number of balancers")
       ->check(CLI::Range(1, 1000));
-  plant->add_option("--seed", seed, "first seed")->check(CLI::PositiveNumber);
-  plant->add_option("--seeds", table.seeds, "number of runs")->check(CLI::Range(1, 10000));
-  plant
-      ->add_option("--hold-origin", table.plant.origin_held, "keep the origin's gate this far open")
+  simulate->add_option("--seed", seed, "first seed")->check(CLI::PositiveNumber);
+  simulate->add_option("--seeds", table.seeds, "number of runs")->check(CLI::Range(1, 10000));
+  simulate
+      ->add_option("--hold-origin", table.plant.fixed_origin_admit_fraction,
+                   "fix the origin's admit fraction at this value")
       ->check(CLI::Range(0.05, 1.0));
-  plant->add_option("--hold-caches", table.plant.caches_held, "keep the caches' gate this far open")
+  simulate
+      ->add_option("--hold-caches", table.plant.fixed_caches_admit_fraction,
+                   "fix the caches' admit fraction at this value")
       ->check(CLI::Range(0.05, 1.0));
-  plant->add_flag("--brief", brief, "print only one line for each seed");
-  std::uint64_t drawn = 0;
+  simulate->add_flag("--brief", brief, "print only one line for each seed");
+  std::uint64_t draw_seed = 0;
   CLI::App* draw = app.add_subcommand("draw", "print a random scenario that can be run");
-  draw->add_option("SEED", drawn)->required()->check(CLI::PositiveNumber);
+  draw->add_option("SEED", draw_seed)->required()->check(CLI::PositiveNumber);
   bool soak = false;
-  draw->add_flag("--soak", soak, "with repeated restarts, short deadlines and machine faults");
-  FailoverOptions moves;
+  draw->add_flag("--soak", soak, "add repeated restarts, short deadlines and machine faults");
+  FailoverOptions failover;
   CLI::App* move =
       app.add_subcommand("moves", "move the service address of a group of balancers repeatedly");
-  move->add_option("--rounds", moves.rounds, "number of moves; the faults are injected in turn")
+  move->add_option("--rounds", failover.rounds,
+                   "number of moves; each injects the next fault of the list")
       ->check(CLI::Range(1, 100000));
-  move->add_option("--instances", moves.instances)->check(CLI::Range(2, 20));
-  move->add_option("--voters", moves.voters, "number of voters")->check(CLI::Range(1, 7));
-  move->add_option("--only", moves.only, "inject only this fault, named as in the report");
-  move->add_option("--seed", moves.seed);
-  move->add_option("--faults", moves.faults, "fault plan for each process");
-  move->add_option("--out", moves.folder, "folder for state and logs (rehearsals/moves)");
-  move->add_option("--program", moves.program, "the balancer (balancer in this program's folder)");
-  move->add_flag("--quiet", quiet, "no progress line");
+  move->add_option("--instances", failover.instances)->check(CLI::Range(2, 20));
+  move->add_option("--voters", failover.voters, "number of voters")->check(CLI::Range(1, 7));
+  move->add_option("--only", failover.only, "inject only this fault, named as in the report");
+  move->add_option("--seed", failover.seed);
+  move->add_option("--faults", failover.faults, "fault plan for each process");
+  move->add_option("--out", failover.folder,
+                   "folder for state and logs (default: rehearsals/moves)");
+  move->add_option(
+      "--program", failover.program,
+      "path of the balancer executable (default: balancer in this program's directory)");
+  move->add_flag("--quiet", quiet, "do not print progress");
   scale::SweepOptions sweep;
   std::string sweep_name, sweep_names;
   for (const auto& entry : scale::sweeps())
     sweep_names += std::string(sweep_names.empty() ? "" : "; ") + entry.name + ": " + entry.about;
   CLI::App* measure = app.add_subcommand(
-      "scale", "measure what a quantity costs at several sizes, with a fit; CSV and charts");
+      "scale", "measure a cost at several sizes, fit a curve, and write CSV files and charts");
   measure->add_option("SWEEP", sweep_name, sweep_names)->required();
-  measure->add_flag("--short", sweep.quick, "few sizes; only the counts are meaningful");
+  measure->add_flag("--short", sweep.quick,
+                    "run fewer sizes; only the counts are meaningful, not the measured times");
   measure->add_option("--seeds", sweep.seeds, "one run of each size for each seed");
   measure->add_option("--out", sweep.folder,
-                      "folder for tables, charts and logs (rehearsals/scale)");
-  measure->add_option("--program", sweep.program,
-                      "the balancer (balancer in this program's folder)");
-  measure->add_flag("--quiet", quiet, "no progress lines");
+                      "folder for tables, charts and logs (default: rehearsals/scale)");
+  measure->add_option(
+      "--program", sweep.program,
+      "path of the balancer executable (default: balancer in this program's directory)");
+  measure->add_flag("--quiet", quiet, "do not print progress");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
@@ -166,16 +178,16 @@
   try {
     if (*show) return report(folder);
     if (*draw) {
-      std::printf("%s", (soak ? draw_soak(drawn) : draw_scenario(drawn)).c_str());
+      std::printf("%s", (soak ? draw_soak(draw_seed) : draw_scenario(draw_seed)).c_str());
       return 0;
     }
     if (*cluster) return run_cluster(nodes, replicas);
     if (*move) {
-      if (moves.folder.empty()) moves.folder = "rehearsals/moves";
-      if (moves.program.empty()) moves.program = path_in_own_folder("balancer");
-      moves.progress = !quiet;
+      if (failover.folder.empty()) failover.folder = "rehearsals/moves";
+      if (failover.program.empty()) failover.program = path_in_own_folder("balancer");
+      failover.progress = !quiet;
       raise_descriptor_limit();
-      return run_failover_test(moves);
+      return run_failover_test(failover);
     }
     if (*measure) {
       if (sweep.folder.empty()) sweep.folder = "rehearsals/scale";
@@ -188,14 +200,14 @@
     Scenario scenario = load_scenario(file);
     if (count > 0) scenario.balancers = count;
     if (seed > 0) scenario.seed = seed;
-    if (*plant) {
+    if (*simulate) {
       table.by_time = !brief;
       std::printf("%s", balancer::fleet_simulation::table(scenario, table).c_str());
       return 0;
     }
     check_machine(scenario, raise_descriptor_limit());
     if (*check) {
-      std::printf("%s: good; %d hosts, %d balancers, %.0f requests a second, %ld descriptors\n",
+      std::printf("%s: valid; %d hosts, %d balancers, %.0f requests a second, %ld descriptors\n",
                   file.c_str(), scenario.hosts(), scenario.balancers, scenario.load.rate,
                   scenario.descriptors());
       return 0;
--- a/src/testbed/rehearsal.cc
+++ b/src/testbed/rehearsal.cc
@@ -197,7 +197,7 @@
   std::ofstream(folder + "/report.txt") << text;
   std::ofstream(folder + "/report.html") << report_html(json);
   std::printf("%s\nreport: %s/report.html\n", text.c_str(), folder.c_str());
-  return report_verdict(json);
+  return report_exit_code(json);
 }
 
 class Rehearsal {
--- a/src/testbed/report/report.cc
+++ b/src/testbed/report/report.cc
@@ -330,7 +330,7 @@
 
 }  // namespace
 
-int report_verdict(const std::string& json) {
+int report_exit_code(const std::string& json) {
   simdjson::dom::parser parser;
   const element root = parse(parser, json);
   for (const char* rule : {"rule1", "rule2", "rule3", "rule4"})
--- a/src/testbed/report/report.h
+++ b/src/testbed/report/report.h
@@ -59,6 +59,6 @@
 // The page is self-contained and opens from disk without a network.
 std::string report_html(const std::string& json);
 // Returns 1 if a rule was broken, a balancer crashed or a check failed; otherwise 0.
-int report_verdict(const std::string& json);
+int report_exit_code(const std::string& json);
 
 }  // namespace balancer::testbed
--- a/tests/group_runtime_test.cc
+++ b/tests/group_runtime_test.cc
@@ -232,11 +232,11 @@
   EXPECT_NE(why.find("another process answers there"), std::string::npos) << why;
 }
 
-// Disk full, read-only folder and similar: the member logs one line and grants no vote.
+// Disk full, read-only folder and similar: the member logs one line and grants no votes.
 TEST_F(MemberTest, VoterWithoutUsableFolderGrantsNoVote) {
   std::filesystem::create_directory(folder + "/group.db");  // a folder where the file should be
   start_member();
-  EXPECT_TRUE(logged("gives no vote")) << "logged at the start";
+  EXPECT_TRUE(logged("grants no votes")) << "logged at the start";
   run_for(io, milliseconds(4000));
   EXPECT_EQ(lease_holder().elections_won(), 0u);
   EXPECT_FALSE(listens());
--- a/tests/host_registry_test.cc
+++ b/tests/host_registry_test.cc
@@ -63,9 +63,9 @@
 
 TEST(HostRegistryTest, KeepsAnOverrideAfterItsHostIsRemoved) {
   HostRegistry registry(false, seconds(10));
-  EXPECT_FALSE(registry.accepts_override(seconds(0), "a"));
+  EXPECT_FALSE(registry.prepare_override(seconds(0), "a"));
   registry.on_list(ListKind::kComplete, {entry("a")});
-  ASSERT_TRUE(registry.accepts_override(seconds(1), "a"));
+  ASSERT_TRUE(registry.prepare_override(seconds(1), "a"));
   ASSERT_TRUE(registry.differs_from_override("a", true));
   EXPECT_EQ(kinds(registry.restore("a", {true, seconds(1)})),
             std::vector{Kind::kTakenOutOfService});
@@ -78,7 +78,7 @@
   EXPECT_TRUE(registry[*registry.find("a")].takes_new());
   // The override is removed after the retention time.
   EXPECT_EQ(registry.overrides().size(), 1u);
-  EXPECT_TRUE(registry.accepts_override(seconds(16), "a"));
+  EXPECT_TRUE(registry.prepare_override(seconds(16), "a"));
   EXPECT_TRUE(registry.overrides().empty());
 }
 
@@ -90,7 +90,7 @@
   for (const auto& id : ids) entries.push_back(entry(id));
   registry.on_list(ListKind::kComplete, entries);
   for (const auto& id : ids) {
-    ASSERT_TRUE(registry.accepts_override(seconds(1), id)) << id;
+    ASSERT_TRUE(registry.prepare_override(seconds(1), id)) << id;
     ASSERT_EQ(kinds(registry.restore(id, {true, seconds(1)})),
               std::vector{Kind::kTakenOutOfService})
         << id;
--- a/tests/hot_restart_test.cc
+++ b/tests/hot_restart_test.cc
@@ -553,7 +553,7 @@
     ASSERT_TRUE(wait([&] { return cache_.ids.size() + cache_2_.ids.size() > 2; }));
     next = start();
     ASSERT_TRUE(serving(*next));
-    ASSERT_TRUE(wait([&] { return old->logged("hot restart: successor serves"); }));
+    ASSERT_TRUE(wait([&] { return old->logged("hot restart: successor is serving"); }));
     ::kill(next->pid, SIGSTOP);
     const std::size_t before = old->descriptors();
     ::kill(old->pid, SIGTERM);
@@ -680,9 +680,9 @@
       ASSERT_TRUE(wait([&] { return old->logged("hot restart: successor connected"); }));
       ::kill(next->pid, SIGSTOP);
       run_for(io_, milliseconds(50));
-      if (!old->logged("hot restart: successor serves")) break;
+      if (!old->logged("hot restart: successor is serving")) break;
       next.reset();
-      ASSERT_TRUE(wait([&] { return old->logged("hot restart: successor has exited"); }));
+      ASSERT_TRUE(wait([&] { return old->logged("hot restart: successor disconnected"); }));
     }
     ASSERT_TRUE(next) << "every successor served before it was stopped";
     ::kill(old->pid, signal);
--- a/tests/operator_test.cc
+++ b/tests/operator_test.cc
@@ -158,9 +158,9 @@
        "address: must have a fixed port"},
       {kGroup.substr(0, kGroup.find("voters")) +
            "voters = [\"1\",\"2\",\"3\",\"4\",\"5\",\"6\",\"7\",\"8\"]\n",
-       "o.toml:6: voters: must be up to 7 different names"},
+       "o.toml:6: voters: must contain at most 7 names, all different"},
       {kGroup.substr(0, kGroup.find("voters")) + "voters = [\"1\",\"1\"]\n",
-       "o.toml:6: voters: must be up to 7 different names"},
+       "o.toml:6: voters: must contain at most 7 names, all different"},
   };
   for (const auto& [text, expected] : errors) {
     const auto error = error_of(text);
--- a/tests/pipeline_test.cc
+++ b/tests/pipeline_test.cc
@@ -43,7 +43,8 @@
       return balancer->cluster_pool(0).router().table().assigned() == cluster::kSlots;
     }));
   }
-  // Answers a GET with its key. Counts the executions of each RPUSH, by its value.
+  // Answers every command but RPUSH with its first argument. Counts the executions of each RPUSH,
+  // by its value.
   void answer(Peer& p, const Words& w) {
     if (w[0] == "RPUSH") {
       ++runs[w[2]];
@@ -57,7 +58,7 @@
   }
   // Sends requests that are answered immediately until the pool lets `depth` client requests share
   // a connection. This takes longer on a busy machine, where some answers are slow.
-  ::testing::AssertionResult warm(std::size_t depth) {
+  ::testing::AssertionResult reach_sharing_depth(std::size_t depth) {
     auto c = client();
     for (int batch = 0; batch < 1000; ++batch) {
       if (balancer->cluster_pool(0).shared_depth(a.server.dial()) >= depth) {
@@ -85,35 +86,35 @@
   std::unique_ptr<Balancer> balancer;
 };
 
-// 40 requests are in flight on one connection, 3 of them non-idempotent writes, and the connection
-// breaks at each byte of the last write, after the node has executed all complete requests. Reads
-// are retried; a write never is.
+// 40 requests are in flight on one connection, 3 of them non-idempotent writes. Each round closes
+// the connection one byte later in the last write, after the node has executed all complete
+// requests. Reads are retried; writes are not.
 TEST_F(PipelineTest, ReplaysNoWriteWhenTheConnectionBreaksAtAnyByte) {
-  const auto booking = [](int round, int i) {
+  const auto write_value = [](int round, int i) {
     return "b" + std::to_string(1000 + round) + std::to_string(i);
   };
-  const std::size_t length = wire({"RPUSH", "booking", booking(0, 3)}).size();
+  const std::size_t length = wire({"RPUSH", "lastkey", write_value(0, 3)}).size();
   for (std::size_t cut = 0; cut < length; ++cut) {
     SCOPED_TRACE("cut at byte " + std::to_string(cut));
     const int round = static_cast<int>(cut);
     std::string out;
     std::vector<std::string> expected;
     for (int i = 1; i < 38; ++i) {
-      if (i == 5) out += wire({"RPUSH", "book1", booking(round, 1)});
-      if (i == 20) out += wire({"RPUSH", "book2", booking(round, 2)});
+      if (i == 5) out += wire({"RPUSH", "list1", write_value(round, 1)});
+      if (i == 20) out += wire({"RPUSH", "list2", write_value(round, 2)});
       out += wire({"GET", "key" + std::to_string(i)});
     }
     const std::size_t whole = out.size();
-    out += wire({"RPUSH", "booking", booking(round, 3)});
-    int before = 0;
+    out += wire({"RPUSH", "lastkey", write_value(round, 3)});
+    int commands_received = 0;
     a.on_command = [&](Peer&, const Words& w) {
       if (w[0] == "RPUSH") ++runs[w[2]];
-      ++before;
+      ++commands_received;
     };
     a.cut_after(whole + cut);
     auto c = client();
     c->send(out);
-    ASSERT_TRUE(wait([&] { return before >= 39; }));
+    ASSERT_TRUE(wait([&] { return commands_received >= 39; }));
     a.on_command = [this](Peer& p, const Words& w) { answer(p, w); };
     ASSERT_TRUE(wait([&] { return c->replies.size() == 40; }));
     run_for(io, std::chrono::milliseconds(5));
@@ -125,14 +126,14 @@
       EXPECT_EQ(c->replies[at++], bulk("key" + std::to_string(i)));
     }
     EXPECT_TRUE(c->replies[39].starts_with("-ERR failed")) << c->replies[39];
-    EXPECT_EQ(runs[booking(round, 1)], 1);
-    EXPECT_EQ(runs[booking(round, 2)], 1);
-    EXPECT_EQ(runs[booking(round, 3)], 0);
+    EXPECT_EQ(runs[write_value(round, 1)], 1);
+    EXPECT_EQ(runs[write_value(round, 2)], 1);
+    EXPECT_EQ(runs[write_value(round, 3)], 0);
   }
 }
 
 TEST_F(PipelineTest, SendsNothingMoreOnAStalledConnection) {
-  ASSERT_TRUE(warm(8));
+  ASSERT_TRUE(reach_sharing_depth(8));
   Peer* stalled = nullptr;
   std::vector<Words> held;
   a.on_command = [&](Peer& p, const Words& w) {
@@ -163,8 +164,8 @@
   EXPECT_EQ(c->replies[10], bulk("late"));
 }
 
-// Half of a pipeline is answered, the rest but two is redirected by MOVED, and the connection
-// closes.
+// Of 12 pipelined requests, the node answers 6, redirects 4 with MOVED, does not answer the other
+// 2, and closes the connection.
 TEST_F(PipelineTest, AnswersEachRequestOnceAcrossRedirectionsAndAClose) {
   int received = 0;
   a.on_command = [&](Peer& p, const Words& w) {
@@ -181,22 +182,22 @@
   std::string out;
   for (int i = 0; i < 6; ++i) out += wire({"GET", "k" + std::to_string(i)});
   for (int i = 6; i < 9; ++i) out += wire({"GET", "k" + std::to_string(i)});
-  out += wire({"RPUSH", "moved", "booking1"}) + wire({"RPUSH", "lost", "booking2"}) +
-         wire({"GET", "k11"});
+  out +=
+      wire({"RPUSH", "moved", "write1"}) + wire({"RPUSH", "lost", "write2"}) + wire({"GET", "k11"});
   c->send(out);
   ASSERT_TRUE(wait([&] { return c->replies.size() == 12; }));
   for (int i = 0; i < 9; ++i) EXPECT_EQ(c->replies[i], bulk("k" + std::to_string(i)));
   EXPECT_EQ(c->replies[9], ":1\r\n");
   EXPECT_TRUE(c->replies[10].starts_with("-ERR failed")) << c->replies[10];
   EXPECT_EQ(c->replies[11], bulk("k11"));
-  EXPECT_EQ(runs["booking1"], 1);
-  EXPECT_EQ(runs["booking2"], 1);
+  EXPECT_EQ(runs["write1"], 1);
+  EXPECT_EQ(runs["write2"], 1);
 }
 
 // Every second client on shared connections disconnects before its answer arrives. Each of the
 // others still gets its own answer.
 TEST_F(PipelineTest, MatchesAnswersToClientsWhenOthersDisconnect) {
-  ASSERT_TRUE(warm(24));
+  ASSERT_TRUE(reach_sharing_depth(24));
   for (int round = 0; round < 20; ++round) {
     std::vector<std::pair<Peer*, std::string>> held;
     a.on_command = [&](Peer& p, const Words& w) { held.emplace_back(&p, w[1]); };
@@ -269,8 +270,8 @@
   EXPECT_EQ(node.server.peers.size(), 2u) << "the connection with unexpected bytes was reused";
 }
 
-// Nodes that do not support the CLUSTER subcommand that is tried first for the slot map. SHARDS
-// also reports that a replica is still loading, and such a replica gets no requests.
+// Runs against nodes that support different CLUSTER subcommands for the slot map. The reply of
+// ScriptedNode to SHARDS lists a replica that is still loading; it must get no requests.
 class MapCommandTest : public PipelineTest,
                        public ::testing::WithParamInterface<std::vector<std::string>> {
   void SetUp() override {
@@ -285,23 +286,23 @@
   for (int i = 0; i < 10; ++i) EXPECT_EQ(c->ask({"HGET", "k", "f"}), bulk("k"));
 }
 
-INSTANTIATE_TEST_SUITE_P(Words, MapCommandTest,
+INSTANTIATE_TEST_SUITE_P(SupportedSubcommands, MapCommandTest,
                          ::testing::Values(std::vector<std::string>{"NODES"},
                                            std::vector<std::string>{"SHARDS", "SLOTS"},
                                            std::vector<std::string>{"SLOTS"}));
 
-// A script that the promoted replica does not know: NOSCRIPT is returned to the client, as it
+// The promoted replica does not know a script: its NOSCRIPT error is returned to the client, as it
 // proves that nothing was executed and the client has the script's text. Requests that were sent to
 // the old primary are not replayed.
-TEST_F(PipelineTest, ReturnsNoScriptOfAPromotedReplicaToTheClient) {
+TEST_F(PipelineTest, ReturnsNoscriptErrorFromPromotedReplicaToClient) {
   int ran_at_a = 0, ran_at_b = 0;
-  bool breaks = false;
+  bool closes_connection = false;
   a.on_command = [&](Peer& p, const Words& w) {
     if (a.owner != a.server.dial())
       return p.send("-MOVED " + std::to_string(cluster::slot_of(w[3])) + " " + b.server.dial() +
                     "\r\n");
     ++ran_at_a;
-    if (breaks) return p.close();
+    if (closes_connection) return p.close();
     p.send(":1\r\n");
   };
   b.on_command = [&](Peer& p, const Words& w) {
@@ -311,7 +312,7 @@
   };
   auto c = client();
   EXPECT_EQ(c->ask({"EVALSHA", "sha", "1", "k"}), ":1\r\n");
-  breaks = true;
+  closes_connection = true;
   EXPECT_TRUE(c->ask({"EVALSHA", "sha", "1", "k"}).starts_with("-ERR failed"));
   EXPECT_EQ(ran_at_a, 2);
   a.owner = b.owner = b.server.dial();
@@ -346,19 +347,19 @@
 TEST_F(PipelineTest, BoundsTheMemoryOfAClientThatReadsNothing) {
   const std::string value(10'000, 'v');
   a.on_command = [&](Peer& p, const Words& w) { p.send(bulk(w[1] == "big" ? value : w[1])); };
-  tcp::socket silent_reader(io);
-  silent_reader.connect(balancer->local(0));
-  silent_reader.set_option(asio::socket_base::receive_buffer_size(4096));
+  tcp::socket non_reading_client(io);
+  non_reading_client.connect(balancer->local(0));
+  non_reading_client.set_option(asio::socket_base::receive_buffer_size(4096));
   std::string out;
   for (int i = 0; i < 10'000; ++i) out += wire({"GET", "big"});
-  asio::async_write(silent_reader, asio::buffer(out), [](auto, auto) {});
+  asio::async_write(non_reading_client, asio::buffer(out), [](auto, auto) {});
   run_for(io, std::chrono::milliseconds(300));
   EXPECT_LT(a.commands.size(), 2'000u)
       << "commands were forwarded though their answers are not read";
   EXPECT_LT(limits->bytes.used(), 4u << 20);
   auto c = client();
   EXPECT_EQ(c->ask({"GET", "x"}), bulk("x"));
-  silent_reader.close();
+  non_reading_client.close();
   c.reset();
   EXPECT_TRUE(wait([&] { return limits->bytes.used() == 0; })) << limits->bytes.used();
 }
--- a/tests/testbed/plant_test.cc
+++ b/tests/testbed/plant_test.cc
@@ -114,7 +114,7 @@
 TEST(PlantTest, KeepsHeldAdmitFraction) {
   const testbed::Scenario s = scenario(kFaultIncidents);
   Options options;
-  options.origin_held = 0.25;
+  options.fixed_origin_admit_fraction = 0.25;
   Plant plant(s, options);
   plant.run();
   // The fraction is restored every 10 ms, and may have moved a little when it is sampled.
--- a/tests/testbed/servers_test.cc
+++ b/tests/testbed/servers_test.cc
@@ -278,11 +278,11 @@
                  {},
                  {}};
   run.restarts.push_back({"late starts", 20, 2, 2, "the second"});
-  EXPECT_EQ(report_verdict(report_json(run)), 0);
+  EXPECT_EQ(report_exit_code(report_json(run)), 0);
   EXPECT_EQ(report_text(report_json(run)).find("the second"), std::string::npos);
   run.restarts.back().broken = 3;
   const std::string json = report_json(run), text = report_text(json);
-  EXPECT_EQ(report_verdict(json), 1);
+  EXPECT_EQ(report_exit_code(json), 1);
   EXPECT_NE(text.find("late starts"), std::string::npos) << text;
   EXPECT_NE(text.find("3 of     20,     2 allowed: FAILED\n    the second\n"), std::string::npos)
       << text;
@@ -348,7 +348,7 @@
                  {}};
   run.balancers.push_back({"n0", 1, {}, {{std::chrono::seconds(1), 5, 0.1, 9}}});
   const std::string json = report_json(run);
-  EXPECT_EQ(report_verdict(json), 1) << "a request was lost";
+  EXPECT_EQ(report_exit_code(json), 1) << "a request was lost";
   const std::string text = report_text(json), page = report_html(json);
   EXPECT_NE(text.find("requests lost 1"), std::string::npos) << text;
   EXPECT_NE(text.find("a <test>"), std::string::npos) << text;
