--- a/src/dissemination/change_log.cc
+++ b/src/dissemination/change_log.cc
@@ -25,12 +25,13 @@
   last_ = last;
 }
 
-std::vector<EntryPtr> ChangeLog::range(Sequence first, Sequence last, std::size_t max_bytes) const {
+std::vector<EntryPtr> ChangeLog::range(Sequence first, Sequence up_to,
+                                       std::size_t max_bytes) const {
   std::vector<EntryPtr> found;
   if (first < oldest()) return found;
   std::size_t bytes = 0;
-  for (Sequence at = first; at <= std::min(last, last_); ++at) {
-    const EntryPtr& entry = entries_[at - oldest()];
+  for (Sequence sequence = first; sequence <= std::min(up_to, last_); ++sequence) {
+    const EntryPtr& entry = entries_[sequence - oldest()];
     bytes += wire_size(*entry);
     if (bytes > max_bytes && !found.empty()) break;
     found.push_back(entry);
@@ -56,6 +57,7 @@
     piece.entries.push_back(it->second);
     piece.through = it->first;
   }
+  // A complete piece also covers the numbers up to `head` whose entries were superseded.
   piece.through = std::max(after, head);
   piece.complete = true;
   return piece;
--- a/src/dissemination/change_log.h
+++ b/src/dissemination/change_log.h
@@ -29,10 +29,10 @@
   // Returns the number of the oldest retained entry, or last() + 1 if the log is empty.
   Sequence oldest() const { return last_ + 1 - entries_.size(); }
   std::size_t size() const { return entries_.size(); }
-  // Returns the entries from `first` to `last`, cut off before the entry with which they would
-  // exceed `max_bytes` (but never before the first entry). Returns nothing if `first` is no longer
-  // retained.
-  std::vector<EntryPtr> range(Sequence first, Sequence last, std::size_t max_bytes) const;
+  // Returns the entries from `first` to `up_to`, cut off before the entry with which they would
+  // exceed `max_bytes` (but never before the first entry). Returns nothing if there are no such
+  // entries or `first` is no longer retained; oldest() tells which.
+  std::vector<EntryPtr> range(Sequence first, Sequence up_to, std::size_t max_bytes) const;
 
  private:
   const std::size_t max_entries_;
@@ -47,11 +47,12 @@
 // bounds.
 class CompactedLog {
  public:
+  // Replaces the entry of the same key, if any. Does not check the order of sequence numbers.
   void put(EntryPtr entry);
 
   struct Piece {
     std::vector<EntryPtr> entries;
-    Sequence through = 0;
+    Sequence through = 0;  // the piece holds all newest entries in (after, through]
     bool complete = false;
   };
   // Returns the newest entries after `after`, up to `max_bytes` (at least one entry, if any
--- a/src/frontend/resp/node_commands.cc
+++ b/src/frontend/resp/node_commands.cc
@@ -4,7 +4,8 @@
 
 #include "frontend/resp/conversation.h"
 
-// Commands that concern nodes rather than keys: SCAN over all nodes, DBSIZE of each primary.
+// Commands that address nodes rather than keys: SCAN over all nodes that own slots, and DBSIZE
+// summed over them.
 namespace balancer {
 namespace {
 
@@ -16,8 +17,8 @@
 
 constexpr CommandInfo kScan{"SCAN", Kind::kRead, -2};
 constexpr CommandInfo kDbsize{"DBSIZE", Kind::kRead, 1};
-// Command kinds; the connection selector records latencies by kind.
-constexpr std::uint8_t kScanKind = 254, kDbsizeKind = 253;
+// Kinds under which the connection selector records the latencies of these commands.
+constexpr std::uint8_t kScanLatencyKind = 254, kDbsizeLatencyKind = 253;
 
 // A client's cursor consists of the scan's id and, in the low bits, the page number.
 constexpr int kPageBits = 20;
@@ -25,8 +26,8 @@
 
 std::optional<std::uint64_t> read_cursor(std::string_view text) {
   std::uint64_t value = 0;
-  const auto [end, bad] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (bad != std::errc{} || end != text.data() + text.size()) return std::nullopt;
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+  if (error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
   return value;
 }
 
@@ -44,13 +45,14 @@
 std::uint64_t RespFront::begin_scan(Time now) {
   std::erase_if(scans_,
                 [now](const auto& s) { return now - s.second.last_used > kScanIdleTimeout; });
-  // Keeps finished scans too, as a client may request the last page again. A new scan replaces the
-  // one that has been idle longest.
+  // Finished scans are kept too, as a client may request the last page again. At the limit, a new
+  // scan replaces the least recently used one.
   if (scans_.size() >= kMaxScans)
     scans_.erase(std::min_element(scans_.begin(), scans_.end(), [](const auto& a, const auto& b) {
       return a.second.last_used < b.second.last_used;
     }));
   std::uint64_t id = 0;
+  // At most 42 bits, so that a cursor with its page number has at most 62 bits.
   while (id == 0 || scans_.count(id) > 0) id = random_() >> (kPageBits + 2);
   scans_[id].last_used = now;
   return id;
@@ -73,42 +75,45 @@
   if (open_requests_ >= kMaxOpenRequests) return Step::kWait;
   const std::uint64_t id = *cursor == 0 ? front_.begin_scan(session.now()) : *cursor >> kPageBits;
   const std::uint64_t page = *cursor & kPageMask;
-  Scan* const s = front_.find_scan(id, session.now());
-  // A client that lost a reply may request the same page once more.
-  if (!s || (page != s->page && page + 1 != s->page))
+  Scan* const state = front_.find_scan(id, session.now());
+  // A client that did not receive a reply may repeat the request for the previous page.
+  if (!state || (page != state->page && page + 1 != state->page))
     return reply_with(session, error("ERR invalid cursor"));
-  cluster::ScanPlan plan = page == s->page ? s->plan : s->previous;
+  cluster::ScanPlan plan = page == state->page ? state->plan : state->previous;
   const auto step = plan.next(front_.slots_);
   if (!step) {
     return reply_with(session, plan.aborted() ? error("TRYAGAIN slots go on moving; begin again")
                                               : scan_reply(0, "*0\r\n"));
   }
   std::vector<std::string_view> words = {"SCAN"};
-  const std::string at = std::to_string(step->cursor);
-  words.push_back(at);
+  const std::string node_cursor = std::to_string(step->cursor);
+  words.push_back(node_cursor);
   for (std::size_t i = 2; i < command.size(); ++i) words.push_back(command[i]);
   const auto response_slot = session.open_slot();
   scan_pages_[response_slot] = {id, page, std::move(plan)};
   submit(session, {response_slot}, Command::of(words).wire(), 1, 0, front_.class_of(kScan, {}),
-         false, {}, kScanKind, std::nullopt, step->node);
+         false, {}, kScanLatencyKind, std::nullopt, step->node);
   return Step::kTaken;
 }
 
-// Returns the reply to a page with the node's cursor replaced by the client's.
+// Advances the scan after a node's reply. Returns the reply for the client, which has the
+// balancer's cursor in place of the node's, or an error.
 std::string RespFront::Conversation::advance_scan(Time now, ScanPage page, std::string reply) {
   const auto value = resp::parse_reply(reply, front_.reply_bounds_);
   if (!value) return failed();
   if (value->is_error()) return reply;
   if (value->items.size() != 2) return failed();
   const auto cursor = read_cursor(value->items[0].text);
-  Scan* const s = front_.find_scan(page.scan, now);
-  if (!cursor || !s) return error("ERR invalid cursor");
-  s->previous = page.plan;
+  Scan* const scan = front_.find_scan(page.scan, now);
+  if (!cursor || !scan) return error("ERR invalid cursor");
+  scan->previous = page.plan;
   page.plan.on_page(front_.slots_, *cursor);
+  // An aborted scan returns a nonzero cursor, so that the client's next SCAN gets an error.
   const bool more = page.plan.next(front_.slots_).has_value() || page.plan.aborted();
-  s->plan = std::move(page.plan);
-  s->page = (page.page + 1) & kPageMask;
-  std::string out = scan_reply(more ? page.scan << kPageBits | s->page : 0, value->items[1].wire);
+  scan->plan = std::move(page.plan);
+  scan->page = (page.page + 1) & kPageMask;
+  std::string out =
+      scan_reply(more ? page.scan << kPageBits | scan->page : 0, value->items[1].wire);
   return out;
 }
 
@@ -119,18 +124,19 @@
     if (!node.address.empty() && node.owned > 0) owners.push_back(node.address);
   if (owners.empty()) return reply_with(session, refused(Duration{0}));
   if (open_requests_ + owners.size() > kMaxOpenRequests) return Step::kWait;
-  SplitCommand j;
-  j.split = Split::kCount;
-  j.pending_parts = owners.size();
-  j.replies.resize(owners.size());
-  j.kinds.resize(owners.size());
-  j.keys.resize(owners.size());
+  SplitCommand split;
+  split.split = Split::kCount;
+  split.pending_parts = owners.size();
+  split.replies.resize(owners.size());
+  split.kinds.resize(owners.size());
+  split.keys.resize(owners.size());
   const auto response_slot = session.open_slot();
-  split_commands_.emplace(response_slot, std::move(j));
-  // The last response may arrive before submit() returns, and erases the split command.
+  split_commands_.emplace(response_slot, std::move(split));
+  // submit() may complete the last part before it returns, which erases the split command.
   for (std::size_t i = 0; i < owners.size(); ++i)
     submit(session, {response_slot, static_cast<std::uint32_t>(i)}, Command::of({"DBSIZE"}).wire(),
-           1, 0, front_.class_of(kDbsize, {}), false, {}, kDbsizeKind, std::nullopt, owners[i]);
+           1, 0, front_.class_of(kDbsize, {}), false, {}, kDbsizeLatencyKind, std::nullopt,
+           owners[i]);
   return Step::kTaken;
 }
 
--- a/src/proto/bgp.h
+++ b/src/proto/bgp.h
@@ -14,7 +14,8 @@
 namespace balancer::bgp {
 
 inline constexpr std::size_t kMaxMessage = 4096, kHeaderSize = 19;  // bytes
-inline constexpr std::uint32_t kAsTrans = 23456;  // RFC 6793: stands for a four-octet AS number
+// AS_TRANS (RFC 6793): sent in a two-octet field in place of an AS number that needs four octets.
+inline constexpr std::uint32_t kAsTrans = 23456;
 
 struct Prefix {
   std::uint32_t address = 0;  // host byte order; bits beyond `length` are 0
@@ -26,14 +27,16 @@
 struct Open {
   std::uint32_t as = 0;
   std::uint16_t hold_time = 90;  // seconds; 0 (no hold timer) or at least 3
-  std::uint32_t id = 0;
-  bool four_octets = true;  // capability; AS numbers have four octets if both sides have it
+  std::uint32_t id = 0;          // BGP identifier
+  // The four-octet AS capability. UPDATEs have four-octet AS numbers if both peers have it.
+  bool four_octets = true;
 };
 
-// The path attributes of RFC 4271 that this program uses; others are parsed and dropped.
+// The path attributes that this program uses (RFC 4271, RFC 1997). Other optional attributes are
+// ignored; other well-known ones are an error.
 struct Attributes {
   std::uint8_t origin = 0;             // 0: IGP
-  std::vector<std::uint32_t> as_path;  // encoded as one AS_SEQUENCE
+  std::vector<std::uint32_t> as_path;  // encoded as one AS_SEQUENCE; decoded: all segments
   std::uint32_t next_hop = 0;
   std::optional<std::uint32_t> med, local_pref;
   std::vector<std::uint32_t> communities;
@@ -48,7 +51,7 @@
   std::vector<Prefix> announced;
 };
 
-// Error codes (RFC 4271, section 4.5) and the subcodes of kCease (RFC 4486).
+// Error codes (RFC 4271, section 4.5) and the used subcodes of kCease (RFC 4486).
 enum class Code : std::uint8_t {
   kHeader = 1,
   kOpen = 2,
@@ -66,7 +69,7 @@
 };
 struct Keepalive {};
 // A protocol error of the peer, with the NOTIFICATION to send to it. The input after it cannot be
-// parsed.
+// parsed, so the connection must be closed.
 struct Fault {
   Notification notification;
   std::string reason;
@@ -91,12 +94,12 @@
 };
 
 std::string encode(const Open& open);
-// The caller must pass no more prefixes than fit into one message.
+// The encoded message must not exceed kMaxMessage; this is not checked.
 std::string encode(const Update& update, bool four_octets);
 std::string encode(const Notification& notification);
 std::string encode(const Keepalive&);
-// Returns the data of an administrative shutdown NOTIFICATION: `text`, truncated to 255 bytes, with
-// its length.
+// Returns the data of an administrative shutdown NOTIFICATION: a length byte and `text`, truncated
+// to 255 bytes.
 std::string shutdown_text(std::string_view text);
 
 }  // namespace balancer::bgp
--- a/src/proto/group_wire.cc
+++ b/src/proto/group_wire.cc
@@ -27,11 +27,12 @@
 constexpr int kMaxGrants = 256;
 constexpr std::size_t kMaxMetaBytes = 1024;
 constexpr std::size_t kMaxReasonBytes = 256;
-// One hour. Limits how long a faulty voter can make an instance wait.
+// Upper bound (1 h) on the remaining time in a voter's reply, so that a faulty voter cannot make an
+// instance wait for longer.
 constexpr std::uint64_t kMaxRemainingUs = 3'600'000'000;
 
-// Accepts printable ASCII without spaces, double quotes and backslashes, so that names never need
-// escaping.
+// Checks a member's name, an endpoint or a service address. Accepts printable ASCII without spaces,
+// double quotes and backslashes, so that they never need escaping.
 bool is_name(const std::string& text) {
   return !text.empty() && text.size() <= kMaxName &&
          std::all_of(text.begin(), text.end(),
@@ -52,7 +53,7 @@
   return true;
 }
 
-// ---- parts of messages; from_wire() returns false if a part is malformed
+// ---- parts of messages; from_wire() returns false if a part is malformed or too large
 
 void to_wire(const InstanceId& id, wire::InstanceId& out) {
   out.set_name(id.name);
@@ -67,7 +68,8 @@
   out.set_version(voters.version);
   for (const auto& name : voters.names) out.add_names(name);
 }
-// An empty list of names means that there is no set.
+// An empty list of names means that there is no set. Messages may contain it; decode_record()
+// rejects it for the voters in use.
 bool from_wire(const wire::VoterSet& in, VoterSet& voters) {
   voters.version = in.version();
   voters.names.assign(in.names().begin(), in.names().end());
@@ -215,7 +217,7 @@
 
 // ---- datagrams
 
-// Returns the field of the datagram that holds a body of the given type.
+// Selects the body field for the given type and returns it.
 auto& body_of(wire::Datagram& d, const GossipMessage&) { return *d.mutable_gossip(); }
 auto& body_of(wire::Datagram& d, const VoteRequest&) { return *d.mutable_vote_request(); }
 auto& body_of(wire::Datagram& d, const VoteReply&) { return *d.mutable_vote_reply(); }
@@ -228,24 +230,24 @@
 }
 
 template <typename Body, typename WireBody>
-bool read_body(const WireBody& in, Datagram& datagram) {
+bool body_from_wire(const WireBody& in, Datagram& datagram) {
   return from_wire(in, datagram.body.emplace<Body>());
 }
 
-bool read_any_body(const wire::Datagram& in, Datagram& datagram) {
+bool body_from_wire(const wire::Datagram& in, Datagram& datagram) {
   switch (in.body_case()) {
     case wire::Datagram::kGossip:
-      return read_body<GossipMessage>(in.gossip(), datagram);
+      return body_from_wire<GossipMessage>(in.gossip(), datagram);
     case wire::Datagram::kVoteRequest:
-      return read_body<VoteRequest>(in.vote_request(), datagram);
+      return body_from_wire<VoteRequest>(in.vote_request(), datagram);
     case wire::Datagram::kVoteReply:
-      return read_body<VoteReply>(in.vote_reply(), datagram);
+      return body_from_wire<VoteReply>(in.vote_reply(), datagram);
     case wire::Datagram::kTransfer:
-      return read_body<TransferMessage>(in.transfer(), datagram);
+      return body_from_wire<TransferMessage>(in.transfer(), datagram);
     case wire::Datagram::kReconfigurationRequest:
-      return read_body<ReconfigurationRequest>(in.reconfiguration_request(), datagram);
+      return body_from_wire<ReconfigurationRequest>(in.reconfiguration_request(), datagram);
     case wire::Datagram::kReconfigurationReply:
-      return read_body<ReconfigurationReply>(in.reconfiguration_reply(), datagram);
+      return body_from_wire<ReconfigurationReply>(in.reconfiguration_reply(), datagram);
     case wire::Datagram::BODY_NOT_SET:
       break;
   }
@@ -254,8 +256,8 @@
 
 template <typename WireMessage>
 bool parse(std::string_view bytes, WireMessage& out) {
-  // Installed once: otherwise the library logs a line for each malformed message, and a peer could
-  // flood the log.
+  // Disables the log handler of the protobuf library, once per process: it would log a line for
+  // each malformed message, so that a peer could flood the log.
   static auto* const previous_handler = google::protobuf::SetLogHandler(nullptr);
   static_cast<void>(previous_handler);
   return out.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
@@ -282,7 +284,7 @@
   datagram.sequence = in.sequence();
   datagram.to = in.to();
   if (!is_name(datagram.sender) || !is_name_or_empty(datagram.to) || datagram.sequence == 0 ||
-      !read_any_body(in, datagram))
+      !body_from_wire(in, datagram))
     return std::nullopt;
   return datagram;
 }
@@ -295,9 +297,9 @@
   out.set_is_voter(meta.is_voter);
   out.set_voter_set_version(meta.voter_set_version);
   for (const auto& [address, term] : meta.held_terms) {
-    auto& held = *out.add_held_terms();
-    held.set_address(address);
-    held.set_term(term);
+    auto& held_term = *out.add_held_terms();
+    held_term.set_address(address);
+    held_term.set_term(term);
   }
   return out.SerializeAsString();
 }
@@ -307,9 +309,9 @@
   if (bytes.size() > kMaxMetaBytes || !parse(bytes, in) || in.held_terms_size() > kMaxHeldTerms)
     return std::nullopt;
   MemberMeta meta{in.eligible(), in.is_voter(), in.voter_set_version(), {}};
-  for (const auto& held : in.held_terms()) {
-    if (!is_name(held.address())) return std::nullopt;
-    meta.held_terms[held.address()] = held.term();
+  for (const auto& held_term : in.held_terms()) {
+    if (!is_name(held_term.address())) return std::nullopt;
+    meta.held_terms[held_term.address()] = held_term.term();
   }
   return meta;
 }
--- a/src/proto/group_wire.h
+++ b/src/proto/group_wire.h
@@ -31,7 +31,8 @@
 };
 
 std::string encode(const Datagram& datagram);
-// Returns nullopt if any part is malformed or out of bounds.
+// Returns nullopt if any part is malformed or out of bounds. Only the remaining time of a VoteReply
+// and the reason for a rejection are cut to their maximum instead.
 std::optional<Datagram> decode(std::string_view bytes);
 
 // What a member publishes about itself by gossip, as MemberUpdate::meta.
--- a/src/testbed/servers/discovery_server.cc
+++ b/src/testbed/servers/discovery_server.cc
@@ -9,15 +9,17 @@
 
 using boost::system::error_code;
 
-constexpr Duration kAssumedDelivery = std::chrono::seconds(6);
+// After this the auditor counts a change as delivered to all balancers.
+constexpr Duration kAssumedDeliveryDelay = std::chrono::seconds(6);
 constexpr Duration kOldAddressGrace = std::chrono::milliseconds(1500);
 constexpr std::uint64_t kMaxWaitMs = 60'000;
 
-std::optional<std::uint64_t> query(std::string_view target, std::string_view name) {
-  const auto at = target.find(name);
-  if (at == std::string_view::npos) return std::nullopt;
+// Returns the number that follows `prefix` in the request target.
+std::optional<std::uint64_t> number_after(std::string_view target, std::string_view prefix) {
+  const auto position = target.find(prefix);
+  if (position == std::string_view::npos) return std::nullopt;
   std::uint64_t value = 0;
-  const char* begin = target.data() + at + name.size();
+  const char* begin = target.data() + position + prefix.size();
   const auto [end, error] = std::from_chars(begin, target.data() + target.size(), value);
   if (error != std::errc{}) return std::nullopt;
   return value;
@@ -26,61 +28,61 @@
 }  // namespace
 
 DiscoveryServer::DiscoveryServer(Context& context, int balancers, std::uint64_t seed)
-    : context_(context), random_(seed), endpoints_(static_cast<std::size_t>(balancers)) {
-  for (int b = 0; b < balancers; ++b) open(b);
+    : context_(context), random_(seed), servers_(static_cast<std::size_t>(balancers)) {
+  for (int b = 0; b < balancers; ++b) start_server(b);
 }
 
 DiscoveryServer::~DiscoveryServer() = default;
 
-void DiscoveryServer::open(int balancer) {
-  endpoints_[static_cast<std::size_t>(balancer)].http = std::make_unique<HttpServer>(
+void DiscoveryServer::start_server(int balancer) {
+  servers_[static_cast<std::size_t>(balancer)].http = std::make_unique<HttpServer>(
       context_, context_.loopback.next_endpoint(), 64,
       [this, balancer](const HttpServer::SessionPtr& s) { serve(balancer, s); });
 }
 
 std::string DiscoveryServer::dial(int balancer) const {
-  return endpoints_[static_cast<std::size_t>(balancer)].http->dial();
+  return servers_[static_cast<std::size_t>(balancer)].http->dial();
 }
 
 void DiscoveryServer::move(int balancer) {
-  BalancerEndpoint& endpoint = endpoints_[static_cast<std::size_t>(balancer)];
-  endpoint.http->stop_accepting();
-  endpoint.old.push_back(std::move(endpoint.http));
-  HttpServer* old = endpoint.old.back().get();
+  PerBalancerServer& server = servers_[static_cast<std::size_t>(balancer)];
+  server.http->stop_accepting();
+  server.old.push_back(std::move(server.http));
+  HttpServer* old = server.old.back().get();
   context_.after(kOldAddressGrace, [old] { old->close_all(); });
-  open(balancer);
+  start_server(balancer);
 }
 
 void DiscoveryServer::add(const Entry& entry) { entries_[entry.host] = {entry, ++seq_}; }
 
-// Changes of the same host are published in the order in which they were made.
+// Changes of the same host are published in the order of the calls, despite their random delays.
 void DiscoveryServer::change(const Entry& entry) {
   const Range& d = context_.scenario.discovery.delay_ms;
   const Time now = context_.now();
   Time& due = publish_at_[entry.host];
   due = std::max(due, now + from_seconds(1e-3 * d.draw(random_)));
   context_.at(due, [this, entry] { publish(entry); });
-  context_.after(kAssumedDelivery, [this, entry] {
+  context_.after(kAssumedDeliveryDelay, [this, entry] {
     const Entry& listed = entries_[entry.host].entry;
-    if (listed.health != entry.health || listed.born_ms != entry.born_ms) return;  // superseded
-    for (std::size_t b = 0; b < endpoints_.size(); ++b) record_delivery(static_cast<int>(b), entry);
+    if (listed.health != entry.health || listed.born_ms != entry.born_ms) return;  // replaced since
+    for (std::size_t b = 0; b < servers_.size(); ++b) record_delivery(static_cast<int>(b), entry);
   });
 }
 
 std::uint64_t DiscoveryServer::publish(const Entry& entry) {
   entries_[entry.host] = {entry, ++seq_};
   if (down_) return seq_;
-  for (std::size_t b = 0; b < endpoints_.size(); ++b)
-    for (const auto& watch : std::exchange(endpoints_[b].watches, {}))
-      answer(static_cast<int>(b), watch->session, false, watch->index);
+  for (std::size_t b = 0; b < servers_.size(); ++b)
+    for (const auto& watch : std::exchange(servers_[b].watches, {}))
+      answer(static_cast<int>(b), watch->session, false, watch->version);
   return seq_;
 }
 
 DiscoveryServer::Traffic DiscoveryServer::traffic() const {
   Traffic all;
-  for (const BalancerEndpoint& endpoint : endpoints_) {
-    all.bytes_in += endpoint.http->bytes_in();
-    all.bytes_out += endpoint.http->bytes_out();
+  for (const PerBalancerServer& server : servers_) {
+    all.bytes_in += server.http->bytes_in();
+    all.bytes_out += server.http->bytes_out();
   }
   return all;
 }
@@ -88,43 +90,44 @@
 void DiscoveryServer::set_down(bool down) {
   down_ = down;
   if (!down) return;
-  for (BalancerEndpoint& endpoint : endpoints_)
-    for (const auto& watch : std::exchange(endpoint.watches, {})) watch->session->close();
+  for (PerBalancerServer& server : servers_)
+    for (const auto& watch : std::exchange(server.watches, {})) watch->session->close();
 }
 
 void DiscoveryServer::serve(int balancer, const HttpServer::SessionPtr& session) {
   const std::string target(session->request().target());
   if (!target.starts_with("/discovery/hosts")) return session->respond(404, "", "");
   context_.stampede.count(Stampede::Kind::kListCall, context_.now());
-  const auto index = query(target, "index=");
-  if (on_call) on_call(balancer, index);
+  const auto version = number_after(target, "index=");
+  if (on_call) on_call(balancer, version);
   if (down_) return session->respond(503, "", "");
-  if (!index) return answer(balancer, session, true, 0);
-  const auto wait = std::min(query(target, "wait=").value_or(0), kMaxWaitMs);
-  if (*index < seq_ || wait == 0) return answer(balancer, session, false, *index);
+  if (!version) return answer(balancer, session, true, 0);
+  const auto wait = std::min(number_after(target, "wait=").value_or(0), kMaxWaitMs);
+  if (*version < seq_ || wait == 0) return answer(balancer, session, false, *version);
   auto watch = std::make_shared<Watch>();
   watch->session = session;
-  watch->index = *index;
+  watch->version = *version;
   watch->timer = std::make_unique<asio::steady_timer>(context_.io, std::chrono::milliseconds(wait));
   watch->timer->async_wait([this, balancer, w = std::weak_ptr(watch)](const error_code& e) {
-    const auto over = w.lock();
-    if (e || !over) return;
-    std::erase(endpoints_[static_cast<std::size_t>(balancer)].watches, over);
-    if (!down_) answer(balancer, over->session, false, over->index);
+    const auto expired = w.lock();
+    if (e || !expired) return;
+    std::erase(servers_[static_cast<std::size_t>(balancer)].watches, expired);
+    if (!down_) answer(balancer, expired->session, false, expired->version);
   });
-  endpoints_[static_cast<std::size_t>(balancer)].watches.push_back(std::move(watch));
+  servers_[static_cast<std::size_t>(balancer)].watches.push_back(std::move(watch));
 }
 
-void DiscoveryServer::answer(int balancer, const HttpServer::SessionPtr& session, bool whole,
+void DiscoveryServer::answer(int balancer, const HttpServer::SessionPtr& session, bool full,
                              std::uint64_t since) {
   std::string body = "{\"seq\":" + std::to_string(seq_) +
-                     ",\"whole\":" + (whole ? "true" : "false") + ",\"hosts\":[";
+                     ",\"whole\":" + (full ? "true" : "false") + ",\"hosts\":[";
   std::vector<Entry> delivered;
   bool first = true;
   for (const auto& [host, listed] : entries_) {
-    if (!whole && listed.seq <= since) continue;
+    if (!full && listed.seq <= since) continue;
     delivered.push_back(listed.entry);
-    if (whole && listed.entry.health == Health::kGone) continue;
+    // A full list reports a removed host by leaving it out.
+    if (full && listed.entry.health == Health::kGone) continue;
     body += (first ? "" : ",") + json(balancer, listed.entry);
     first = false;
   }
@@ -134,9 +137,9 @@
                    });
 }
 
-// Records that a balancer has received an entry. Ignores the entry if its host is meanwhile listed
-// with another audit ID, because the later entry supersedes it. A drain stays recorded until the
-// host is listed as ready again.
+// Records that a balancer has received an entry. Ignores the entry if an entry with another audit
+// ID has replaced it in the list since. The auditor keeps a drain until a ready entry of the host
+// is recorded as delivered to the balancer.
 void DiscoveryServer::record_delivery(int balancer, const Entry& entry) {
   const auto it = entries_.find(entry.host);
   if (it != entries_.end() && it->second.entry.audit_id != entry.audit_id) return;
--- a/src/testbed/servers/discovery_server.h
+++ b/src/testbed/servers/discovery_server.h
@@ -13,9 +13,9 @@
 
 namespace balancer::testbed {
 
-// The emulated discovery service: serves the full endpoint list and watches, and publishes changes
-// with a delay. Each balancer has its own address here, so that the auditor knows which entries
-// were delivered to which balancer, and when.
+// The emulated discovery service: serves the full host list, answers watches (long polls for
+// changes), and publishes changes with a delay. Each balancer has its own address here, so that the
+// auditor knows which entries were delivered to which balancer, and when.
 class DiscoveryServer {
  public:
   enum class Health { kReady, kDraining, kGone };
@@ -23,16 +23,16 @@
     std::string host, dial, zone, kind;
     int audit_id = -1;
     Health health = Health::kReady;
-    std::int64_t born_ms = 0;  // Unix time; 0: before the run
+    std::int64_t born_ms = 0;  // Unix time at which the host's process started; 0: before the run
   };
 
   DiscoveryServer(Context& context, int balancers, std::uint64_t seed);
   ~DiscoveryServer();
 
-  // Adds an entry at once, without notifying watches. For entries from before the run.
+  // Adds an entry at once, without notifying watches. For hosts that exist when the run starts.
   void add(const Entry& entry);
-  // Publishes a change after the scenario's delay. The auditor assumes that all balancers know of
-  // it at the latest 6 s after this call.
+  // Publishes a change after the scenario's delay. After 6 s the auditor counts it as delivered to
+  // all balancers, unless a later change has replaced it.
   void change(const Entry& entry);
   // Publishes a change at once and answers all open watches. Returns the new version of the list.
   std::uint64_t publish(const Entry& entry);
@@ -44,13 +44,15 @@
   std::string dial(int balancer) const;
   // Returns the full list as JSON, in the format of `known` in the balancer's configuration.
   std::string whole_list(int balancer) const;
-  // Returns the address that is published to a balancer for a host; if unset, the host's own
-  // address.
+  // Overrides the address that is published to a balancer for a host. If no function is set,
+  // Entry::dial is published.
   std::function<std::string(int balancer, const Entry& entry)> published_dial;
-  void on_balancer_restart(int balancer);  // tells the auditor that the balancer has restarted
-  // Called for each request for the list, including rejected ones. `index` is the version that a
-  // watch names, which the balancer has already applied; nullopt for a request for the full list.
-  std::function<void(int balancer, std::optional<std::uint64_t> index)> on_call;
+  // Clears what the auditor has recorded as delivered to the balancer.
+  void on_balancer_restart(int balancer);
+  // Called for each request for the list, including those answered with 503. `version` is the one
+  // that a watch names, which the balancer has already applied; nullopt for a request for the full
+  // list.
+  std::function<void(int balancer, std::optional<std::uint64_t> version)> on_call;
   struct Traffic {
     std::uint64_t bytes_in = 0, bytes_out = 0;
   };
@@ -64,24 +66,24 @@
   };
   struct Watch {
     HttpServer::SessionPtr session;
-    std::uint64_t index;
+    std::uint64_t version;
     std::unique_ptr<asio::steady_timer> timer;
   };
-  struct BalancerEndpoint {  // the endpoint that serves one balancer
+  struct PerBalancerServer {  // serves one balancer
     std::unique_ptr<HttpServer> http;
     std::vector<std::unique_ptr<HttpServer>> old;
     std::vector<std::shared_ptr<Watch>> watches;
   };
 
-  void open(int balancer);
+  void start_server(int balancer);
   void serve(int balancer, const HttpServer::SessionPtr& session);
-  void answer(int balancer, const HttpServer::SessionPtr& session, bool whole, std::uint64_t since);
+  void answer(int balancer, const HttpServer::SessionPtr& session, bool full, std::uint64_t since);
   void record_delivery(int balancer, const Entry& entry);
   std::string json(int balancer, const Entry& entry) const;
 
   Context& context_;
   Random random_;
-  std::vector<BalancerEndpoint> endpoints_;
+  std::vector<PerBalancerServer> servers_;
   std::map<std::string, Listed> entries_;
   std::uint64_t seq_ = 1;
   bool down_ = false;
--- a/src/testbed/servers/resp_cluster.cc
+++ b/src/testbed/servers/resp_cluster.cc
@@ -64,7 +64,7 @@
   Map map_{};
   std::optional<int> primary_;  // the primary that this node replicates
   std::vector<int> replicas_;
-  std::uint64_t epoch_ = 0;  // epoch of its own configuration
+  std::uint64_t config_epoch_ = 0;  // of its newest slots; not reported: replies use map_
   std::map<Slot, int> migrating_, importing_;
   std::shared_ptr<RespStore> store_;  // shared with its replicas if the lag is 0
 
@@ -95,8 +95,8 @@
     while (node_ && !silent_ && !paused_) {
       auto item = reader_.next();
       if (!item) return;
-      if (const auto* unreadable = std::get_if<resp::Fault>(&*item)) {
-        send(error("ERR " + unreadable->reason));
+      if (const auto* protocol_error = std::get_if<resp::Fault>(&*item)) {
+        send(error("ERR " + protocol_error->reason));
         return close_when_sent();
       }
       handle_command(std::get<Command>(*item));
@@ -133,7 +133,9 @@
   }
 
   void handle_command(const Command& c);
-  std::string carry_out(const Command& c, bool& ran);  // runs the command and sends its reply
+  // Runs, queues or redirects the command, subject to the injected fault. Returns the reply, and
+  // sets `ran` if a command outside a transaction ran.
+  std::string execute_command(const Command& c, bool& ran);
   std::string hello(const Command& c);
   std::string cluster(const Command& c);
   std::string exec();
@@ -212,26 +214,27 @@
   if (!is("EXEC")) ++all.commands_;
   if (!all.observer || in_multi_ || is("EXEC")) {
     bool ran = false;
-    carry_out(c, ran);
+    execute_command(c, ran);
     return;
   }
   paused_ = true;
-  const auto held = std::make_shared<const Command>(c);
-  const auto name = std::make_shared<int>(-1);
-  *name = all.observer->on_command(
-      node_->number_, *held, [self = shared_from_this(), held, name, number = node_->number_] {
+  const auto command = std::make_shared<const Command>(c);
+  const auto request_id = std::make_shared<int>(-1);
+  *request_id = all.observer->on_command(
+      node_->number_, *command,
+      [self = shared_from_this(), command, request_id, number = node_->number_] {
         if (!self->node_) return;
         auto& cluster = self->node_->all_;
         bool ran = false;
-        const std::string reply = self->carry_out(*held, ran);
-        cluster.observer->on_reply(number, *held, *name, ran, reply);
+        const std::string reply = self->execute_command(*command, ran);
+        cluster.observer->on_reply(number, *command, *request_id, ran, reply);
         if (!self->node_) return;
         self->paused_ = false;
         self->work();
       });
 }
 
-std::string RespCluster::Connection::carry_out(const Command& c, bool& ran) {
+std::string RespCluster::Connection::execute_command(const Command& c, bool& ran) {
   const auto is = [&c](std::string_view word) { return same_word(c[0], word); };
   auto& all = node_->all_;
   const int number = node_->number_;
@@ -308,31 +311,31 @@
   if (keys.empty()) return {};
   Node& n = *node_;
   const Slot slot = cluster::slot_of(keys[0]);
-  std::size_t there = 0;
+  std::size_t present_keys = 0;
   for (const auto key : keys) {
     if (cluster::slot_of(key) != slot)
       return error("CROSSSLOT Keys in request don't hash to the same slot");
-    there += n.store_->has(n.all_.now(), key);
+    present_keys += n.store_->has(n.all_.now(), key);
   }
   const Claim& claim = n.map_[slot];
   if (claim.epoch == 0) return error("CLUSTERDOWN Hash slot not served");
-  const auto to = [&](const char* word, int node) {
+  const auto redirect = [&](const char* word, int node) {
     ++n.all_.redirections_;
     return error(std::string(word) + " " + std::to_string(slot) + " " + n.all_.address(node));
   };
   if (claim.owner == n.number_) {
     const auto moving = n.migrating_.find(slot);
-    if (moving != n.migrating_.end() && there < keys.size())
-      return there == 0 ? to("ASK", moving->second)
-                        : error("TRYAGAIN Multiple keys request during rehashing of slot");
+    if (moving != n.migrating_.end() && present_keys < keys.size())
+      return present_keys == 0 ? redirect("ASK", moving->second)
+                               : error("TRYAGAIN Multiple keys request during rehashing of slot");
     return {};
   }
   if (asking && n.importing_.count(slot) > 0)
-    return keys.size() > 1 && there < keys.size()
+    return keys.size() > 1 && present_keys < keys.size()
                ? error("TRYAGAIN Multiple keys request during rehashing of slot")
                : std::string();
   if (n.primary_ == claim.owner && readonly_ && !write) return {};
-  return to("MOVED", claim.owner);
+  return redirect("MOVED", claim.owner);
 }
 
 std::string RespCluster::Connection::run(const cluster::CommandInfo& info, const Command& c) {
@@ -361,7 +364,7 @@
     for (const auto key : keys_of(*info, c)) keys.push_back(key);
     write = write || info->kind == cluster::Kind::kWrite;
   }
-  if (auto wrong = placement_error(keys, write, false); !wrong.empty()) return wrong;
+  if (auto failure = placement_error(keys, write, false); !failure.empty()) return failure;
   std::string out;
   resp::append_array(out, queued.size());
   for (const auto& [info, c] : queued) out += run(*info, c);
@@ -420,7 +423,7 @@
     }
   }
   if (is("NODES")) {
-    // NODES lists one epoch for each node: the newest one of its slots that this node knows.
+    // NODES lists one epoch for each node: the highest that this node's map has for its slots.
     std::string text;
     for (int i = 0; i < n.all_.size(); ++i) {
       Node& other = *n.all_.nodes_[static_cast<std::size_t>(i)];
@@ -474,7 +477,7 @@
     n.map_ = actual_map_;
     if (i < primaries) {
       n.store_ = std::make_shared<RespStore>();
-      n.epoch_ = 1;
+      n.config_epoch_ = 1;
     } else {
       const int primary = (i - primaries) % primaries;
       n.primary_ = primary;
@@ -491,7 +494,8 @@
 // ---- replicas
 
 void RespCluster::copy_from_primary(Node& replica, Node& primary) {
-  std::erase_if(pending_changes_, [&](const PendingChange& n) { return n.to == replica.number_; });
+  std::erase_if(pending_changes_,
+                [&](const PendingChange& change) { return change.to == replica.number_; });
   replica.store_ =
       lag_ == Duration{0} ? primary.store_ : std::make_shared<RespStore>(*primary.store_);
 }
@@ -501,6 +505,7 @@
   const auto copy = primary.store_->copy(key);
   for (const int r : primary.replicas_)
     pending_changes_.push_back({now() + lag_, r, std::string(key), copy});
+  // Starts the timer if the queue was empty before this call.
   if (!pending_changes_.empty() && pending_changes_.size() == primary.replicas_.size())
     apply_pending_changes();
 }
@@ -572,7 +577,7 @@
   while (move_key(slot)) {
   }
   actual_map_[slot] = {to.number_, ++epoch_};
-  to.epoch_ = epoch_;
+  to.config_epoch_ = epoch_;
   from.migrating_.erase(slot);
   to.importing_.erase(slot);
   from.map_[slot] = to.map_[slot] = actual_map_[slot];
@@ -585,7 +590,8 @@
     if (next < 0 && up(r)) next = r;
   if (next < 0) return -1;
   Node& new_primary = *nodes_[static_cast<std::size_t>(next)];
-  // Moves in progress are cancelled: the new primary does not know of them.
+  // Cancels the slot migrations from and to the old primary and returns their keys to the source
+  // nodes, since the new primary has no migration state.
   for (const auto& [slot, to] : old.migrating_) {
     Node& target = *nodes_[static_cast<std::size_t>(to)];
     target.importing_.erase(slot);
@@ -608,16 +614,18 @@
   old.migrating_.clear();
   old.importing_.clear();
   ++epoch_;
-  new_primary.epoch_ = epoch_;
+  new_primary.config_epoch_ = epoch_;
   new_primary.primary_.reset();
   new_primary.replicas_ = old.replicas_;
   std::erase(new_primary.replicas_, next);
   for (std::uint32_t s = 0; s < kSlots; ++s)
     if (actual_map_[s].owner == primary) new_primary.map_[s] = actual_map_[s] = {next, epoch_};
-  // The old primary keeps its data and acts alone until it is updated. Changes that the new primary
-  // had not received are lost, as in a real cluster.
+  // The old primary keeps serving its copy of the data, without replicas, until its slot map is
+  // updated. With a replication lag, changes that the new primary had not received are lost, as in
+  // a real cluster.
   old.replicas_.clear();
-  std::erase_if(pending_changes_, [next](const PendingChange& n) { return n.to == next; });
+  std::erase_if(pending_changes_,
+                [next](const PendingChange& change) { return change.to == next; });
   if (lag_ == Duration{0})
     new_primary.store_ = std::exchange(old.store_, std::make_shared<RespStore>(*old.store_));
   for (const int r : new_primary.replicas_) {
@@ -640,9 +648,9 @@
   if (!n.primary_ && !owns && new_primary >= 0) {
     n.primary_ = new_primary;
     n.replicas_.clear();
-    Node& h = *nodes_[static_cast<std::size_t>(new_primary)];
-    h.replicas_.push_back(node);
-    copy_from_primary(n, h);
+    Node& primary = *nodes_[static_cast<std::size_t>(new_primary)];
+    primary.replicas_.push_back(node);
+    copy_from_primary(n, primary);
   }
 }
 
--- a/src/testbed/servers/resp_cluster.h
+++ b/src/testbed/servers/resp_cluster.h
@@ -83,10 +83,10 @@
     virtual ~Observer() = default;
     // Called when a complete command has arrived. Must call `run` exactly once, immediately or
     // later from the event loop; later commands on the connection wait until then. Returns an
-    // identifier that on_reply() receives.
+    // identifier that on_reply() receives as `request_id`.
     virtual int on_command(int node, const resp::Command& command, std::function<void()> run) = 0;
     // Called with the reply. `ran`: whether the command ran at this node.
-    virtual void on_reply(int node, const resp::Command& command, int name, bool ran,
+    virtual void on_reply(int node, const resp::Command& command, int request_id, bool ran,
                           std::string_view reply) = 0;
   };
   Observer* observer = nullptr;
--- a/src/testbed/servers/resp_store.cc
+++ b/src/testbed/servers/resp_store.cc
@@ -34,9 +34,9 @@
   return out;
 }
 
-// Converts a list index; negative ones count from the end.
-std::int64_t place(std::int64_t at, std::size_t size) {
-  return at < 0 ? std::max<std::int64_t>(0, at + static_cast<std::int64_t>(size)) : at;
+// Converts a list index, of which negative ones count from the end, to a position of at least 0.
+std::int64_t position_of(std::int64_t index, std::size_t size) {
+  return index < 0 ? std::max<std::int64_t>(0, index + static_cast<std::int64_t>(size)) : index;
 }
 
 }  // namespace
@@ -85,7 +85,7 @@
 }
 
 template <typename T>
-T* RespStore::need(Time now, std::string_view key) {
+T* RespStore::find_or_create(Time now, std::string_view key) {
   Entry* e = find(now, key);
   if (!e) e = &entries_.emplace(std::string(key), Entry{T{}, std::nullopt}).first->second;
   return std::get_if<T>(&e->value);
@@ -102,19 +102,19 @@
 }
 
 // SCAN cursor [COUNT n]. Returns keys in the order of their hashes, so that adding or removing a
-// key moves no other key. The cursor is the last hash that was returned.
+// key does not change the position of the others. The cursor is the last hash that was returned.
 std::string RespStore::scan(const Command& c) const {
   const auto cursor = resp::parse_integer(c.size() > 1 ? c[1] : "");
   const auto count = c.size() > 3 && same_word(c[2], "COUNT") ? resp::parse_integer(c[3]) : 10;
   if (!cursor || !count || *count < 1) return kSyntax;
-  std::multimap<std::int64_t, std::string_view> order;
+  std::multimap<std::int64_t, std::string_view> by_hash;
   for (const auto& [key, entry] : entries_) {
     const auto hash = static_cast<std::int64_t>(std::hash<std::string>()(key) >> 2) + 1;
-    if (hash > *cursor) order.emplace(hash, key);
+    if (hash > *cursor) by_hash.emplace(hash, key);
   }
   std::int64_t last = 0, returned = 0;
   std::string keys;
-  for (const auto& [hash, key] : order) {
+  for (const auto& [hash, key] : by_hash) {
     if (returned >= *count && hash != last) break;
     resp::append_bulk(keys, key);
     last = hash;
@@ -123,14 +123,14 @@
   std::string out;
   resp::append_array(out, 2);
   resp::append_bulk(
-      out, static_cast<std::size_t>(returned) == order.size() ? "0" : std::to_string(last));
+      out, static_cast<std::size_t>(returned) == by_hash.size() ? "0" : std::to_string(last));
   resp::append_array(out, static_cast<std::size_t>(returned));
   return out + keys;
 }
 
 // SET key value [NX | XX] [GET] [EX s | PX ms | KEEPTTL]
 std::string RespStore::set(Time now, const Command& c, int version) {
-  bool nx = false, xx = false, get = false, keep = false;
+  bool nx = false, xx = false, get = false, keep_ttl = false;
   std::optional<Time> expires;
   for (std::size_t i = 3; i < c.size(); ++i) {
     if (same_word(c[i], "NX")) {
@@ -140,7 +140,7 @@
     } else if (same_word(c[i], "GET")) {
       get = true;
     } else if (same_word(c[i], "KEEPTTL")) {
-      keep = true;
+      keep_ttl = true;
     } else if ((same_word(c[i], "EX") || same_word(c[i], "PX")) && i + 1 < c.size()) {
       const bool ms = same_word(c[i], "PX");
       const auto n = resp::parse_integer(c[++i]);
@@ -160,17 +160,17 @@
     old = bulk(*text);
   }
   if ((nx && e) || (xx && !e)) return get ? old : null(version);
-  if (keep && e) expires = e->expires;
+  if (keep_ttl && e) expires = e->expires;
   entries_.insert_or_assign(std::string(c[1]), Entry{std::string(c[2]), expires});
   return get ? old : "+OK\r\n";
 }
 
-std::string RespStore::count(Time now, const Command& c, std::int64_t by) {
-  auto* text = need<std::string>(now, c[1]);
+std::string RespStore::increment(Time now, const Command& c, std::int64_t delta) {
+  auto* text = find_or_create<std::string>(now, c[1]);
   if (!text) return kWrongType;
   const auto old = text->empty() ? std::optional<std::int64_t>(0) : resp::parse_integer(*text);
   std::int64_t sum = 0;
-  if (!old || __builtin_add_overflow(*old, by, &sum)) return kNoInteger;
+  if (!old || __builtin_add_overflow(*old, delta, &sum)) return kNoInteger;
   *text = std::to_string(sum);
   return integer(sum);
 }
@@ -186,7 +186,7 @@
     for (const auto& item : items) out += item;
     return out;
   };
-  const std::size_t words = c.size();
+  const std::size_t word_count = c.size();
   if (is("GET") || is("STRLEN") || is("GETDEL")) {
     Entry* e = find(now, c[1]);
     if (!e) return is("STRLEN") ? integer(0) : null(version);
@@ -204,21 +204,21 @@
     return integer(1);
   }
   if (is("APPEND")) {
-    auto* text = need<std::string>(now, c[1]);
+    auto* text = find_or_create<std::string>(now, c[1]);
     if (!text) return kWrongType;
     *text += c[2];
     return integer(static_cast<std::int64_t>(text->size()));
   }
-  if (is("INCR")) return count(now, c, 1);
-  if (is("DECR")) return count(now, c, -1);
+  if (is("INCR")) return increment(now, c, 1);
+  if (is("DECR")) return increment(now, c, -1);
   if (is("INCRBY") || is("DECRBY")) {
-    const auto by = resp::parse_integer(c[2]);
-    if (!by || *by == std::numeric_limits<std::int64_t>::min()) return kNoInteger;
-    return count(now, c, is("INCRBY") ? *by : -*by);
+    const auto delta = resp::parse_integer(c[2]);
+    if (!delta || *delta == std::numeric_limits<std::int64_t>::min()) return kNoInteger;
+    return increment(now, c, is("INCRBY") ? *delta : -*delta);
   }
   if (is("MGET")) {
     std::vector<std::string> items;
-    for (std::size_t i = 1; i < words; ++i) {
+    for (std::size_t i = 1; i < word_count; ++i) {
       Entry* e = find(now, c[i]);
       const auto* text = e ? std::get_if<std::string>(&e->value) : nullptr;
       items.push_back(text ? bulk(*text) : null(version));
@@ -226,13 +226,13 @@
     return array(items);
   }
   if (is("MSET")) {
-    for (std::size_t i = 1; i + 1 < words; i += 2)
+    for (std::size_t i = 1; i + 1 < word_count; i += 2)
       entries_.insert_or_assign(std::string(c[i]), Entry{std::string(c[i + 1]), std::nullopt});
     return "+OK\r\n";
   }
   if (is("DEL") || is("UNLINK") || is("EXISTS") || is("TOUCH")) {
     std::int64_t n = 0;
-    for (std::size_t i = 1; i < words; ++i) {
+    for (std::size_t i = 1; i < word_count; ++i) {
       if (!find(now, c[i])) continue;
       ++n;
       if (is("DEL") || is("UNLINK")) entries_.erase(entries_.find(c[i]));
@@ -262,27 +262,27 @@
   }
   if (is("PERSIST")) {
     Entry* e = find(now, c[1]);
-    const bool had = e && e->expires;
-    if (had) e->expires.reset();
-    return integer(had);
+    const bool had_expiry = e && e->expires;
+    if (had_expiry) e->expires.reset();
+    return integer(had_expiry);
   }
   if (is("HSET") || is("HDEL") || is("HINCRBY")) {
-    if (is("HSET") && words % 2 != 0)
+    if (is("HSET") && word_count % 2 != 0)
       return "-ERR wrong number of arguments for 'hset' command\r\n";
-    auto* hash = need<Hash>(now, c[1]);
+    auto* hash = find_or_create<Hash>(now, c[1]);
     if (!hash) return kWrongType;
     std::string reply;
     if (is("HINCRBY")) {
-      const auto by = resp::parse_integer(c[3]);
+      const auto delta = resp::parse_integer(c[3]);
       auto& text = (*hash)[std::string(c[2])];
       const auto old = text.empty() ? std::optional<std::int64_t>(0) : resp::parse_integer(text);
       std::int64_t sum = 0;
-      if (!by || !old || __builtin_add_overflow(*old, *by, &sum)) return kNoInteger;
+      if (!delta || !old || __builtin_add_overflow(*old, *delta, &sum)) return kNoInteger;
       text = std::to_string(sum);
       reply = integer(sum);
     } else {
       std::int64_t n = 0;
-      for (std::size_t i = 2; i < words; i += is("HSET") ? 2 : 1) {
+      for (std::size_t i = 2; i < word_count; i += is("HSET") ? 2 : 1) {
         if (is("HSET")) {
           n += hash->insert_or_assign(std::string(c[i]), std::string(c[i + 1])).second;
         } else {
@@ -311,9 +311,9 @@
     return it == hash->end() ? null(version) : bulk(it->second);
   }
   if (is("LPUSH") || is("RPUSH")) {
-    auto* list = need<List>(now, c[1]);
+    auto* list = find_or_create<List>(now, c[1]);
     if (!list) return kWrongType;
-    for (std::size_t i = 2; i < words; ++i) {
+    for (std::size_t i = 2; i < word_count; ++i) {
       if (is("LPUSH")) {
         list->emplace_front(c[i]);
       } else {
@@ -323,9 +323,9 @@
     return integer(static_cast<std::int64_t>(list->size()));
   }
   if (is("LPOP") || is("RPOP") || is("LLEN") || is("LRANGE") || is("LINDEX")) {
-    static List none;
+    static List empty_list;
     Entry* e = find(now, c[1]);
-    List* list = e ? std::get_if<List>(&e->value) : &none;
+    List* list = e ? std::get_if<List>(&e->value) : &empty_list;
     if (!list) return kWrongType;
     if (is("LLEN")) return integer(static_cast<std::int64_t>(list->size()));
     if (is("LRANGE")) {
@@ -334,18 +334,18 @@
       std::vector<std::string> items;
       const auto size = static_cast<std::int64_t>(list->size());
       const std::int64_t end = *to < 0 ? *to + size : std::min(*to, size - 1);
-      for (std::int64_t i = place(*from, list->size()); i <= end; ++i)
+      for (std::int64_t i = position_of(*from, list->size()); i <= end; ++i)
         items.push_back(bulk((*list)[static_cast<std::size_t>(i)]));
       return array(items);
     }
     if (is("LINDEX")) {
-      const auto at = resp::parse_integer(c[2]);
-      if (!at) return kNoInteger;
-      const std::int64_t i = *at < 0 ? *at + static_cast<std::int64_t>(list->size()) : *at;
+      const auto index = resp::parse_integer(c[2]);
+      if (!index) return kNoInteger;
+      const std::int64_t i = *index < 0 ? *index + static_cast<std::int64_t>(list->size()) : *index;
       if (i < 0 || i >= static_cast<std::int64_t>(list->size())) return null(version);
       return bulk((*list)[static_cast<std::size_t>(i)]);
     }
-    if (words > 2) return "-ERR a count is not emulated here\r\n";
+    if (word_count > 2) return "-ERR a count is not emulated here\r\n";
     if (list->empty()) return null(version);
     std::string reply = bulk(is("LPOP") ? list->front() : list->back());
     if (is("LPOP")) {
@@ -357,29 +357,29 @@
     return reply;
   }
   if (is("SADD") || is("SREM")) {
-    auto* all = need<Set>(now, c[1]);
-    if (!all) return kWrongType;
+    auto* members = find_or_create<Set>(now, c[1]);
+    if (!members) return kWrongType;
     std::int64_t n = 0;
-    for (std::size_t i = 2; i < words; ++i)
-      n += is("SADD") ? all->emplace(std::string(c[i]), true).second
-                      : static_cast<std::int64_t>(all->erase(std::string(c[i])));
+    for (std::size_t i = 2; i < word_count; ++i)
+      n += is("SADD") ? members->emplace(std::string(c[i]), true).second
+                      : static_cast<std::int64_t>(members->erase(std::string(c[i])));
     drop_if_empty(c[1]);
     return integer(n);
   }
   if (is("SCARD") || is("SISMEMBER") || is("SMEMBERS")) {
     static const Set kEmpty;
     Entry* e = find(now, c[1]);
-    const Set* all = e ? std::get_if<Set>(&e->value) : &kEmpty;
-    if (!all) return kWrongType;
-    if (is("SCARD")) return integer(static_cast<std::int64_t>(all->size()));
-    if (is("SISMEMBER")) return integer(all->count(std::string(c[2])) > 0);
+    const Set* members = e ? std::get_if<Set>(&e->value) : &kEmpty;
+    if (!members) return kWrongType;
+    if (is("SCARD")) return integer(static_cast<std::int64_t>(members->size()));
+    if (is("SISMEMBER")) return integer(members->count(std::string(c[2])) > 0);
     std::string out;
     if (version < 3) {
-      resp::append_array(out, all->size());
+      resp::append_array(out, members->size());
     } else {
-      out = "~" + std::to_string(all->size()) + "\r\n";
+      out = "~" + std::to_string(members->size()) + "\r\n";
     }
-    for (const auto& [member, unused] : *all) out += bulk(member);
+    for (const auto& [member, unused] : *members) out += bulk(member);
     return out;
   }
   return std::nullopt;
--- a/src/testbed/servers/resp_store.h
+++ b/src/testbed/servers/resp_store.h
@@ -45,11 +45,12 @@
   Entry* find(Time now, std::string_view key);
   // Returns the key's value, which is created if the key is absent; null if it has another type.
   template <typename T>
-  T* need(Time now, std::string_view key);
+  T* find_or_create(Time now, std::string_view key);
+  // Removes the key if its value is an empty hash, list or set.
   void drop_if_empty(std::string_view key);
   std::string scan(const resp::Command& c) const;
   std::string set(Time now, const resp::Command& c, int version);
-  std::string count(Time now, const resp::Command& c, std::int64_t by);
+  std::string increment(Time now, const resp::Command& c, std::int64_t delta);
 
   std::map<std::string, Entry, std::less<>> entries_;
 };
--- a/tests/lease_model_test.cc
+++ b/tests/lease_model_test.cc
@@ -1,9 +1,10 @@
-// Model check of the lease protocol with three voters and two candidates. Steps deliver any message
-// in flight next, late, twice or never, crash voters (with and without their records), and pause,
-// restart or hand over holders; clocks run at the bounds of their drift.
+// Model check of the lease protocol with three initial voters, one spare member and two candidates.
+// Steps deliver any message in flight next, late, twice or never, crash voters (with and without
+// their records), pause or restart candidates, and hand over the lease. The clocks of the voters
+// and of the first candidate run at the bounds of their drift.
 //
-// The exhaustive search is breadth-first up to a fixed number of steps and merges equal states;
-// BALANCER_MODEL_STEPS increases the number. Random runs reach deeper states.
+// The exhaustive search is breadth-first up to a fixed number of steps and merges states with equal
+// hashes; BALANCER_MODEL_STEPS increases the number. Random runs reach deeper states.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -22,11 +23,12 @@
 using std::chrono::milliseconds;
 
 constexpr Duration kTick = milliseconds(250);
-constexpr std::size_t kVoters = 4;  // the fourth is not in the initial set
+constexpr std::size_t kMembers = 4;  // the fourth is not in the initial set
 constexpr std::size_t kCandidates = 2;
-constexpr std::size_t kMaxInFlight = 12;  // packets; beyond this number the oldest are lost
+// Packets. When requests are added, the oldest packets beyond this number are lost.
+constexpr std::size_t kMaxInFlight = 12;
 const VoterSet kInitialVoters{1, {"a", "b", "c"}};
-const std::string kNames[kVoters] = {"a", "b", "c", "d"};
+const std::string kNames[kMembers] = {"a", "b", "c", "d"};
 const std::string kAddress = "svc";
 
 LeaseTimes times() {
@@ -36,7 +38,8 @@
 }
 
 struct GroupState {
-  // Clocks of holders run as slowly, and clocks of voters as fast, as max_clock_drift allows.
+  // The clock of the first candidate runs as slowly, and the clocks of voters as fast, as
+  // max_clock_drift allows. The clock of the second candidate has no drift.
   static constexpr double kRates[kCandidates] = {0.99, 1.0};
   static constexpr double kVoterRate = 1.01;
 
@@ -52,7 +55,7 @@
   };
 
   GroupState() {
-    for (std::size_t v = 0; v < kVoters; ++v) {
+    for (std::size_t v = 0; v < kMembers; ++v) {
       stored_records[v] = VoterRecord{kInitialVoters, {}};
       voters[v].emplace(kNames[v], times(), stored_records[v], kInitialVoters, voter_now());
     }
@@ -83,9 +86,9 @@
   bool two_instances_serve() const {
     int serve = 0;
     for (std::size_t c = 0; c < kCandidates; ++c) {
-      const LeaseHolder& t = *candidates[c];
-      if (!t.may_serve(local(c), Duration{0})) continue;
-      const auto since = t.graceful_release_since();
+      const LeaseHolder& holder = *candidates[c];
+      if (!holder.may_serve(local(c), Duration{0})) continue;
+      const auto since = holder.graceful_release_since();
       serve += !since || local(c) - *since >= times().overlap;
     }
     return serve > 1;
@@ -123,21 +126,21 @@
       collect_driver(d);
     }
   }
-  void deliver(std::size_t i, bool keep) {
+  void deliver(std::size_t i, bool keep_copy) {
     const Packet p = in_flight[i];
-    if (!keep) in_flight.erase(in_flight.begin() + static_cast<std::ptrdiff_t>(i));
+    if (!keep_copy) in_flight.erase(in_flight.begin() + static_cast<std::ptrdiff_t>(i));
     const auto c = static_cast<std::size_t>(p.candidate);
     if (p.driver >= 0) return deliver_reconfiguration(p);
     if (p.to_voter) {
-      // The record is on disk before the reply is sent, so that a crash finds exactly what was
-      // replied to.
+      // The record is on disk before the reply is sent, so that a restarted voter has stored
+      // every grant that it replied with.
       const auto v = static_cast<std::size_t>(p.voter);
-      auto d = voters[v]->on_vote_request(voter_now(), p.request);
-      if (d.record_changed) stored_records[v] = voters[v]->record();
+      auto decision = voters[v]->on_vote_request(voter_now(), p.request);
+      if (decision.record_changed) stored_records[v] = voters[v]->record();
       Packet response = p;
       response.to_voter = false;
-      response.reply = d.reply;
-      // A member that is not a voter grants nothing, and reports the set of voters.
+      response.reply = decision.reply;
+      // Emulates a member outside its voter set: it replies with a mismatch instead of a grant.
       if (p.request.kind == VoteRequest::Kind::kLease && !voters[v]->record().voters.has(kNames[v]))
         response.reply.verdict = VoteReply::Verdict::kVoterSetMismatch;
       in_flight.push_back(std::move(response));
@@ -214,9 +217,10 @@
     collect(c);
   }
 
+  // Identifies a state, except for the drivers, which the exhaustive search does not use.
   std::string fingerprint() const {
-    std::string out = std::to_string(now.count()) + "|" + std::to_string(faults) + "|";
-    for (std::size_t v = 0; v < kVoters; ++v)
+    std::string out = std::to_string(now.count()) + "|" + std::to_string(injected_faults) + "|";
+    for (std::size_t v = 0; v < kMembers; ++v)
       out += voters[v]->fingerprint() + (stored_records[v] ? "+" : "-") + "|";
     for (std::size_t c = 0; c < kCandidates; ++c)
       out += candidates[c]->fingerprint() + std::to_string(paused[c]) +
@@ -240,9 +244,9 @@
   }
 
   Time now{milliseconds(100'000)};
-  int faults = 0;
-  std::optional<Voter> voters[kVoters];
-  std::optional<VoterRecord> stored_records[kVoters];
+  int injected_faults = 0;
+  std::optional<Voter> voters[kMembers];
+  std::optional<VoterRecord> stored_records[kMembers];
   std::optional<LeaseHolder> candidates[kCandidates];
   std::uint64_t incarnations[kCandidates] = {0, 0};
   bool paused[kCandidates] = {false, false};
@@ -258,9 +262,9 @@
 template <typename Visit>
 void for_each_step(const GroupState& state, int max_faults, Visit&& visit) {
   const auto step = [&](const std::string& name, int faults, auto&& act) {
-    if (state.faults + faults > max_faults) return;
+    if (state.injected_faults + faults > max_faults) return;
     GroupState next(state);
-    next.faults += faults;
+    next.injected_faults += faults;
     act(next);
     visit(next, name);
   };
@@ -287,7 +291,7 @@
   }
 }
 
-// Delivers packets until none is in flight.
+// Delivers up to 100 packets, as long as any can be delivered.
 void deliver_all(GroupState& state) {
   for (int i = 0; i < 100 && !state.in_flight.empty(); ++i)
     for (std::size_t n = 0; n < state.in_flight.size(); ++n)
@@ -345,7 +349,7 @@
   for (const auto& [name, start] : initial_states()) {
     SCOPED_TRACE(name);
     std::vector<GroupState> level = {start};
-    level[0].faults = 0;
+    level[0].injected_faults = 0;
     std::unordered_set<std::size_t> seen;
     std::size_t transitions = 0;
     for (int depth = 0; depth < steps; ++depth) {
@@ -385,10 +389,10 @@
         state.tick();
       } else if (roll < 95) {
         if (state.in_flight.empty()) continue;
-        const auto i_th = random() % state.in_flight.size();
-        if (state.can_deliver(i_th)) state.deliver(i_th, random() % 10 == 0);
+        const auto index = random() % state.in_flight.size();
+        if (state.can_deliver(index)) state.deliver(index, random() % 10 == 0);
       } else if (roll < 96) {
-        state.crash_voter(random() % kVoters, random() % 4 == 0);
+        state.crash_voter(random() % kMembers, random() % 4 == 0);
       } else if (roll < 97) {
         // A paused candidate is resumed sooner or later.
         state.paused[c] = !state.paused[c] && random() % 2;
@@ -400,14 +404,15 @@
       ASSERT_LE(state.holders(), 1) << "step " << i << "\n" << state.fingerprint();
       ASSERT_FALSE(state.two_instances_serve()) << "step " << i << "\n" << state.fingerprint();
     }
-    for (const auto& t : state.candidates) elections += t->elections_won();
+    for (const auto& candidate : state.candidates) elections += candidate->elections_won();
   }
   EXPECT_GT(elections, static_cast<std::size_t>(runs)) << "fewer elections than runs";
 }
 
-// The same while two independent drivers, which may fail at any moment, add and remove voters. No
-// voter loses its record here: a voter that has returned to an old set by losing its record, and is
-// sent no newer one, is a case that the operators' documentation warns about.
+// Random runs without handovers, in which two independent drivers add and remove voters; a driver
+// may be abandoned at any step. No voter loses its record here: the case of a voter that falls back
+// to an old set in this way and does not learn of the newer one is left out. The operators'
+// documentation warns about it.
 TEST(LeaseModelTest, HasAtMostOneHolderAndOneSetPerVersionWhileVotersChange) {
   const char* runs_override = std::getenv("BALANCER_MODEL_RUNS");
   const int runs = runs_override ? std::atoi(runs_override) : 400;
@@ -423,33 +428,33 @@
         state.tick();
       } else if (roll < 95) {
         if (state.in_flight.empty()) continue;
-        const auto i_th = random() % state.in_flight.size();
-        if (state.can_deliver(i_th)) state.deliver(i_th, random() % 10 == 0);
+        const auto index = random() % state.in_flight.size();
+        if (state.can_deliver(index)) state.deliver(index, random() % 10 == 0);
       } else if (roll < 96) {
-        state.crash_voter(random() % kVoters, false);
+        state.crash_voter(random() % kMembers, false);
       } else if (roll < 97) {
         state.paused[c] = !state.paused[c] && random() % 2;
       } else if (roll < 98) {
         if (random() % 4 == 0) state.start(c);
       } else {
-        if (random() % 4 == 0) state.change_voters(c, kNames[random() % kVoters]);
-        if (random() % 4 == 0) state.send_adopted_set(random() % kVoters, random() % kVoters);
+        if (random() % 4 == 0) state.change_voters(c, kNames[random() % kMembers]);
+        if (random() % 4 == 0) state.send_adopted_set(random() % kMembers, random() % kMembers);
       }
       ASSERT_FALSE(state.has_conflicting_sets)
           << "step " << i << ": two sets have the same version";
       ASSERT_LE(state.holders(), 1) << "step " << i << "\n" << state.fingerprint();
       ASSERT_FALSE(state.two_instances_serve()) << "step " << i << "\n" << state.fingerprint();
     }
-    for (const auto& t : state.candidates) elections += t->elections_won();
+    for (const auto& candidate : state.candidates) elections += candidate->elections_won();
     for (const auto& v : state.voters) changes += v->record().voters.version - 1;
   }
   EXPECT_GT(elections, static_cast<std::size_t>(runs)) << "fewer elections than runs";
   EXPECT_GT(changes, static_cast<std::size_t>(runs)) << "fewer adopted sets than runs";
 }
 
-// Checks that the model can detect a fault: if voters forget ballots, two sets have the same
-// version.
-TEST(LeaseModelTest, DetectsTwoSetsWithOneVersionIfVotersForgetBallots) {
+// Checks that the model detects a broken protocol: if voters lose their ballots, two sets get the
+// same version.
+TEST(LeaseModelTest, DetectsTwoSetsWithOneVersionIfVotersLoseBallots) {
   bool found = false;
   for (int seed = 1; seed <= 400 && !found; ++seed) {
     std::mt19937_64 random(static_cast<std::uint64_t>(seed));
@@ -460,17 +465,17 @@
         state.tick();
       } else if (roll < 94) {
         if (state.in_flight.empty()) continue;
-        const auto i_th = random() % state.in_flight.size();
-        if (state.can_deliver(i_th)) state.deliver(i_th, false);
+        const auto index = random() % state.in_flight.size();
+        if (state.can_deliver(index)) state.deliver(index, false);
       } else if (roll < 97) {
-        const auto v = random() % kVoters;
+        const auto v = random() % kMembers;
         VoterRecord stripped_record = state.voters[v]->record();
         stripped_record.promised_ballot = stripped_record.accepted_ballot = {};
         stripped_record.accepted_voters = {};
         state.voters[v].emplace(kNames[v], times(), stripped_record, kInitialVoters,
                                 state.voter_now());
       } else {
-        state.change_voters(random() % kCandidates, kNames[random() % kVoters]);
+        state.change_voters(random() % kCandidates, kNames[random() % kMembers]);
       }
       found = state.has_conflicting_sets;
     }
@@ -478,8 +483,9 @@
   EXPECT_TRUE(found);
 }
 
-// Checks that the model can detect a fault: if a voter breaks its grant, there are two holders.
-TEST(LeaseModelTest, DetectsTwoHoldersIfAVoterBreaksItsGrant) {
+// Checks that the model detects a broken protocol: if a voter loses its grants, there are two
+// holders.
+TEST(LeaseModelTest, DetectsTwoHoldersIfAVoterLosesItsGrants) {
   bool found = false;
   for (int seed = 1; seed <= 200 && !found; ++seed) {
     std::mt19937_64 random(static_cast<std::uint64_t>(seed));
@@ -489,11 +495,11 @@
       if (roll < 20) {
         state.tick();
       } else if (!state.in_flight.empty() && roll < 95) {
-        const auto i_th = random() % state.in_flight.size();
-        if (state.can_deliver(i_th)) state.deliver(i_th, false);
+        const auto index = random() % state.in_flight.size();
+        if (state.can_deliver(index)) state.deliver(index, false);
       } else {
-        // The voter loses its record, and grants without waiting for the length of a lease.
-        const auto v = random() % kVoters;
+        // The voter restarts without its grants, and does not wait as after a lost record.
+        const auto v = random() % kMembers;
         state.voters[v].emplace(kNames[v], times(), VoterRecord{kInitialVoters, {}}, kInitialVoters,
                                 state.voter_now());
       }
--- a/tests/mixed_versions_test.cc
+++ b/tests/mixed_versions_test.cc
@@ -1,5 +1,5 @@
-// Hot restarts between the programs of this version and of the previous one, in both directions and
-// under load. Built only if the CMake option BALANCER_PREVIOUS_PROGRAM names the previous program.
+// Hot restarts from the program of the previous version to this one and back, under load. Built
+// only if the CMake option BALANCER_PREVIOUS_PROGRAM names the previous program.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <signal.h>
@@ -22,9 +22,10 @@
 // single request.
 class SteadyLoad {
  public:
-  SteadyLoad(asio::io_context& io, const Endpoint& at) : io_(io), at_(at), timer_(io) {
+  SteadyLoad(asio::io_context& io, const Endpoint& address)
+      : io_(io), address_(address), timer_(io) {
     for (std::size_t i = 0; i < kPersistentClients; ++i) connect(true);
-    arm();
+    schedule_round();
   }
   void stop() { stopped_ = true; }
   bool idle() const {
@@ -50,7 +51,7 @@
   };
 
   void connect(bool is_persistent) {
-    clients_.push_back({Peer::dial(io_, at_), is_persistent, false});
+    clients_.push_back({Peer::dial(io_, address_), is_persistent, false});
     send_request(clients_.back());
   }
   void send_request(Client& client) {
@@ -58,7 +59,7 @@
     ++sent;
     client.peer->send("mg k v O" + std::to_string(sent) + " Pc=read,t=acme,d=5000\r\n");
   }
-  // Counts the answer or failure of the client's request, if it has one.
+  // If the client's pending request was answered or has failed, counts the result.
   void collect(Client& client) {
     if (!client.is_waiting) return;
     const bool answered = client.peer->in.ends_with("\r\nv\r\n");
@@ -67,7 +68,7 @@
     ++(answered ? served : failed);
     client.peer->in.clear();
   }
-  void arm() {
+  void schedule_round() {
     timer_.expires_after(kInterval);
     timer_.async_wait([this](auto error) {
       if (error) return;
@@ -82,12 +83,12 @@
           if (!client.is_waiting && !client.peer->closed) send_request(client);
         connect(false);
       }
-      arm();
+      schedule_round();
     });
   }
 
   asio::io_context& io_;
-  const Endpoint at_;
+  const Endpoint address_;
   asio::steady_timer timer_;
   std::vector<Client> clients_;
   bool stopped_ = false;
@@ -100,17 +101,17 @@
                  const std::string& admin)
       : log_file_(folder + "/" + name + ".log") {
     const std::string config = "ROUTER_CONFIG=" + folder + "/config.json",
-                      files = "TMPDIR=" + folder, calls = "ROUTER_ADMIN=" + admin;
+                      temp_dir = "TMPDIR=" + folder, admin_address = "ROUTER_ADMIN=" + admin;
     pid_ = ::fork();
     if (pid_ != 0) return;
     const int log = ::open(log_file_.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
     ::dup2(log, 2);
-    ::close_range(3, ~0U, 0);            // descriptors of the test
-    ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // ends with the test
+    ::close_range(3, ~0U, 0);            // closes descriptors inherited from the test
+    ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // the kernel kills the process if the test dies
     char* const arguments[] = {const_cast<char*>(program.c_str()), nullptr};
     char* const environment[] = {const_cast<char*>(config.c_str()),
-                                 const_cast<char*>(files.c_str()), const_cast<char*>(calls.c_str()),
-                                 nullptr};
+                                 const_cast<char*>(temp_dir.c_str()),
+                                 const_cast<char*>(admin_address.c_str()), nullptr};
     ::execve(program.c_str(), arguments, environment);
     ::_exit(127);
   }
@@ -143,7 +144,8 @@
 
 class MixedVersionsTest : public ProcessTest {
  protected:
-  // Runs each of `programs` as the successor of the one before, under load. No request may be lost.
+  // Hot-restarts through `programs` in order, each replacing its predecessor, under load. Every
+  // request must be served.
   void expect_no_loss(const std::vector<std::string>& programs) {
     discovery.hosts = host_entry("s-1", cache_.server.dial());
     const Endpoint listen = context.loopback.next_endpoint();
@@ -169,40 +171,41 @@
     EXPECT_EQ(load.failed, 0);
     EXPECT_EQ(load.served, load.sent);
     EXPECT_EQ(load.open_persistent_clients(), SteadyLoad::kPersistentClients)
-        << "a client's connection was not passed on";
+        << "a persistent client connection was closed during the hot restart";
     std::printf("%d requests sent, %d served, %d failed\n", load.sent, load.served, load.failed);
   }
-  // Returns null if the process is not ready in time.
+  // Returns null if the process does not become ready in time.
   std::unique_ptr<VersionProcess> start(const std::string& program, const std::string& name) {
     const Endpoint admin = context.loopback.next_endpoint();
     auto process = std::make_unique<VersionProcess>(program, folder, name, testbed::text_of(admin));
     if (run_until(io, [&] { return is_ready(admin); })) return process;
-    ADD_FAILURE() << program << " is not ready: " << process->log();
+    ADD_FAILURE() << program << " did not become ready in time: " << process->log();
     return nullptr;
   }
   bool is_ready(const Endpoint& admin) {
-    const auto call = std::make_shared<Peer>(tcp::socket(io));
+    const auto connection = std::make_shared<Peer>(tcp::socket(io));
     boost::system::error_code error;
-    call->socket.connect(admin, error);
+    connection->socket.connect(admin, error);
     if (error) return false;
-    call->read();
-    call->send("GET /healthcheck HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
-    return run_until(io, [&] { return call->closed; }) && call->in.starts_with("HTTP/1.1 200");
+    connection->read();
+    connection->send("GET /healthcheck HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
+    return run_until(io, [&] { return connection->closed; }) &&
+           connection->in.starts_with("HTTP/1.1 200");
   }
 
   FakeCache cache_{
       io, [](const std::string&, const std::string& id) { return FakeCache::value(id, "v"); }};
 };
 
-TEST_F(MixedVersionsTest, ReplacesThePreviousVersionUnderLoad) {
+TEST_F(MixedVersionsTest, UpgradeLosesNoRequest) {
   expect_no_loss({BALANCER_PREVIOUS_PROGRAM, BALANCER_PROGRAM});
 }
 
-TEST_F(MixedVersionsTest, IsReplacedByThePreviousVersionUnderLoad) {
+TEST_F(MixedVersionsTest, DowngradeLosesNoRequest) {
   expect_no_loss({BALANCER_PROGRAM, BALANCER_PREVIOUS_PROGRAM});
 }
 
-TEST_F(MixedVersionsTest, AlternatesVersionsUnderLoad) {
+TEST_F(MixedVersionsTest, AlternatingVersionsLoseNoRequest) {
   expect_no_loss({BALANCER_PREVIOUS_PROGRAM, BALANCER_PROGRAM, BALANCER_PREVIOUS_PROGRAM,
                   BALANCER_PROGRAM, BALANCER_PROGRAM, BALANCER_PREVIOUS_PROGRAM});
 }
--- a/tests/resp_test.cc
+++ b/tests/resp_test.cc
@@ -1,4 +1,4 @@
-// Tests of the RESP codec: every type, with the input split at every position, and every limit.
+// Tests of the RESP codec: every type, fed in pieces of every size, and the limits.
 #include "proto/resp.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 Bounds small_bounds() { return {.bulk = 64, .elements = 32, .total = 400, .line = 80, .depth = 4}; }
 
 // Parses `bytes` fed in pieces of `step` bytes. Returns the arguments of each command in brackets,
-// and the reason of a fault after '!'.
+// and the message of a protocol error after '!'.
 std::string commands(std::string_view bytes, std::size_t step,
                      const Bounds& bounds = small_bounds()) {
   CommandReader reader(bounds);
@@ -56,7 +56,7 @@
   expect_commands(std::string(100, 'x') + "\r\n", "!Protocol error: too big inline request");
 }
 
-TEST(RespCommandReaderTest, ReportsFaultsWithRedisErrorMessages) {
+TEST(RespCommandReaderTest, ReportsProtocolErrors) {
   expect_commands("*33\r\n", "!Protocol error: invalid multibulk length");
   expect_commands("*x\r\n", "!Protocol error: invalid multibulk length");
   expect_commands("*99999999999999999999\r\n", "!Protocol error: invalid multibulk length");
@@ -68,23 +68,25 @@
                   "!Protocol error: a bulk string does not end where its length says");
   expect_commands("*" + std::string(40, '1'), "!Protocol error: too big mbulk count string");
   expect_commands("*1\r\n$" + std::string(40, '1'), "!Protocol error: too big bulk count string");
-  // A command before a fault is still returned.
+  // A command before a protocol error is still returned.
   expect_commands("*1\r\n$4\r\nPING\r\n*1\r\n:1\r\n",
                   "[PING]!Protocol error: expected '$', got ':'");
 }
 
+// A command that exceeds the total limit is reported like an oversized bulk string.
 TEST(RespCommandReaderTest, LimitsTheTotalSizeOfACommand) {
   std::string text = "*20\r\n";
   for (int i = 0; i < 20; ++i) text += "$40\r\n" + std::string(40, 'x') + "\r\n";
   EXPECT_EQ(commands(text, 7), "!Protocol error: invalid bulk length");
 }
 
-// A session reserves memory for the announced size of a command, so the bytes that expected()
-// covers must not be counted in buffered() as well.
-TEST(RespCommandReaderTest, ReportsExpectedSizeOfThePartialCommand) {
+// A session reserves memory for expected(), the announced size of the partial command, so
+// buffered() must not count the same bytes again.
+TEST(RespCommandReaderTest, ExcludesThePartialCommandFromBufferedBytes) {
   CommandReader reader(small_bounds());
   reader.feed("*2\r\n$3\r\nGET\r\n$50\r\nabc");
   EXPECT_FALSE(reader.next());
+  // The array header, GET, the header of the second string, and its 50 bytes and CRLF.
   EXPECT_EQ(reader.expected(), 4u + 9 + 5 + 52);
   EXPECT_EQ(reader.buffered(), 0u);
   EXPECT_FALSE(reader.between_commands());
@@ -94,7 +96,7 @@
   EXPECT_EQ(reader.buffered(), 2u);
 }
 
-TEST(RespCommandReaderTest, PreservesArgumentsForForwarding) {
+TEST(RespCommandReaderTest, SerializesCommandsCanonically) {
   CommandReader reader(small_bounds());
   reader.feed("*0002\r\n$3\r\nGET\r\n$1\r\nk\r\nset a 'b c'\r\n");
   auto first = reader.next();
@@ -105,7 +107,7 @@
   EXPECT_EQ(std::get<Command>(*second).wire(), "*3\r\n$3\r\nset\r\n$1\r\na\r\n$3\r\nb c\r\n");
 }
 
-TEST(RespCommandTest, AppendsArgumentsWhenTheCountGainsADigit) {
+TEST(RespCommandTest, KeepsArgumentsWhenTheCountGrowsToTwoDigits) {
   Command c;
   std::string arguments;
   for (int i = 0; i < 12; ++i) {
@@ -117,8 +119,8 @@
   EXPECT_EQ(commands(c.wire(), 5), "[w0|w1|w2|w3|w4|w5|w6|w7|w8|w9|w10|w11]");
 }
 
-// Parses `bytes` fed in pieces of `step` bytes. Returns each reply in brackets with its type, and
-// `malformed` or `unfinished` at the end if the input is.
+// Parses `bytes` fed in pieces of `step` bytes. Returns each reply in brackets with its type,
+// followed by `malformed` or `unfinished` if the input is malformed or ends within a reply.
 std::string replies(std::string_view bytes, std::size_t step,
                     const Bounds& bounds = small_bounds()) {
   ReplyReader reader(bounds);
@@ -179,7 +181,7 @@
   return all;
 }
 
-TEST(RespReplyReaderTest, ParsesEveryTypeSplitAnywhere) {
+TEST(RespReplyReaderTest, ParsesEveryTypeInPiecesOfAnySize) {
   for (const auto& text : valid_replies()) {
     const char type = text[0] == '|' ? '$' : text[0];
     const std::string expected = std::string("[") + type + " " + text + "]";
@@ -232,9 +234,9 @@
     EXPECT_FALSE(parse_reply(text, small_bounds())) << text;
   }
   EXPECT_EQ(replies("+" + std::string(200, 'x'), 9), "malformed");
-  std::string sum = "*20\r\n";
-  for (int i = 0; i < 20; ++i) sum += "$40\r\n" + std::string(40, 'x') + "\r\n";
-  EXPECT_EQ(replies(sum, 9), "malformed");
+  std::string oversized = "*20\r\n";
+  for (int i = 0; i < 20; ++i) oversized += "$40\r\n" + std::string(40, 'x') + "\r\n";
+  EXPECT_EQ(replies(oversized, 9), "malformed");
 }
 
 TEST(RespReplyTest, ParsesAReplyIntoATree) {
@@ -276,7 +278,8 @@
   }
 }
 
-// Random trees are parsed as they were serialized, regardless of how the input is split.
+// In random trees the parser finds as many values as were serialized and keeps their bytes, and the
+// result does not depend on how the input is split.
 TEST(RespReplyTest, ParsesRandomTrees) {
   const Bounds bounds{.bulk = 64, .elements = 4096, .total = 1 << 20, .line = 80, .depth = 8};
   for (std::uint32_t seed = 1; seed <= 300; ++seed) {
