--- a/bench/resp.cc
+++ b/bench/resp.cc
@@ -74,7 +74,7 @@
 Figures measure(int port, pid_t pid, int clients, int depth, double length) {
   struct One {
     int fd;
-    resp::ReplyReader reader{resp::Bounds{}};
+    resp::ReplyReader reader{resp::InputLimits{}};
   };
   std::vector<One> all;
   for (int i = 0; i < clients; ++i) all.push_back({dial(port)});
@@ -101,8 +101,8 @@
       out.clear();
       for (int i = 0; i < depth; ++i, ++next) {
         const std::string key = "key" + std::to_string(next / 2 % 1000);
-        out += next % 2 ? resp::Command::of({"GET", key}).wire()
-                        : resp::Command::of({"SET", key, value}).wire();
+        out += next % 2 ? resp::Command::from_args({"GET", key}).wire()
+                        : resp::Command::from_args({"SET", key, value}).wire();
       }
       write_all(c.fd, out.data(), out.size());
     }
@@ -203,7 +203,7 @@
     int fd;
     Clock::time_point sent;
     bool slow;
-    resp::ReplyReader reader{resp::Bounds{}};
+    resp::ReplyReader reader{resp::InputLimits{}};
   };
   std::vector<One> all;
   std::vector<pollfd> ready;
@@ -215,7 +215,8 @@
   const auto send_request = [&](One& c) {
     c.slow = slow && ++next % 100 == 0;
     const auto wire =
-        resp::Command::of({"GET", c.slow ? "slow" : "key" + std::to_string(next++ % 1000)}).wire();
+        resp::Command::from_args({"GET", c.slow ? "slow" : "key" + std::to_string(next++ % 1000)})
+            .wire();
     c.sent = Clock::now();
     write_all(c.fd, wire.data(), wire.size());
   };
@@ -255,7 +256,7 @@
 pid_t start_jam(int port) {
   return start([port] {
     std::string out;
-    for (int i = 0; i < 32; ++i) out += resp::Command::of({"GET", "jam"}).wire();
+    for (int i = 0; i < 32; ++i) out += resp::Command::from_args({"GET", "jam"}).wire();
     std::vector<int> all;
     for (int i = 0; i < 64; ++i) all.push_back(dial(port));
     std::vector<char> buffer(64 << 10);
--- a/bench/store.cc
+++ b/bench/store.cc
@@ -30,9 +30,11 @@
   Store all(folder, name, durability);
   for (auto _ : state) all.put("promises", kRecord);
 }
-void store_durable(benchmark::State& state) { store(state, Store::Durability::kEach, "durable"); }
+void store_durable(benchmark::State& state) {
+  store(state, Store::Durability::kSyncEachPut, "durable");
+}
 void store_without_waiting(benchmark::State& state) {
-  store(state, Store::Durability::kNone, "quick");
+  store(state, Store::Durability::kNoSync, "quick");
 }
 
 void write_and_sync(int fd) {
--- a/src/cluster/commands.cc
+++ b/src/cluster/commands.cc
@@ -10,14 +10,14 @@
 
 // NOLINTNEXTLINE(readability-function-size): a table of data.
 std::vector<CommandInfo> make_table() {
-  using enum Kind;
+  using enum CommandKind;
   std::vector<CommandInfo> t;
   // Commands whose only key is the first argument.
-  const auto single_key = [&t](Kind kind,
+  const auto single_key = [&t](CommandKind kind,
                                std::initializer_list<std::pair<std::string_view, int>> names) {
     for (const auto& [name, arity] : names) t.push_back({name, kind, arity, 1, 1, 1});
   };
-  const auto not_forwarded = [&t](Kind kind, std::initializer_list<std::string_view> names) {
+  const auto not_forwarded = [&t](CommandKind kind, std::initializer_list<std::string_view> names) {
     for (const auto name : names) t.push_back({name, kind, -1});
   };
   single_key(kRead, {{"GET", 2},
@@ -193,13 +193,13 @@
 
 std::optional<std::size_t> stream_words(const resp::Command& command) {
   for (std::size_t i = 1; i < command.size(); ++i)
-    if (same_word(command[i], "STREAMS")) return i;
+    if (equals_ignore_case(command[i], "STREAMS")) return i;
   return std::nullopt;
 }
 
 }  // namespace
 
-bool same_word(std::string_view word, std::string_view upper_word) {
+bool equals_ignore_case(std::string_view word, std::string_view upper_word) {
   return word.size() == upper_word.size() &&
          std::equal(word.begin(), word.end(), upper_word.begin(),
                     [](char a, char b) { return upper(a) == b; });
@@ -222,13 +222,13 @@
   return it != t.end() && it->name == word ? &*it : nullptr;
 }
 
-bool arity_fits(const CommandInfo& info, std::size_t words) {
+bool has_valid_arity(const CommandInfo& info, std::size_t words) {
   const auto n = static_cast<int>(words);
   return info.arity >= 0 ? n == info.arity : n >= -info.arity;
 }
 
-std::optional<std::vector<std::size_t>> keys_of(const CommandInfo& info,
-                                                const resp::Command& command) {
+std::optional<std::vector<std::size_t>> key_positions(const CommandInfo& info,
+                                                      const resp::Command& command) {
   std::vector<std::size_t> keys;
   const std::size_t words = command.size();
   if (info.name == "XREAD" || info.name == "XREADGROUP") {
@@ -250,7 +250,7 @@
   if (info.key_count_index > 0) {
     const auto at = static_cast<std::size_t>(info.key_count_index);
     if (at >= words) return std::nullopt;
-    const auto count = resp::parse_integer(command[at]);
+    const auto count = resp::parse_int64(command[at]);
     if (!count || *count < 0 || static_cast<std::uint64_t>(*count) > words - at - 1)
       return std::nullopt;
     for (std::size_t i = 0; i < static_cast<std::size_t>(*count); ++i) keys.push_back(at + 1 + i);
@@ -262,7 +262,7 @@
   if (info.name != "XREAD" && info.name != "XREADGROUP") return false;
   const auto streams = stream_words(command);
   for (std::size_t i = 1; i < streams.value_or(command.size()); ++i)
-    if (same_word(command[i], "BLOCK")) return true;
+    if (equals_ignore_case(command[i], "BLOCK")) return true;
   return false;
 }
 
--- a/src/cluster/commands.h
+++ b/src/cluster/commands.h
@@ -11,7 +11,7 @@
 // keys, and whether a command writes. A command's words are its name and its arguments.
 namespace balancer::cluster {
 
-enum class Kind {
+enum class CommandKind {
   kRead,
   kWrite,
   kBlocking,   // occupies the connection until an event occurs
@@ -29,7 +29,7 @@
 
 struct CommandInfo {
   std::string_view name;  // upper case
-  Kind kind;
+  CommandKind kind;
   int arity;  // number of words, as in COMMAND INFO; negative: the minimum
   int first_key = 0, last_key = 0, step = 0;  // word indexes; last_key < 0: from the end
   int key_count_index = 0;  // index of the word with the number of keys that follow it; 0: none
@@ -41,14 +41,15 @@
 const std::vector<CommandInfo>& all_commands();
 
 // Whether the command may have this number of words, its name included.
-bool arity_fits(const CommandInfo& info, std::size_t words);
+bool has_valid_arity(const CommandInfo& info, std::size_t words);
 // Returns the word indexes of the command's keys; nullopt if its syntax is invalid.
-std::optional<std::vector<std::size_t>> keys_of(const CommandInfo& info,
-                                                const resp::Command& command);
-// Whether a command that is not of Kind::kBlocking would block (XREAD and XREADGROUP with BLOCK).
+std::optional<std::vector<std::size_t>> key_positions(const CommandInfo& info,
+                                                      const resp::Command& command);
+// Whether a command that is not of CommandKind::kBlocking would block (XREAD and XREADGROUP with
+// BLOCK).
 bool would_block(const CommandInfo& info, const resp::Command& command);
 
 // Compares without regard to ASCII case; `upper` must be in upper case.
-bool same_word(std::string_view word, std::string_view upper);
+bool equals_ignore_case(std::string_view word, std::string_view upper);
 
 }  // namespace balancer::cluster
--- a/src/cluster/router.cc
+++ b/src/cluster/router.cc
@@ -43,12 +43,12 @@
 
 // ---- requests
 
-void Router::begin(RequestId request, Slot slot, Reads reads) {
+void Router::begin(RequestId request, Slot slot, ReadPreference reads) {
   routes_[request] = {slot, reads, std::nullopt, false, false, {}};
 }
 
 void Router::begin_at_node(RequestId request, std::string_view node) {
-  begin(request, 0, Reads::kPrimary);
+  begin(request, 0, ReadPreference::kPrimary);
   RequestRoute& route = routes_[request];
   route.next = table_.find(node);
   route.unavailable = !route.next;
@@ -127,7 +127,7 @@
 
 bool Router::reads_replica(RequestId request, std::string_view node) const {
   const auto it = routes_.find(request);
-  if (it == routes_.end() || it->second.reads == Reads::kPrimary) return false;
+  if (it == routes_.end() || it->second.reads == ReadPreference::kPrimary) return false;
   const auto at = table_.find(node);
   return at && table_.owner(it->second.slot) != at;
 }
@@ -156,7 +156,8 @@
   return (stable_hash(key) & ~kSlotMask) | slot_of(key);
 }
 
-bool Router::walk(std::uint64_t point, RequestId request, Accept accept) const {
+bool Router::visit_candidates(std::uint64_t point, RequestId request,
+                              CandidateVisitor accept) const {
   const auto offer = [&](NodeIndex node) {
     const auto host = host_of(node);
     return host && accept(*host);
@@ -175,12 +176,12 @@
     }
     return false;
   }
-  const Reads reads = it == routes_.end() ? Reads::kPrimary : it->second.reads;
+  const ReadPreference reads = it == routes_.end() ? ReadPreference::kPrimary : it->second.reads;
   const auto& replicas = table_.nodes()[*owner].replicas;
-  if (reads == Reads::kPrimary || replicas.empty()) return offer(*owner);
+  if (reads == ReadPreference::kPrimary || replicas.empty()) return offer(*owner);
   // Rotates the nodes by the request's id.
   std::vector<NodeIndex> order = replicas;
-  if (reads == Reads::kAny) order.push_back(*owner);
+  if (reads == ReadPreference::kAny) order.push_back(*owner);
   std::rotate(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(request % order.size()),
               order.end());
   for (const NodeIndex n : order)
@@ -192,10 +193,10 @@
 
 std::optional<Time> Router::refresh_at() const {
   if (refreshing_) return std::nullopt;
-  Duration wait = refresh_requested_ || failed_refreshes_ > 0 ? settings_.refresh_interval
-                                                              : settings_.refresh_every;
-  for (int i = 0; i < failed_refreshes_ && wait < settings_.refresh_backoff; ++i) wait *= 2;
-  if (failed_refreshes_ > 0) wait = std::min(wait, settings_.refresh_backoff);
+  Duration wait = refresh_requested_ || failed_refreshes_ > 0 ? settings_.min_refresh_interval
+                                                              : settings_.refresh_period;
+  for (int i = 0; i < failed_refreshes_ && wait < settings_.max_refresh_backoff; ++i) wait *= 2;
+  if (failed_refreshes_ > 0) wait = std::min(wait, settings_.max_refresh_backoff);
   return last_refresh_ + wait;
 }
 
--- a/src/cluster/router.h
+++ b/src/cluster/router.h
@@ -19,14 +19,14 @@
   std::size_t max_nodes = 2048;
   int max_redirections = 5;  // per request
   // Minimum time between two refreshes of the slots. Doubles after each failed refresh, up to
-  // `refresh_backoff`.
-  Duration refresh_interval = std::chrono::milliseconds(100);
-  Duration refresh_backoff = std::chrono::seconds(5);
-  Duration refresh_every = std::chrono::seconds(10);  // if nothing requests one earlier
+  // `max_refresh_backoff`.
+  Duration min_refresh_interval = std::chrono::milliseconds(100);
+  Duration max_refresh_backoff = std::chrono::seconds(5);
+  Duration refresh_period = std::chrono::seconds(10);  // if nothing requests one earlier
 };
 
 // Which nodes may serve a request.
-enum class Reads {
+enum class ReadPreference {
   kPrimary,  // the owner of its slot
   kReplica,  // the owner's replicas in turn; the owner only if no replica is known
   kAny,      // owner and replicas in turn
@@ -41,15 +41,15 @@
 
   // ---- requests, identified by the policy's request id
 
-  void begin(RequestId request, Slot slot, Reads reads);
+  void begin(RequestId request, Slot slot, ReadPreference reads);
   // Begins a request that only this node may serve.
   void begin_at_node(RequestId request, std::string_view node);
   void end(RequestId request) { routes_.erase(request); }
 
   enum class Verdict {
     kAnswer,       // not a cluster error: the client's answer
-    kRedirected,   // nothing ran; walk() now offers only the node that was named
-    kUnavailable,  // nothing ran, and no node can serve it now; walk() offers none
+    kRedirected,   // nothing ran; visit_candidates() now offers only the node that was named
+    kUnavailable,  // nothing ran, and no node can serve it now; visit_candidates() offers none
     kMalformed,    // a redirection that cannot be parsed: it may have run
   };
   // Interprets a complete error reply of `from`, given without its type byte and line end.
@@ -68,7 +68,8 @@
   void erase(const std::set<Host>& hosts) override;
   std::uint64_t point(std::string_view key) const override;  // the key's slot in the low 14 bits
   bool keys_are_sticky() const override { return true; }
-  bool walk(std::uint64_t point, RequestId request, Accept accept) const override;
+  bool visit_candidates(std::uint64_t point, RequestId request,
+                        CandidateVisitor accept) const override;
 
   // ---- the slots
 
@@ -93,7 +94,7 @@
  private:
   struct RequestRoute {
     Slot slot;
-    Reads reads;
+    ReadPreference reads;
     std::optional<NodeIndex> next;  // named by the last redirection
     bool ask = false;               // that redirection was ASK
     bool unavailable = false;       // no node can serve the request now
--- a/src/dispatch/host_start_times.h
+++ b/src/dispatch/host_start_times.h
@@ -21,7 +21,7 @@
   void on_list(Time now, const HostList& list);
   // Returns when the host started, or nothing if the list has no start time for it, which means
   // that it started long ago.
-  std::optional<HostStart> start_of(Time now, const ListedHost& host) const;
+  std::optional<HostStart> start_of(Time now, const EndpointListEntry& host) const;
 
  private:
   recovery::HostAgeEstimator estimator_;
--- a/src/dispatch/routing_extension.h
+++ b/src/dispatch/routing_extension.h
@@ -19,11 +19,12 @@
   // A request was submitted; called before the policy routes it.
   virtual void on_request(RequestId id, const RequestPayload& payload) = 0;
   // The request has been answered or withdrawn, and none of its attempts is in flight.
-  virtual void on_forgotten(RequestId id) = 0;
-  // Sets the attempt's redirection flags (`asking`, `replica`) before it is sent.
-  virtual void prepare(Attempt& attempt) = 0;
+  virtual void on_request_erased(RequestId id) = 0;
+  // Sets the attempt's redirection flags (`asking`, `reads_from_replica`) before it is sent.
+  virtual void prepare_attempt(Attempt& attempt) = 0;
   // Returns the result to report to the policy in place of `result`. `value` is the server's reply.
-  virtual Result interpret(const Attempt& attempt, Result result, const std::string& value) = 0;
+  virtual Result interpret_result(const Attempt& attempt, Result result,
+                                  const std::string& value) = 0;
 };
 
 }  // namespace balancer
--- a/src/dispatch/server_pool.cc
+++ b/src/dispatch/server_pool.cc
@@ -24,7 +24,7 @@
   settings.selector.max_idle = idle_close / kIdleCloseDivisor;
   settings.selector.max_depth = static_cast<std::size_t>(std::max(1, site.streams_per_connection));
   settings.selector.shared = site.shared_connections && settings.selector.max_depth > 1;
-  settings.selector.max_non_idempotent = site.max_unsafe;
+  settings.selector.max_non_idempotent = site.max_non_idempotent_per_connection;
   settings.selector.min_slow_threshold = site.slow_after;
   return settings;
 }
@@ -32,7 +32,7 @@
 }  // namespace
 
 ServerPool::ServerPool(boost::asio::io_context& io, const Clock& clock, const SiteSettings& site,
-                       std::uint64_t seed, Limits& limits, Dial dial,
+                       std::uint64_t seed, Limits& limits, ConnectionFactory dial,
                        std::function<void()> subscribe, RoutingExtension* routing_extension)
     : clock_(clock),
       site_(site),
@@ -64,9 +64,9 @@
   ++request.attempts_in_flight;
   // If the process has just stalled, the policy's decision is based on an outdated endpoint list.
   stall_hold_.observe();
-  attempt->held = stall_hold_.is_holding() && host != origin_id_;
+  attempt->is_held_for_stall = stall_hold_.is_holding() && host != origin_id_;
   timers_.set_timeout(attempt);
-  if (attempt->held) {
+  if (attempt->is_held_for_stall) {
     stall_hold_.hold(std::move(attempt));
   } else {
     upstreams_.start(std::move(attempt), host);
@@ -82,7 +82,7 @@
   attempt->payload = request.payload;
   attempt->deadline = deadline;
   attempt->non_idempotent = request.non_idempotent;
-  if (routing_extension_) routing_extension_->prepare(*attempt);
+  if (routing_extension_) routing_extension_->prepare_attempt(*attempt);
   if (const auto* known = policy_.host(host)) attempt->host_started = known->born();
   const RequestClass& request_class =
       site_.policy.classes[static_cast<std::size_t>(request.request_class)];
@@ -104,7 +104,7 @@
 
 void ServerPool::set_timer(Time at, std::uint64_t tag) { timers_.set_policy_timer(at, tag); }
 
-void ServerPool::drop_timer(std::uint64_t tag) { timers_.cancel_policy_timer(tag); }
+void ServerPool::cancel_timer(std::uint64_t tag) { timers_.cancel_policy_timer(tag); }
 
 void ServerPool::close_idle(std::string_view host) { upstreams_.close_idle(host); }
 
@@ -123,7 +123,7 @@
   request.request_class = spec.request_class;
   request.tenant = spec.tenant;
   request.key = spec.key;
-  request.write = spec.write;
+  request.is_write = spec.write;
   request.work = spec.work;
   request.time_left = spec.time_left - stall_hold_.max_unread_age();
   if (drain_end_)
@@ -139,7 +139,8 @@
 // it has run. After a stall it may have waited in the socket until the client's deadline was over.
 bool ServerPool::may_accept(const ResponseSink& sink, const RequestSpec& spec) const {
   if (stall_hold_.max_unread_age() >= spec.time_left) return false;
-  if (site_.max_held > 0 && open_requests_ >= static_cast<std::size_t>(site_.max_held))
+  if (site_.max_open_requests > 0 &&
+      open_requests_ >= static_cast<std::size_t>(site_.max_open_requests))
     return false;
   return sink.may_forward() && sink.is_connected();
 }
@@ -163,7 +164,7 @@
 void ServerPool::withdraw(ResponseSink& sink) {
   for (const RequestId id : std::vector(sink.open_requests_)) {
     mark_finished(id, requests_.at(id));
-    policy_.on_withdrawn(now(), id);
+    policy_.on_request_cancelled(now(), id);
   }
   erase_finished();
 }
@@ -174,7 +175,7 @@
     if (!request.finished) open.push_back(id);
   for (const RequestId id : open) {
     fail(id);
-    policy_.on_withdrawn(now(), id);
+    policy_.on_request_cancelled(now(), id);
   }
   erase_finished();
 }
@@ -208,7 +209,7 @@
     const auto it = requests_.find(id);
     if (it == requests_.end() || it->second.attempts_in_flight > 0) continue;
     it->second.payload->on_released();
-    if (routing_extension_) routing_extension_->on_forgotten(id);
+    if (routing_extension_) routing_extension_->on_request_erased(id);
     requests_.erase(it);
   }
 }
@@ -234,8 +235,8 @@
     return SendPermission::kRequestFinished;
   const auto* host = policy_.host(attempt.host);
   const bool is_same_process = host && host->born() == attempt.host_started;
-  return is_same_process && host->takes_new() ? SendPermission::kGranted
-                                              : SendPermission::kHostChanged;
+  return is_same_process && host->accepts_attempts() ? SendPermission::kGranted
+                                                     : SendPermission::kHostChanged;
 }
 
 // Attempts that were held are based on an old endpoint list. The policy decides on them again,
@@ -269,7 +270,7 @@
   if (std::exchange(attempt->ended, true)) return;
   timers_.cancel_timeout(*attempt);
   result = correct_unsent(attempt, result);
-  if (routing_extension_) result = routing_extension_->interpret(*attempt, result, value);
+  if (routing_extension_) result = routing_extension_->interpret_result(*attempt, result, value);
   const RequestId id = attempt->request;
   PendingRequest& request = requests_.at(id);
   --request.attempts_in_flight;
@@ -288,12 +289,12 @@
   upstreams_.apply(list);
   host_start_times_.on_list(now(), list);
   std::vector<HostEntry> entries;
-  for (const ListedHost& host : list.hosts) {
-    if (host.origin) origin_id_ = host.id;
-    entries.push_back({host.id, host_start_times_.start_of(now(), host), host.origin, host.zone,
+  for (const EndpointListEntry& host : list.hosts) {
+    if (host.is_origin) origin_id_ = host.id;
+    entries.push_back({host.id, host_start_times_.start_of(now(), host), host.is_origin, host.zone,
                        host.cell, host.state, host.weight});
   }
-  policy_.on_hosts(now(), list.whole ? ListKind::kComplete : ListKind::kChanges, entries);
+  policy_.on_hosts(now(), list.is_complete ? ListKind::kComplete : ListKind::kChanges, entries);
   upstreams_.withdraw_unsendable();
   erase_finished();
 }
@@ -318,8 +319,8 @@
   return now() - host->start->at;
 }
 
-bool ServerPool::maintain(std::string_view host, bool out_of_service) {
-  const bool is_known = policy_.on_maintenance(now(), host, out_of_service);
+bool ServerPool::set_out_of_service(std::string_view host, bool out_of_service) {
+  const bool is_known = policy_.set_out_of_service(now(), host, out_of_service);
   upstreams_.withdraw_unsendable();
   return is_known;
 }
--- a/src/dispatch/server_pool.h
+++ b/src/dispatch/server_pool.h
@@ -37,8 +37,8 @@
   // `dial` creates the connections, `subscribe` requests the endpoint list. `limits` and `site`
   // must outlive the event loop, as handlers use them until it is destroyed.
   ServerPool(boost::asio::io_context& io, const Clock& clock, const SiteSettings& site,
-             std::uint64_t seed, Limits& limits, Dial dial, std::function<void()> subscribe,
-             RoutingExtension* routing_extension = nullptr);
+             std::uint64_t seed, Limits& limits, ConnectionFactory dial,
+             std::function<void()> subscribe, RoutingExtension* routing_extension = nullptr);
 
   // ---- hosts
 
@@ -64,7 +64,7 @@
 
   // Takes the host out of service or returns it to service, on behalf of an operator. Returns false
   // if the host is not known.
-  bool maintain(std::string_view host, bool out_of_service);
+  bool set_out_of_service(std::string_view host, bool out_of_service);
   const std::map<std::string, Policy::OperatorOverride, std::less<>>& overrides() const {
     return policy_.overrides();
   }
@@ -97,8 +97,8 @@
   void reject(RequestId id, Duration retry_after) override;
   void fail(RequestId id) override;
   void set_timer(Time at, std::uint64_t tag) override;
-  void drop_timer(std::uint64_t tag) override;
-  void subscribe() override { subscribe_(); }
+  void cancel_timer(std::uint64_t tag) override;
+  void poll_endpoint_list() override { subscribe_(); }
   void close_idle(std::string_view host) override;
 
   // AttemptEvents
--- a/src/fleet_simulation/group_sim.h
+++ b/src/fleet_simulation/group_sim.h
@@ -62,8 +62,8 @@
   Faults faults;
   Router router;
   // Links (from, to) that drop all datagrams; the router has the name "router".
-  std::set<std::pair<std::string, std::string>> cut;
-  std::function<void()> check;  // called after each event
+  std::set<std::pair<std::string, std::string>> dropped_links;
+  std::function<void()> invariant_check;  // called after each event
   std::uint64_t datagrams = 0, bytes = 0, writes = 0, max_datagram = 0;
 
   Time now() const { return now_; }
@@ -78,7 +78,7 @@
       events_.pop();
       now_ = event.at;
       event.then();
-      if (check) check();
+      if (invariant_check) invariant_check();
     }
     now_ = end;
   }
@@ -116,16 +116,16 @@
   void isolate(const std::string& name, bool from_router, bool from_others = true) {
     for (const auto& [other, n] : nodes_)
       if (other != name && from_others) {
-        cut.insert({name, other});
-        cut.insert({other, name});
+        dropped_links.insert({name, other});
+        dropped_links.insert({other, name});
       }
     if (from_router) {
-      cut.insert({name, "router"});
+      dropped_links.insert({name, "router"});
       drop_routes_after(nodes_.at(name), std::chrono::seconds(3));
     }
   }
-  void heal() {
-    cut.clear();
+  void restore_network() {
+    dropped_links.clear();
     // The sessions reconnect and announce all held addresses again.
     for (auto& [name, n] : nodes_)
       if (n.instance && !n.paused)
@@ -148,7 +148,7 @@
   void change_voters(const std::string& by, const std::string& name, bool add,
                      std::function<void(bool, const std::string&)> done) {
     Node& n = nodes_.at(by);
-    n.instance->change_voters(local(n), name, add, std::move(done));
+    n.instance->reconfigure_voters(local(n), name, add, std::move(done));
     process_output(n);
   }
 
@@ -187,14 +187,14 @@
     return all.empty() ? "" : all.front();
   }
   // Returns whether traffic is routed to a node that runs, is reachable and holds the lease.
-  bool answered(const std::string& address) const {
+  bool is_served(const std::string& address) const {
     const auto owner = router.owner(address);
     if (owner.empty()) return false;
     const Node& n = nodes_.at(owner);
     const auto* t = n.instance ? n.instance->lease_manager().lease_holder(address) : nullptr;
-    return t && !n.paused && t->holds(local(n)) && cut.count({owner, "router"}) == 0;
+    return t && !n.paused && t->holds(local(n)) && dropped_links.count({owner, "router"}) == 0;
   }
-  const std::vector<std::string>& lines() const { return lines_; }
+  const std::vector<std::string>& log_lines() const { return lines_; }
   std::mt19937_64& random() { return random_; }
 
  private:
@@ -258,7 +258,7 @@
     for (const auto& c : n.instance->take_route_actions()) execute(n, c);
     for (auto& line : n.instance->take_log_lines())
       lines_.push_back(std::to_string(now_.count() / 1'000'000) + " ms " + n.name + " " + line);
-    arm(n, true_time(n, n.instance->next()));
+    arm(n, true_time(n, n.instance->next_timer_at()));
   }
   void arm(Node& n, Time when) {
     when = std::max(when, now_);
@@ -279,7 +279,8 @@
     const auto size = encode(d).size();
     bytes += size;
     max_datagram = std::max<std::uint64_t>(max_datagram, size);
-    if (it == nodes_.end() || cut.count({from.name, to}) > 0 || chance(faults.loss)) return;
+    if (it == nodes_.end() || dropped_links.count({from.name, to}) > 0 || chance(faults.loss))
+      return;
     const int copies = chance(faults.duplicate) ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
       Duration delay = std::chrono::microseconds(100 + random_() % 1500);
@@ -305,7 +306,7 @@
     if (c.kind == Kind::kDeprefer) return;
     after(takes, [this, &n, c, epoch] {
       if (epoch != n.epoch || !n.instance || n.paused) return;
-      const bool reaches = cut.count({n.name, "router"}) == 0;
+      const bool reaches = dropped_links.count({n.name, "router"}) == 0;
       if (c.kind == Kind::kAnnounce) {
         if (reaches && n.instance->lease_manager().lease_holder(c.address)->should_listen())
           router.routes[c.address][n.name] = c.term;
@@ -319,8 +320,8 @@
   }
   void drop_routes_after(Node& n, Duration delay) {
     after(delay, [this, &n, epoch = n.epoch] {
-      const bool silent =
-          epoch != n.epoch || !n.instance || n.paused || cut.count({n.name, "router"}) > 0;
+      const bool silent = epoch != n.epoch || !n.instance || n.paused ||
+                          dropped_links.count({n.name, "router"}) > 0;
       if (!silent || (epoch != n.epoch && n.instance && !n.paused)) return;
       for (auto& [address, by] : router.routes) by.erase(n.name);
     });
--- a/src/fleet_simulation/plant.cc
+++ b/src/fleet_simulation/plant.cc
@@ -91,7 +91,7 @@
   void reject(RequestId id, Duration wait) override { plant.finish(id, End::kRefused, wait); }
   void fail(RequestId id) override { plant.finish(id, End::kFailed, Duration{0}); }
   void set_timer(Time time, std::uint64_t tag) override { plant.set_timer(number, time, tag); }
-  void subscribe() override {}
+  void poll_endpoint_list() override {}
   void close_idle(std::string_view) override {}
 
   Plant& plant;
@@ -301,7 +301,7 @@
   const Host& host = *hosts_[h];
   HostEntry e;
   e.id = host.id;
-  e.origin = host.origin;
+  e.is_origin = host.origin;
   e.zone = host.zone;
   e.state = host.state;
   if (host.started_at) e.start = HostStart::exactly(*host.started_at);
@@ -349,7 +349,7 @@
   q.request_class = call->wish.request_class;
   q.tenant = call->wish.tenant;
   q.key = call->wish.key;
-  q.write = scenario_.classes[index(q.request_class)].write();
+  q.is_write = scenario_.classes[index(q.request_class)].write();
   if (call->wish.hint > 0) q.work = from_seconds(call->wish.hint);
   q.time_left = until - now_ - 2 * options_.one_way_delay;
   ++current_sample_.tries;
@@ -672,10 +672,11 @@
   for (const auto& b : balancers_) {
     if (!b->policy) continue;
     const Policy::PolicyCheckpoint l = b->policy->checkpoint(now_);
-    b->policy->restore(now_, {0,
-                              options_.fixed_origin_admit_fraction.value_or(l.origin),
-                              options_.fixed_caches_admit_fraction.value_or(l.caches),
-                              {}});
+    b->policy->restore(now_,
+                       {0,
+                        options_.fixed_origin_admit_fraction.value_or(l.origin_admit_fraction),
+                        options_.fixed_caches_admit_fraction.value_or(l.caches_admit_fraction),
+                        {}});
   }
   after(kHoldPeriod, [this] { restore_held_fractions(); });
 }
@@ -686,10 +687,12 @@
     if (!b->policy) continue;
     ++alive;
     const Policy::PolicyCheckpoint l = b->policy->checkpoint(now_);
-    current_sample_.origin_admit_fraction += l.origin;
-    current_sample_.caches_admit_fraction += l.caches;
-    current_sample_.origin_fraction_min = std::min(current_sample_.origin_fraction_min, l.origin);
-    current_sample_.origin_fraction_max = std::max(current_sample_.origin_fraction_max, l.origin);
+    current_sample_.origin_admit_fraction += l.origin_admit_fraction;
+    current_sample_.caches_admit_fraction += l.caches_admit_fraction;
+    current_sample_.origin_fraction_min =
+        std::min(current_sample_.origin_fraction_min, l.origin_admit_fraction);
+    current_sample_.origin_fraction_max =
+        std::max(current_sample_.origin_fraction_max, l.origin_admit_fraction);
   }
   current_sample_.origin_admit_fraction /= std::max(1, alive);
   current_sample_.caches_admit_fraction /= std::max(1, alive);
--- a/src/frontend/memcache/cache_connection.cc
+++ b/src/frontend/memcache/cache_connection.cc
@@ -1,7 +1,7 @@
 #include "frontend/memcache/cache_connection.h"
 
 #include "frontend/memcache/deadline.h"
-#include "frontend/memcache/memcache_front.h"
+#include "frontend/memcache/memcache_frontend.h"
 
 namespace balancer {
 
@@ -20,7 +20,7 @@
 // Matches an answer to its request by order and, if it carries an id, by the id, as a client must
 // never receive the answer to another request. Returns false if the answer does not match.
 bool CacheConnection::on_answer_head(const AnswerHead& head) {
-  if (!expecting()) return false;
+  if (!is_awaiting_answer()) return false;
   const auto& command = command_of(*current()->payload);
   if (!head.id.empty() && head.id != command.id) return false;
   const bool is_set = command.kind == memcache::Command::Kind::kSet;
@@ -43,24 +43,24 @@
         if (!on_answer_head(reader_.head())) return false;
         break;
       case AnswerReader::Event::kData:
-        if (!take_value(reader_.data(), reader_.head().length)) return false;
+        if (!append_value(reader_.data(), reader_.head().length)) return false;
         break;
       case AnswerReader::Event::kEnd:
         switch (reader_.head().kind) {
           case AnswerHead::Kind::kValue:
-            if (!complete(Result::kOk)) return false;
+            if (!complete_answer(Result::kOk)) return false;
             break;
           case AnswerHead::Kind::kStored:
-            if (!complete(Result::kOk, reader_.head().receipt)) return false;
+            if (!complete_answer(Result::kOk, reader_.head().receipt)) return false;
             break;
           case AnswerHead::Kind::kMiss:
-            if (!complete(Result::kMiss)) return false;
+            if (!complete_answer(Result::kMiss)) return false;
             break;
           case AnswerHead::Kind::kBusy:
-            if (!complete(Result::kRejected)) return false;
+            if (!complete_answer(Result::kRejected)) return false;
             break;
           default:
-            if (!complete(Result::kError)) return false;
+            if (!complete_answer(Result::kError)) return false;
         }
     }
   }
--- a/src/frontend/memcache/memcache_front.cc
+++ b/src/frontend/memcache/memcache_frontend.cc
@@ -1,4 +1,4 @@
-#include "frontend/memcache/memcache_front.h"
+#include "frontend/memcache/memcache_frontend.h"
 
 #include <algorithm>
 #include <utility>
@@ -24,30 +24,30 @@
   if (ids) ids->erase(command.id);
 }
 
-class MemcacheFront::ClientDialect : public Dialect {
+class MemcacheFrontend::MemcacheSession : public ProtocolHandler {
  public:
-  explicit ClientDialect(MemcacheFront& front) : front_(front) {}
+  explicit MemcacheSession(MemcacheFrontend& front) : front_(front) {}
 
   void feed(std::string_view bytes) override { reader_.feed(bytes); }
   Step step(ClientSession& session) override {
     auto item = reader_.next();
-    if (!item) return Step::kMore;
+    if (!item) return Step::kNeedMoreInput;
     if (const auto* error = std::get_if<ClientError>(&*item)) {
       // After an invalid command, the following input may be the rest of it. The body of an invalid
       // command must not be executed as a command.
       error_reason_ = error->reason;
-      return Step::kFault;
+      return Step::kProtocolError;
     }
     Command& command = std::get<Command>(*item);
     if (command.kind == Command::Kind::kNoop) {
       session.answer(session.open_slot(),
                      front_.is_draining_ ? "SERVER_ERROR draining\r\n" : "MN\r\n");
-      return Step::kTaken;
+      return Step::kProcessed;
     }
     error_reason_ = front_.submit(session, std::move(command));
-    return error_reason_.empty() ? Step::kTaken : Step::kFault;
+    return error_reason_.empty() ? Step::kProcessed : Step::kProtocolError;
   }
-  std::string fault() const override {
+  std::string error_response() const override {
     return "CLIENT_ERROR " + std::string(error_reason_) + "\r\n";
   }
   void on_response(ClientSession& session, ResponseSlot slot, const RequestPayload& payload,
@@ -58,13 +58,13 @@
                             "\r\n");
     session.answer(slot.slot, encode_response(command, final));
   }
-  std::optional<std::string> unread() const override { return reader_.unread(); }
-  void forget() override { reader_ = {}; }
-  std::size_t buffered() const override { return reader_.buffered(); }
+  std::optional<std::string> unprocessed_input() const override { return reader_.unread(); }
+  void discard_input() override { reader_ = {}; }
+  std::size_t buffered_bytes() const override { return reader_.buffered(); }
   bool between_commands() const override { return reader_.between_commands(); }
   std::size_t body_length() const override { return reader_.body_length(); }
   std::optional<Duration> body_deadline() const override { return reader_.body_deadline(); }
-  std::string busy() const override { return "SERVER_ERROR busy\r\n"; }
+  std::string busy_response() const override { return "SERVER_ERROR busy\r\n"; }
 
  private:
   static std::string value_header(const Command& command, std::size_t length) {
@@ -85,14 +85,16 @@
     return text += "\r\n";
   }
 
-  MemcacheFront& front_;
+  MemcacheFrontend& front_;
   memcache::CommandReader reader_;
   std::string_view error_reason_;
 };
 
-std::unique_ptr<Dialect> MemcacheFront::make() { return std::make_unique<ClientDialect>(*this); }
+std::unique_ptr<ProtocolHandler> MemcacheFrontend::make_handler() {
+  return std::make_unique<MemcacheSession>(*this);
+}
 
-std::string_view MemcacheFront::submit(ClientSession& session, Command command) {
+std::string_view MemcacheFrontend::submit(ClientSession& session, Command command) {
   // Hosts distinguish requests by the ids that clients assign. Two open requests with the same id,
   // whether by mistake or to steal an answer, could receive each other's answers.
   if (ids_.count(command.id) > 0) return "id in use";
@@ -107,7 +109,7 @@
     return "keyed write without a key";
   spec.time_left = request_class.deadline;
   if (const auto d = command.prop("d"); !d.empty()) {
-    const auto ms = memcache::parse_number(d);
+    const auto ms = memcache::parse_uint64(d);
     if (!ms) return "bad time";
     // A client's deadline is limited to that of its class, and to one hour: larger values would
     // keep timers pending for hours.
@@ -117,7 +119,7 @@
                          : requested;
   }
   if (const auto h = command.prop("h"); !h.empty()) {
-    const auto us = memcache::parse_number(h);
+    const auto us = memcache::parse_uint64(h);
     if (!us) return "bad hint";
     spec.work = std::chrono::microseconds(std::min<std::uint64_t>(*us, 3'600'000'000));
   }
--- a/src/frontend/memcache/memcache_front.h
+++ b/src/frontend/memcache/memcache_frontend.h
@@ -5,8 +5,8 @@
 #include <string_view>
 #include <unordered_set>
 
-#include "net/dialect.h"
 #include "net/limits.h"
+#include "net/protocol_handler.h"
 #include "proto/memcache.h"
 #include "settings/settings.h"
 
@@ -30,20 +30,20 @@
 // Translates meta commands into requests to the dispatch core, with their class, tenant and
 // deadline, and encodes the final responses. One object serves all memcache clients; it outlives
 // their sessions and the core's requests.
-class MemcacheFront {
+class MemcacheFrontend {
  public:
-  MemcacheFront(const SiteSettings& site, RequestSink& core) : site_(site), core_(core) {}
-  MemcacheFront(const MemcacheFront&) = delete;
-  MemcacheFront& operator=(const MemcacheFront&) = delete;
+  MemcacheFrontend(const SiteSettings& site, RequestSink& core) : site_(site), core_(core) {}
+  MemcacheFrontend(const MemcacheFrontend&) = delete;
+  MemcacheFrontend& operator=(const MemcacheFrontend&) = delete;
 
   // Creates the protocol state of one client session.
-  std::unique_ptr<Dialect> make();
+  std::unique_ptr<ProtocolHandler> make_handler();
   // Sets whether clients are asked to connect elsewhere: while `draining`, `mn` is answered with
   // "SERVER_ERROR draining".
-  void send_away(bool draining) { is_draining_ = draining; }
+  void set_client_drain(bool draining) { is_draining_ = draining; }
 
  private:
-  class ClientDialect;
+  class MemcacheSession;
 
   // Submits the command to the core. If the command is invalid, returns the reason; otherwise
   // returns an empty string.
--- a/src/frontend/memcache/origin_connection.cc
+++ b/src/frontend/memcache/origin_connection.cc
@@ -5,7 +5,7 @@
 #include <sstream>
 
 #include "frontend/memcache/deadline.h"
-#include "frontend/memcache/memcache_front.h"
+#include "frontend/memcache/memcache_frontend.h"
 
 namespace balancer {
 namespace {
@@ -126,7 +126,7 @@
   if (!is_success_) return true;  // ignores the body of an error response
   if (!matches_request()) return false;
   if (command_of(*current()->payload).kind == memcache::Command::Kind::kGet)
-    return take_value(piece, body_length_);
+    return append_value(piece, body_length_);
   receipt_ += piece;
   return receipt_.size() <= kMaxReceipt;
 }
@@ -134,7 +134,7 @@
 bool OriginConnection::on_bytes(std::string_view bytes) {
   unparsed_ += bytes;
   while (!unparsed_.empty()) {
-    if (!expecting()) return false;
+    if (!is_awaiting_answer()) return false;
     error_code error;
     const auto used = parser_->put(asio::buffer(unparsed_), error);
     unparsed_.erase(0, used);
@@ -171,12 +171,12 @@
   if (!response.keep_alive()) reusable_ = false;
   if (status == 200) {
     if (command_of(*current()->payload).kind == memcache::Command::Kind::kGet)
-      return complete(Result::kOk);
+      return complete_answer(Result::kOk);
     if (!memcache::is_token(receipt_, kMaxReceipt)) return false;
-    return complete(Result::kOk, std::move(receipt_));
+    return complete_answer(Result::kOk, std::move(receipt_));
   }
   const bool never_ran = (status == 503 || status == 504) && response["X-Never-Ran"] == "1";
-  return complete(never_ran ? Result::kRejected : Result::kError);
+  return complete_answer(never_ran ? Result::kRejected : Result::kError);
 }
 
 }  // namespace balancer
--- a/src/frontend/resp/cluster_commands.cc
+++ b/src/frontend/resp/cluster_commands.cc
@@ -1,14 +1,14 @@
 #include <string>
 
-#include "frontend/resp/conversation.h"
+#include "frontend/resp/resp_session.h"
 
 // CLUSTER and COMMAND, which clients in cluster mode send. The balancer and the peers of its
 // listener present themselves to clients as the nodes of the cluster.
 namespace balancer {
 
 using cluster::CommandInfo;
-using cluster::Kind;
-using cluster::same_word;
+using cluster::CommandKind;
+using cluster::equals_ignore_case;
 using resp::Command;
 using namespace reply;
 
@@ -21,9 +21,9 @@
 
 }  // namespace
 
-std::string RespFront::Conversation::cluster(const Command& command) const {
+std::string RespFrontend::RespSession::cluster(const Command& command) const {
   const auto is = [&](std::string_view word, std::size_t words) {
-    return same_word(command[1], word) && command.size() == words;
+    return equals_ignore_case(command[1], word) && command.size() == words;
   };
   if (is("MYID", 2)) return bulk(front_.advertised_nodes_[front_.self_index_].id);
   if (is("KEYSLOT", 3)) return integer(cluster::slot_of(command[2]));
@@ -34,7 +34,7 @@
   return unknown_subcommand(command);
 }
 
-std::string RespFront::Conversation::cluster_info() const {
+std::string RespFrontend::RespSession::cluster_info() const {
   const std::string nodes = std::to_string(front_.advertised_nodes_.size());
   return bulk(
       "cluster_enabled:1\r\ncluster_state:ok\r\ncluster_slots_assigned:16384\r\n"
@@ -44,7 +44,7 @@
       "\r\ncluster_current_epoch:1\r\ncluster_my_epoch:1\r\n");
 }
 
-std::string RespFront::Conversation::cluster_slots() const {
+std::string RespFrontend::RespSession::cluster_slots() const {
   std::string out;
   resp::append_array(out, front_.advertised_nodes_.size());
   for (const AdvertisedNode& m : front_.advertised_nodes_) {
@@ -60,7 +60,7 @@
   return out;
 }
 
-std::string RespFront::Conversation::cluster_shards() const {
+std::string RespFrontend::RespSession::cluster_shards() const {
   std::string out;
   resp::append_array(out, front_.advertised_nodes_.size());
   for (const AdvertisedNode& m : front_.advertised_nodes_) {
@@ -89,7 +89,7 @@
   return out;
 }
 
-std::string RespFront::Conversation::cluster_nodes() const {
+std::string RespFrontend::RespSession::cluster_nodes() const {
   std::string text;
   for (std::size_t i = 0; i < front_.advertised_nodes_.size(); ++i) {
     const AdvertisedNode& m = front_.advertised_nodes_[i];
@@ -100,13 +100,13 @@
   return bulk(text);
 }
 
-std::string RespFront::Conversation::describe(const CommandInfo& info) const {
+std::string RespFrontend::RespSession::describe(const CommandInfo& info) const {
   std::string out;
   resp::append_array(out, 6);
   resp::append_bulk(out, lower(info.name));
   resp::append_integer(out, info.arity);
   resp::append_array(out, info.key_count_index > 0 && info.first_key == 0 ? 2 : 1);
-  resp::append_simple(out, info.kind == Kind::kRead ? "readonly" : "write");
+  resp::append_simple(out, info.kind == CommandKind::kRead ? "readonly" : "write");
   if (info.key_count_index > 0 && info.first_key == 0) resp::append_simple(out, "movablekeys");
   resp::append_integer(out, info.first_key);
   resp::append_integer(out, info.last_key);
@@ -114,24 +114,24 @@
   return out;
 }
 
-std::string RespFront::Conversation::command_info(const Command& command) const {
+std::string RespFrontend::RespSession::command_info(const Command& command) const {
   std::vector<const CommandInfo*> data;
   for (const CommandInfo& info : cluster::all_commands())
-    if (info.kind == Kind::kRead || info.kind == Kind::kWrite) data.push_back(&info);
+    if (info.kind == CommandKind::kRead || info.kind == CommandKind::kWrite) data.push_back(&info);
   std::string out;
   if (command.size() == 1) {
     resp::append_array(out, data.size());
     for (const auto* info : data) out += describe(*info);
     return out;
   }
-  if (same_word(command[1], "COUNT") && command.size() == 2)
+  if (equals_ignore_case(command[1], "COUNT") && command.size() == 2)
     return integer(static_cast<std::int64_t>(data.size()));
-  if (same_word(command[1], "INFO")) {
+  if (equals_ignore_case(command[1], "INFO")) {
     const std::size_t requested = command.size() - 2;
     resp::append_array(out, requested > 0 ? requested : data.size());
     for (std::size_t i = 0; i < requested; ++i) {
       const auto* info = cluster::find_command(command[i + 2]);
-      if (info && (info->kind == Kind::kRead || info->kind == Kind::kWrite)) {
+      if (info && (info->kind == CommandKind::kRead || info->kind == CommandKind::kWrite)) {
         out += describe(*info);
       } else {
         out += version_ < 3 ? "*-1\r\n" : "_\r\n";
@@ -141,7 +141,7 @@
     return out;
   }
   // No documentation of commands is available; clients accept an empty map.
-  if (same_word(command[1], "DOCS")) {
+  if (equals_ignore_case(command[1], "DOCS")) {
     resp::append_map(out, 0, version_);
     return out;
   }
--- a/src/frontend/resp/cluster_pool.cc
+++ b/src/frontend/resp/cluster_pool.cc
@@ -17,7 +17,7 @@
 // Time limit of one slot map query to a node, including connection setup.
 constexpr Duration kQueryTimeout = std::chrono::milliseconds(500);
 // Large enough for a reply with one range per slot.
-constexpr resp::Bounds kReplyBounds{
+constexpr resp::InputLimits kReplyBounds{
     .bulk = 4u << 20, .elements = 1u << 20, .total = 16u << 20, .line = 64u << 10, .depth = 8};
 
 }  // namespace
@@ -46,8 +46,8 @@
       if (e) return self->finish(std::nullopt);
       const std::string out = login_command(self->pool_->login_);
       if (!out.empty()) self->replies_to_skip_ = 1;
-      self->send(out + resp::Command::of({"CLUSTER", "NODES"}).wire() +
-                 resp::Command::of({"CLUSTER", "INFO"}).wire());
+      self->send(out + resp::Command::from_args({"CLUSTER", "NODES"}).wire() +
+                 resp::Command::from_args({"CLUSTER", "INFO"}).wire());
       self->read();
     });
   }
@@ -103,12 +103,12 @@
       case 1:
         if (view_) return finish(view_), true;
         epoch_ = cluster::parse_current_epoch(value->text);
-        send(resp::Command::of({"CLUSTER", "SHARDS"}).wire());
+        send(resp::Command::from_args({"CLUSTER", "SHARDS"}).wire());
         return true;
       case 2:
         if (!value->is_error())
           return finish(cluster::parse_cluster_shards(*value, node_, epoch_)), true;
-        send(resp::Command::of({"CLUSTER", "SLOTS"}).wire());
+        send(resp::Command::from_args({"CLUSTER", "SLOTS"}).wire());
         return true;
       default:
         return finish(cluster::parse_cluster_slots(*value, node_, epoch_)), true;
@@ -157,11 +157,11 @@
             const std::size_t max_value_size = settings_.max_value;
             return std::make_shared<RespConnection>(
                 io_, limits_, events, owner, login_,
-                resp::Bounds{.bulk = max_value_size,
-                             .elements = 256u << 10,
-                             .total = 2 * max_value_size + (64u << 10),
-                             .line = 64u << 10,
-                             .depth = 16});
+                resp::InputLimits{.bulk = max_value_size,
+                                  .elements = 256u << 10,
+                                  .total = 2 * max_value_size + (64u << 10),
+                                  .line = 64u << 10,
+                                  .depth = 16});
           },
           [] {}, this),
       timer_(io) {
@@ -187,14 +187,15 @@
   router_.begin(id, p.slot, settings_.classes[static_cast<std::size_t>(p.request_class)].reads);
 }
 
-void ClusterPool::prepare(Attempt& attempt) {
+void ClusterPool::prepare_attempt(Attempt& attempt) {
   attempt.asking = router_.asking(attempt.request, attempt.host);
-  attempt.replica = router_.reads_replica(attempt.request, attempt.host);
+  attempt.reads_from_replica = router_.reads_replica(attempt.request, attempt.host);
 }
 
 // Only a complete reply (kOk) can be a redirection. After a partial reply the request may have been
 // executed.
-Result ClusterPool::interpret(const Attempt& attempt, Result result, const std::string& value) {
+Result ClusterPool::interpret_result(const Attempt& attempt, Result result,
+                                     const std::string& value) {
   using Verdict = cluster::Router::Verdict;
   if (result == Result::kConnectFailed || result == Result::kReset || result == Result::kTimeout) {
     router_.on_attempt_failed(attempt.host);
@@ -227,11 +228,11 @@
 void ClusterPool::apply_nodes() {
   applied_revision_ = router_.revision();
   HostList list;
-  list.whole = true;
+  list.is_complete = true;
   for (const auto& node : router_.nodes()) {
-    ListedHost host;
+    EndpointListEntry host;
     host.id = node;
-    host.dial = parse_endpoint(node);
+    host.endpoint = parse_endpoint(node);
     list.hosts.push_back(std::move(host));
   }
   servers_.on_list(list);
--- a/src/frontend/resp/cluster_pool.h
+++ b/src/frontend/resp/cluster_pool.h
@@ -34,9 +34,9 @@
   // RoutingExtension
   Placement& placement() override { return router_; }
   void on_request(RequestId id, const RequestPayload& payload) override;
-  void on_forgotten(RequestId id) override { router_.end(id); }
-  void prepare(Attempt& attempt) override;
-  Result interpret(const Attempt& attempt, Result result, const std::string& value) override;
+  void on_request_erased(RequestId id) override { router_.end(id); }
+  void prepare_attempt(Attempt& attempt) override;
+  Result interpret_result(const Attempt& attempt, Result result, const std::string& value) override;
 
   void apply_nodes();
   void schedule_refresh();
--- a/src/frontend/resp/data_commands.cc
+++ b/src/frontend/resp/data_commands.cc
@@ -1,13 +1,13 @@
 #include <algorithm>
 #include <utility>
 
-#include "frontend/resp/conversation.h"
+#include "frontend/resp/resp_session.h"
 
 namespace balancer {
 namespace {
 
 using cluster::CommandInfo;
-using cluster::Kind;
+using cluster::CommandKind;
 using cluster::Slot;
 using cluster::Split;
 using resp::Command;
@@ -22,21 +22,21 @@
 
 // ---- requests
 
-bool RespFront::Conversation::may_pipeline(Slot slot, int request_class) const {
+bool RespFrontend::RespSession::may_pipeline(Slot slot, int request_class) const {
   const auto it = open_by_slot_.find(slot);
   return front_.primary_only(request_class) &&
          (it == open_by_slot_.end() || it->second.replicas == 0);
 }
 
-void RespFront::Conversation::submit(ClientSession& session, ResponseSlot response_slot,
-                                     std::string wire, std::size_t replies, Slot slot,
-                                     int request_class, bool write, std::string_view key,
-                                     std::uint8_t kind, std::optional<Duration> budget,
-                                     std::string node) {
+void RespFrontend::RespSession::submit(ClientSession& session, ResponseSlot response_slot,
+                                       std::string wire, std::size_t replies, Slot slot,
+                                       int request_class, bool write, std::string_view key,
+                                       std::uint8_t kind, std::optional<Duration> budget,
+                                       std::string node) {
   auto payload = std::make_shared<RespPayload>();
   payload->node = std::move(node);
   payload->wire = std::move(wire);
-  payload->replies = replies;
+  payload->reply_count = replies;
   payload->version = version_;
   payload->slot = slot;
   payload->request_class = request_class;
@@ -62,8 +62,8 @@
   front_.core_.submit(session.shared_from_this(), response_slot, std::move(spec));
 }
 
-void RespFront::Conversation::on_response(ClientSession& session, ResponseSlot response_slot,
-                                          const RequestPayload& payload, Response final) {
+void RespFrontend::RespSession::on_response(ClientSession& session, ResponseSlot response_slot,
+                                            const RequestPayload& payload, Response final) {
   const auto& p = static_cast<const RespPayload&>(payload);
   --open_requests_;
   if (const auto it = open_by_slot_.find(p.slot); it != open_by_slot_.end()) {
@@ -80,13 +80,13 @@
     reply = advance_scan(session.now(), std::move(page.mapped()), std::move(reply));
   if (it == split_commands_.end()) {
     session.answer(response_slot.slot, std::move(reply));
-    return session.wake();
+    return session.resume_processing();
   }
   SplitCommand& j = it->second;
   if (final.kind == Response::Kind::kRejected && p.got_tryagain &&
       j.keys[response_slot.part].size() > 1) {
     // Resubmits from the event loop, as the core may still be processing this response.
-    session.later([this, &session, response_slot, slot = p.slot, request_class = p.request_class] {
+    session.post([this, &session, response_slot, slot = p.slot, request_class = p.request_class] {
       resubmit_per_key(session, response_slot, slot, request_class);
     });
     return;
@@ -94,9 +94,9 @@
   complete_part(session, response_slot, std::move(reply), final.kind, final.retry_after);
 }
 
-void RespFront::Conversation::complete_part(ClientSession& session, ResponseSlot response_slot,
-                                            std::string reply, Response::Kind kind,
-                                            Duration retry_after) {
+void RespFrontend::RespSession::complete_part(ClientSession& session, ResponseSlot response_slot,
+                                              std::string reply, Response::Kind kind,
+                                              Duration retry_after) {
   const auto it = split_commands_.find(response_slot.slot);
   SplitCommand& j = it->second;
   j.replies[response_slot.part] = std::move(reply);
@@ -105,15 +105,15 @@
   if (--j.pending_parts > 0) return;
   session.answer(response_slot.slot, join(j));
   split_commands_.erase(it);
-  session.wake();
+  session.resume_processing();
 }
 
 // Resubmits a part of an MGET as one request per key after a node answered TRYAGAIN: the slot is
 // being migrated and the keys lie on two nodes, neither of which can serve them together. Rejects
 // the part instead if a later write of this client to the slot is in flight, as the reply could
 // otherwise show the effect of a command that follows the MGET.
-void RespFront::Conversation::resubmit_per_key(ClientSession& session, ResponseSlot response_slot,
-                                               Slot slot, int request_class) {
+void RespFrontend::RespSession::resubmit_per_key(ClientSession& session, ResponseSlot response_slot,
+                                                 Slot slot, int request_class) {
   SplitCommand& j = split_commands_.at(response_slot.slot);
   const std::vector<std::string> keys = std::move(j.keys[response_slot.part]);
   const auto open = open_by_slot_.find(slot);
@@ -138,13 +138,13 @@
   // The last response may arrive before submit() returns, and erases the split command.
   for (std::size_t i = 0; i < keys.size(); ++i)
     submit(session, {response_slot.slot, static_cast<std::uint32_t>(part_of(i))},
-           Command::of({"MGET", keys[i]}).wire(), 1, slot, request_class, false, keys[i],
+           Command::from_args({"MGET", keys[i]}).wire(), 1, slot, request_class, false, keys[i],
            kind_of(*info), budget);
 }
 
 // Joins the replies of all parts. If a part failed, the whole command fails. The error states how
 // many parts have run, so that no client takes a partial result for a complete one.
-std::string RespFront::Conversation::join(SplitCommand& j) const {
+std::string RespFrontend::RespSession::join(SplitCommand& j) const {
   std::size_t ran = 0, refusals = 0;
   for (const auto kind : j.kinds) {
     ran += kind == Response::Kind::kServed;
@@ -179,10 +179,10 @@
   return out;
 }
 
-Dialect::Step RespFront::Conversation::handle_split_command(
+ProtocolHandler::Step RespFrontend::RespSession::handle_split_command(
     ClientSession& session, const CommandInfo& info, const Command& command,
     const std::vector<std::size_t>& keys, const std::map<Slot, std::size_t>& parts) {
-  const bool write = info.kind == Kind::kWrite;
+  const bool write = info.kind == CommandKind::kWrite;
   std::vector<std::string> heads(parts.size());
   std::vector<std::vector<std::string_view>> words(parts.size(), {command[0]});
   SplitCommand j;
@@ -208,16 +208,16 @@
   for (const auto& [slot, part] : parts) {
     const int request_class = front_.class_of(info, first[part]);
     submit(session, {response_slot, static_cast<std::uint32_t>(part)},
-           Command::of(words[part]).wire(), 1, slot, request_class, write, first[part],
+           Command::from_args(words[part]).wire(), 1, slot, request_class, write, first[part],
            kind_of(info));
   }
-  return Step::kTaken;
+  return Step::kProcessed;
 }
 
-Dialect::Step RespFront::Conversation::handle_data_command(ClientSession& session,
-                                                           const CommandInfo& info,
-                                                           Command& command) {
-  const auto keys = cluster::keys_of(info, command);
+ProtocolHandler::Step RespFrontend::RespSession::handle_data_command(ClientSession& session,
+                                                                     const CommandInfo& info,
+                                                                     Command& command) {
+  const auto keys = cluster::key_positions(info, command);
   if (!keys) {
     mark_multi_failed();
     return reply_with(session, error("ERR syntax error"));
@@ -225,7 +225,7 @@
   std::map<Slot, std::size_t> parts;
   for (const std::size_t k : *keys) parts.try_emplace(cluster::slot_of(command[k]), parts.size());
   if (parts.empty()) parts.emplace(0, 0);  // a script without keys may run on any node
-  const bool write = info.kind == Kind::kWrite;
+  const bool write = info.kind == CommandKind::kWrite;
   const std::string_view key = keys->empty() ? std::string_view() : command[keys->front()];
   const int request_class = front_.class_of(info, key);
   const RespClass& c = front_.pool_.classes[static_cast<std::size_t>(request_class)];
@@ -249,17 +249,17 @@
   if (parts.size() > kMaxOpenRequests)
     return reply_with(session, error("ERR keys of more than " + std::to_string(kMaxOpenRequests) +
                                      " slots in one command"));
-  if (open_requests_ + parts.size() > kMaxOpenRequests) return Step::kWait;
+  if (open_requests_ + parts.size() > kMaxOpenRequests) return Step::kBlocked;
   for (const auto& [slot, part] : parts)
     if (conflicts(slot, write) && (parts.size() > 1 || !may_pipeline(slot, request_class)))
-      return Step::kWait;
+      return Step::kBlocked;
   if (parts.size() > 1 || (info.split == Split::kGet && keys->size() > 1))
     return handle_split_command(session, info, command, *keys, parts);
   const Slot slot = parts.begin()->first;
   const std::string held(key);  // a copy, as the key points into the command that is moved from
   submit(session, {session.open_slot()}, std::move(command).take_wire(), 1, slot, request_class,
          write, held, kind_of(info));
-  return Step::kTaken;
+  return Step::kProcessed;
 }
 
 }  // namespace balancer
--- a/src/frontend/resp/local_commands.cc
+++ b/src/frontend/resp/local_commands.cc
@@ -1,14 +1,14 @@
 #include <algorithm>
 #include <utility>
 
-#include "frontend/resp/conversation.h"
+#include "frontend/resp/resp_session.h"
 
 namespace balancer {
 namespace {
 
 using cluster::CommandInfo;
-using cluster::Kind;
-using cluster::same_word;
+using cluster::CommandKind;
+using cluster::equals_ignore_case;
 using resp::Command;
 using namespace reply;
 
@@ -21,16 +21,18 @@
 
 // ---- commands that the balancer answers
 
-// The order of these groups is part of the dialect: commands allowed before authentication, then
+// The order of these groups is part of the protocol: commands allowed before authentication, then
 // commands that control transactions, then data commands, then commands that the balancer answers
 // itself.
-Dialect::Step RespFront::Conversation::handle_command(ClientSession& session, Command& command) {
+ProtocolHandler::Step RespFrontend::RespSession::handle_command(ClientSession& session,
+                                                                Command& command) {
   if (auto step = handle_unauthenticated_command(session, command)) return *step;
   if (!authenticated_) return reply_with(session, error("NOAUTH Authentication required."));
   if (auto step = handle_transaction_command(session, command)) return *step;
   const CommandInfo* info = cluster::find_command(command[0]);
-  if (info && (info->kind == Kind::kRead || info->kind == Kind::kWrite)) {
-    if (!cluster::arity_fits(*info, command.size())) return reply_wrong_arity(session, command);
+  if (info && (info->kind == CommandKind::kRead || info->kind == CommandKind::kWrite)) {
+    if (!cluster::has_valid_arity(*info, command.size()))
+      return reply_wrong_arity(session, command);
     if (!cluster::would_block(*info, command)) return handle_data_command(session, *info, command);
   }
   if (in_multi_) {
@@ -43,30 +45,31 @@
   return reply_with(session, unsupported(command, info));
 }
 
-Dialect::Step RespFront::Conversation::reply_wrong_arity(ClientSession& session,
-                                                         const Command& command) {
+ProtocolHandler::Step RespFrontend::RespSession::reply_wrong_arity(ClientSession& session,
+                                                                   const Command& command) {
   mark_multi_failed();
   return reply_with(session, wrong_arity(command[0]));
 }
 
-// Replies with `answer()` if `arity_fits`, otherwise with the error for a wrong arity.
+// Replies with `answer()` if `has_valid_arity`, otherwise with the error for a wrong arity.
 template <typename Answer>
-Dialect::Step RespFront::Conversation::reply_if_arity_fits(bool arity_fits, ClientSession& session,
-                                                           const Command& command,
-                                                           Answer&& answer) {
-  return arity_fits ? reply_with(session, answer()) : reply_wrong_arity(session, command);
+ProtocolHandler::Step RespFrontend::RespSession::reply_if_arity_fits(bool has_valid_arity,
+                                                                     ClientSession& session,
+                                                                     const Command& command,
+                                                                     Answer&& answer) {
+  return has_valid_arity ? reply_with(session, answer()) : reply_wrong_arity(session, command);
 }
 
-std::optional<Dialect::Step> RespFront::Conversation::handle_unauthenticated_command(
+std::optional<ProtocolHandler::Step> RespFrontend::RespSession::handle_unauthenticated_command(
     ClientSession& session, const Command& command) {
   const std::string_view name = command[0];
   const std::size_t words = command.size();
-  if (same_word(name, "QUIT")) {
+  if (equals_ignore_case(name, "QUIT")) {
     reply_with(session, simple("OK"));
-    return Step::kLeave;
+    return Step::kClose;
   }
-  if (same_word(name, "HELLO")) return reply_with(session, hello(command));
-  if (same_word(name, "AUTH"))
+  if (equals_ignore_case(name, "HELLO")) return reply_with(session, hello(command));
+  if (equals_ignore_case(name, "AUTH"))
     return reply_if_arity_fits(words == 2 || words == 3, session, command, [&] {
       return words == 2 ? authenticate("default", command[1])
                         : authenticate(command[1], command[2]);
@@ -74,35 +77,35 @@
   return std::nullopt;
 }
 
-std::optional<Dialect::Step> RespFront::Conversation::handle_transaction_command(
+std::optional<ProtocolHandler::Step> RespFrontend::RespSession::handle_transaction_command(
     ClientSession& session, const Command& command) {
   const std::string_view name = command[0];
   const bool no_arguments = command.size() == 1;
-  if (same_word(name, "RESET"))
+  if (equals_ignore_case(name, "RESET"))
     return reply_if_arity_fits(no_arguments, session, command,
                                [this] { return reset_connection(); });
-  if (same_word(name, "MULTI"))
+  if (equals_ignore_case(name, "MULTI"))
     return reply_if_arity_fits(no_arguments, session, command, [this] {
       if (in_multi_) return error("ERR MULTI calls can not be nested");
       in_multi_ = true;
       return simple("OK");
     });
-  if (same_word(name, "DISCARD"))
+  if (equals_ignore_case(name, "DISCARD"))
     return reply_if_arity_fits(no_arguments, session, command, [this] {
       if (!in_multi_) return error("ERR DISCARD without MULTI");
       discard_transaction();
       return simple("OK");
     });
-  if (same_word(name, "EXEC"))
+  if (equals_ignore_case(name, "EXEC"))
     return no_arguments ? exec(session) : reply_with(session, wrong_arity(name));
   return std::nullopt;
 }
 
-std::optional<Dialect::Step> RespFront::Conversation::handle_local_command(ClientSession& session,
-                                                                           const Command& command) {
+std::optional<ProtocolHandler::Step> RespFrontend::RespSession::handle_local_command(
+    ClientSession& session, const Command& command) {
   const std::string_view name = command[0];
   const std::size_t words = command.size();
-  const auto is = [name](std::string_view word) { return same_word(name, word); };
+  const auto is = [name](std::string_view word) { return equals_ignore_case(name, word); };
   if (is("SCAN")) return scan(session, command);
   if (is("DBSIZE")) return words == 1 ? dbsize(session) : reply_with(session, wrong_arity(name));
   if (is("PING"))
@@ -125,23 +128,24 @@
   return std::nullopt;
 }
 
-std::string RespFront::Conversation::unsupported(const Command& command, const CommandInfo* info) {
+std::string RespFrontend::RespSession::unsupported(const Command& command,
+                                                   const CommandInfo* info) {
   const std::string_view name = command[0];
   if (!info) return error("ERR unknown command '" + std::string(name.substr(0, 128)) + "'");
   switch (info->kind) {
-    case Kind::kBlocking:
+    case CommandKind::kBlocking:
       return error("ERR blocking commands are not carried here");
-    case Kind::kRead:
-    case Kind::kWrite:
+    case CommandKind::kRead:
+    case CommandKind::kWrite:
       return error("ERR BLOCK is not carried here");
-    case Kind::kSubscribe:
+    case CommandKind::kSubscribe:
       return error("ERR subscribing and publishing are not carried here");
     default:
       return error("ERR '" + lower(name) + "' is not carried here");
   }
 }
 
-std::string RespFront::Conversation::reset_connection() {
+std::string RespFrontend::RespSession::reset_connection() {
   discard_transaction();
   version_ = 2;
   tenant_ = -1;
@@ -151,15 +155,15 @@
   return simple("RESET");
 }
 
-std::string RespFront::Conversation::server_info() const {
+std::string RespFrontend::RespSession::server_info() const {
   return bulk("# Server\r\nredis_version:" + std::string(kVersion) +
               "\r\nredis_mode:cluster\r\n# Clients\r\nmaxclients:" +
               std::to_string(front_.limits_.clients.max()) +
               "\r\n# Replication\r\nrole:master\r\n# Cluster\r\ncluster_enabled:1\r\n");
 }
 
-std::string RespFront::Conversation::authenticate(std::string_view user,
-                                                  std::string_view password) {
+std::string RespFrontend::RespSession::authenticate(std::string_view user,
+                                                    std::string_view password) {
   const auto& tenants = front_.pool_.tenants;
   const auto it = std::find_if(tenants.begin(), tenants.end(),
                                [user](const RespTenant& t) { return t.name == user; });
@@ -172,22 +176,22 @@
 }
 
 // HELLO [version [AUTH user password] [SETNAME name]]
-std::string RespFront::Conversation::hello(const Command& command) {
+std::string RespFrontend::RespSession::hello(const Command& command) {
   int version = version_;
   std::size_t i = 1;
   if (command.size() > 1) {
-    const auto requested = resp::parse_integer(command[i++]);
+    const auto requested = resp::parse_int64(command[i++]);
     if (!requested) return error("ERR Protocol version is not an integer or out of range");
     if (*requested != 2 && *requested != 3) return error("NOPROTO unsupported protocol version");
     version = static_cast<int>(*requested);
   }
   std::optional<std::string> name;
   while (i < command.size()) {
-    if (same_word(command[i], "AUTH") && i + 2 < command.size()) {
+    if (equals_ignore_case(command[i], "AUTH") && i + 2 < command.size()) {
       auto reply = authenticate(command[i + 1], command[i + 2]);
       if (reply.starts_with('-')) return reply;
       i += 3;
-    } else if (same_word(command[i], "SETNAME") && i + 1 < command.size() &&
+    } else if (equals_ignore_case(command[i], "SETNAME") && i + 1 < command.size() &&
                command[i + 1].size() <= kMaxName) {
       name = command[i + 1];
       i += 2;
@@ -222,9 +226,9 @@
   return out;
 }
 
-std::string RespFront::Conversation::client(const Command& command) {
+std::string RespFrontend::RespSession::client(const Command& command) {
   const auto is = [&](std::string_view word, std::size_t words) {
-    return same_word(command[1], word) && command.size() == words;
+    return equals_ignore_case(command[1], word) && command.size() == words;
   };
   const auto is_valid_name = [](std::string_view text) {
     return text.size() <= kMaxName &&
@@ -244,7 +248,7 @@
     return simple("OK");
   }
   if (is("SETINFO", 4)) {
-    if (!same_word(command[2], "LIB-NAME") && !same_word(command[2], "LIB-VER"))
+    if (!equals_ignore_case(command[2], "LIB-NAME") && !equals_ignore_case(command[2], "LIB-VER"))
       return error("ERR Unrecognized option '" + std::string(command[2].substr(0, 64)) + "'");
     return is_valid_name(command[3])
                ? simple("OK")
@@ -255,8 +259,9 @@
     return bulk("id=" + std::to_string(id_) + " name=" + name_ + " user=" + user_ +
                 " resp=" + std::to_string(version_) + "\n");
   if (is("NO-EVICT", 3) || is("NO-TOUCH", 3))
-    return same_word(command[2], "ON") || same_word(command[2], "OFF") ? simple("OK")
-                                                                       : error("ERR syntax error");
+    return equals_ignore_case(command[2], "ON") || equals_ignore_case(command[2], "OFF")
+               ? simple("OK")
+               : error("ERR syntax error");
   return error("ERR unknown subcommand or wrong number of arguments for '" +
                std::string(command[1].substr(0, 64)) + "'");
 }
--- a/src/frontend/resp/node_commands.cc
+++ b/src/frontend/resp/node_commands.cc
@@ -2,7 +2,7 @@
 #include <charconv>
 #include <utility>
 
-#include "frontend/resp/conversation.h"
+#include "frontend/resp/resp_session.h"
 
 // Commands that address nodes rather than keys: SCAN over all nodes that own slots, and DBSIZE
 // summed over them.
@@ -10,13 +10,13 @@
 namespace {
 
 using cluster::CommandInfo;
-using cluster::Kind;
+using cluster::CommandKind;
 using cluster::Split;
 using resp::Command;
 using namespace reply;
 
-constexpr CommandInfo kScan{"SCAN", Kind::kRead, -2};
-constexpr CommandInfo kDbsize{"DBSIZE", Kind::kRead, 1};
+constexpr CommandInfo kScan{"SCAN", CommandKind::kRead, -2};
+constexpr CommandInfo kDbsize{"DBSIZE", CommandKind::kRead, 1};
 // Kinds under which the connection selector records the latencies of these commands.
 constexpr std::uint8_t kScanLatencyKind = 254, kDbsizeLatencyKind = 253;
 
@@ -42,7 +42,7 @@
 
 // ---- scans in progress
 
-std::uint64_t RespFront::begin_scan(Time now) {
+std::uint64_t RespFrontend::begin_scan(Time now) {
   std::erase_if(scans_,
                 [now](const auto& s) { return now - s.second.last_used > kScanIdleTimeout; });
   // Finished scans are kept too, as a client may request the last page again. At the limit, a new
@@ -58,7 +58,7 @@
   return id;
 }
 
-RespFront::Scan* RespFront::find_scan(std::uint64_t id, Time now) {
+RespFrontend::Scan* RespFrontend::find_scan(std::uint64_t id, Time now) {
   const auto it = scans_.find(id);
   if (it == scans_.end() || now - it->second.last_used > kScanIdleTimeout) return nullptr;
   it->second.last_used = now;
@@ -68,11 +68,12 @@
 // ---- commands
 
 // SCAN cursor [MATCH pattern] [COUNT n] [TYPE type]
-Dialect::Step RespFront::Conversation::scan(ClientSession& session, const Command& command) {
+ProtocolHandler::Step RespFrontend::RespSession::scan(ClientSession& session,
+                                                      const Command& command) {
   if (command.size() < 2) return reply_with(session, wrong_arity("scan"));
   const auto cursor = read_cursor(command[1]);
   if (!cursor) return reply_with(session, error("ERR invalid cursor"));
-  if (open_requests_ >= kMaxOpenRequests) return Step::kWait;
+  if (open_requests_ >= kMaxOpenRequests) return Step::kBlocked;
   const std::uint64_t id = *cursor == 0 ? front_.begin_scan(session.now()) : *cursor >> kPageBits;
   const std::uint64_t page = *cursor & kPageMask;
   Scan* const state = front_.find_scan(id, session.now());
@@ -91,14 +92,14 @@
   for (std::size_t i = 2; i < command.size(); ++i) words.push_back(command[i]);
   const auto response_slot = session.open_slot();
   scan_pages_[response_slot] = {id, page, std::move(plan)};
-  submit(session, {response_slot}, Command::of(words).wire(), 1, 0, front_.class_of(kScan, {}),
-         false, {}, kScanLatencyKind, std::nullopt, step->node);
-  return Step::kTaken;
+  submit(session, {response_slot}, Command::from_args(words).wire(), 1, 0,
+         front_.class_of(kScan, {}), false, {}, kScanLatencyKind, std::nullopt, step->node);
+  return Step::kProcessed;
 }
 
 // Advances the scan after a node's reply. Returns the reply for the client, which has the
 // balancer's cursor in place of the node's, or an error.
-std::string RespFront::Conversation::advance_scan(Time now, ScanPage page, std::string reply) {
+std::string RespFrontend::RespSession::advance_scan(Time now, ScanPage page, std::string reply) {
   const auto value = resp::parse_reply(reply, front_.reply_bounds_);
   if (!value) return failed();
   if (value->is_error()) return reply;
@@ -118,12 +119,12 @@
 }
 
 // Sums up DBSIZE over all nodes that own slots.
-Dialect::Step RespFront::Conversation::dbsize(ClientSession& session) {
+ProtocolHandler::Step RespFrontend::RespSession::dbsize(ClientSession& session) {
   std::vector<std::string> owners;
   for (const auto& node : front_.slots_.nodes())
     if (!node.address.empty() && node.owned > 0) owners.push_back(node.address);
   if (owners.empty()) return reply_with(session, refused(Duration{0}));
-  if (open_requests_ + owners.size() > kMaxOpenRequests) return Step::kWait;
+  if (open_requests_ + owners.size() > kMaxOpenRequests) return Step::kBlocked;
   SplitCommand split;
   split.split = Split::kCount;
   split.pending_parts = owners.size();
@@ -134,10 +135,10 @@
   split_commands_.emplace(response_slot, std::move(split));
   // submit() may complete the last part before it returns, which erases the split command.
   for (std::size_t i = 0; i < owners.size(); ++i)
-    submit(session, {response_slot, static_cast<std::uint32_t>(i)}, Command::of({"DBSIZE"}).wire(),
-           1, 0, front_.class_of(kDbsize, {}), false, {}, kDbsizeLatencyKind, std::nullopt,
-           owners[i]);
-  return Step::kTaken;
+    submit(session, {response_slot, static_cast<std::uint32_t>(i)},
+           Command::from_args({"DBSIZE"}).wire(), 1, 0, front_.class_of(kDbsize, {}), false, {},
+           kDbsizeLatencyKind, std::nullopt, owners[i]);
+  return Step::kProcessed;
 }
 
 }  // namespace balancer
--- a/src/frontend/resp/resp_connection.cc
+++ b/src/frontend/resp/resp_connection.cc
@@ -13,15 +13,15 @@
 
 std::string login_command(const RespLogin& login) {
   if (login.password.empty()) return {};
-  if (login.user.empty()) return resp::Command::of({"AUTH", login.password}).wire();
-  return resp::Command::of({"AUTH", login.user, login.password}).wire();
+  if (login.user.empty()) return resp::Command::from_args({"AUTH", login.password}).wire();
+  return resp::Command::from_args({"AUTH", login.user, login.password}).wire();
 }
 
 void RespConnection::encode(Outgoing& out) {
   const auto& payload = static_cast<const RespPayload&>(*out.attempt->payload);
   std::size_t setup_replies = 0;
   const auto add_setup = [&](const std::vector<std::string_view>& words) {
-    out.head += resp::Command::of(words).wire();
+    out.head += resp::Command::from_args(words).wire();
     ++setup_replies;
   };
   if (!logged_in_ && !login_.password.empty()) {
@@ -33,13 +33,13 @@
     version_ = payload.version;
     add_setup({"HELLO", std::to_string(version_)});
   }
-  if (out.attempt->replica && !reads_replica_) {
+  if (out.attempt->reads_from_replica && !reads_replica_) {
     reads_replica_ = true;  // READONLY has no effect on slots that the node owns as a primary
     add_setup({"READONLY"});
   }
   if (out.attempt->asking) add_setup({"ASKING"});
   out.body = payload.wire;
-  expected_.push_back({setup_replies, payload.replies});
+  expected_.push_back({setup_replies, payload.reply_count});
 }
 
 // Any reply may be a redirection. In a transaction a command that was not queued makes EXEC fail
@@ -49,7 +49,7 @@
     reply_.clear();  // out-of-band data; the connection has no subscriptions
     return true;
   }
-  if (!expecting() || expected_.empty()) return false;
+  if (!is_awaiting_answer() || expected_.empty()) return false;
   Expected& e = expected_.front();
   if (e.setup_replies > 0) {
     --e.setup_replies;
@@ -72,12 +72,12 @@
   if (had_error) {
     if (!answer.starts_with("-EXECABORT")) {
       // MULTI was rejected but the commands after it were not: they may have run one by one.
-      complete(Result::kError);
+      complete_answer(Result::kError);
       return false;
     }
     answer = std::move(error);
   }
-  return complete(Result::kOk, std::move(answer));
+  return complete_answer(Result::kOk, std::move(answer));
 }
 
 bool RespConnection::on_bytes(std::string_view bytes) {
--- a/src/frontend/resp/resp_connection.h
+++ b/src/frontend/resp/resp_connection.h
@@ -18,9 +18,9 @@
 
 // A request to a RESP server.
 struct RespPayload : RequestPayload {
-  std::string wire;         // one command, or MULTI, commands and EXEC
-  std::size_t replies = 1;  // number of replies to `wire`
-  int version = 2;          // RESP version of the client
+  std::string wire;             // one command, or MULTI, commands and EXEC
+  std::size_t reply_count = 1;  // number of replies to `wire`
+  int version = 2;              // RESP version of the client
   std::uint16_t slot = 0;
   std::string node;  // target node; empty: a node that may serve `slot`
   int request_class = 0;
@@ -35,7 +35,7 @@
 class RespConnection : public UpstreamConnection {
  public:
   RespConnection(boost::asio::io_context& io, Limits& limits, AttemptEvents& events,
-                 UpstreamOwner& owner, const RespLogin& login, const resp::Bounds& bounds)
+                 UpstreamOwner& owner, const RespLogin& login, const resp::InputLimits& bounds)
       : UpstreamConnection(io, limits, events, owner),
         login_(login),
         bounds_(bounds),
@@ -56,7 +56,7 @@
   bool on_reply();
 
   const RespLogin& login_;
-  const resp::Bounds bounds_;
+  const resp::InputLimits bounds_;
   resp::ReplyReader reader_;
   std::string reply_;  // the reply that is being received
   std::deque<Expected> expected_;
--- a/src/frontend/resp/resp_front.cc
+++ b/src/frontend/resp/resp_frontend.cc
@@ -1,16 +1,16 @@
-#include "frontend/resp/resp_front.h"
+#include "frontend/resp/resp_frontend.h"
 
 #include <algorithm>
 #include <cstdio>
 
-#include "frontend/resp/conversation.h"
+#include "frontend/resp/resp_session.h"
 #include "policy/hash_ring.h"
 
 namespace balancer {
 namespace {
 
 using cluster::CommandInfo;
-using cluster::Kind;
+using cluster::CommandKind;
 using cluster::Slot;
 
 // Returns a node id of 40 hexadecimal digits, derived from the address.
@@ -27,9 +27,9 @@
 
 }  // namespace
 
-RespFront::RespFront(const RespListener& settings, const RespPool& pool,
-                     const std::string& announce, Limits& limits, RequestSink& core,
-                     const cluster::SlotTable& slots)
+RespFrontend::RespFrontend(const RespListener& settings, const RespPool& pool,
+                           const std::string& announce, Limits& limits, RequestSink& core,
+                           const cluster::SlotTable& slots)
     : settings_(settings),
       pool_(pool),
       limits_(limits),
@@ -61,10 +61,12 @@
   }
 }
 
-std::unique_ptr<Dialect> RespFront::make() { return std::make_unique<Conversation>(*this); }
+std::unique_ptr<ProtocolHandler> RespFrontend::make_handler() {
+  return std::make_unique<RespSession>(*this);
+}
 
-int RespFront::class_of(const CommandInfo& info, std::string_view key) const {
-  const std::string_view kind = info.kind == Kind::kRead ? "READ" : "WRITE";
+int RespFrontend::class_of(const CommandInfo& info, std::string_view key) const {
+  const std::string_view kind = info.kind == CommandKind::kRead ? "READ" : "WRITE";
   for (std::size_t i = 0; i < pool_.classes.size(); ++i) {
     const RespClass& c = pool_.classes[i];
     if (!key.starts_with(c.prefix)) continue;
--- a/src/frontend/resp/resp_front.h
+++ b/src/frontend/resp/resp_frontend.h
@@ -10,8 +10,8 @@
 #include "cluster/commands.h"
 #include "cluster/scan.h"
 #include "frontend/resp/resp_connection.h"
-#include "net/dialect.h"
 #include "net/limits.h"
+#include "net/protocol_handler.h"
 #include "proto/resp.h"
 #include "settings/operator.h"
 
@@ -20,19 +20,19 @@
 // The state that all RESP clients of a listener share: settings, request classes, running SCANs and
 // the cluster nodes that clients in cluster mode see, which are this balancer and its peers.
 // Outlives the clients.
-class RespFront {
+class RespFrontend {
  public:
   // `announce`: the address that clients in cluster mode see. `settings`, `pool` and `slots` must
   // outlive the object.
-  RespFront(const RespListener& settings, const RespPool& pool, const std::string& announce,
-            Limits& limits, RequestSink& core, const cluster::SlotTable& slots);
-  RespFront(const RespFront&) = delete;
-  RespFront& operator=(const RespFront&) = delete;
+  RespFrontend(const RespListener& settings, const RespPool& pool, const std::string& announce,
+               Limits& limits, RequestSink& core, const cluster::SlotTable& slots);
+  RespFrontend(const RespFrontend&) = delete;
+  RespFrontend& operator=(const RespFrontend&) = delete;
 
-  std::unique_ptr<Dialect> make();
+  std::unique_ptr<ProtocolHandler> make_handler();
 
  private:
-  class Conversation;
+  class RespSession;
 
   // A balancer as clients in cluster mode see it.
   struct AdvertisedNode {
@@ -43,7 +43,8 @@
 
   // Whether only the owner of its slot may serve a request of this class.
   bool primary_only(int request_class) const {
-    return pool_.classes[static_cast<std::size_t>(request_class)].reads == cluster::Reads::kPrimary;
+    return pool_.classes[static_cast<std::size_t>(request_class)].reads ==
+           cluster::ReadPreference::kPrimary;
   }
   int class_of(const cluster::CommandInfo& info, std::string_view key) const;
 
@@ -66,8 +67,8 @@
   const cluster::SlotTable& slots_;
   std::mt19937_64 random_{std::random_device{}()};
   std::unordered_map<std::uint64_t, Scan> scans_;
-  const resp::Bounds bounds_;                     // for commands of clients
-  const resp::Bounds reply_bounds_;               // for replies of servers
+  const resp::InputLimits bounds_;                // for commands of clients
+  const resp::InputLimits reply_bounds_;          // for replies of servers
   std::vector<AdvertisedNode> advertised_nodes_;  // in the same order on every balancer
   std::size_t self_index_ = 0;
   std::int64_t next_client_ = 1;
--- a/src/frontend/resp/conversation.h
+++ b/src/frontend/resp/resp_session.h
@@ -10,7 +10,7 @@
 
 #include "cluster/slots.h"
 #include "frontend/resp/replies.h"
-#include "frontend/resp/resp_front.h"
+#include "frontend/resp/resp_frontend.h"
 #include "net/client_session.h"
 
 namespace balancer {
@@ -19,12 +19,12 @@
 // Prevents one client from using up the requests that the pool may hold for all clients.
 inline constexpr std::size_t kMaxOpenRequests = 1024;
 
-// The dialect of one RESP client. Submits data commands (data_commands.cc), transactions
+// The protocol handler of one RESP client. Submits data commands (data_commands.cc), transactions
 // (transactions.cc) and commands to nodes (node_commands.cc) to the core as requests. The commands
 // that the balancer answers itself are in local_commands.cc and cluster_commands.cc.
-class RespFront::Conversation : public Dialect {
+class RespFrontend::RespSession : public ProtocolHandler {
  public:
-  explicit Conversation(RespFront& front)
+  explicit RespSession(RespFrontend& front)
       : front_(front),
         reader_(front.bounds_),
         id_(front.next_client_++),
@@ -34,34 +34,34 @@
   Step step(ClientSession& session) override {
     if (!pending_command_) {
       auto item = reader_.next();
-      if (!item) return Step::kMore;
-      if (const auto* fault = std::get_if<resp::Fault>(&*item)) {
+      if (!item) return Step::kNeedMoreInput;
+      if (const auto* fault = std::get_if<resp::ProtocolError>(&*item)) {
         fault_ = reply::error("ERR " + fault->reason);
-        return Step::kFault;
+        return Step::kProtocolError;
       }
       session.take_body();  // releases the input's reservation; a request has its own
       pending_command_ = std::move(std::get<resp::Command>(*item));
     }
     const auto step = handle_command(session, *pending_command_);
-    if (step != Step::kWait) pending_command_.reset();
+    if (step != Step::kBlocked) pending_command_.reset();
     return step;
   }
-  std::string fault() const override { return fault_; }
+  std::string error_response() const override { return fault_; }
   void on_response(ClientSession& session, ResponseSlot response_slot,
                    const RequestPayload& payload, Response final) override;
-  void forget() override {
+  void discard_input() override {
     reader_.clear();
     pending_command_.reset();
     queued_.clear();
     in_multi_ = false;
   }
-  std::size_t buffered() const override {
+  std::size_t buffered_bytes() const override {
     return reader_.buffered() + (pending_command_ ? pending_command_->wire().size() : 0) +
            queued_bytes_;
   }
   bool between_commands() const override { return reader_.between_commands() && !pending_command_; }
   std::size_t body_length() const override { return reader_.expected(); }
-  std::string busy() const override { return "-TRYAGAIN busy, nothing has run\r\n"; }
+  std::string busy_response() const override { return "-TRYAGAIN busy, nothing has run\r\n"; }
 
  private:
   // A command that was split into several requests.
@@ -86,8 +86,8 @@
   std::optional<Step> handle_local_command(ClientSession& session, const resp::Command& command);
   Step reply_wrong_arity(ClientSession& session, const resp::Command& command);
   template <typename Answer>
-  Step reply_if_arity_fits(bool arity_fits, ClientSession& session, const resp::Command& command,
-                           Answer&& answer);
+  Step reply_if_arity_fits(bool has_valid_arity, ClientSession& session,
+                           const resp::Command& command, Answer&& answer);
   // Returns the error for a command that is not forwarded. `info`: null if it is unknown.
   static std::string unsupported(const resp::Command& command, const cluster::CommandInfo* info);
   std::string reset_connection();
@@ -108,7 +108,7 @@
   Step dbsize(ClientSession& session);
   Step reply_with(ClientSession& session, std::string text) {
     session.answer(session.open_slot(), std::move(text));
-    return Step::kTaken;
+    return Step::kProcessed;
   }
   std::string hello(const resp::Command& command);
   std::string authenticate(std::string_view user, std::string_view password);
@@ -148,7 +148,7 @@
               std::string_view key, std::uint8_t kind,
               std::optional<Duration> budget = std::nullopt, std::string node = {});
 
-  RespFront& front_;
+  RespFrontend& front_;
   resp::CommandReader reader_;
   std::optional<resp::Command> pending_command_;  // waits for an earlier request, or was just read
   std::string fault_;
--- a/src/group/group_node.cc
+++ b/src/group/group_node.cc
@@ -221,8 +221,8 @@
   process_pending(now);
 }
 
-void GroupNode::on_claim_failed(Time now, const std::string& address) {
-  lease_manager_.on_claim_failed(now, address);
+void GroupNode::on_announcement_failed(Time now, const std::string& address) {
+  lease_manager_.on_announcement_failed(now, address);
   process_pending(now);
 }
 
@@ -233,9 +233,9 @@
   process_pending(now);
 }
 
-Time GroupNode::next() const {
-  const Time first = std::min(membership_.next(), lease_manager_.next());
-  return reconfiguration_ ? std::min(first, reconfiguration_->next()) : first;
+Time GroupNode::next_timer_at() const {
+  const Time first = std::min(membership_.next_timer_at(), lease_manager_.next_timer_at());
+  return reconfiguration_ ? std::min(first, reconfiguration_->next_timer_at()) : first;
 }
 
 // ---- commands
@@ -255,8 +255,8 @@
 
 // ---- the set of voters
 
-void GroupNode::change_voters(Time now, const std::string& name, bool add,
-                              ReconfigurationDone done) {
+void GroupNode::reconfigure_voters(Time now, const std::string& name, bool add,
+                                   ReconfigurationDone done) {
   if (reconfiguration_)
     return done(false, "another change of the voters is in progress on this instance");
   if (add && !membership_.find(name)) return done(false, "no member is named " + name);
@@ -269,7 +269,7 @@
 }
 
 void GroupNode::drive_reconfiguration(Time now) {
-  if (reconfiguration_->next() <= now) reconfiguration_->on_timer(now);
+  if (reconfiguration_->next_timer_at() <= now) reconfiguration_->on_timer(now);
   for (auto& out : reconfiguration_->take_requests()) send_to(out.to, std::move(out.request));
   if (!reconfiguration_->outcome()) return;
   const auto outcome = *reconfiguration_->outcome();
--- a/src/group/group_node.h
+++ b/src/group/group_node.h
@@ -48,9 +48,9 @@
   // Report that the address is announced, is withdrawn, or could not be announced.
   void on_announced(Time now, const std::string& address);
   void on_withdrawn(Time now, const std::string& address);
-  void on_claim_failed(Time now, const std::string& address);
+  void on_announcement_failed(Time now, const std::string& address);
   void on_timer(Time now);
-  Time next() const;  // when on_timer() is due
+  Time next_timer_at() const;  // when on_timer() is due
   // Replaces the voter by one that starts with this record. For a record that could not be read at
   // the start and now can be: nothing could be saved until now, and therefore nothing was granted.
   void restore_voter(Time now, const std::optional<lease::VoterRecord>& record);
@@ -68,7 +68,7 @@
   // Adds a voter, or removes one. Calls `done` once, with one line for the operator: within
   // VoterReconfiguration::kTimeout, or before returning if the change cannot start.
   using ReconfigurationDone = std::function<void(bool succeeded, const std::string& message)>;
-  void change_voters(Time now, const std::string& name, bool add, ReconfigurationDone done);
+  void reconfigure_voters(Time now, const std::string& name, bool add, ReconfigurationDone done);
 
   // ---- output, taken by the owner
 
--- a/src/group_runtime/bgp_links.cc
+++ b/src/group_runtime/bgp_links.cc
@@ -23,7 +23,7 @@
 // If more output than this waits for a router, further messages to it are dropped.
 constexpr std::size_t kMaxOutput = 256u << 10;
 
-std::vector<bgp::SessionSettings> session_settings(const BgpFile& file) {
+std::vector<bgp::SessionSettings> session_settings(const BgpSettings& file) {
   std::vector<bgp::SessionSettings> all;
   for (const BgpRouter& r : file.routers) {
     all.push_back(file.session);
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-BgpLinks::BgpLinks(asio::io_context& io, const BgpFile& file, std::uint64_t seed,
+BgpLinks::BgpLinks(asio::io_context& io, const BgpSettings& file, std::uint64_t seed,
                    std::function<void()> on_events, Log log)
     : io_(io),
       file_(file),
@@ -60,12 +60,12 @@
 BgpLinks::~BgpLinks() {
   stopped_ = true;
   for (std::size_t r = 0; r < links_.size(); ++r)
-    for (const Way way : {Way::kOut, Way::kIn}) close(r, way);
+    for (const Direction way : {Direction::kOutbound, Direction::kInbound}) close(r, way);
 }
 
 void BgpLinks::arm_timer() {
   if (stopped_) return;
-  const Time next = speaker_.next();
+  const Time next = speaker_.next_timer_at();
   if (next == Time::max()) {
     timer_.cancel();
     return;
@@ -108,8 +108,8 @@
 }
 
 void BgpLinks::dial(std::size_t router) {
-  close(router, Way::kOut);
-  Link& l = link(router, Way::kOut);
+  close(router, Direction::kOutbound);
+  Link& l = link(router, Direction::kOutbound);
   l.socket = std::make_unique<tcp::socket>(io_);
   error_code error;
   const auto& to = addresses_[router];
@@ -120,16 +120,18 @@
   const auto generation = l.generation;
   if (error) {
     asio::post(io_, [this, router, generation, error] {
-      if (generation == link(router, Way::kOut).generation)
-        on_connection_failed(router, Way::kOut, error.message());
+      if (generation == link(router, Direction::kOutbound).generation)
+        on_connection_failed(router, Direction::kOutbound, error.message());
     });
     return;
   }
   l.socket->async_connect(to, [this, router, generation](const error_code& e) {
-    if (e == asio::error::operation_aborted || generation != link(router, Way::kOut).generation)
+    if (e == asio::error::operation_aborted ||
+        generation != link(router, Direction::kOutbound).generation)
       return;
-    if (e) return on_connection_failed(router, Way::kOut, "cannot connect: " + e.message());
-    on_connected(router, Way::kOut);
+    if (e)
+      return on_connection_failed(router, Direction::kOutbound, "cannot connect: " + e.message());
+    on_connected(router, Direction::kOutbound);
   });
 }
 
@@ -142,9 +144,10 @@
       // Only configured routers are accepted. A router that already has an inbound connection gains
       // nothing from a second one.
       for (std::size_t r = 0; !error && r < addresses_.size(); ++r) {
-        if (addresses_[r].address() != from.address() || link(r, Way::kIn).socket) continue;
-        link(r, Way::kIn).socket = std::make_unique<tcp::socket>(std::move(s));
-        on_connected(r, Way::kIn);
+        if (addresses_[r].address() != from.address() || link(r, Direction::kInbound).socket)
+          continue;
+        link(r, Direction::kInbound).socket = std::make_unique<tcp::socket>(std::move(s));
+        on_connected(r, Direction::kInbound);
         break;
       }
     }
@@ -152,7 +155,7 @@
   });
 }
 
-void BgpLinks::on_connected(std::size_t router, Way way) {
+void BgpLinks::on_connected(std::size_t router, Direction way) {
   Link& l = link(router, way);
   error_code error;
   l.socket->non_blocking(true, error);
@@ -164,7 +167,7 @@
   on_events_();
 }
 
-void BgpLinks::read(std::size_t router, Way way) {
+void BgpLinks::read(std::size_t router, Direction way) {
   Link& l = link(router, way);
   l.socket->async_read_some(asio::buffer(l.input), [this, router, way, generation = l.generation](
                                                        const error_code& e, std::size_t n) {
@@ -179,14 +182,14 @@
   });
 }
 
-void BgpLinks::send(std::size_t router, Way way, const std::string& bytes) {
+void BgpLinks::send(std::size_t router, Direction way, const std::string& bytes) {
   Link& l = link(router, way);
   if (!l.socket || l.output.size() > kMaxOutput) return;
   l.output += bytes;
   flush(router, way);
 }
 
-void BgpLinks::flush(std::size_t router, Way way) {
+void BgpLinks::flush(std::size_t router, Direction way) {
   Link& l = link(router, way);
   while (!l.output.empty()) {
     error_code error;
@@ -212,7 +215,7 @@
 
 // Reports the bytes in `output` and those in the socket's send queue, where the kernel keeps what
 // was written until the router's system has acknowledged it.
-void BgpLinks::report_unacknowledged(std::size_t router, Way way) {
+void BgpLinks::report_unacknowledged(std::size_t router, Direction way) {
   Link& l = link(router, way);
   int queued = 0;
   if (::ioctl(l.socket->native_handle(), SIOCOUTQ, &queued) != 0 || queued < 0) queued = 0;
@@ -229,14 +232,14 @@
     unacknowledged_timer_armed_ = false;
     if (e || stopped_) return;
     for (std::size_t r = 0; r < links_.size(); ++r)
-      for (const Way way : {Way::kOut, Way::kIn})
+      for (const Direction way : {Direction::kOutbound, Direction::kInbound})
         if (link(r, way).socket && link(r, way).has_unacknowledged) report_unacknowledged(r, way);
     run_actions();
     on_events_();
   });
 }
 
-void BgpLinks::close(std::size_t router, Way way) {
+void BgpLinks::close(std::size_t router, Direction way) {
   Link& l = link(router, way);
   ++l.generation;
   l.writing = l.has_unacknowledged = false;
@@ -247,7 +250,7 @@
   l.socket.reset();
 }
 
-void BgpLinks::on_connection_failed(std::size_t router, Way way, const std::string& reason) {
+void BgpLinks::on_connection_failed(std::size_t router, Direction way, const std::string& reason) {
   speaker_.on_closed(lease_now(), router, way, reason);
   run_actions();
   on_events_();
--- a/src/group_runtime/bgp_links.h
+++ b/src/group_runtime/bgp_links.h
@@ -22,7 +22,7 @@
   using Log = std::function<void(const std::string& line)>;
   // `on_events` is called after input that the speaker may have turned into events. Throws
   // boost::system::system_error if the file sets a listen address that cannot be listened on.
-  BgpLinks(boost::asio::io_context& io, const BgpFile& file, std::uint64_t seed,
+  BgpLinks(boost::asio::io_context& io, const BgpSettings& file, std::uint64_t seed,
            std::function<void()> on_events, Log log);
   ~BgpLinks();
 
@@ -34,7 +34,7 @@
   void stop(const std::string& reason);
 
  private:
-  using Way = bgp::Session::Way;
+  using Direction = bgp::Session::Direction;
   struct Link {
     std::unique_ptr<boost::asio::ip::tcp::socket> socket;  // null: no connection
     // Grows with each close(); callbacks of an earlier generation are ignored.
@@ -43,22 +43,24 @@
     bool writing = false, has_unacknowledged = false;
     std::array<char, 4096> input{};
   };
-  Link& link(std::size_t router, Way way) { return links_[router][way == Way::kIn]; }
+  Link& link(std::size_t router, Direction way) {
+    return links_[router][way == Direction::kInbound];
+  }
 
   void dial(std::size_t router);
   void accept();
-  void on_connected(std::size_t router, Way way);
-  void read(std::size_t router, Way way);
-  void send(std::size_t router, Way way, const std::string& bytes);
-  void flush(std::size_t router, Way way);
-  void report_unacknowledged(std::size_t router, Way way);
-  void close(std::size_t router, Way way);
-  void on_connection_failed(std::size_t router, Way way, const std::string& reason);
+  void on_connected(std::size_t router, Direction way);
+  void read(std::size_t router, Direction way);
+  void send(std::size_t router, Direction way, const std::string& bytes);
+  void flush(std::size_t router, Direction way);
+  void report_unacknowledged(std::size_t router, Direction way);
+  void close(std::size_t router, Direction way);
+  void on_connection_failed(std::size_t router, Direction way, const std::string& reason);
   void arm_unacknowledged_timer();
   void arm_timer();
 
   boost::asio::io_context& io_;
-  const BgpFile& file_;
+  const BgpSettings& file_;
   const std::function<void()> on_events_;
   const Log log_;
   bgp::Speaker speaker_;
--- a/src/group_runtime/group_runtime.cc
+++ b/src/group_runtime/group_runtime.cc
@@ -28,7 +28,7 @@
   return {e.address(), e.port()};
 }
 
-AddressSet networks_of(const GroupFile& file) {
+AddressSet networks_of(const GroupSettings& file) {
   AddressSet set;
   for (const auto& n : file.networks) set.insert(n);
   return set;
@@ -36,13 +36,14 @@
 
 }  // namespace
 
-GroupRuntime::GroupRuntime(asio::io_context& io, const GroupFile& file, bool serves, Owner owner)
+GroupRuntime::GroupRuntime(asio::io_context& io, const GroupSettings& file, bool serves,
+                           Callbacks owner)
     : io_(io),
       file_(file),
       serves_(serves),
       owner_(std::move(owner)),
       storage_(file.folder, file.lease_manager.times.duration, owner_.log),
-      keys_(group::read_keys(file.key_file), file.key_change),
+      keys_(group::read_keys(file.key_file), file.key_change_time),
       eligibility_(file.eligibility),
       timer_(io),
       eligibility_timer_(io),
@@ -66,7 +67,7 @@
   check_eligibility();
 }
 
-GroupRuntime::~GroupRuntime() { end(); }
+GroupRuntime::~GroupRuntime() { shut_down(); }
 
 void GroupRuntime::make_group_node() {
   incarnation_ = storage_.incarnation();
@@ -77,7 +78,7 @@
   s.membership = file_.membership;
   s.lease_manager = file_.lease_manager;
   if (!serves_) s.lease_manager.addresses.clear();
-  s.initial_voters = file_.founding;
+  s.initial_voters = file_.initial_voters;
   s.may_hold_leases = serves_;
   const std::uint64_t seed = incarnation_ ^ std::hash<std::string>()(file_.name);
   group_node_.emplace(s, storage_.remembered(), storage_, seed, lease_now());
@@ -193,7 +194,7 @@
     // The listeners must be open before routes lead clients to this member.
     set_listening(now, action.address, announcer);
     if (!announcer.listening) {
-      group_node_->on_claim_failed(now, action.address);
+      group_node_->on_announcement_failed(now, action.address);
       effects_pending_ = true;
       return;
     }
@@ -222,14 +223,14 @@
     } else {
       owner_.log("lease " + e.address +
                  ": announcement failed: too few routers acknowledged it in time");
-      group_node_->on_claim_failed(now, e.address);
+      group_node_->on_announcement_failed(now, e.address);
     }
   }
 }
 
 void GroupRuntime::run_commands(Time now, const std::string& address, RouteAnnouncer& announcer) {
   using Kind = CommandAnnouncer::Action::Kind;
-  if (announcer.commands.next() <= now) announcer.commands.on_timer(now);
+  if (announcer.commands.next_timer_at() <= now) announcer.commands.on_timer(now);
   for (const auto& action : announcer.commands.take_actions()) {
     effects_pending_ = true;
     switch (action.kind) {
@@ -250,7 +251,7 @@
         group_node_->on_withdrawn(now, address);
         break;
       case Kind::kFailed:
-        group_node_->on_claim_failed(now, address);
+        group_node_->on_announcement_failed(now, address);
         break;
       case Kind::kReleaseAbandoned:
         owner_.log("lease " + address + ": release command failed " +
@@ -308,9 +309,9 @@
 
 void GroupRuntime::arm_timer() {
   if (ended_) return;
-  Time next = group_node_->next();
+  Time next = group_node_->next_timer_at();
   for (const auto& [address, announcer] : announcers_)
-    next = std::min(next, announcer.commands.next());
+    next = std::min(next, announcer.commands.next_timer_at());
   if (on_leave_done_) next = std::min(next, leave_deadline_);
   if (next == timer_due_) return;
   timer_due_ = next;
@@ -336,7 +337,7 @@
                             !owner_.hosts_listed || owner_.hosts_listed());
   if (bgp_)
     eligibility_.on_condition(now, Condition::kRoutersConnected,
-                              bgp_->speaker().routers_up(now) >= file_.bgp->speaker.routers_needed);
+                              bgp_->speaker().routers_up(now) >= file_.bgp->speaker.min_routers);
   const bool eligible = eligibility_.eligible(now);
   group_node_->on_eligible(now, eligible, eligibility_.reason());
   run_effects();
@@ -364,7 +365,7 @@
   run_effects();
 }
 
-void GroupRuntime::end() {
+void GroupRuntime::shut_down() {
   if (ended_) return;
   group_node_->announce_departure(lease_now());
   for (const auto& s : group_node_->take_datagrams()) send(s);
@@ -378,8 +379,8 @@
 
 // ---- operator commands and status
 
-void GroupRuntime::command(const std::string& line,
-                           const std::function<void(const std::string&)>& answer) {
+void GroupRuntime::run_command(const std::string& line,
+                               const std::function<void(const std::string&)>& answer) {
   std::istringstream words(line);
   std::string verb, argument, name, excess;
   words >> verb;
@@ -387,7 +388,7 @@
   if (verb == "voters" && (words >> argument >> name) &&
       (argument == "add" || argument == "remove") && !(words >> excess)) {
     const bool add = argument == "add";
-    group_node_->change_voters(
+    group_node_->reconfigure_voters(
         lease_now(), name, add,
         [answer](bool done, const std::string& outcome) { answer(outcome_json(done, outcome)); });
     return run_effects();
--- a/src/group_runtime/group_runtime.h
+++ b/src/group_runtime/group_runtime.h
@@ -28,7 +28,7 @@
 // lease_now().
 class GroupRuntime {
  public:
-  struct Owner {
+  struct Callbacks {
     // Opens the listeners of an address that this member is about to announce. Returns false if
     // they cannot be opened; the claim then fails.
     std::function<bool(const std::string& address)> listen;
@@ -42,7 +42,8 @@
   // `file` must outlive this object. `serves`: false for a process that only votes. Throws
   // std::runtime_error (FileError, boost's system_error), one line, if a key file, socket or folder
   // cannot be used.
-  GroupRuntime(boost::asio::io_context& io, const GroupFile& file, bool serves, Owner owner);
+  GroupRuntime(boost::asio::io_context& io, const GroupSettings& file, bool serves,
+               Callbacks owner);
   ~GroupRuntime();
 
   // Whether an attempt for a request to this address may still be sent to a host. Compares the
@@ -52,14 +53,16 @@
   // Reads the key file again. Throws FileError, and then keeps the previous keys.
   void reload();
   // Transfers all addresses to other members. `done` is posted once this member holds none, at the
-  // latest after the lease duration plus the overlap. The voter continues to vote until end().
+  // latest after the lease duration plus the overlap. The voter continues to vote until
+  // shut_down().
   void leave(std::function<void()> done);
   // Notifies members and routers that this process leaves, and closes everything. Idempotent;
   // nothing is sent afterwards.
-  void end();
+  void shut_down();
 
   // Runs one command of the status socket; `answer` gets one line of JSON.
-  void command(const std::string& line, const std::function<void(const std::string& json)>& answer);
+  void run_command(const std::string& line,
+                   const std::function<void(const std::string& json)>& answer);
   const group::GroupNode& group_node() const { return *group_node_; }
 
  private:
@@ -90,9 +93,9 @@
   std::string status() const;
 
   boost::asio::io_context& io_;
-  const GroupFile& file_;
+  const GroupSettings& file_;
   const bool serves_;
-  const Owner owner_;
+  const Callbacks owner_;
   VoterStorage storage_;
   std::uint64_t incarnation_ = 0, sequence_ = 0;
   group::KeyRing keys_;
--- a/src/group_runtime/status.cc
+++ b/src/group_runtime/status.cc
@@ -90,7 +90,7 @@
   json entry;
   entry["address"] = address;
   entry["state"] = lease::status_name(lease_holder.state());
-  entry["since_ms"] = ms(now - lease_holder.since());
+  entry["since_ms"] = ms(now - lease_holder.state_entered_at());
   entry["term"] = lease_holder.term();
   entry["newest_term"] = lease_holder.newest_term();
   entry["lease_left_ms"] = holds ? ms(lease_holder.valid_until() - now) : 0;
@@ -109,14 +109,14 @@
     members.push_back({{"name", name},
                        {"endpoint", member.endpoint},
                        {"state", name_of(member.state)},
-                       {"since_ms", ms(now - member.since)},
+                       {"since_ms", ms(now - member.state_entered_at)},
                        {"able", meta && meta->eligible},
                        {"votes", node.voters().has(name)}});
   }
   return members;
 }
 
-json routers_json(const GroupFile& file, const bgp::Speaker* speaker) {
+json routers_json(const GroupSettings& file, const bgp::Speaker* speaker) {
   json routers = json::array();
   for (std::size_t r = 0; speaker && r < speaker->routers(); ++r) {
     const auto& session = speaker->session(r);
@@ -132,8 +132,8 @@
 
 // Operators' scripts read the keys and values, so their names stay: "able" is eligibility, for this
 // member as "ready" or the reason why not, for others as a boolean; "life" is the incarnation.
-std::string status_json(const StatusFigures& f, const group::GroupNode& node, const GroupFile& file,
-                        const bgp::Speaker* speaker, Time now) {
+std::string status_json(const StatusFigures& f, const group::GroupNode& node,
+                        const GroupSettings& file, const bgp::Speaker* speaker, Time now) {
   json out;
   out["name"] = f.name;
   out["life"] = f.incarnation;
@@ -157,7 +157,7 @@
   return json{{ok ? "done" : "error", message}}.dump();
 }
 
-bool outcome_good(const std::string& text) {
+bool command_succeeded(const std::string& text) {
   const json j = json::parse(text, nullptr, false);
   return j.is_object() && !j.contains("error");
 }
@@ -219,7 +219,9 @@
   return out;
 }
 
-std::string status_path(const GroupFile& file) { return file.folder + "/" + file.name + ".sock"; }
+std::string status_socket_path(const GroupSettings& file) {
+  return file.folder + "/" + file.name + ".sock";
+}
 
 // ---- the status socket
 
@@ -338,7 +340,7 @@
   });
 }
 
-std::string ask_member(const std::string& path, const std::string& line) {
+std::string send_status_command(const std::string& path, const std::string& line) {
   asio::io_context io;
   local::socket socket(io);
   error_code error;
--- a/src/group_runtime/status.h
+++ b/src/group_runtime/status.h
@@ -31,15 +31,15 @@
 };
 
 std::string status_json(const StatusFigures& figures, const group::GroupNode& node,
-                        const GroupFile& file, const bgp::Speaker* speaker, Time now);
+                        const GroupSettings& file, const bgp::Speaker* speaker, Time now);
 // The answer to a command: `message` under "done" or "error".
 std::string outcome_json(bool ok, const std::string& message);
 // Formats an answer as text for operators; returns text that cannot be parsed unchanged.
 std::string status_text(const std::string& json);
 // Whether an answer reports success.
-bool outcome_good(const std::string& json);
+bool command_succeeded(const std::string& json);
 
-std::string status_path(const GroupFile& file);
+std::string status_socket_path(const GroupSettings& file);
 
 // The status socket: reads one line per connection and answers with one. The destructor closes all
 // connections and removes the socket's file.
@@ -72,6 +72,6 @@
 
 // Sends a line to the member that owns the socket and returns its answer. Blocks. Throws
 // std::runtime_error, one line, if the member does not answer.
-std::string ask_member(const std::string& path, const std::string& line);
+std::string send_status_command(const std::string& path, const std::string& line);
 
 }  // namespace balancer::group_runtime
--- a/src/group_runtime/voter_storage.cc
+++ b/src/group_runtime/voter_storage.cc
@@ -52,8 +52,8 @@
 }
 
 void VoterStorage::load() {
-  if (!store_->aside().empty())
-    log_("voter: record corrupt, moved to " + store_->aside() + "; votes again in " +
+  if (!store_->moved_aside_to().empty())
+    log_("voter: record corrupt, moved to " + store_->moved_aside_to() + "; votes again in " +
          std::to_string(std::chrono::duration_cast<milliseconds>(lease_).count()) +
          " ms, once every lease that it may have granted has expired");
   // A clock that was set back must not give this process a lower incarnation than its previous
--- a/src/hosts/host_registry.cc
+++ b/src/hosts/host_registry.cc
@@ -31,7 +31,7 @@
   host.id = entry.id;
   host.last_seen_list_number = list_count_;
   const bool was_placeable = host.is_placed();
-  host.origin = entry.origin;
+  host.is_origin = entry.is_origin;
   host.zone = entry.zone;
   host.cell = entry.cell;
   host.state = entry.state;
@@ -54,7 +54,7 @@
     const bool is_unlisted =
         kind == ListKind::kComplete && host.last_seen_list_number != list_count_;
     if (is_unlisted && host.state != HostState::kGone) {
-      if (!host.origin) changes.push_back({HostChange::Kind::kLeft, i});
+      if (!host.is_origin) changes.push_back({HostChange::Kind::kLeft, i});
       host.state = HostState::kGone;
     }
     if (host.is_placed()) total_weight_ += host.weight;
@@ -65,7 +65,7 @@
 void HostRegistry::apply_start(Index i, const std::optional<HostStart>& start,
                                std::vector<HostChange>& changes) {
   Host& host = hosts_[i];
-  const bool is_same = start ? host.born() == start->born : !host.start;
+  const bool is_same = start ? host.born() == start->started_at : !host.start;
   if (!is_same) {
     host.start = start;
     if (start) changes.push_back({HostChange::Kind::kStarted, i, start->at});
@@ -96,7 +96,7 @@
   });
   if (overrides_.contains(id)) return true;
   const auto listed = hosts_.find(id);
-  return listed && !hosts_[*listed].origin && overrides_.size() < kMaxOverrides;
+  return listed && !hosts_[*listed].is_origin && overrides_.size() < kMaxOverrides;
 }
 
 bool HostRegistry::differs_from_override(std::string_view id, bool out_of_service) const {
@@ -135,7 +135,7 @@
 
 std::optional<HostRegistry::Index> HostRegistry::origin() const {
   for (Index i = 0; i < hosts_.size(); ++i)
-    if (hosts_[i].origin && hosts_[i].state == HostState::kServing) return i;
+    if (hosts_[i].is_origin && hosts_[i].state == HostState::kServing) return i;
   return std::nullopt;
 }
 
--- a/src/hosts/host_registry.h
+++ b/src/hosts/host_registry.h
@@ -18,7 +18,7 @@
 // One start of a cache host.
 struct HostStart {
   // Start time as given by the host list. A different value means a different start.
-  UnixTime born;
+  UnixTime started_at;
   // Start time on this process's clock, as far as it is known. The host may have started earlier,
   // but not later.
   Time at{0};
@@ -31,7 +31,7 @@
 struct HostEntry {
   std::string_view id;
   std::optional<HostStart> start;  // not set: the host started long ago
-  bool origin = false;
+  bool is_origin = false;
   int zone = 0;
   int cell = 0;  // within the zone
   HostState state = HostState::kServing;
@@ -55,7 +55,7 @@
   struct Host {
     std::string id;
     std::uint64_t last_seen_list_number = 0;  // number of the last list that contained it
-    bool origin = false;
+    bool is_origin = false;
     int zone = 0;
     int cell = 0;
     HostState state = HostState::kGone;
@@ -64,12 +64,12 @@
     std::optional<HostStart> start;
     int references = 0;  // the host is not removed while there are any
     std::optional<UnixTime> born() const {
-      return start ? std::optional(start->born) : std::nullopt;
+      return start ? std::optional(start->started_at) : std::nullopt;
     }
     // Returns whether new attempts may be sent to the host.
-    bool takes_new() const { return state == HostState::kServing && !out_of_service; }
+    bool accepts_attempts() const { return state == HostState::kServing && !out_of_service; }
     // Returns whether keys may be placed on the host: it is a listed cache host.
-    bool is_placed() const { return !origin && state != HostState::kGone; }
+    bool is_placed() const { return !is_origin && state != HostState::kGone; }
   };
 
   // An operator's override of the service state of a cache host.
--- a/src/hot_restart/hot_restart.cc
+++ b/src/hot_restart/hot_restart.cc
@@ -72,7 +72,7 @@
 }
 
 bool HotRestart::may_pass() const {
-  return state_.passes_connections() && successor_ && successor_->room();
+  return state_.passes_connections() && successor_ && successor_->can_send_now();
 }
 
 void HotRestart::pass(PassedConnection connection, Descriptor socket) {
--- a/src/hot_restart/hot_restart.h
+++ b/src/hot_restart/hot_restart.h
@@ -64,7 +64,7 @@
   bool may_pass() const;
   void pass(PassedConnection connection, Descriptor socket);
   // Returns whether all messages to the successor have been sent.
-  bool is_flushed() const { return !successor_ || successor_->room(); }
+  bool is_flushed() const { return !successor_ || successor_->can_send_now(); }
 
   const HotRestartState& state() const { return state_; }
   // Returns the limits of the resources that this process may hold now.
--- a/src/hot_restart/override_store.cc
+++ b/src/hot_restart/override_store.cc
@@ -39,7 +39,7 @@
     rest.remove_prefix(size);
     if (!part) return std::nullopt;
     const bool has_more = part->has_more;
-    if (!append(all, std::move(*part))) return std::nullopt;
+    if (!merge_part(all, std::move(*part))) return std::nullopt;
     if (!has_more) return all;
   }
 }
--- a/src/hot_restart/predecessor_query.cc
+++ b/src/hot_restart/predecessor_query.cc
@@ -53,7 +53,7 @@
     if (!part) continue;  // an unknown message of a later version
     for (auto& descriptor : received.packet.descriptors) sockets.push_back(std::move(descriptor));
     const bool has_more = part->has_more;
-    if (!append(snapshot, std::move(*part))) return QueryResult::kNoAnswer;
+    if (!merge_part(snapshot, std::move(*part))) return QueryResult::kNoAnswer;
     if (has_more) continue;
     for (std::size_t i = 0; i < std::min(sockets.size(), snapshot.listeners.size()); ++i)
       out.sockets[snapshot.listeners[i]] = std::move(sockets[i]);
--- a/src/lease/eligibility.cc
+++ b/src/lease/eligibility.cc
@@ -27,21 +27,21 @@
 
 void Eligibility::on_lateness(Time now, Duration late) {
   while (!late_at_.empty() && now - late_at_.front() > settings_.late_window) late_at_.pop_front();
-  if (late < settings_.late) return;
+  if (late < settings_.lateness_threshold) return;
   late_at_.push_back(now);
-  if (late_at_.size() > settings_.late_times) late_at_.pop_front();
+  if (late_at_.size() > settings_.max_late_checks) late_at_.pop_front();
 }
 
 std::string_view Eligibility::unmet_condition(Time now) const {
   for (std::size_t i = 0; i < kConditions; ++i) {
     const ConditionState& state = conditions_[i];
-    const bool in_grace =
-        has_grace(static_cast<Condition>(i)) && is_eligible_ && now - state.since < settings_.grace;
+    const bool in_grace = has_grace(static_cast<Condition>(i)) && is_eligible_ &&
+                          now - state.since < settings_.grace_period;
     if (!state.is_met && !in_grace) return kUnmetReasons[i];
   }
   const auto late = std::count_if(late_at_.begin(), late_at_.end(),
                                   [&](Time t) { return now - t <= settings_.late_window; });
-  if (static_cast<std::size_t>(late) >= settings_.late_times) return "the event loop is late";
+  if (static_cast<std::size_t>(late) >= settings_.max_late_checks) return "the event loop is late";
   return {};
 }
 
@@ -49,7 +49,7 @@
 // has been eligible once, so that startup is not delayed.
 Duration Eligibility::steady_time() const {
   if (!was_ever_eligible_ || relapses_.empty()) return Duration{0};
-  return settings_.steady * (1 << std::min(relapses_.size() - 1, kMaxDoublings));
+  return settings_.recovery_time * (1 << std::min(relapses_.size() - 1, kMaxDoublings));
 }
 
 bool Eligibility::eligible(Time now) {
@@ -74,13 +74,13 @@
   return true;
 }
 
-Time Eligibility::next() const {
+Time Eligibility::next_timer_at() const {
   Time first = Time::max();
   for (std::size_t i = 0; i < kConditions; ++i)
     if (!conditions_[i].is_met && is_eligible_ && has_grace(static_cast<Condition>(i)))
-      first = std::min(first, conditions_[i].since + settings_.grace);
+      first = std::min(first, conditions_[i].since + settings_.grace_period);
   if (!is_eligible_) first = std::min(first, eligible_at_);
-  if (late_at_.size() >= settings_.late_times)
+  if (late_at_.size() >= settings_.max_late_checks)
     first = std::min(first, late_at_.front() + settings_.late_window + Duration{1});
   return first;
 }
--- a/src/lease/eligibility.h
+++ b/src/lease/eligibility.h
@@ -13,15 +13,15 @@
 struct EligibilitySettings {
   // How long an eligible instance may be without hosts or routers before it becomes ineligible.
   // Covers the replacement of endpoint lists and the reconnection of sessions. Default: 300 ms.
-  Duration grace{std::chrono::milliseconds(300)};
+  Duration grace_period{std::chrono::milliseconds(300)};
   // How long all conditions must be met before an ineligible instance becomes eligible again.
   // Doubles with each further relapse within the last minute, up to 16 times this value. Default:
   // 500 ms.
-  Duration steady{std::chrono::milliseconds(500)};
-  // An event loop counts as overloaded or stalled if it was late by `late` or more at `late_times`
-  // checks within `late_window`. Defaults: 250 ms, 3 times, 3 s.
-  Duration late{std::chrono::milliseconds(250)};
-  std::size_t late_times = 3;
+  Duration recovery_time{std::chrono::milliseconds(500)};
+  // An event loop counts as overloaded or stalled if it was late by `lateness_threshold` or more at
+  // `max_late_checks` checks within `late_window`. Defaults: 250 ms, 3 times, 3 s.
+  Duration lateness_threshold{std::chrono::milliseconds(250)};
+  std::size_t max_late_checks = 3;
   Duration late_window{std::chrono::seconds(3)};
 };
 
@@ -47,7 +47,7 @@
   // Returns why the last call of eligible() returned false, or "ready". Part of the status JSON.
   const std::string& reason() const { return reason_; }
   // Returns the time at which eligible() may change without a further report, or Time::max().
-  Time next() const;
+  Time next_timer_at() const;
 
  private:
   struct ConditionState {
--- a/src/lease/lease_holder.cc
+++ b/src/lease/lease_holder.cc
@@ -342,7 +342,7 @@
     lose_lease(now, "the lease was not renewed in time");
 }
 
-void LeaseHolder::on_claim_failed(Time now) {
+void LeaseHolder::on_announcement_failed(Time now) {
   if (state_ == State::kHolder) end_ungracefully(now, "the address could not be announced");
 }
 
@@ -387,7 +387,7 @@
   }
 }
 
-Time LeaseHolder::next() const {
+Time LeaseHolder::next_timer_at() const {
   switch (state_) {
     case State::kIdle:
       return is_wanted_ ? next_election_at_ : Time::max();
--- a/src/lease/lease_holder.h
+++ b/src/lease/lease_holder.h
@@ -80,9 +80,9 @@
   // Reports that the routes are withdrawn.
   void on_withdrawn(Time now);
   // Reports that the address could not be announced.
-  void on_claim_failed(Time now);
+  void on_announcement_failed(Time now);
   void on_timer(Time now);
-  Time next() const;  // when on_timer() is due, or Time::max()
+  Time next_timer_at() const;  // when on_timer() is due, or Time::max()
 
   // ---- output, taken by the caller
 
@@ -109,8 +109,8 @@
   // Returns whether the state is holder or handing over. The owner keeps listening until the
   // routes are withdrawn.
   bool should_listen() const { return state_ == State::kHolder || state_ == State::kHandingOver; }
-  Term term() const { return term_; }    // of the current or most recent lease
-  Time since() const { return since_; }  // when the current state was entered
+  Term term() const { return term_; }               // of the current or most recent lease
+  Time state_entered_at() const { return since_; }  // when the current state was entered
   Time valid_until() const { return valid_until_; }
   const std::string& reason() const { return reason_; }  // of the last state change
   const InstanceId& believed_holder() const { return believed_holder_; }
--- a/src/lease/lease_manager.cc
+++ b/src/lease/lease_manager.cc
@@ -78,9 +78,9 @@
   review(now);
 }
 
-void LeaseManager::on_claim_failed(Time now, const std::string& address) {
+void LeaseManager::on_announcement_failed(Time now, const std::string& address) {
   const auto it = lease_holders_.find(address);
-  if (it != lease_holders_.end()) it->second.on_claim_failed(now);
+  if (it != lease_holders_.end()) it->second.on_announcement_failed(now);
 }
 
 void LeaseManager::on_timer(Time now) {
@@ -89,14 +89,14 @@
     review(now);
   }
   for (auto& [address, lease_holder] : lease_holders_)
-    if (lease_holder.next() <= now) lease_holder.on_timer(now);
+    if (lease_holder.next_timer_at() <= now) lease_holder.on_timer(now);
   retry_invitations(now);
 }
 
-Time LeaseManager::next() const {
+Time LeaseManager::next_timer_at() const {
   Time first = next_review_at_;
   for (const auto& [address, lease_holder] : lease_holders_)
-    first = std::min(first, lease_holder.next());
+    first = std::min(first, lease_holder.next_timer_at());
   for (const auto& [address, handover] : handovers_) first = std::min(first, handover.retry_at);
   return first;
 }
--- a/src/lease/lease_manager.h
+++ b/src/lease/lease_manager.h
@@ -50,9 +50,9 @@
   // Report that the address is announced, is withdrawn, or could not be announced.
   void on_announced(Time now, const std::string& address);
   void on_withdrawn(Time now, const std::string& address);
-  void on_claim_failed(Time now, const std::string& address);
+  void on_announcement_failed(Time now, const std::string& address);
   void on_timer(Time now);
-  Time next() const;  // when on_timer() is due
+  Time next_timer_at() const;  // when on_timer() is due
 
   // ---- commands
 
--- a/src/lease/voter_reconfiguration.cc
+++ b/src/lease/voter_reconfiguration.cc
@@ -206,7 +206,7 @@
   if (now >= retry_at_) send_requests(now);
 }
 
-Time VoterReconfiguration::next() const {
+Time VoterReconfiguration::next_timer_at() const {
   return outcome_ ? Time::max() : std::min(deadline_, retry_at_);
 }
 
--- a/src/lease/voter_reconfiguration.h
+++ b/src/lease/voter_reconfiguration.h
@@ -35,7 +35,7 @@
 
   void on_reply(Time now, const std::string& from, const ReconfigurationReply& reply);
   void on_timer(Time now);
-  Time next() const;  // when on_timer() is due; Time::max() once there is an outcome
+  Time next_timer_at() const;  // when on_timer() is due; Time::max() once there is an outcome
 
   struct OutgoingRequest {
     std::string to;  // a voter's name
--- a/src/membership/membership_protocol.cc
+++ b/src/membership/membership_protocol.cc
@@ -57,7 +57,7 @@
   Member member;
   static_cast<MemberUpdate&>(member) = self;
   member.state = MemberState::kAlive;
-  member.since = now;
+  member.state_entered_at = now;
   members_.emplace(name_, member);
   queue_.push(member);
 }
@@ -116,7 +116,7 @@
 void MembershipProtocol::set_state(Time now, Member& member, MemberState state) {
   if (member.state != state) {
     member.state = state;
-    member.since = now;
+    member.state_entered_at = now;
     update_not_alive(member);
     ++revision_;
   }
@@ -138,7 +138,7 @@
       update.sequence >= member.sequence && update.state != MemberState::kAlive;
   if (is_this_process && (is_accusation || update.sequence > member.sequence)) {
     member.sequence = update.sequence + 1;
-    member.since = now;
+    member.state_entered_at = now;
   }
   queue_.push(member);
 }
@@ -161,7 +161,7 @@
   const bool has_new_state = update.state != member.state;
   const bool has_new_data = update.meta != member.meta || update.endpoint != member.endpoint;
   static_cast<MemberUpdate&>(member) = update;
-  if (has_new_state || is_new_process) member.since = now;
+  if (has_new_state || is_new_process) member.state_entered_at = now;
   update_not_alive(member);
   if (is_new_process) round_trips_.erase(update.name);
   if (is_new_process || has_new_data || has_new_state) ++revision_;
@@ -172,7 +172,7 @@
   if (is_dead_or_left(update.state) || members_.size() >= settings_.max_members) return;
   Member member;
   static_cast<MemberUpdate&>(member) = update;
-  member.since = now;
+  member.state_entered_at = now;
   members_.emplace(update.name, member);
   update_not_alive(member);
   // A random position keeps members from all probing a new one at the same time.
@@ -186,9 +186,10 @@
   const Duration timeout = suspicion_timeout();
   for (const auto& name : std::vector(not_alive_.begin(), not_alive_.end())) {
     Member& member = members_.at(name);
-    if (member.state == MemberState::kSuspect && now - member.since >= timeout)
+    if (member.state == MemberState::kSuspect && now - member.state_entered_at >= timeout)
       set_state(now, member, MemberState::kDead);
-    if (!is_dead_or_left(member.state) || now - member.since < settings_.dead_retention) continue;
+    if (!is_dead_or_left(member.state) || now - member.state_entered_at < settings_.dead_retention)
+      continue;
     round_trips_.erase(name);
     members_.erase(name);
     not_alive_.erase(name);
@@ -282,7 +283,7 @@
   record_round_trip(name, now - late.mapped().sent_at);
   const auto it = members_.find(name);
   if (it == members_.end() || it->second.state != MemberState::kSuspect) return;
-  it->second.since = now;
+  it->second.state_entered_at = now;
   send(it->second.endpoint, {Kind::kGossip, 0, {}, {}}, name);
 }
 
@@ -389,7 +390,7 @@
   expire_members(now);
 }
 
-Time MembershipProtocol::next() const {
+Time MembershipProtocol::next_timer_at() const {
   if (has_left_ || is_superseded_) return Time::max();
   Time first = std::min({next_join_at_, next_full_sync_at_, probe_ ? Time::max() : next_probe_at_});
   if (probe_) first = std::min(first, probe_->is_indirect ? probe_->until : probe_->direct_until);
@@ -397,7 +398,8 @@
   const Duration timeout = suspicion_timeout();
   for (const auto& name : not_alive_) {
     const Member& member = members_.at(name);
-    if (member.state == MemberState::kSuspect) first = std::min(first, member.since + timeout);
+    if (member.state == MemberState::kSuspect)
+      first = std::min(first, member.state_entered_at + timeout);
   }
   return first;
 }
@@ -409,7 +411,7 @@
   if (member.meta == meta || has_left_) return;
   member.meta = meta;
   ++member.sequence;
-  member.since = now;
+  member.state_entered_at = now;
   ++revision_;
   queue_.push(member);
   // Other members base decisions on this data, so some of them are notified immediately.
@@ -421,7 +423,7 @@
   Member& member = self();
   ++member.sequence;
   member.state = MemberState::kLeft;
-  member.since = now;
+  member.state_entered_at = now;
   queue_.push(member);
   send_gossip(kLeaveReceivers);
 }
--- a/src/membership/membership_protocol.h
+++ b/src/membership/membership_protocol.h
@@ -19,7 +19,7 @@
 struct Member : MemberUpdate {
   // When the member entered its state or its suspicion was restarted; for this instance, when it
   // last issued a new update about itself.
-  Time since{0};
+  Time state_entered_at{0};
 };
 
 // Upper bound of MembershipSettings::max_members: more than the number of balancers that the
@@ -72,7 +72,7 @@
   void on_message(Time now, const std::string& from, const std::string& endpoint,
                   const GossipMessage& message);
   void on_timer(Time now);
-  Time next() const;  // when on_timer() is due, or Time::max()
+  Time next_timer_at() const;  // when on_timer() is due, or Time::max()
 
   // Replaces the data that this instance publishes about itself, and notifies other members if it
   // has changed.
--- a/src/net/attempt.h
+++ b/src/net/attempt.h
@@ -28,13 +28,13 @@
   int number = 0;  // within its request, from 0
   std::string host;
   RequestPayloadPtr payload;
-  Time deadline{0};             // for the complete answer, on the monotonic clock
-  bool asking = false;          // the host does not own the slot yet, but is to accept the request
-  bool replica = false;         // the host is a replica, and is to serve the read
-  bool non_idempotent = false;  // must never be executed twice
-  bool ended = false;           // its outcome is known; later events are ignored
-  bool held = false;            // held back after a process stall; not sent to its host yet
-  bool assigned = false;        // to a connection
+  Time deadline{0};     // for the complete answer, on the monotonic clock
+  bool asking = false;  // the host does not own the slot yet, but is to accept the request
+  bool reads_from_replica = false;  // the host is a replica, and is to serve the read
+  bool non_idempotent = false;      // must never be executed twice
+  bool ended = false;               // its outcome is known; later events are ignored
+  bool is_held_for_stall = false;   // held back after a process stall; not sent to its host yet
+  bool assigned = false;            // to a connection
   // Start time of the host process for which the attempt was decided. If the host has restarted
   // since, a new decision is needed.
   std::optional<UnixTime> host_started;
--- a/src/net/client_listener.cc
+++ b/src/net/client_listener.cc
@@ -58,8 +58,8 @@
 
 ClientListener::ClientListener(asio::io_context& io, const asio::ip::tcp::endpoint& listen,
                                Limits& limits, const Clock& clock, RequestSink& request_sink,
-                               MakeDialect make_dialect, const SessionTimes& times,
-                               ForwardingCheck may_forward)
+                               ProtocolHandlerFactory make_protocol_handler,
+                               const SessionTimeouts& times, ForwardingCheck may_forward)
     : io_(io),
       listen_(listen),
       local_(listen),
@@ -67,7 +67,7 @@
       limits_(limits),
       clock_(clock),
       request_sink_(request_sink),
-      make_dialect_(std::move(make_dialect)),
+      make_protocol_handler_(std::move(make_protocol_handler)),
       times_(times),
       may_forward_(std::move(may_forward)),
       tick_timer_(io) {
@@ -115,7 +115,7 @@
   acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
 }
 
-void ClientListener::shut(Time last) {
+void ClientListener::stop_and_drain(Time last) {
   stop();  // if it fails, the rest of the backlog is reset by close_acceptor()
   close_acceptor();
   const Time now = clock_.now();
@@ -158,8 +158,9 @@
 
 ClientListener::SessionPtr ClientListener::make_session(asio::ip::tcp::socket socket) {
   SessionOwner& owner = *this;
-  auto session = std::make_shared<ClientSession>(std::move(socket), limits_, clock_, request_sink_,
-                                                 owner, make_dialect_(), times_, may_forward_);
+  auto session =
+      std::make_shared<ClientSession>(std::move(socket), limits_, clock_, request_sink_, owner,
+                                      make_protocol_handler_(), times_, may_forward_);
   sessions_.insert(session);
   return session;
 }
@@ -197,7 +198,7 @@
   return true;
 }
 
-void ClientListener::adopt(HandedClient client) {
+void ClientListener::adopt(TransferredClient client) {
   asio::ip::tcp::socket socket(io_);
   error_code error;
   socket.assign(listen_.protocol(), client.socket.get(), error);
--- a/src/net/client_listener.h
+++ b/src/net/client_listener.h
@@ -20,8 +20,9 @@
   // Does not listen until open(). `may_forward` is called for every request; if it is empty, all
   // requests may be forwarded. All references must outlive the listener.
   ClientListener(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen,
-                 Limits& limits, const Clock& clock, RequestSink& core, MakeDialect make_dialect,
-                 const SessionTimes& times = {}, ForwardingCheck may_forward = {});
+                 Limits& limits, const Clock& clock, RequestSink& core,
+                 ProtocolHandlerFactory make_protocol_handler, const SessionTimeouts& times = {},
+                 ForwardingCheck may_forward = {});
 
   // ---- accepting
 
@@ -52,7 +53,7 @@
   bool stop();
   // Closes the listening socket and drains the connections from now to `last`. The listener may be
   // opened again.
-  void shut(Time last);
+  void stop_and_drain(Time last);
   // Rejects requests that are unread because memory is short; called before the process ends.
   void reject_unread();
   // Closes the listening socket and all connections immediately.
@@ -67,10 +68,10 @@
   // From now on passes connections that are between requests to `transfer`, one at a time while
   // `may_transfer` returns true. Empty functions end the transfer.
   using MayTransfer = std::function<bool()>;
-  using Transfer = std::function<void(HandedClient)>;
+  using Transfer = std::function<void(TransferredClient)>;
   void transfer_clients(MayTransfer may_transfer, Transfer transfer);
   // Takes over a client connection from another process.
-  void adopt(HandedClient client);
+  void adopt(TransferredClient client);
 
  private:
   enum class AcceptResult { kNoneLeft, kMoreMayWait, kCannotAccept };
@@ -107,8 +108,8 @@
   Limits& limits_;
   const Clock& clock_;
   RequestSink& request_sink_;
-  const MakeDialect make_dialect_;
-  const SessionTimes times_;
+  const ProtocolHandlerFactory make_protocol_handler_;
+  const SessionTimeouts times_;
   const ForwardingCheck may_forward_;
   std::unordered_set<SessionPtr> sessions_;
   boost::asio::steady_timer tick_timer_;
--- a/src/net/client_session.cc
+++ b/src/net/client_session.cc
@@ -49,14 +49,14 @@
 
 ClientSession::ClientSession(asio::ip::tcp::socket socket, Limits& limits, const Clock& clock,
                              RequestSink& core, SessionOwner& owner,
-                             std::unique_ptr<Dialect> dialect, const SessionTimes& times,
-                             const ForwardingCheck& may_forward)
+                             std::unique_ptr<ProtocolHandler> protocol_handler,
+                             const SessionTimeouts& times, const ForwardingCheck& may_forward)
     : socket_(std::move(socket)),
       limits_(limits),
       clock_(clock),
       core_(core),
       owner_(owner),
-      dialect_(std::move(dialect)),
+      protocol_handler_(std::move(protocol_handler)),
       times_(times),
       may_forward_(may_forward),
       descriptor_(limits.clients, 1),
@@ -74,24 +74,25 @@
   arm_read();
 }
 
-void ClientSession::resume(const HandedClient& from) {
-  answered_ = from.answered;
+void ClientSession::resume(const TransferredClient& from) {
+  answered_ = from.requests_answered;
   start();
   if (closed_ || from.input.empty()) return;
-  dialect_->feed(from.input);
+  protocol_handler_->feed(from.input);
   schedule_processing();
 }
 
 bool ClientSession::can_release() const {
   if (closed_ || !responses_.empty() || has_stopped_reading() || lingering_) return false;
   if (blocked_ || processing_posted_) return false;
-  const auto unread = dialect_->unread();
+  const auto unread = protocol_handler_->unprocessed_input();
   return unread && unread->size() <= kMaxTransferredInput;
 }
 
-HandedClient ClientSession::release() {
+TransferredClient ClientSession::release() {
   error_code error;
-  HandedClient handed{Descriptor(socket_.release(error)), *dialect_->unread(), answered_};
+  TransferredClient handed{Descriptor(socket_.release(error)),
+                           *protocol_handler_->unprocessed_input(), answered_};
   close();
   return handed;
 }
@@ -122,8 +123,8 @@
   if (error) return close();
   last_read_ = clock_.now();
   blocked_since_ = Time{0};
-  if (dialect_->between_commands()) state_since_ = last_read_;
-  dialect_->feed({buffer.data(), n});
+  if (protocol_handler_->between_commands()) state_since_ = last_read_;
+  protocol_handler_->feed({buffer.data(), n});
   process_commands();
 }
 
@@ -143,7 +144,7 @@
     error_response_at_ = clock_.now() + kErrorDelay;
     discard_input();
   }
-  buffered_.resize(dialect_->buffered());
+  buffered_.resize(protocol_handler_->buffered_bytes());
   flush();
   arm_read();
 }
@@ -152,21 +153,22 @@
   for (int taken = 0; !has_stopped_reading(); ++taken) {
     if (!may_begin_request() || !reserve_body()) return block();
     if (taken == kMaxCommandsPerTurn) return schedule_processing();
-    const auto step = dialect_->step(*this);
-    if (step == Dialect::Step::kMore) {
+    const auto step = protocol_handler_->step(*this);
+    if (step == ProtocolHandler::Step::kNeedMoreInput) {
       if (!reserve_body()) block();
       return;
     }
-    if (step == Dialect::Step::kWait) return block();
+    if (step == ProtocolHandler::Step::kBlocked) return block();
     state_since_ = clock_.now();
     blocked_since_ = Time{0};
-    if (step == Dialect::Step::kFault) error_response_ = dialect_->fault();
-    if (step == Dialect::Step::kLeave) close_when_written_ = true;
+    if (step == ProtocolHandler::Step::kProtocolError)
+      error_response_ = protocol_handler_->error_response();
+    if (step == ProtocolHandler::Step::kClose) close_when_written_ = true;
   }
 }
 
 void ClientSession::discard_input() {
-  dialect_->forget();
+  protocol_handler_->discard_input();
   body_.resize(0);
 }
 
@@ -179,7 +181,7 @@
 // Reserves memory for the complete body before any of it is read. Otherwise many partly read bodies
 // could exhaust the budget, and none of them could complete. Returns false if there is no room.
 bool ClientSession::reserve_body() {
-  const auto length = dialect_->body_length();
+  const auto length = protocol_handler_->body_length();
   if (length <= kSmallBody || body_.size() >= length) return true;
   if (!limits_.bytes.room_for(length - body_.size())) return false;
   body_.resize(length);
@@ -195,7 +197,7 @@
   });
 }
 
-void ClientSession::later(std::function<void()> then) {
+void ClientSession::post(std::function<void()> then) {
   asio::post(socket_.get_executor(), [self = shared_from_this(), run = std::move(then)] {
     if (!self->closed_) run();
   });
@@ -223,7 +225,7 @@
 
 void ClientSession::on_response(ResponseSlot slot, const RequestPayload& payload,
                                 Response response) {
-  if (!closed_) return dialect_->on_response(*this, slot, payload, std::move(response));
+  if (!closed_) return protocol_handler_->on_response(*this, slot, payload, std::move(response));
   if (response.stream) response.stream->abandon();
 }
 
@@ -289,7 +291,7 @@
 ClientSession::State ClientSession::state() const {
   if (!error_response_.empty() && responses_.empty()) return State::kProtocolError;
   if (!responses_.empty() || blocked_ || processing_posted_) return State::kBusy;
-  if (!dialect_->between_commands()) return State::kReadingCommand;
+  if (!protocol_handler_->between_commands()) return State::kReadingCommand;
   return has_answered() ? State::kIdle : State::kAwaitingFirstRequest;
 }
 
@@ -310,7 +312,7 @@
 
 bool ClientSession::may_close_for_drain() {
   if (closed_ || !drain_at_ || !responses_.empty() || blocked_ || processing_posted_ ||
-      !dialect_->between_commands())
+      !protocol_handler_->between_commands())
     return false;
   const Time now = clock_.now();
   const bool is_due =
@@ -343,9 +345,9 @@
   if (!responses_.empty()) return false;  // in flight: bounded by the request's own deadline
   if (!has_answered() && now - accepted_at_ > times_.first_command) return true;
   const Duration in_state = now - state_since_;
-  if (dialect_->body_length() > 0)
+  if (protocol_handler_->body_length() > 0)
     return now - last_read_ > kCommandTimeout || in_state > kBodyTimeout;
-  if (blocked_ || !dialect_->between_commands()) return in_state > kCommandTimeout;
+  if (blocked_ || !protocol_handler_->between_commands()) return in_state > kCommandTimeout;
   if (answered_ == 1 && limits_.are_client_descriptors_short())
     return in_state > kSingleUseIdleTimeout;
   return in_state > (has_answered() ? times_.idle : times_.first_byte);
@@ -361,7 +363,7 @@
 // Returns how long a request may wait for memory: up to half of the client's deadline if the head
 // of the command has been read, and a fixed time if its deadline is not known.
 Duration ClientSession::memory_wait() const {
-  const auto deadline = dialect_->body_deadline();
+  const auto deadline = protocol_handler_->body_deadline();
   return deadline ? std::min(kMaxBodyMemoryWait, *deadline / 2) : times_.memory_wait;
 }
 
@@ -369,7 +371,7 @@
 // would otherwise lose it without a response.
 void ClientSession::reject_unread() {
   if (!is_waiting_for_memory()) return;
-  error_response_ = dialect_->busy();
+  error_response_ = protocol_handler_->busy_response();
   error_response_at_ = clock_.now();
   blocked_ = false;
   discard_input();
--- a/src/net/client_session.h
+++ b/src/net/client_session.h
@@ -9,8 +9,8 @@
 
 #include "net/clock.h"
 #include "net/descriptor_link.h"
-#include "net/dialect.h"
 #include "net/limits.h"
+#include "net/protocol_handler.h"
 #include "net/request.h"
 #include "net/response_queue.h"
 
@@ -22,7 +22,7 @@
 using ForwardingCheck = std::function<bool()>;
 
 // How long a client's connection stays open without a request.
-struct SessionTimes {
+struct SessionTimeouts {
   // From the accept to the first byte. Default: 2.1 s.
   Duration first_byte{std::chrono::milliseconds(2100)};
   // From the accept to the first complete command. Default: 2.6 s.
@@ -35,10 +35,10 @@
 };
 
 // A client's connection in transfer to another process.
-struct HandedClient {
+struct TransferredClient {
   Descriptor socket;
-  std::string input;           // read but not processed yet
-  std::uint64_t answered = 0;  // number of requests so far
+  std::string input;                    // read but not processed yet
+  std::uint64_t requests_answered = 0;  // number of requests so far
 };
 
 // Receives the events of a session.
@@ -51,24 +51,26 @@
   virtual void on_session_closed(const std::shared_ptr<ClientSession>& session) = 0;
 };
 
-// One client's connection, shared by its owner and by pending handlers. Reads input for its dialect
-// within the limits on memory and pipelining, writes responses in order, and closes the connection
-// if the client is inactive. Every state has a timeout or ends with its requests.
+// One client's connection, shared by its owner and by pending handlers. Reads input for its
+// protocol handler within the limits on memory and pipelining, writes responses in order, and
+// closes the connection if the client is inactive. Every state has a timeout or ends with its
+// requests.
 class ClientSession : public ResponseSink, public std::enable_shared_from_this<ClientSession> {
  public:
   ClientSession(boost::asio::ip::tcp::socket socket, Limits& limits, const Clock& clock,
-                RequestSink& core, SessionOwner& owner, std::unique_ptr<Dialect> dialect,
-                const SessionTimes& times, const ForwardingCheck& may_forward);
+                RequestSink& core, SessionOwner& owner,
+                std::unique_ptr<ProtocolHandler> protocol_handler, const SessionTimeouts& times,
+                const ForwardingCheck& may_forward);
 
   void start();
   // Like start(), for a connection taken over from another process.
-  void resume(const HandedClient& from);
+  void resume(const TransferredClient& from);
   // Whether the connection is between requests and can be transferred to another process.
   bool can_release() const;
   // Detaches the connection without closing it, and ends the session. Requires can_release().
-  HandedClient release();
+  TransferredClient release();
 
-  // ---- called by the dialect
+  // ---- called by the protocol handler
 
   // Reserves the next slot in the order of responses.
   std::uint64_t open_slot() { return responses_.open_slot(); }
@@ -77,12 +79,12 @@
   // As above, for a response that consists of `head`, a streamed value and `tail`. If the stream
   // breaks, the connection is closed after the part that has arrived.
   void answer(std::uint64_t slot, std::string head, StreamPtr stream, std::string tail);
-  // Resumes processing after Dialect::Step::kWait, once the earlier request has ended.
-  void wake() {
+  // Resumes processing after ProtocolHandler::Step::kBlocked, once the earlier request has ended.
+  void resume_processing() {
     if (blocked_) schedule_processing();
   }
   // Calls `then` from the event loop, unless the connection is closed before that.
-  void later(std::function<void()> then);
+  void post(std::function<void()> then);
   Time now() const { return clock_.now(); }
   // Transfers the reservation of the body that was just read to the caller.
   Reservation take_body() { return std::exchange(body_, Reservation(limits_.bytes)); }
@@ -151,8 +153,8 @@
   const Clock& clock_;
   RequestSink& core_;
   SessionOwner& owner_;
-  const std::unique_ptr<Dialect> dialect_;
-  const SessionTimes& times_;
+  const std::unique_ptr<ProtocolHandler> protocol_handler_;
+  const SessionTimeouts& times_;
   const ForwardingCheck& may_forward_;
   Reservation descriptor_;
   Reservation body_;      // body of the command that is being read
--- a/src/net/descriptor_link.h
+++ b/src/net/descriptor_link.h
@@ -67,7 +67,7 @@
   ~DescriptorLink();
 
   // Whether the next packet would be sent immediately. Otherwise it waits in a bounded queue.
-  bool room() const { return open() && queue_.empty(); }
+  bool can_send_now() const { return open() && queue_.empty(); }
   void send(Packet packet);
   bool open() const { return stream_.is_open(); }
 
--- a/src/net/host_list.h
+++ b/src/net/host_list.h
@@ -14,12 +14,12 @@
 using Endpoint = boost::asio::ip::tcp::endpoint;
 
 // An entry of the endpoint list.
-struct ListedHost {
+struct EndpointListEntry {
   std::string id;
-  std::optional<Endpoint> dial;  // nullopt: the address could not be parsed
-  std::optional<UnixTime> born;  // last start according to the list; nullopt: long ago
-  std::optional<Duration> age;   // time since that start, if reported by a process that observed it
-  bool origin = false;
+  std::optional<Endpoint> endpoint;    // nullopt: the address could not be parsed
+  std::optional<UnixTime> started_at;  // last start according to the list; nullopt: long ago
+  std::optional<Duration> age;  // time since that start, if reported by a process that observed it
+  bool is_origin = false;
   int zone = 0;
   int cell = 0;
   HostState state = HostState::kServing;
@@ -29,9 +29,9 @@
 // The endpoint list from discovery, or a change to it.
 struct HostList {
   std::uint64_t seq = 0;
-  bool whole = false;
-  std::vector<ListedHost> hosts;      // without invalid entries
-  std::optional<UnixTime> sent_at{};  // by the sender's clock
+  bool is_complete = false;
+  std::vector<EndpointListEntry> hosts;  // without invalid entries
+  std::optional<UnixTime> sent_at{};     // by the sender's clock
 };
 
 // Parses "127.0.0.1:80" or "[::1]:80". Returns nullopt for anything else; names are not resolved.
--- a/src/net/limits.h
+++ b/src/net/limits.h
@@ -74,12 +74,12 @@
         clients(0),
         upstreams(0),
         bytes(0) {
-    share(total_descriptors, total_bytes, true);
+    set_process_share(total_descriptors, total_bytes, true);
   }
 
   // Sets the part of the limits that this process may use: all of it, except during a hot restart,
   // when two processes share it. `accepts_clients`: whether descriptors for new clients are needed.
-  void share(std::size_t descriptors, std::size_t max_bytes, bool accepts_clients) {
+  void set_process_share(std::size_t descriptors, std::size_t max_bytes, bool accepts_clients) {
     const std::size_t left = descriptors > fixed ? descriptors - fixed : 0;
     const std::size_t for_upstreams =
         accepts_clients ? left * 2 / 5 : left - std::min(left, clients.used());
--- a/src/net/request.h
+++ b/src/net/request.h
@@ -12,11 +12,11 @@
 #include "net/value_stream.h"
 #include "policy/policy.h"
 
-// The types exchanged between the frontends, which implement the clients' dialects, and the
+// The types exchanged between the frontends, which implement the clients' protocols, and the
 // dispatch core, which is independent of them.
 namespace balancer {
 
-// The dialect-specific form of a request. Created by a frontend and encoded by the upstream
+// The protocol-specific form of a request. Created by a frontend and encoded by the upstream
 // connections of its pool; opaque to the core.
 class RequestPayload {
  public:
--- a/src/net/upstream_connection.cc
+++ b/src/net/upstream_connection.cc
@@ -253,7 +253,7 @@
   if (error == asio::error::would_block || error == asio::error::try_again ||
       error == asio::error::interrupted)
     return arm_read();
-  if (error == asio::error::eof && expecting()) on_end_of_input();
+  if (error == asio::error::eof && is_awaiting_answer()) on_end_of_input();
   if (error) return fail();
   last_read_ = events_.now();
   if (handle_input(std::string_view(buffer.data(), n))) close_or_read();
@@ -303,7 +303,7 @@
   arm_read();
 }
 
-bool UpstreamConnection::take_value(std::string_view piece, std::optional<std::size_t> length) {
+bool UpstreamConnection::append_value(std::string_view piece, std::optional<std::size_t> length) {
   if (stream_) return stream_->push(piece), true;
   if (current()->ended) return true;  // the answer is not wanted; discard it
   if (value_.size() + piece.size() > max_value()) return false;
@@ -313,7 +313,7 @@
   return true;
 }
 
-bool UpstreamConnection::complete(Result result, std::string receipt) {
+bool UpstreamConnection::complete_answer(Result result, std::string receipt) {
   Outgoing out = std::move(queue_.front());
   queue_.pop_front();
   if (first_unsent_ > 0) --first_unsent_;
--- a/src/net/upstream_connection.h
+++ b/src/net/upstream_connection.h
@@ -98,17 +98,17 @@
 
   Time now() const { return events_.now(); }
   const AttemptPtr& current() const { return queue_.front().attempt; }
-  bool expecting() const { return !queue_.empty() && queue_.front().encoded; }
+  bool is_awaiting_answer() const { return !queue_.empty() && queue_.front().encoded; }
   // Announces the value of the current answer, with its length in bytes. A value longer than
   // kMaxCollectedValue is streamed.
   void begin_value(std::size_t length);
   // Adds a piece of the value. `length`: length of the complete value, if known. Returns false if
   // the value is too long.
-  bool take_value(std::string_view piece, std::optional<std::size_t> length);
+  bool append_value(std::string_view piece, std::optional<std::size_t> length);
   // Reserves bytes for the current answer if the subclass collects it itself.
   void reserve_bytes(std::size_t bytes) { bytes_.resize(bytes); }
   // Completes the current answer. Returns false if the connection cannot be used any further.
-  bool complete(Result result, std::string receipt = {});
+  bool complete_answer(Result result, std::string receipt = {});
   bool reusable_ = true;  // the protocol allows further answers on this connection
 
  private:
--- a/src/net/upstream_pool.cc
+++ b/src/net/upstream_pool.cc
@@ -13,7 +13,7 @@
 using connection_pool::ConnectionSelector;
 
 UpstreamPool::UpstreamPool(asio::io_context& io, Limits& limits, AttemptEvents& events,
-                           const UpstreamSettings& settings, const Dial& dial,
+                           const UpstreamSettings& settings, const ConnectionFactory& dial,
                            std::size_t& open_connections, FreeDescriptor free_descriptor)
     : io_(io),
       limits_(limits),
@@ -24,14 +24,14 @@
       free_descriptor_(std::move(free_descriptor)),
       selector_(settings.selector) {}
 
-void UpstreamPool::set_host(const ListedHost& host) {
+void UpstreamPool::set_host(const EndpointListEntry& host) {
   // All connections, including those that are connecting or have attempts in flight, lead to the
   // old process or the old address. That address may now belong to another host.
-  const bool moved =
-      (host.dial && endpoint_ && host.dial != endpoint_) || host.born != host_started_;
-  if (host.dial) endpoint_ = host.dial;
-  host_started_ = host.born;
-  is_origin_ = host.origin;
+  const bool moved = (host.endpoint && endpoint_ && host.endpoint != endpoint_) ||
+                     host.started_at != host_started_;
+  if (host.endpoint) endpoint_ = host.endpoint;
+  host_started_ = host.started_at;
+  is_origin_ = host.is_origin;
   if (moved) retire();
 }
 
--- a/src/net/upstream_pool.h
+++ b/src/net/upstream_pool.h
@@ -21,9 +21,9 @@
   connection_pool::ConnectionSelectorSettings selector;
 };
 
-// Creates a connection for the pool's dialect, to the origin or to another server.
-using Dial = std::function<std::shared_ptr<UpstreamConnection>(bool origin, AttemptEvents& events,
-                                                               UpstreamOwner& owner)>;
+// Creates a connection for the pool's protocol, to the origin or to another server.
+using ConnectionFactory = std::function<std::shared_ptr<UpstreamConnection>(
+    bool origin, AttemptEvents& events, UpstreamOwner& owner)>;
 
 // Owns the connections to one host and the queue of attempts that wait for a connection. Carries
 // out the decisions of its ConnectionSelector, and reports the events of the connections to it.
@@ -34,10 +34,10 @@
 
   // `open_connections` counts the connections to all hosts. All references must outlive the pool.
   UpstreamPool(boost::asio::io_context& io, Limits& limits, AttemptEvents& events,
-               const UpstreamSettings& settings, const Dial& dial, std::size_t& open_connections,
-               FreeDescriptor free_descriptor);
+               const UpstreamSettings& settings, const ConnectionFactory& dial,
+               std::size_t& open_connections, FreeDescriptor free_descriptor);
 
-  void set_host(const ListedHost& host);
+  void set_host(const EndpointListEntry& host);
   // Assigns the attempt to a connection, or queues it. An attempt that gets no connection within
   // the connect timeout ends as kConnectFailed, or as kNotSent if clients share connections in this
   // pool and a connection to the host is established.
@@ -96,7 +96,7 @@
   Limits& limits_;
   AttemptEvents& events_;
   const UpstreamSettings& settings_;
-  const Dial& dial_;
+  const ConnectionFactory& dial_;
   std::size_t& open_connections_;
   FreeDescriptor free_descriptor_;
   std::optional<Endpoint> endpoint_;
--- a/src/net/upstreams.cc
+++ b/src/net/upstreams.cc
@@ -13,7 +13,7 @@
 }  // namespace
 
 Upstreams::Upstreams(boost::asio::io_context& io, Limits& limits, AttemptEvents& events,
-                     const UpstreamSettings& settings, Dial dial)
+                     const UpstreamSettings& settings, ConnectionFactory dial)
     : io_(io),
       limits_(limits),
       events_(events),
@@ -24,9 +24,9 @@
 }
 
 void Upstreams::apply(const HostList& list) {
-  if (list.whole)
+  if (list.is_complete)
     for (auto& [id, host] : hosts_) host.is_retired = true;
-  for (const ListedHost& listed : list.hosts) {
+  for (const EndpointListEntry& listed : list.hosts) {
     if (listed.state == HostState::kGone) {
       const auto it = hosts_.find(listed.id);
       if (it != hosts_.end()) retire(it->second);
--- a/src/net/upstreams.h
+++ b/src/net/upstreams.h
@@ -15,7 +15,7 @@
 class Upstreams {
  public:
   Upstreams(boost::asio::io_context& io, Limits& limits, AttemptEvents& events,
-            const UpstreamSettings& settings, Dial dial);
+            const UpstreamSettings& settings, ConnectionFactory dial);
 
   // Applies the endpoint list: adds, updates and retires hosts.
   void apply(const HostList& list);
@@ -46,7 +46,7 @@
   Limits& limits_;
   AttemptEvents& events_;
   const UpstreamSettings settings_;
-  const Dial dial_;
+  const ConnectionFactory dial_;
   std::size_t open_connections_ = 0;
   std::map<std::string, HostPool, std::less<>> hosts_;
   boost::asio::steady_timer tick_timer_;
--- a/src/node/balancer.cc
+++ b/src/node/balancer.cc
@@ -12,7 +12,7 @@
 }  // namespace
 
 Balancer::Balancer(boost::asio::io_context& io, const std::optional<Config>& config, Limits& limits,
-                   Operator operator_settings, const Log& log)
+                   OperatorSettings operator_settings, const Log& log)
     : io_(io), log_(log), operator_settings_(std::move(operator_settings)), open_timer_(io) {
   if (config && config->admin) start_admin(*config);
   hot_restart::Predecessor predecessor = query_predecessor(config);
@@ -86,7 +86,7 @@
   if (services_->memcache()) services_->memcache()->move_discovery(config.discovery);
 }
 
-std::vector<std::string> Balancer::reload(const Operator& operator_settings) {
+std::vector<std::string> Balancer::reload(const OperatorSettings& operator_settings) {
   if (group_) group_->reload();
   return operator_settings_.apply_reload(operator_settings);
 }
--- a/src/node/balancer.h
+++ b/src/node/balancer.h
@@ -33,7 +33,7 @@
   // service. `limits` must outlive the event loop, whose last handlers hold reservations.
   Balancer(
       boost::asio::io_context& io, const std::optional<Config>& config, Limits& limits,
-      Operator operator_settings = {}, const Log& log = [](const std::string&) {});
+      OperatorSettings operator_settings = {}, const Log& log = [](const std::string&) {});
 
   // The address for memcache clients; requires a platform configuration.
   Endpoint local() const { return services_->memcache()->listener().local(); }
@@ -56,7 +56,7 @@
   // Does the same for the operator's file. Returns the changed sections that take effect after a
   // restart. Throws FileError if the group's keys cannot be read; the previous keys stay in use
   // then.
-  std::vector<std::string> reload(const Operator& operator_settings);
+  std::vector<std::string> reload(const OperatorSettings& operator_settings);
   // Transfers leases, answers the requests in flight, then stops the event loop.
   void drain();
 
@@ -72,7 +72,7 @@
   boost::asio::io_context& io_;
   const Clock clock_;
   const Log log_;
-  Operator operator_settings_;
+  OperatorSettings operator_settings_;
   // In the order of construction; destroyed in reverse order.
   std::unique_ptr<admin::AdminServer> admin_;  // null without an `admin` address
   std::unique_ptr<Services> services_;
--- a/src/node/config.cc
+++ b/src/node/config.cc
@@ -27,7 +27,9 @@
 Endpoint read_endpoint(object o, std::string_view field, const char* name) {
   const auto text = text_or_environment(o, field, name);
   const auto parsed = parse_endpoint(text);
-  if (!parsed) bad(field, text.empty() ? "is missing" : "is not an IP address and port: " + text);
+  if (!parsed)
+    throw_field_error(field,
+                      text.empty() ? "is missing" : "is not an IP address and port: " + text);
   return *parsed;
 }
 
@@ -39,7 +41,7 @@
   const auto text = as<std::string_view>(*e, "seed");
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
   if (error != std::errc{} || end != text.data() + text.size())
-    bad("seed", "is not a hexadecimal number");
+    throw_field_error("seed", "is not a hexadecimal number");
   return seed;
 }
 
@@ -72,7 +74,7 @@
       config.memory_mb = static_cast<std::size_t>(
           std::clamp<std::int64_t>(get_or<std::int64_t>(limits, "memory_mb", 192), 32, 1 << 20));
     }
-    config.site = read_settings(need<object>(o, "settings"));
+    config.site = read_settings(require<object>(o, "settings"));
     if (const auto e = find(o, "known"))
       config.known = read_host_list(as<object>(*e, "known"), config.site);
     return config;
--- a/src/node/discovery.cc
+++ b/src/node/discovery.cc
@@ -106,9 +106,10 @@
   const DiscoveryPollScheduler::Call request = schedule_.begin(now(), connected);
   arm_timer();
   std::string target = "/discovery/hosts";
-  if (!request.whole) {
+  if (!request.wants_complete_list) {
     const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(request.wait);
-    target += "?index=" + std::to_string(request.index) + "&wait=" + std::to_string(wait.count());
+    target +=
+        "?index=" + std::to_string(request.known_version) + "&wait=" + std::to_string(wait.count());
   }
   if (!connected) link_ = std::make_shared<Link>(io_);
   link_->request = {http::verb::get, target, 11};
@@ -191,7 +192,7 @@
     HostList list = read_host_list(json::as<simdjson::dom::object>(root, "list"), site_);
     list.sent_at = sent_at;
     if (body.size() > kMaxKeptParserBytes) json_ = simdjson::dom::parser();
-    const bool is_new = schedule_.on_list(list.seq, list.whole);
+    const bool is_new = schedule_.on_list(list.seq, list.is_complete);
     if (!is_new) list.hosts.clear();
     if (is_new || is_polled_) handlers_.on_list(list);
     return std::nullopt;
--- a/src/node/discovery_list.cc
+++ b/src/node/discovery_list.cc
@@ -26,20 +26,21 @@
 // Meaning of the protocol's fields: `dial` is the host's address, `born_ms` the start of its
 // process (ms since the Unix epoch), `class` its kind, `site` its zone, `block` its cell, and
 // `share` its weight.
-ListedHost read_host(object o, const SiteSettings& site) {
-  ListedHost host;
-  host.id = need<std::string_view>(o, "host");
-  if (host.id.empty()) bad("host", "is empty");
-  host.state = read_state(need<std::string_view>(o, "health"));
-  host.dial = parse_endpoint(get_or<std::string_view>(o, "dial", ""));
-  if (!host.dial && host.state == HostState::kServing) bad("dial", "is not an IP address and port");
+EndpointListEntry read_host(object o, const SiteSettings& site) {
+  EndpointListEntry host;
+  host.id = require<std::string_view>(o, "host");
+  if (host.id.empty()) throw_field_error("host", "is empty");
+  host.state = read_state(require<std::string_view>(o, "health"));
+  host.endpoint = parse_endpoint(get_or<std::string_view>(o, "dial", ""));
+  if (!host.endpoint && host.state == HostState::kServing)
+    throw_field_error("dial", "is not an IP address and port");
   const auto born_ms = get_or<std::int64_t>(o, "born_ms", 0);
   if (born_ms > 0 && born_ms < kMaxUnixMilliseconds)
-    host.born = UnixTime(std::chrono::milliseconds(born_ms));
+    host.started_at = UnixTime(std::chrono::milliseconds(born_ms));
   const auto kind = get_or<std::string_view>(o, "class", "");
-  host.origin = kind == "origin" || index_of(site.kinds, kind) == site.origin_kind;
+  host.is_origin = kind == "origin" || index_of(site.kinds, kind) == site.origin_kind;
   host.zone = index_of(site.zones, get_or<std::string_view>(o, "site", ""));
-  host.cell = small(get_or<std::int64_t>(o, "block", 0), "block");
+  host.cell = bounded_int(get_or<std::int64_t>(o, "block", 0), "block");
   host.weight = get_or(o, "share", 1.0);
   return host;
 }
@@ -48,11 +49,11 @@
 
 HostList read_host_list(object o, const SiteSettings& site) {
   HostList list;
-  const auto seq = need<std::int64_t>(o, "seq");
-  if (seq < 0) bad("seq", "is negative");
+  const auto seq = require<std::int64_t>(o, "seq");
+  if (seq < 0) throw_field_error("seq", "is negative");
   list.seq = static_cast<std::uint64_t>(seq);
-  list.whole = need<bool>(o, "whole");
-  for (const element e : need<array>(o, "hosts")) {
+  list.is_complete = require<bool>(o, "whole");
+  for (const element e : require<array>(o, "hosts")) {
     try {
       list.hosts.push_back(read_host(as<object>(e, "hosts"), site));
     } catch (const FieldError&) {
--- a/src/node/group_coordinator.cc
+++ b/src/node/group_coordinator.cc
@@ -16,22 +16,23 @@
 }  // namespace
 
 GroupCoordinator::GroupCoordinator(boost::asio::io_context& io, const Clock& clock,
-                                   const GroupFile& settings, Services& services, const Log& log)
+                                   const GroupSettings& settings, Services& services,
+                                   const Log& log)
     : clock_(clock),
       settings_(settings),
       services_(services),
       log_(log),
       runtime_(io, settings, true,
-               group_runtime::GroupRuntime::Owner{
+               group_runtime::GroupRuntime::Callbacks{
                    [this](const std::string& address) { return open_listeners(address); },
                    [this](const std::string& address, bool is_graceful) {
                      close_listeners(address, is_graceful);
                    },
                    [this] { return services_.have_hosts(); }, log}),
       status_(
-          io, group_runtime::status_path(settings),
+          io, group_runtime::status_socket_path(settings),
           [this](const std::string& line, const std::function<void(const std::string&)>& answer) {
-            runtime_.command(line, answer);
+            runtime_.run_command(line, answer);
           },
           log) {}
 
@@ -51,8 +52,8 @@
   const Duration graceful_drain =
       settings_.drain - std::min<Duration>(kLastRequestTime, settings_.drain / 2);
   const Time last = clock_.now() + (is_graceful ? graceful_drain : Duration{kLostLeaseDrain});
-  services_.for_each_listener_of(service_address,
-                                 [last](ClientListener& listener) { listener.shut(last); });
+  services_.for_each_listener_of(
+      service_address, [last](ClientListener& listener) { listener.stop_and_drain(last); });
 }
 
 }  // namespace balancer::node
--- a/src/node/group_coordinator.h
+++ b/src/node/group_coordinator.h
@@ -19,7 +19,7 @@
  public:
   // Joins the group. All references must outlive the coordinator. Throws std::runtime_error with a
   // one-line message on failure.
-  GroupCoordinator(boost::asio::io_context& io, const Clock& clock, const GroupFile& settings,
+  GroupCoordinator(boost::asio::io_context& io, const Clock& clock, const GroupSettings& settings,
                    Services& services, const Log& log);
 
   // Returns whether a request received at this service address may be forwarded to a host now.
@@ -30,7 +30,7 @@
   void reload() { runtime_.reload(); }
   // Transfers all leases to other members; `done` is called once none is held.
   void leave(std::function<void()> done) { runtime_.leave(std::move(done)); }
-  void stop() { runtime_.end(); }
+  void stop() { runtime_.shut_down(); }
   const group_runtime::GroupRuntime& runtime() const { return runtime_; }
 
  private:
@@ -38,7 +38,7 @@
   void close_listeners(const std::string& service_address, bool is_graceful);
 
   const Clock& clock_;
-  const GroupFile& settings_;
+  const GroupSettings& settings_;
   Services& services_;
   const Log log_;
   group_runtime::GroupRuntime runtime_;
--- a/src/node/host_record.cc
+++ b/src/node/host_record.cc
@@ -29,15 +29,15 @@
 
 }  // namespace
 
-hot_restart::HostRecord to_record(const ListedHost& host) {
+hot_restart::HostRecord to_record(const EndpointListEntry& host) {
   hot_restart::HostRecord record;
   record.id = host.id;
-  if (host.dial) {
-    record.address = address_bytes(host.dial->address());
-    record.port = host.dial->port();
+  if (host.endpoint) {
+    record.address = address_bytes(host.endpoint->address());
+    record.port = host.endpoint->port();
   }
-  record.started_at = host.born;
-  record.is_origin = host.origin;
+  record.started_at = host.started_at;
+  record.is_origin = host.is_origin;
   record.zone = host.zone;
   record.cell = host.cell;
   record.state = static_cast<int>(host.state);
@@ -48,18 +48,18 @@
 HostList to_host_list(const hot_restart::Snapshot& snapshot) {
   HostList list;
   list.seq = snapshot.list_sequence;
-  list.whole = true;
+  list.is_complete = true;
   for (const hot_restart::HostRecord& record : snapshot.hosts) {
-    ListedHost host;
+    EndpointListEntry host;
     host.id = record.id;
     if (record.address.size() == kAddressBytesV4) {
-      host.dial = endpoint_of<boost::asio::ip::address_v4>(record);
+      host.endpoint = endpoint_of<boost::asio::ip::address_v4>(record);
     } else if (record.address.size() == kAddressBytesV6) {
-      host.dial = endpoint_of<boost::asio::ip::address_v6>(record);
+      host.endpoint = endpoint_of<boost::asio::ip::address_v6>(record);
     }
-    host.born = record.started_at;
+    host.started_at = record.started_at;
     host.age = record.time_since_start;
-    host.origin = record.is_origin;
+    host.is_origin = record.is_origin;
     host.zone = record.zone;
     host.cell = record.cell;
     host.state = static_cast<HostState>(record.state);
--- a/src/node/hot_restart_coordinator.cc
+++ b/src/node/hot_restart_coordinator.cc
@@ -152,13 +152,13 @@
   snapshot.list_sequence = memcache.list_sequence();
   const Policy::PolicyCheckpoint checkpoint = memcache.pool().checkpoint();
   snapshot.work_rate = checkpoint.work_rate;
-  snapshot.origin_admit_fraction = checkpoint.origin;
-  snapshot.caches_admit_fraction = checkpoint.caches;
+  snapshot.origin_admit_fraction = checkpoint.origin_admit_fraction;
+  snapshot.caches_admit_fraction = checkpoint.caches_admit_fraction;
   const std::map<std::string, double> load_factors(checkpoint.load_factors.begin(),
                                                    checkpoint.load_factors.end());
   for (const auto& [id, host] : memcache.hosts()) {
     hot_restart::HostRecord record = to_record(host);
-    if (host.born) record.time_since_start = memcache.pool().host_age(id);
+    if (host.started_at) record.time_since_start = memcache.pool().host_age(id);
     if (const auto at = load_factors.find(id); at != load_factors.end())
       record.load_factor = at->second;
     snapshot.hosts.push_back(std::move(record));
@@ -190,7 +190,7 @@
 void HotRestartCoordinator::apply_state() {
   const hot_restart::HotRestartState& state = hot_restart_->state();
   const hot_restart::ResourceShare share = hot_restart_->share();
-  limits_.share(share.descriptors, share.bytes, state.accepts());
+  limits_.set_process_share(share.descriptors, share.bytes, state.accepts());
   services_.for_each_listener([&state](ClientListener& listener) {
     listener.close_excess();
     if (state.accepts()) {
@@ -208,12 +208,12 @@
   if (std::exchange(is_passing_, is_passing) == is_passing) return;
   services_.for_each_listener([this, is_passing](ClientListener& listener) {
     if (!is_passing) return listener.transfer_clients({}, {});
-    listener.transfer_clients([this] { return hot_restart_->may_pass(); },
-                              [this, address = text_of(listener.local())](HandedClient client) {
-                                hot_restart_->pass(
-                                    {address, std::move(client.input), client.answered},
-                                    std::move(client.socket));
-                              });
+    listener.transfer_clients(
+        [this] { return hot_restart_->may_pass(); },
+        [this, address = text_of(listener.local())](TransferredClient client) {
+          hot_restart_->pass({address, std::move(client.input), client.requests_answered},
+                             std::move(client.socket));
+        });
   });
 }
 
--- a/src/node/memcache_service.cc
+++ b/src/node/memcache_service.cc
@@ -14,10 +14,10 @@
 
 // The class of a request that waits for memory before it is read is unknown. It is rejected early
 // enough that a client with the shortest deadline still receives the rejection.
-SessionTimes session_times(const std::vector<RequestClass>& classes) {
+SessionTimeouts session_times(const std::vector<RequestClass>& classes) {
   constexpr Duration kMinWait = milliseconds(50), kMaxWait = milliseconds(1000);
   constexpr int kWaitsPerDeadline = 4;
-  SessionTimes times;
+  SessionTimeouts times;
   Duration shortest = kMaxWait * kWaitsPerDeadline;
   for (const RequestClass& request_class : classes)
     if (request_class.deadline > Duration{0}) shortest = std::min(shortest, request_class.deadline);
@@ -25,7 +25,7 @@
   return times;
 }
 
-Dial dial_hosts(boost::asio::io_context& io, Limits& limits) {
+ConnectionFactory dial_hosts(boost::asio::io_context& io, Limits& limits) {
   return [&io, &limits](bool is_origin, AttemptEvents& events,
                         UpstreamOwner& owner) -> std::shared_ptr<UpstreamConnection> {
     if (is_origin) return std::make_shared<OriginConnection>(io, limits, events, owner);
@@ -50,7 +50,7 @@
       log_(log) {
   if (config.known) apply(*config.known);
   listener_ = std::make_unique<ClientListener>(
-      io, config.listen, limits, clock, pool_, [this] { return front_.make(); },
+      io, config.listen, limits, clock, pool_, [this] { return front_.make_handler(); },
       session_times(site_.policy.classes), std::move(may_forward));
 }
 
@@ -61,18 +61,18 @@
 }
 
 void MemcacheService::apply(const HostList& list) {
-  if (list.whole) {
+  if (list.is_complete) {
     serving_caches_.clear();
     hosts_.clear();
   }
   list_sequence_ = std::max(list_sequence_, list.seq);
-  for (const ListedHost& host : list.hosts) {
+  for (const EndpointListEntry& host : list.hosts) {
     if (host.state == HostState::kGone) {
       hosts_.erase(host.id);
     } else {
       hosts_[host.id] = host;
     }
-    if (host.origin) continue;
+    if (host.is_origin) continue;
     if (host.state == HostState::kServing) {
       serving_caches_.insert(host.id);
     } else {
--- a/src/node/memcache_service.h
+++ b/src/node/memcache_service.h
@@ -10,7 +10,7 @@
 #include <string>
 
 #include "dispatch/server_pool.h"
-#include "frontend/memcache/memcache_front.h"
+#include "frontend/memcache/memcache_frontend.h"
 #include "net/client_listener.h"
 #include "net/clock.h"
 #include "net/limits.h"
@@ -46,22 +46,22 @@
   ClientListener& listener() { return *listener_; }
   const ClientListener& listener() const { return *listener_; }
   ServerPool& pool() { return pool_; }
-  MemcacheFront& front() { return front_; }
+  MemcacheFrontend& front() { return front_; }
   bool has_list() const { return has_list_; }
   // Returns whether the list contains a cache host in state kServing.
   bool has_cache_hosts() const { return !serving_caches_.empty(); }
   // The hosts and the sequence number of the endpoint list, for a successor.
-  const std::map<std::string, ListedHost>& hosts() const { return hosts_; }
+  const std::map<std::string, EndpointListEntry>& hosts() const { return hosts_; }
   std::uint64_t list_sequence() const { return list_sequence_; }
 
  private:
   const SiteSettings site_;
   ServerPool pool_;
-  MemcacheFront front_;
+  MemcacheFrontend front_;
   Discovery discovery_;
   const Log log_;
   std::set<std::string> serving_caches_;
-  std::map<std::string, ListedHost> hosts_;
+  std::map<std::string, EndpointListEntry> hosts_;
   std::uint64_t list_sequence_ = 0;
   bool has_list_ = false;
   std::function<void()> on_first_list_;
--- a/src/node/operator_calls.cc
+++ b/src/node/operator_calls.cc
@@ -21,7 +21,7 @@
 
 bool OperatorCalls::override_host(std::string_view host, bool out_of_service) {
   MemcacheService* const memcache = services_.memcache();
-  if (!memcache || !memcache->pool().maintain(host, out_of_service)) return false;
+  if (!memcache || !memcache->pool().set_out_of_service(host, out_of_service)) return false;
   log_(override_line(host, out_of_service));
   if (!hot_restart_) return true;
   const auto& all = memcache->pool().overrides();
@@ -38,7 +38,7 @@
   log_(enabled ? "drain: clients are asked to reconnect elsewhere, by an operator"
                : "drain: clients are accepted again, by an operator");
   if (hot_restart_) hot_restart_->notify_peers(hot_restart::ClientDrain{enabled});
-  if (services_.memcache()) services_.memcache()->front().send_away(enabled);
+  if (services_.memcache()) services_.memcache()->front().set_client_drain(enabled);
   if (enabled) {
     drain_connections();
   } else {
--- a/src/node/program_settings.cc
+++ b/src/node/program_settings.cc
@@ -28,11 +28,11 @@
   std::printf("\n");
 }
 
-void print_group(const GroupFile& group) {
+void print_group(const GroupSettings& group) {
   group::read_keys(group.key_file);
   std::printf("group: %s, datagrams on %s, state in %s, voters", group.name.c_str(),
               group.listen.c_str(), group.folder.c_str());
-  for (const auto& voter : group.founding.names) std::printf(" %s", voter.c_str());
+  for (const auto& voter : group.initial_voters.names) std::printf(" %s", voter.c_str());
   std::printf("\n");
   for (const auto& address : group.addresses)
     std::printf(
@@ -47,7 +47,7 @@
 
 ProgramSettings load_settings(const std::string& operator_file) {
   ProgramSettings settings;
-  Operator& operator_settings = settings.operator_settings;
+  OperatorSettings& operator_settings = settings.operator_settings;
   if (!operator_file.empty()) operator_settings = load_operator(operator_file);
   if (has_config()) {
     settings.config = load_config();
@@ -63,7 +63,7 @@
 }
 
 void print_settings(const ProgramSettings& settings) {
-  const Operator& operator_settings = settings.operator_settings;
+  const OperatorSettings& operator_settings = settings.operator_settings;
   if (settings.config) print_platform(*settings.config);
   for (const auto& listener : operator_settings.listeners) print_listener(listener);
   for (const auto& pool : operator_settings.pools) print_pool(pool);
--- a/src/node/program_settings.h
+++ b/src/node/program_settings.h
@@ -11,7 +11,7 @@
 // The platform's configuration and the operator's file. At least one of them is present.
 struct ProgramSettings {
   std::optional<Config> config;
-  Operator operator_settings;
+  OperatorSettings operator_settings;
 };
 
 // Reads both. `operator_file`: path; empty: none. The name and limits of a platform configuration
--- a/src/node/resp_service.cc
+++ b/src/node/resp_service.cc
@@ -15,7 +15,7 @@
   return *endpoint;
 }
 
-SessionTimes session_times(const RespListener& settings) {
+SessionTimeouts session_times(const RespListener& settings) {
   return {settings.idle_close, settings.idle_close, settings.idle_close};
 }
 
@@ -27,7 +27,8 @@
     : settings_(settings),
       listener_(
           io, endpoint_of(settings), limits, clock, pool.servers(),
-          [this] { return front_.make(); }, session_times(settings), std::move(may_forward)),
+          [this] { return front_.make_handler(); }, session_times(settings),
+          std::move(may_forward)),
       front_(settings, pool_settings, announced_address(), limits, pool.servers(),
              pool.router().table()) {}
 
--- a/src/node/resp_service.h
+++ b/src/node/resp_service.h
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "frontend/resp/cluster_pool.h"
-#include "frontend/resp/resp_front.h"
+#include "frontend/resp/resp_frontend.h"
 #include "net/client_listener.h"
 #include "net/clock.h"
 #include "net/limits.h"
@@ -35,7 +35,7 @@
 
   const RespListener& settings_;
   ClientListener listener_;
-  RespFront front_;
+  RespFrontend front_;
 };
 
 }  // namespace balancer::node
--- a/src/node/services.cc
+++ b/src/node/services.cc
@@ -7,7 +7,7 @@
 namespace balancer::node {
 
 Services::Services(boost::asio::io_context& io, const std::optional<Config>& config,
-                   const Operator& operator_settings, const Clock& clock, Limits& limits,
+                   const OperatorSettings& operator_settings, const Clock& clock, Limits& limits,
                    const MakeForwardingCheck& make_check, const Log& log)
     : operator_settings_(operator_settings),
       memcache_service_address_(operator_settings.group ? operator_settings.group->memcache_service
--- a/src/node/services.h
+++ b/src/node/services.h
@@ -30,7 +30,7 @@
   // All references must outlive the services. Throws std::runtime_error if an address is invalid or
   // cannot be listened on.
   Services(boost::asio::io_context& io, const std::optional<Config>& config,
-           const Operator& operator_settings, const Clock& clock, Limits& limits,
+           const OperatorSettings& operator_settings, const Clock& clock, Limits& limits,
            const MakeForwardingCheck& make_check, const Log& log);
 
   // Null without a platform configuration.
@@ -73,7 +73,7 @@
  private:
   std::size_t pool_index(const std::string& name) const;
 
-  const Operator& operator_settings_;
+  const OperatorSettings& operator_settings_;
   const std::string memcache_service_address_;
   std::unique_ptr<MemcacheService> memcache_;
   std::vector<std::unique_ptr<ClusterPool>> cluster_pools_;  // in the order of the file
--- a/src/policy/attempt_observer.cc
+++ b/src/policy/attempt_observer.cc
@@ -14,7 +14,7 @@
 
 void AttemptObserver::on_first_byte(Time now, const AttemptRecord& attempt) {
   const OutcomeRule& rule = outcome_rule(Result::kOk);
-  if (targets_.hosts[attempt.host].origin) {
+  if (targets_.hosts[attempt.host].is_origin) {
     observe_origin(now, attempt, rule.origin);
   } else {
     observe_host(now, attempt, rule.host);
@@ -29,7 +29,7 @@
 void AttemptObserver::on_outcome(Time now, const AttemptRecord& attempt, const OutcomeRule& rule,
                                  Result result) {
   const HostRegistry::Host& host = targets_.hosts[attempt.host];
-  if (host.origin) {
+  if (host.is_origin) {
     if (!attempt.is_answering) observe_origin(now, attempt, rule.origin);
   } else {
     targets_.zones.on_outcome(now, host.zone, rule.zone, targets_.random);
--- a/src/policy/fleet_slow_start.cc
+++ b/src/policy/fleet_slow_start.cc
@@ -13,7 +13,7 @@
 
 bool FleetSlowStart::has_budget(HostIndex index, Time now, double work) {
   const HostRegistry::Host& host = hosts_[index];
-  if (host.origin) return true;
+  if (host.is_origin) return true;
   const double normal_rate =
       hosts_.total_weight() > 0 ? cache_work_.rate(now) * host.weight / hosts_.total_weight() : 0;
   return starts_[index].has_budget(now, rule_, work, normal_rate);
--- a/src/policy/hash_ring.cc
+++ b/src/policy/hash_ring.cc
@@ -26,7 +26,7 @@
   hosts_ += members.size();
 }
 
-bool HashRing::walk(std::uint64_t point, std::uint64_t, Accept accept) const {
+bool HashRing::visit_candidates(std::uint64_t point, std::uint64_t, CandidateVisitor accept) const {
   std::vector<Host> offered;
   const auto start = std::lower_bound(nodes_.begin(), nodes_.end(), VirtualNode{point, 0});
   for (std::size_t i = 0; i < nodes_.size() && offered.size() < hosts_; ++i) {
--- a/src/policy/hash_ring.h
+++ b/src/policy/hash_ring.h
@@ -19,7 +19,8 @@
   void erase(const std::set<Host>& hosts) override;
   std::uint64_t point(std::string_view key) const override { return stable_hash(key); }
   // Offers the hosts in ring order starting at the point; the order is the same for every request.
-  bool walk(std::uint64_t point, std::uint64_t request, Accept accept) const override;
+  bool visit_candidates(std::uint64_t point, std::uint64_t request,
+                        CandidateVisitor accept) const override;
 
  private:
   struct VirtualNode {
--- a/src/policy/host_selector.cc
+++ b/src/policy/host_selector.cc
@@ -22,7 +22,7 @@
   // Evaluates the next candidate. Returns true if no further candidates are needed.
   bool offer(HostIndex index) {
     const HostRegistry::Host& host = sources_.hosts[index];
-    if (!host.takes_new()) return false;
+    if (!host.accepts_attempts()) return false;
     if (!sources_.retry_policy.may_attempt(request_, host, query_.now)) return false;
     if (has_failed_at(index)) return false;
     const double rank = key_rank(host);
@@ -108,8 +108,8 @@
 
 HostSelection HostSelector::select(const RequestState& request, const HostQuery& query) const {
   CandidateWalk walk(sources_, request, query);
-  sources_.placement.walk(request.key, request.id,
-                          [&walk](HostIndex index) { return walk.offer(index); });
+  sources_.placement.visit_candidates(request.key, request.id,
+                                      [&walk](HostIndex index) { return walk.offer(index); });
   return walk.result();
 }
 
--- a/src/policy/policy.cc
+++ b/src/policy/policy.cc
@@ -130,7 +130,7 @@
   }
 }
 
-bool Policy::on_maintenance(Time now, std::string_view id, bool out) {
+bool Policy::set_out_of_service(Time now, std::string_view id, bool out) {
   if (!host_registry_.prepare_override(now, id)) return false;
   if (host_registry_.differs_from_override(id, out)) restore(now, id, {out, now});
   return true;
@@ -156,8 +156,8 @@
 // to slow hosts and to the origin.
 void Policy::restore(Time now, const PolicyCheckpoint& from) {
   slow_start_.restore_work_rate(now, from.work_rate);
-  origin_admission_.restore(from.origin);
-  cache_admission_.restore(from.caches);
+  origin_admission_.restore(from.origin_admit_fraction);
+  cache_admission_.restore(from.caches_admit_fraction);
   for (const auto& [id, factor] : from.load_factors)
     if (const auto listed = host_registry_.find(id))
       outliers_[*listed].restore_load_factor(now, factor);
@@ -169,14 +169,14 @@
   const Host& host = host_registry_[index];
   if (request.finished || request.is_streaming || now_ >= request.deadline) return false;
   if (!retry_policy_.has_attempts_left(request)) return false;
-  if (!host.takes_new()) return false;
+  if (!host.accepts_attempts()) return false;
   if (!retry_policy_.may_attempt(request, host, now_)) return false;
   if (!slow_start_.has_budget(index, now_, request.work)) return false;
   host_registry_.add_reference(index);
   slow_start_.spend(index, request.work);
   outliers_[index].on_sent(now_);
   request.attempts.push_back({index, now_});
-  if (host.origin) origin_admission_.on_sent(now_);
+  if (host.is_origin) origin_admission_.on_sent(now_);
   sink_.send(request.id, host.id, std::min(until, request.deadline));
   return true;
 }
@@ -210,7 +210,7 @@
   request.id = arrived.id;
   request.request_class = arrived.request_class;
   request.key = arrived.key ? placement_.point(*arrived.key) : mix(arrived.id, 0);
-  request.write = arrived.write;
+  request.write = arrived.is_write;
   if (arrived.work) mean_work_ += kMeanWorkGain * (seconds(*arrived.work) - mean_work_);
   request.work = arrived.work ? std::max(seconds(*arrived.work), 0.0) : mean_work_;
   request.objective_at = now + settings_.classes[arrived.request_class].latency_objective;
@@ -329,7 +329,7 @@
   request.withdrawn_attempts += outcome.result == Result::kWithdrawn;
   attempt_observer_.on_outcome(now, attempt, rule, outcome.result);
   close_idle_if_scarce(attempt.host);
-  const bool from_origin = host_registry_[attempt.host].origin;
+  const bool from_origin = host_registry_[attempt.host].is_origin;
   const bool served = rule.next == NextStep::kAnswered;
   if (outcome.finished || served) request.finished = true;
   const AttemptRecord ended = attempt;  // a copy: a further attempt may reallocate the list
@@ -342,13 +342,13 @@
 // fleet would use them up.
 void Policy::close_idle_if_scarce(HostIndex index) {
   const Host& host = host_registry_[index];
-  if (attempt_observer_.connections_are_scarce() && !host.origin && outliers_[index].is_idle())
+  if (attempt_observer_.connections_are_scarce() && !host.is_origin && outliers_[index].is_idle())
     sink_.close_idle(host.id);
 }
 
 // Returns whether the key that this request fetches was requested from the origin again.
 bool Policy::continue_request(RequestState& request, const AttemptRecord& attempt, NextStep step) {
-  const bool from_origin = host_registry_[attempt.host].origin;
+  const bool from_origin = host_registry_[attempt.host].is_origin;
   if (step == NextStep::kFetch && settings_.cache_aside && !request.write) {
     fetch_after_miss(request);
   } else if (step == NextStep::kRejectOrFail || now_ >= request.deadline) {
@@ -416,10 +416,10 @@
   if (std::exchange(attempt.is_answering, true)) return;
   outliers_[attempt.host].on_ended(attempt.sent_at);
   attempt_observer_.on_first_byte(now, attempt);
-  if (host_registry_[attempt.host].origin) complete_fetch(request, true);
+  if (host_registry_[attempt.host].is_origin) complete_fetch(request, true);
 }
 
-void Policy::on_withdrawn(Time now, RequestId id) {
+void Policy::on_request_cancelled(Time now, RequestId id) {
   now_ = now;
   const auto it = requests_.find(id);
   if (it != requests_.end()) it->second.finished = true;
@@ -430,7 +430,7 @@
   now_ = now;
   const auto timer = timers_.take(tag);
   if (!timer) return;
-  if (timer->kind == TimerKind::kPollHosts) return sink_.subscribe();
+  if (timer->kind == TimerKind::kPollHosts) return sink_.poll_endpoint_list();
   const auto at = requests_.find(timer->id);
   if (at == requests_.end() || at->second.finished) return;
   RequestState& request = at->second;
@@ -452,7 +452,7 @@
 
 void Policy::on_slow_attempt(RequestState& request) {
   AttemptRecord& last = request.attempts.back();
-  if (host_registry_[last.host].origin || last.state != AttemptState::kInFlight ||
+  if (host_registry_[last.host].is_origin || last.state != AttemptState::kInFlight ||
       last.counted_slow || request.is_streaming || now_ - last.sent_at < slow_threshold(request))
     return;
   attempt_observer_.on_slow(now_, last);
@@ -467,7 +467,7 @@
   if (it == requests_.end() || !it->second.finished || it->second.in_flight() > 0) return;
   const std::vector<AttemptRecord> attempts = std::move(it->second.attempts);
   for (const std::uint64_t tag : {it->second.deadline_timer, it->second.slow_timer})
-    if (timers_.take(tag)) sink_.drop_timer(tag);
+    if (timers_.take(tag)) sink_.cancel_timer(tag);
   requests_.erase(it);
   for (const AttemptRecord& attempt : attempts) {
     if (!host_registry_.release_reference(attempt.host)) continue;
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -45,9 +45,9 @@
   // Requests a call of Policy::on_timer() with `tag` at time `at`.
   virtual void set_timer(Time at, std::uint64_t tag) = 0;
   // Reports that a timer is no longer needed. It may still fire without effect.
-  virtual void drop_timer(std::uint64_t) {}
+  virtual void cancel_timer(std::uint64_t) {}
   // Requests a poll of the host list.
-  virtual void subscribe() = 0;
+  virtual void poll_endpoint_list() = 0;
   // Closes the idle connections to a host.
   virtual void close_idle(std::string_view host) = 0;
 };
@@ -73,7 +73,7 @@
   // counted for its host.
   void on_first_byte(Time now, RequestId id, std::optional<int> attempt = std::nullopt);
   // Handles the cancellation of the request by its client.
-  void on_withdrawn(Time now, RequestId id);
+  void on_request_cancelled(Time now, RequestId id);
   void on_timer(Time now, std::uint64_t tag);
 
   using OperatorOverride = HostRegistry::OperatorOverride;
@@ -81,7 +81,7 @@
   // attempts are sent to the host while it is out of service, regardless of host lists. Returns
   // false if HostRegistry does not accept the override: the host is neither a listed cache host nor
   // overridden already, or there are too many overrides.
-  bool on_maintenance(Time now, std::string_view host, bool out);
+  bool set_out_of_service(Time now, std::string_view host, bool out);
   const std::map<std::string, OperatorOverride, std::less<>>& overrides() const {
     return host_registry_.overrides();
   }
@@ -90,9 +90,9 @@
 
   // State that a successor process would otherwise have to learn again.
   struct PolicyCheckpoint {
-    double work_rate;  // work sent to cache hosts, in seconds per second
-    double origin;     // admit fraction of fetches, 0 to 1
-    double caches;     // admit fraction of reads, 0 to 1
+    double work_rate;              // work sent to cache hosts, in seconds per second
+    double origin_admit_fraction;  // admit fraction of fetches, 0 to 1
+    double caches_admit_fraction;  // admit fraction of reads, 0 to 1
     std::vector<std::pair<std::string, double>> load_factors;  // by host, those below 1
   };
   PolicyCheckpoint checkpoint(Time now) const;
--- a/src/policy/request.h
+++ b/src/policy/request.h
@@ -34,7 +34,7 @@
   int request_class = 0;  // index into Settings::classes
   int tenant = 0;         // index into Settings::tenant_quotas; no quota if out of range
   std::optional<std::string_view> key;
-  bool write = false;
+  bool is_write = false;
   std::optional<Duration> work;  // execution time on an idle host, an approximate hint
   Duration time_left{0};         // until the client abandons this request
 };
