--- a/src/proto/bgp.cc
+++ b/src/proto/bgp.cc
@@ -78,7 +78,7 @@
   open.as = in.u16();
   open.hold_time = in.u16();
   open.id = in.u32();
-  open.four_octets = false;
+  open.four_octet_as = false;
   if (open.hold_time == 1 || open.hold_time == 2)
     throw ParseError{kBadHoldTime, "has a hold time below 3 s", {}};
   if (open.id == 0) throw ParseError{kBadId, "has the BGP identifier 0", {}};
@@ -94,7 +94,7 @@
       ByteReader value(parameter.take(parameter.u8()), 0);
       if (code != kFourOctetAsCapability) continue;
       open.as = value.u32();
-      open.four_octets = true;
+      open.four_octet_as = true;
     }
   }
   return open;
@@ -219,13 +219,15 @@
 
 }  // namespace
 
-std::optional<std::variant<Message, Fault>> Reader::next() {
+std::optional<std::variant<Message, ProtocolError>> MessageReader::next() {
   if (buffer_.size() < kHeaderSize) return std::nullopt;
-  const auto fault = [](Code code, std::uint8_t subcode, std::string data, std::string reason) {
-    return std::variant<Message, Fault>(Fault{{code, subcode, std::move(data)}, std::move(reason)});
+  const auto fault = [](ErrorCode code, std::uint8_t subcode, std::string data,
+                        std::string reason) {
+    return std::variant<Message, ProtocolError>(
+        ProtocolError{{code, subcode, std::move(data)}, std::move(reason)});
   };
   if (std::any_of(buffer_.begin(), buffer_.begin() + 16, [](char c) { return c != '\xff'; }))
-    return fault(Code::kHeader, kNotSynchronized, {}, "a message without the marker");
+    return fault(ErrorCode::kHeader, kNotSynchronized, {}, "a message without the marker");
   ByteReader header(std::string_view(buffer_).substr(16), 0);
   const std::size_t length = header.u16();
   const auto type = header.u8();
@@ -235,11 +237,11 @@
                                                          : kHeaderSize;
   if (length < min_length || length > kMaxMessage ||
       (type == kKeepalive && length != kHeaderSize)) {
-    return fault(Code::kHeader, kBadLength, buffer_.substr(16, 2),
+    return fault(ErrorCode::kHeader, kBadLength, buffer_.substr(16, 2),
                  "a message of invalid length " + std::to_string(length));
   }
   if (type < kOpen || type > kKeepalive)
-    return fault(Code::kHeader, kBadType, buffer_.substr(18, 1),
+    return fault(ErrorCode::kHeader, kBadType, buffer_.substr(18, 1),
                  "a message of unknown type " + std::to_string(type));
   if (buffer_.size() < length) return std::nullopt;
   const std::string body = buffer_.substr(kHeaderSize, length - kHeaderSize);
@@ -252,7 +254,7 @@
         return Message(read_update(body, four_octets_));
       case kNotification: {
         Notification n;
-        n.code = static_cast<Code>(body[0]);
+        n.code = static_cast<ErrorCode>(body[0]);
         n.subcode = static_cast<std::uint8_t>(body[1]);
         n.data = body.substr(2);
         return Message(std::move(n));
@@ -262,7 +264,7 @@
     }
   } catch (const ParseError& error) {
     const bool is_open = type == kOpen;
-    return fault(is_open ? Code::kOpen : Code::kUpdate, error.subcode, error.data,
+    return fault(is_open ? ErrorCode::kOpen : ErrorCode::kUpdate, error.subcode, error.data,
                  std::string(is_open ? "an OPEN " : "an UPDATE ") + error.reason);
   }
 }
@@ -273,7 +275,7 @@
   append_number(body, open.as > 0xffff ? kAsTrans : open.as, 2);
   append_number(body, open.hold_time, 2);
   append_number(body, open.id, 4);
-  if (open.four_octets) {
+  if (open.four_octet_as) {
     append_number(body, 8, 1);  // length of the optional parameters
     append_number(body, kCapabilitiesParameter, 1);
     append_number(body, 6, 1);
@@ -335,7 +337,7 @@
 
 std::string encode(const Keepalive&) { return frame(kKeepalive, {}); }
 
-std::string shutdown_text(std::string_view text) {
+std::string encode_shutdown_communication(std::string_view text) {
   text = text.substr(0, 255);
   return static_cast<char>(text.size()) + std::string(text);
 }
--- a/src/proto/bgp.h
+++ b/src/proto/bgp.h
@@ -29,7 +29,7 @@
   std::uint16_t hold_time = 90;  // seconds; 0 (no hold timer) or at least 3
   std::uint32_t id = 0;          // BGP identifier
   // The four-octet AS capability. UPDATEs have four-octet AS numbers if both peers have it.
-  bool four_octets = true;
+  bool four_octet_as = true;
 };
 
 // The path attributes that this program uses (RFC 4271, RFC 1997). Other optional attributes are
@@ -52,25 +52,25 @@
 };
 
 // Error codes (RFC 4271, section 4.5) and the used subcodes of kCease (RFC 4486).
-enum class Code : std::uint8_t {
+enum class ErrorCode : std::uint8_t {
   kHeader = 1,
   kOpen = 2,
   kUpdate = 3,
   kHoldTimer = 4,
-  kStates = 5,
+  kFiniteStateMachine = 5,
   kCease = 6
 };
 inline constexpr std::uint8_t kShutdown = 2, kCollision = 7;  // subcodes of kCease
 
 struct Notification {
-  Code code = Code::kCease;
+  ErrorCode code = ErrorCode::kCease;
   std::uint8_t subcode = 0;
   std::string data;
 };
 struct Keepalive {};
 // A protocol error of the peer, with the NOTIFICATION to send to it. The input after it cannot be
 // parsed, so the connection must be closed.
-struct Fault {
+struct ProtocolError {
   Notification notification;
   std::string reason;
 };
@@ -78,14 +78,14 @@
 using Message = std::variant<Open, Update, Notification, Keepalive>;
 
 // Parses the messages of one connection.
-class Reader {
+class MessageReader {
  public:
   void feed(std::string_view bytes) { buffer_.append(bytes); }
   // Sets whether AS numbers in UPDATE messages have four octets, as negotiated by the OPEN
   // messages.
-  void set_four_octets(bool on) { four_octets_ = on; }
+  void set_four_octet_as(bool on) { four_octets_ = on; }
   // Returns the next message or fault, or nullopt if more input is needed.
-  std::optional<std::variant<Message, Fault>> next();
+  std::optional<std::variant<Message, ProtocolError>> next();
   std::size_t buffered() const { return buffer_.size(); }
 
  private:
@@ -100,6 +100,6 @@
 std::string encode(const Keepalive&);
 // Returns the data of an administrative shutdown NOTIFICATION: a length byte and `text`, truncated
 // to 255 bytes.
-std::string shutdown_text(std::string_view text);
+std::string encode_shutdown_communication(std::string_view text);
 
 }  // namespace balancer::bgp
--- a/src/proto/hot_restart_wire.cc
+++ b/src/proto/hot_restart_wire.cc
@@ -180,7 +180,7 @@
     case pb::Message::kResourceShare:
       return parse_share(m.resource_share());
     case pb::Message::kConnection:
-      if (m.connection().input().size() > kMaxInput) return std::nullopt;
+      if (m.connection().input().size() > kMaxPassedInput) return std::nullopt;
       return PassedConnection{m.connection().listener(), m.connection().input(),
                               m.connection().requests_answered()};
     default:
@@ -210,7 +210,7 @@
   return parts;
 }
 
-bool append(Snapshot& snapshot, Snapshot part) {
+bool merge_part(Snapshot& snapshot, Snapshot part) {
   if (snapshot.hosts.size() + part.hosts.size() > kMaxHosts ||
       snapshot.overrides.size() + part.overrides.size() > kMaxOverrides)
     return false;
--- a/src/proto/hot_restart_wire.h
+++ b/src/proto/hot_restart_wire.h
@@ -21,9 +21,9 @@
 inline constexpr std::size_t kEntriesPerPart = 256;
 inline constexpr std::size_t kMaxHosts = 16384;
 inline constexpr std::size_t kMaxOverrides = 4096;
-inline constexpr std::size_t kMaxDescriptors = 16;   // attached to one message
-inline constexpr std::size_t kMaxInput = 16u << 10;  // bytes
-inline constexpr std::size_t kMaxId = 256;           // bytes
+inline constexpr std::size_t kMaxDescriptors = 16;         // attached to one message
+inline constexpr std::size_t kMaxPassedInput = 16u << 10;  // bytes
+inline constexpr std::size_t kMaxId = 256;                 // bytes
 inline constexpr Duration kMaxAge = std::chrono::hours(24 * 365 * 100);
 
 // Upper bounds on one process's usage of the resource limits that both processes share.
@@ -112,6 +112,6 @@
 std::vector<Snapshot> split(Snapshot snapshot);
 // Appends the hosts and overrides of `part` to `snapshot`, and replaces its other fields by those
 // of `part`. Returns false if the result would exceed kMaxHosts or kMaxOverrides.
-bool append(Snapshot& snapshot, Snapshot part);
+bool merge_part(Snapshot& snapshot, Snapshot part);
 
 }  // namespace balancer::hot_restart
--- a/src/proto/memcache.cc
+++ b/src/proto/memcache.cc
@@ -66,7 +66,7 @@
          std::none_of(text.begin(), text.end(), [](char c) { return c == ' ' || is_control(c); });
 }
 
-std::optional<std::uint64_t> parse_number(std::string_view text) {
+std::optional<std::uint64_t> parse_uint64(std::string_view text) {
   std::uint64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (text.empty() || error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
@@ -101,7 +101,7 @@
 
 std::optional<std::chrono::milliseconds> CommandReader::body_deadline() const {
   if (!body_left_) return std::nullopt;
-  const auto ms = parse_number(command_.prop("d"));
+  const auto ms = parse_uint64(command_.prop("d"));
   if (!ms || *ms > kMaxDeadlineMs) return std::nullopt;
   return std::chrono::milliseconds(*ms);
 }
@@ -149,7 +149,7 @@
   c.key = tokens[1];
   std::size_t length = 0;
   if (is_set) {
-    const auto n = tokens.size() > 2 ? parse_number(tokens[2]) : std::nullopt;
+    const auto n = tokens.size() > 2 ? parse_uint64(tokens[2]) : std::nullopt;
     if (!n) return ClientError{"bad length"};
     if (*n > kMaxValue) return ClientError{"value too large"};
     length = static_cast<std::size_t>(*n);
@@ -203,7 +203,7 @@
     const auto tokens = split(line, ' ');
     const bool busy = tokens.size() >= 2 && tokens[0] == "SERVER_ERROR" && tokens[1] == "busy";
     head.kind = busy ? AnswerHead::Kind::kBusy : AnswerHead::Kind::kFailed;
-    if (busy && tokens.size() > 2) head.retry_after_ms = parse_number(tokens[2]).value_or(0);
+    if (busy && tokens.size() > 2) head.retry_after_ms = parse_uint64(tokens[2]).value_or(0);
     return head;
   }
   // A host that rejects a single command remains in step with the stream. Closing the connection
@@ -213,7 +213,7 @@
   if (tokens.empty()) return std::nullopt;
   std::size_t first_flag = 1;
   if (tokens[0] == "VA") {
-    const auto n = tokens.size() > 1 ? parse_number(tokens[1]) : std::nullopt;
+    const auto n = tokens.size() > 1 ? parse_uint64(tokens[1]) : std::nullopt;
     if (!n || *n > kMaxValue) return std::nullopt;
     head.kind = AnswerHead::Kind::kValue;
     head.length = static_cast<std::size_t>(*n);
--- a/src/proto/memcache.h
+++ b/src/proto/memcache.h
@@ -121,6 +121,6 @@
 // control characters.
 bool is_token(std::string_view text, std::size_t max_length);
 // Parses an unsigned decimal number. Returns nullopt if `text` is anything else.
-std::optional<std::uint64_t> parse_number(std::string_view text);
+std::optional<std::uint64_t> parse_uint64(std::string_view text);
 
 }  // namespace balancer::memcache
--- a/src/proto/resp.cc
+++ b/src/proto/resp.cc
@@ -4,7 +4,7 @@
 
 namespace balancer::resp {
 
-std::optional<std::int64_t> parse_integer(std::string_view text) {
+std::optional<std::int64_t> parse_int64(std::string_view text) {
   if (!text.empty() && text.front() == '+') text.remove_prefix(1);
   std::int64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -25,7 +25,7 @@
   wire_ += kLineEnd;
 }
 
-Command Command::of(const std::vector<std::string_view>& args) {
+Command Command::from_args(const std::vector<std::string_view>& args) {
   Command c;
   for (const auto arg : args) c.push_back(arg);
   return c;
--- a/src/proto/resp.h
+++ b/src/proto/resp.h
@@ -14,7 +14,7 @@
 namespace balancer::resp {
 
 // Limits on the input from a peer. Input that exceeds a limit is a protocol error.
-struct Bounds {
+struct InputLimits {
   std::size_t bulk = 1u << 20;       // bytes of one string
   std::size_t elements = 64u << 10;  // elements of one command or reply, over all depths
   std::size_t total = 2u << 20;      // bytes of one command or reply
@@ -53,7 +53,7 @@
   const std::string& wire() const { return wire_; }  // ready to be forwarded
   std::string take_wire() && { return std::move(wire_); }
   void push_back(std::string_view arg);  // appends an argument to a command under construction
-  static Command of(const std::vector<std::string_view>& args);
+  static Command from_args(const std::vector<std::string_view>& args);
 
  private:
   friend class CommandReader;
@@ -67,7 +67,7 @@
 
 // A protocol error of a client, with the message that Redis servers use for it. The input after it
 // cannot be parsed.
-struct Fault {
+struct ProtocolError {
   std::string reason;
 };
 
@@ -75,10 +75,10 @@
 // commands.
 class CommandReader {
  public:
-  explicit CommandReader(const Bounds& bounds) : bounds_(bounds) {}
+  explicit CommandReader(const InputLimits& bounds) : bounds_(bounds) {}
   void feed(std::string_view bytes) { buffer_ += bytes; }
   // Returns the next command or fault, or nullopt if more input is needed.
-  std::optional<std::variant<Command, Fault>> next();
+  std::optional<std::variant<Command, ProtocolError>> next();
 
   // Returns the number of bytes that were fed and not yet returned as commands, without the part of
   // the current command that expected() accounts for.
@@ -92,7 +92,7 @@
   void clear() { *this = CommandReader(bounds_); }
 
  private:
-  using Item = std::variant<Command, Fault>;
+  using Item = std::variant<Command, ProtocolError>;
 
   // kEmpty: an array without strings, which is skipped.
   enum class Progress { kNeedsMore, kRead, kEmpty };
@@ -101,15 +101,16 @@
   std::optional<std::string_view> take_line();
   // The same for a header line with a length or count. `too_long`: the fault's reason if the line
   // is longer than any valid header.
-  std::variant<std::optional<std::string_view>, Fault> take_length_line(const char* too_long);
+  std::variant<std::optional<std::string_view>, ProtocolError> take_length_line(
+      const char* too_long);
   std::optional<Item> take_inline();
-  std::variant<Progress, Fault> read_array_header();
-  std::variant<Progress, Fault> read_string_header();
-  std::variant<Progress, Fault> read_string();
+  std::variant<Progress, ProtocolError> read_array_header();
+  std::variant<Progress, ProtocolError> read_string_header();
+  std::variant<Progress, ProtocolError> read_string();
   Command assemble();
   void compact();
 
-  Bounds bounds_;
+  InputLimits bounds_;
   std::string buffer_;
   std::size_t command_begin_ = 0;  // offset of the current command
   std::size_t cursor_ = 0;         // offset up to which it has been parsed
@@ -125,7 +126,7 @@
  public:
   enum class Event { kMore, kData, kEnd, kMalformed };
 
-  explicit ReplyReader(const Bounds& bounds) : bounds_(bounds) {}
+  explicit ReplyReader(const InputLimits& bounds) : bounds_(bounds) {}
   // Consumes bytes from the front of `input`. kData: data() is the next piece of the current reply;
   // the pieces add up to the complete reply. kEnd: the reply is complete. Attributes are part of
   // the reply that follows them.
@@ -147,7 +148,7 @@
   bool open_aggregate(std::uint64_t count, bool attribute);
   void close_value();
 
-  Bounds bounds_;
+  InputLimits bounds_;
   State state_ = State::kLine;
   std::string line_;  // the current line as far as it was received
   std::string_view data_;
@@ -179,11 +180,11 @@
 };
 
 // Parses exactly one reply, skipping attributes. Returns nullopt if `wire` is anything else.
-std::optional<Value> parse_reply(std::string_view wire, const Bounds& bounds);
+std::optional<Value> parse_reply(std::string_view wire, const InputLimits& bounds);
 
 // Parses a signed decimal integer, with an optional plus sign. Returns nullopt if `text` is
 // anything else or out of range.
-std::optional<std::int64_t> parse_integer(std::string_view text);
+std::optional<std::int64_t> parse_int64(std::string_view text);
 
 // Serializers. `version` is 2 or 3; types that RESP2 lacks are written as their RESP2 equivalents.
 void append_simple(std::string& out, std::string_view text);
--- a/src/proto/resp_command_reader.cc
+++ b/src/proto/resp_command_reader.cc
@@ -98,12 +98,12 @@
   const auto line = take_line();
   if (!line) {
     if (buffer_.size() - command_begin_ > bounds_.line + 1)
-      return Fault{"Protocol error: too big inline request"};
+      return ProtocolError{"Protocol error: too big inline request"};
     return std::nullopt;
   }
-  if (line->size() > bounds_.line) return Fault{"Protocol error: too big inline request"};
+  if (line->size() > bounds_.line) return ProtocolError{"Protocol error: too big inline request"};
   const auto args = split_inline(*line);
-  if (!args) return Fault{"Protocol error: unbalanced quotes in request"};
+  if (!args) return ProtocolError{"Protocol error: unbalanced quotes in request"};
   Command c;
   for (const auto& arg : *args) c.push_back(arg);
   command_begin_ = cursor_;
@@ -123,27 +123,27 @@
     }
     if (!strings_left_) {
       const auto header = read_array_header();
-      if (const auto* fault = std::get_if<Fault>(&header)) return *fault;
+      if (const auto* fault = std::get_if<ProtocolError>(&header)) return *fault;
       if (std::get<Progress>(header) == Progress::kNeedsMore) return std::nullopt;
       if (std::get<Progress>(header) == Progress::kEmpty) continue;
     }
     while (*strings_left_ > 0) {
       const auto progress = read_string();
-      if (const auto* fault = std::get_if<Fault>(&progress)) return *fault;
+      if (const auto* fault = std::get_if<ProtocolError>(&progress)) return *fault;
       if (std::get<Progress>(progress) == Progress::kNeedsMore) return std::nullopt;
     }
     return assemble();
   }
 }
 
-std::variant<CommandReader::Progress, Fault> CommandReader::read_array_header() {
+std::variant<CommandReader::Progress, ProtocolError> CommandReader::read_array_header() {
   const auto line = take_length_line("Protocol error: too big mbulk count string");
-  if (const auto* fault = std::get_if<Fault>(&line)) return *fault;
+  if (const auto* fault = std::get_if<ProtocolError>(&line)) return *fault;
   const auto text = std::get<std::optional<std::string_view>>(line);
   if (!text) return Progress::kNeedsMore;
-  const auto count = parse_integer(text->substr(1));
+  const auto count = parse_int64(text->substr(1));
   if (!count || (*count > 0 && static_cast<std::uint64_t>(*count) > bounds_.elements))
-    return Fault{"Protocol error: invalid multibulk length"};
+    return ProtocolError{"Protocol error: invalid multibulk length"};
   if (*count <= 0) {
     command_begin_ = cursor_;
     return Progress::kEmpty;
@@ -154,34 +154,35 @@
   return Progress::kRead;
 }
 
-std::variant<CommandReader::Progress, Fault> CommandReader::read_string_header() {
+std::variant<CommandReader::Progress, ProtocolError> CommandReader::read_string_header() {
   if (cursor_ == buffer_.size()) return Progress::kNeedsMore;
   if (buffer_[cursor_] != '$') {
     std::string reason = "Protocol error: expected '$', got '";
     reason += buffer_[cursor_] >= ' ' && buffer_[cursor_] <= '~' ? buffer_[cursor_] : '?';
-    return Fault{reason + "'"};
+    return ProtocolError{reason + "'"};
   }
   const auto line = take_length_line("Protocol error: too big bulk count string");
-  if (const auto* fault = std::get_if<Fault>(&line)) return *fault;
+  if (const auto* fault = std::get_if<ProtocolError>(&line)) return *fault;
   const auto text = std::get<std::optional<std::string_view>>(line);
   if (!text) return Progress::kNeedsMore;
-  const auto length = parse_integer(text->substr(1));
+  const auto length = parse_int64(text->substr(1));
   if (!length || *length < 0 || static_cast<std::uint64_t>(*length) > bounds_.bulk ||
       cursor_ - command_begin_ + static_cast<std::uint64_t>(*length) > bounds_.total)
-    return Fault{"Protocol error: invalid bulk length"};
+    return ProtocolError{"Protocol error: invalid bulk length"};
   string_length_ = static_cast<std::size_t>(*length);
   return Progress::kRead;
 }
 
-std::variant<CommandReader::Progress, Fault> CommandReader::read_string() {
+std::variant<CommandReader::Progress, ProtocolError> CommandReader::read_string() {
   if (!string_length_) {
     auto header = read_string_header();
-    if (std::holds_alternative<Fault>(header) || std::get<Progress>(header) == Progress::kNeedsMore)
+    if (std::holds_alternative<ProtocolError>(header) ||
+        std::get<Progress>(header) == Progress::kNeedsMore)
       return header;
   }
   if (buffer_.size() - cursor_ < *string_length_ + kLineEnd.size()) return Progress::kNeedsMore;
   if (std::string_view(buffer_).substr(cursor_ + *string_length_, kLineEnd.size()) != kLineEnd)
-    return Fault{"Protocol error: a bulk string does not end where its length says"};
+    return ProtocolError{"Protocol error: a bulk string does not end where its length says"};
   args_.push_back({cursor_, *string_length_});
   cursor_ += *string_length_ + kLineEnd.size();
   string_length_.reset();
@@ -189,11 +190,11 @@
   return Progress::kRead;
 }
 
-std::variant<std::optional<std::string_view>, Fault> CommandReader::take_length_line(
+std::variant<std::optional<std::string_view>, ProtocolError> CommandReader::take_length_line(
     const char* too_long) {
   const auto line = take_line();
-  if (!line && buffer_.size() - cursor_ > kMaxLengthLine + 1) return Fault{too_long};
-  if (line && line->size() > kMaxLengthLine) return Fault{too_long};
+  if (!line && buffer_.size() - cursor_ > kMaxLengthLine + 1) return ProtocolError{too_long};
+  if (line && line->size() > kMaxLengthLine) return ProtocolError{too_long};
   return line;
 }
 
--- a/src/proto/resp_reply_reader.cc
+++ b/src/proto/resp_reply_reader.cc
@@ -43,7 +43,7 @@
 // Parses the length of a string or the count of an aggregate; -1 is the null of RESP2.
 std::optional<std::int64_t> parse_length(std::string_view text) {
   if (text != "-1" && !all_digits(text)) return std::nullopt;
-  return parse_integer(text);
+  return parse_int64(text);
 }
 
 // Returns whether `line`, without its type byte, is a valid single-line value of the type.
@@ -53,7 +53,7 @@
     case Type::kError:
       return line.find('\r') == std::string_view::npos;
     case Type::kInteger:
-      return parse_integer(line).has_value();
+      return parse_int64(line).has_value();
     case Type::kNull:
       return line.empty();
     case Type::kBoolean:
@@ -207,7 +207,7 @@
 
 std::optional<std::int64_t> Value::integer() const {
   if (type != Type::kInteger) return std::nullopt;
-  return parse_integer(text);
+  return parse_int64(text);
 }
 
 namespace {
@@ -227,7 +227,7 @@
     case Type::kBulk:
     case Type::kBulkError:
     case Type::kVerbatim: {
-      const auto length = parse_integer(line).value_or(-1);
+      const auto length = parse_int64(line).value_or(-1);
       if (length < 0) {
         value.null = true;
         break;
@@ -241,7 +241,7 @@
     case Type::kSet:
     case Type::kPush:
     case Type::kMap: {
-      const auto count = parse_integer(line).value_or(-1);
+      const auto count = parse_int64(line).value_or(-1);
       if (count < 0) {
         value.null = true;
         break;
@@ -251,7 +251,7 @@
     }
     case Type::kAttribute: {
       Value skipped;
-      for (auto n = 2 * parse_integer(line).value_or(0); n > 0; --n)
+      for (auto n = 2 * parse_int64(line).value_or(0); n > 0; --n)
         used += build_value(wire.substr(used), skipped = {});
       value = {};
       used += build_value(wire.substr(used), value);
@@ -269,7 +269,7 @@
 
 }  // namespace
 
-std::optional<Value> parse_reply(std::string_view wire, const Bounds& bounds) {
+std::optional<Value> parse_reply(std::string_view wire, const InputLimits& bounds) {
   ReplyReader reader(bounds);
   std::string_view input = wire;
   while (true) {
--- a/src/recovery/discovery_poll_scheduler.cc
+++ b/src/recovery/discovery_poll_scheduler.cc
@@ -74,7 +74,7 @@
 
 DiscoveryPollScheduler::Call DiscoveryPollScheduler::begin(Time now, bool connected) {
   call_ = {complete_list_next_, seq_, Duration{0}};
-  if (!call_.whole) call_.wait = wait();
+  if (!call_.wants_complete_list) call_.wait = wait();
   call_began_at_ = now;
   phase_ = Phase::kConnecting;
   cancel_at_ = now + answer_timeout();
@@ -89,7 +89,7 @@
 
 Duration DiscoveryPollScheduler::answer_timeout() const {
   if (mode_ == Mode::kPushed) return kPushedTimeout;
-  return call_.whole ? kCompleteListTimeout : kWatchTimeout;
+  return call_.wants_complete_list ? kCompleteListTimeout : kWatchTimeout;
 }
 
 void DiscoveryPollScheduler::on_connected(Time now) {
@@ -106,7 +106,7 @@
   if (phase_ != Phase::kReading) answer_began_at_ = now;
   phase_ = Phase::kReading;
   cancel_at_ = std::min(now + answer_timeout(), answer_began_at_ + kMaxAnswerTime);
-  if (mode_ == Mode::kOnRequest && !call_.whole)
+  if (mode_ == Mode::kOnRequest && !call_.wants_complete_list)
     cancel_at_ = std::min(cancel_at_, call_began_at_ + call_.wait + kMaxWatchOverrun);
 }
 
@@ -129,7 +129,8 @@
 }
 
 bool DiscoveryPollScheduler::on_failure(Time now, Failure failure) {
-  const bool was_hung_watch = phase_ != Phase::kIdle && !call_.whole && now >= cancel_at_;
+  const bool was_hung_watch =
+      phase_ != Phase::kIdle && !call_.wants_complete_list && now >= cancel_at_;
   if (mode_ == Mode::kPushed) {
     // The service may assume that the changes of the failed call were delivered, so the complete
     // list is requested.
--- a/src/recovery/discovery_poll_scheduler.h
+++ b/src/recovery/discovery_poll_scheduler.h
@@ -24,10 +24,10 @@
   enum class Step { kNothing, kCall, kCancelCall };
 
   struct Call {
-    // Requests the complete list; otherwise watches for changes newer than `index`, for up to
-    // `wait`.
-    bool whole = true;
-    std::uint64_t index = 0;
+    // Requests the complete list; otherwise watches for changes newer than `known_version`, for up
+    // to `wait`.
+    bool wants_complete_list = true;
+    std::uint64_t known_version = 0;
     Duration wait{0};
   };
 
--- a/src/route_announcement/bgp_session.cc
+++ b/src/route_announcement/bgp_session.cc
@@ -31,14 +31,14 @@
 Session::Session(const SessionSettings& settings, std::uint64_t seed, Time now)
     : settings_(settings),
       random_(static_cast<std::minstd_rand::result_type>(seed ^ seed >> 32)),
-      hold_(settings.hold),
+      hold_(settings.hold_time),
       next_dial_at_(now) {}
 
 Session::State Session::state() const {
   return std::max(connections_[0].state, connections_[1].state);
 }
 
-void Session::send(Way way, std::string bytes) {
+void Session::send(Direction way, std::string bytes) {
   if (active_direction_ == way)
     unacknowledged_ += bytes.size();  // until the next on_unacknowledged()
   actions_.push_back({Action::Kind::kSend, way, std::move(bytes)});
@@ -46,36 +46,36 @@
 
 // ---- connections
 
-void Session::on_connected(Time now, Way way) {
+void Session::on_connected(Time now, Direction way) {
   Connection& c = of(way);
   const bool unwanted = stopped_ || active_direction_ ||
-                        (way == Way::kIn && c.state != State::kIdle) ||
-                        (way == Way::kOut && c.state != State::kConnect);
+                        (way == Direction::kInbound && c.state != State::kIdle) ||
+                        (way == Direction::kOutbound && c.state != State::kConnect);
   if (unwanted) {
-    if (way == Way::kOut || c.state == State::kIdle) {
-      send(way, encode(Notification{Code::kCease, kCollision, {}}));
+    if (way == Direction::kOutbound || c.state == State::kIdle) {
+      send(way, encode(Notification{ErrorCode::kCease, kCollision, {}}));
       actions_.push_back({Action::Kind::kClose, way, {}});
-      if (way == Way::kOut) c = Connection{};
+      if (way == Direction::kOutbound) c = Connection{};
     }
     return;
   }
   c = Connection{};
   c.state = State::kOpenSent;
-  c.receive_deadline = now + settings_.open_patience;
+  c.receive_deadline = now + settings_.open_timeout;
   Open open;
   open.as = settings_.local_as;
   open.id = settings_.id;
-  open.hold_time =
-      static_cast<std::uint16_t>(std::chrono::ceil<std::chrono::seconds>(settings_.hold).count());
+  open.hold_time = static_cast<std::uint16_t>(
+      std::chrono::ceil<std::chrono::seconds>(settings_.hold_time).count());
   send(way, encode(open));
 }
 
-void Session::on_closed(Time now, Way way, std::string_view why) {
+void Session::on_closed(Time now, Direction way, std::string_view why) {
   if (of(way).state != State::kIdle) end(now, way, std::nullopt, std::string(why));
 }
 
 // Closes one connection; `notification` is sent to the peer first.
-void Session::end(Time now, Way way, const std::optional<Notification>& notification,
+void Session::end(Time now, Direction way, const std::optional<Notification>& notification,
                   std::string why) {
   if (notification) send(way, encode(*notification));
   actions_.push_back({Action::Kind::kClose, way, {}});
@@ -94,9 +94,9 @@
 
 void Session::schedule_retry(Time now, std::string why) {
   last_end_reason_ = std::move(why);
-  Duration delay = settings_.retry;
-  for (int i = 0; i < failures_ && delay < settings_.longest_retry; ++i) delay *= 2;
-  delay = std::min(delay, settings_.longest_retry);
+  Duration delay = settings_.initial_retry_delay;
+  for (int i = 0; i < failures_ && delay < settings_.max_retry_delay; ++i) delay *= 2;
+  delay = std::min(delay, settings_.max_retry_delay);
   ++failures_;
   // Section 10 asks for a jitter of up to a quarter, so that peers do not dial in step.
   next_dial_at_ =
@@ -105,24 +105,24 @@
 
 // ---- messages
 
-void Session::on_bytes(Time now, Way way, std::string_view bytes) {
+void Session::on_bytes(Time now, Direction way, std::string_view bytes) {
   Connection& c = of(way);
   if (c.state < State::kOpenSent) return;
   c.reader.feed(bytes);
   while (c.state >= State::kOpenSent) {
     auto item = c.reader.next();
     if (!item) break;
-    if (const auto* fault = std::get_if<Fault>(&*item))
+    if (const auto* fault = std::get_if<ProtocolError>(&*item))
       return end(now, way, fault->notification,
                  "malformed message from the peer: " + fault->reason);
     on_message(now, way, std::get<Message>(*item));
   }
   if (c.state >= State::kOpenSent && c.reader.buffered() > kMaxBuffered)
-    end(now, way, Notification{Code::kCease, 8, {}},
+    end(now, way, Notification{ErrorCode::kCease, 8, {}},
         "the peer sent more than 64 KiB without a complete message");
 }
 
-void Session::on_message(Time now, Way way, const Message& message) {
+void Session::on_message(Time now, Direction way, const Message& message) {
   Connection& c = of(way);
   if (const auto* n = std::get_if<Notification>(&message))
     return end(now, way, std::nullopt,
@@ -130,11 +130,12 @@
                    ", subcode " + std::to_string(n->subcode));
   if (const auto* open = std::get_if<Open>(&message)) {
     if (c.state != State::kOpenSent)
-      return end(now, way, Notification{Code::kStates, 0, {}}, "unexpected OPEN");
+      return end(now, way, Notification{ErrorCode::kFiniteStateMachine, 0, {}}, "unexpected OPEN");
     return on_open(now, way, *open);
   }
   if (c.state == State::kOpenSent)
-    return end(now, way, Notification{Code::kStates, 1, {}}, "first message was not an OPEN");
+    return end(now, way, Notification{ErrorCode::kFiniteStateMachine, 1, {}},
+               "first message was not an OPEN");
   if (hold_ > Duration{0}) c.receive_deadline = now + hold_;
   received_at_ = now;
   if (std::holds_alternative<Keepalive>(message)) {
@@ -143,46 +144,47 @@
   }
   // An UPDATE of the peer is ignored: the routes of a router are not used.
   if (c.state == State::kOpenConfirm)
-    end(now, way, Notification{Code::kStates, 2, {}}, "UPDATE before the session was established");
+    end(now, way, Notification{ErrorCode::kFiniteStateMachine, 2, {}},
+        "UPDATE before the session was established");
 }
 
-void Session::on_open(Time now, Way way, const Open& open) {
+void Session::on_open(Time now, Direction way, const Open& open) {
   Connection& c = of(way);
   if (open.as != settings_.remote_as)
-    return end(now, way, Notification{Code::kOpen, kBadPeerAs, {}},
+    return end(now, way, Notification{ErrorCode::kOpen, kBadPeerAs, {}},
                "unexpected peer AS " + std::to_string(open.as));
   const Duration peer_hold = std::chrono::seconds(open.hold_time);
   if (peer_hold > Duration{0} && peer_hold < std::chrono::seconds(3))
-    return end(now, way, Notification{Code::kOpen, kUnacceptableHold, {}},
+    return end(now, way, Notification{ErrorCode::kOpen, kUnacceptableHold, {}},
                "the peer's hold time is below 3 s");
   c.peer_id = open.id;
-  c.four_octets = open.four_octets;
-  c.reader.set_four_octets(open.four_octets);
-  const Way other_way = other(way);
+  c.four_octets = open.four_octet_as;
+  c.reader.set_four_octet_as(open.four_octet_as);
+  const Direction other_way = other(way);
   if (of(other_way).state == State::kOpenConfirm) {
     // The connection that the side with the higher identifier dialled is kept.
-    const Way kept = settings_.id > open.id ? Way::kOut : Way::kIn;
-    const Way closed = other(kept);
-    send(closed, encode(Notification{Code::kCease, kCollision, {}}));
+    const Direction kept = settings_.id > open.id ? Direction::kOutbound : Direction::kInbound;
+    const Direction closed = other(kept);
+    send(closed, encode(Notification{ErrorCode::kCease, kCollision, {}}));
     actions_.push_back({Action::Kind::kClose, closed, {}});
     of(closed) = Connection{};
     if (closed == way) return;
   }
-  hold_ = std::min(settings_.hold, peer_hold);
+  hold_ = std::min(settings_.hold_time, peer_hold);
   c.state = State::kOpenConfirm;
   c.receive_deadline = hold_ > Duration{0} ? now + hold_ : Time::max();
   send(way, encode(Keepalive{}));
   keepalive_at_ = hold_ > Duration{0} ? now + hold_ / kKeepalivesPerHoldTime : Time::max();
 }
 
-void Session::establish(Time now, Way way) {
+void Session::establish(Time now, Direction way) {
   of(way).state = State::kEstablished;
   active_direction_ = way;
   failures_ = 0;
-  const Way other_way = other(way);
+  const Direction other_way = other(way);
   if (of(other_way).state != State::kIdle) {
     if (of(other_way).state >= State::kOpenSent)
-      send(other_way, encode(Notification{Code::kCease, kCollision, {}}));
+      send(other_way, encode(Notification{ErrorCode::kCease, kCollision, {}}));
     actions_.push_back({Action::Kind::kClose, other_way, {}});
     of(other_way) = Connection{};
   }
@@ -215,7 +217,7 @@
   send(*active_direction_, encode(update, of(*active_direction_).four_octets));
 }
 
-void Session::on_unacknowledged(Time now, Way way, std::size_t bytes) {
+void Session::on_unacknowledged(Time now, Direction way, std::size_t bytes) {
   if (active_direction_ != way) return;
   unacknowledged_ = bytes;
   if (bytes == 0) {
@@ -229,10 +231,10 @@
 
 void Session::on_timer(Time now) {
   if (stopped_) return;
-  for (const Way way : {Way::kOut, Way::kIn}) {
+  for (const Direction way : {Direction::kOutbound, Direction::kInbound}) {
     const Connection& c = of(way);
     if (c.state < State::kOpenSent || now < c.receive_deadline) continue;
-    end(now, way, Notification{Code::kHoldTimer, 0, {}},
+    end(now, way, Notification{ErrorCode::kHoldTimer, 0, {}},
         c.state == State::kEstablished ? "nothing received from the peer within the hold time"
                                        : "the peer did not open the session in time");
   }
@@ -244,16 +246,16 @@
     keepalive_at_ = now + hold_ / kKeepalivesPerHoldTime;
     send(*active_direction_, encode(Keepalive{}));
   }
-  if (of(Way::kOut).state == State::kConnect && now >= connect_deadline_)
-    end(now, Way::kOut, std::nullopt, "connection attempt timed out");
+  if (of(Direction::kOutbound).state == State::kConnect && now >= connect_deadline_)
+    end(now, Direction::kOutbound, std::nullopt, "connection attempt timed out");
   if (state() == State::kIdle && now >= next_dial_at_) {
-    of(Way::kOut).state = State::kConnect;
-    connect_deadline_ = now + settings_.connect_patience;
-    actions_.push_back({Action::Kind::kDial, Way::kOut, {}});
+    of(Direction::kOutbound).state = State::kConnect;
+    connect_deadline_ = now + settings_.connect_timeout;
+    actions_.push_back({Action::Kind::kDial, Direction::kOutbound, {}});
   }
 }
 
-Time Session::next() const {
+Time Session::next_timer_at() const {
   if (stopped_) return Time::max();
   Time first = Time::max();
   for (const Connection& c : connections_)
@@ -261,7 +263,7 @@
   if (active_direction_) first = std::min(first, keepalive_at_);
   if (active_direction_ && unacknowledged_since_ && hold_ > Duration{0})
     first = std::min(first, *unacknowledged_since_ + hold_);
-  if (of(Way::kOut).state == State::kConnect) first = std::min(first, connect_deadline_);
+  if (of(Direction::kOutbound).state == State::kConnect) first = std::min(first, connect_deadline_);
   if (state() == State::kIdle) first = std::min(first, next_dial_at_);
   return first;
 }
@@ -277,11 +279,11 @@
 void Session::stop(Time now, std::string_view why) {
   if (stopped_) return;
   routes_.clear();
-  for (const Way way : {Way::kOut, Way::kIn}) {
+  for (const Direction way : {Direction::kOutbound, Direction::kInbound}) {
     if (of(way).state == State::kIdle) continue;
     std::optional<Notification> notification;
     if (of(way).state >= State::kOpenSent)
-      notification = Notification{Code::kCease, kShutdown, shutdown_text(why)};
+      notification = Notification{ErrorCode::kCease, kShutdown, encode_shutdown_communication(why)};
     end(now, way, notification, std::string(why));
   }
   stopped_ = true;
--- a/src/route_announcement/command_announcer.h
+++ b/src/route_announcement/command_announcer.h
@@ -37,7 +37,7 @@
   void on_command_ended(Time now, const std::string& error);
   void on_timer(Time now);
   // When on_timer() is due; Time::max(): not at all.
-  Time next() const { return retry_at_; }
+  Time next_timer_at() const { return retry_at_; }
 
   // ---- actions for the owner to carry out, in order
   struct Action {
--- a/src/route_announcement/speaker.cc
+++ b/src/route_announcement/speaker.cc
@@ -41,7 +41,7 @@
 void Speaker::announce(Time now, const std::string& address, const Prefix& prefix,
                        std::uint64_t term) {
   Route& route = routes_[address];
-  route = {prefix, term, Stage::kAnnouncing, now + settings_.claim_patience, false};
+  route = {prefix, term, Stage::kAnnouncing, now + settings_.claim_timeout, false};
   send_route(route);
   update_routes(now);
 }
@@ -86,7 +86,7 @@
     const auto acknowledged = static_cast<std::size_t>(std::count_if(
         sessions_.begin(), sessions_.end(), [](const Session& s) { return s.all_acknowledged(); }));
     if (route.stage == Stage::kAnnouncing) {
-      if (acknowledged >= std::max<std::size_t>(settings_.routers_needed, 1)) {
+      if (acknowledged >= std::max<std::size_t>(settings_.min_routers, 1)) {
         route.stage = Stage::kAnnounced;
         events_.push_back({Event::Kind::kAnnounced, address});
       } else if (now >= route.announcement_deadline) {
@@ -105,35 +105,38 @@
   }
 }
 
-void Speaker::on_connected(Time now, std::size_t router, Session::Way way) {
+void Speaker::on_connected(Time now, std::size_t router, Session::Direction way) {
   sessions_[router].on_connected(now, way);
   update_routes(now);
 }
 
-void Speaker::on_closed(Time now, std::size_t router, Session::Way way, std::string_view why) {
+void Speaker::on_closed(Time now, std::size_t router, Session::Direction way,
+                        std::string_view why) {
   sessions_[router].on_closed(now, way, why);
   update_routes(now);
 }
 
-void Speaker::on_bytes(Time now, std::size_t router, Session::Way way, std::string_view bytes) {
+void Speaker::on_bytes(Time now, std::size_t router, Session::Direction way,
+                       std::string_view bytes) {
   sessions_[router].on_bytes(now, way, bytes);
   update_routes(now);
 }
 
-void Speaker::on_unacknowledged(Time now, std::size_t router, Session::Way way, std::size_t bytes) {
+void Speaker::on_unacknowledged(Time now, std::size_t router, Session::Direction way,
+                                std::size_t bytes) {
   sessions_[router].on_unacknowledged(now, way, bytes);
   update_routes(now);
 }
 
 void Speaker::on_timer(Time now) {
   for (Session& s : sessions_)
-    if (s.next() <= now) s.on_timer(now);
+    if (s.next_timer_at() <= now) s.on_timer(now);
   update_routes(now);
 }
 
-Time Speaker::next() const {
+Time Speaker::next_timer_at() const {
   Time first = Time::max();
-  for (const Session& s : sessions_) first = std::min(first, s.next());
+  for (const Session& s : sessions_) first = std::min(first, s.next_timer_at());
   for (const auto& [address, route] : routes_)
     if (route.stage == Stage::kAnnouncing) first = std::min(first, route.announcement_deadline);
   return first;
--- a/src/route_announcement/speaker.h
+++ b/src/route_announcement/speaker.h
@@ -17,9 +17,9 @@
   std::uint32_t next_hop = 0;
   std::vector<std::uint32_t> communities;
   // How many routers must acknowledge an announcement for the address to count as announced.
-  std::size_t routers_needed = 1;
+  std::size_t min_routers = 1;
   // Time limit for those acknowledgements; an announcement that exceeds it has failed.
-  Duration claim_patience{std::chrono::milliseconds(500)};
+  Duration claim_timeout{std::chrono::milliseconds(500)};
 };
 
 // Announces service addresses to several routers, over one Session each, and reports when an
@@ -47,13 +47,13 @@
   // ---- events of one router's session; see Session
   std::size_t routers() const { return sessions_.size(); }
   const Session& session(std::size_t router) const { return sessions_[router]; }
-  void on_connected(Time now, std::size_t router, Session::Way way);
-  void on_closed(Time now, std::size_t router, Session::Way way, std::string_view why);
-  void on_bytes(Time now, std::size_t router, Session::Way way, std::string_view bytes);
-  void on_unacknowledged(Time now, std::size_t router, Session::Way way, std::size_t bytes);
+  void on_connected(Time now, std::size_t router, Session::Direction way);
+  void on_closed(Time now, std::size_t router, Session::Direction way, std::string_view why);
+  void on_bytes(Time now, std::size_t router, Session::Direction way, std::string_view bytes);
+  void on_unacknowledged(Time now, std::size_t router, Session::Direction way, std::size_t bytes);
   void on_timer(Time now);
   // Returns when on_timer() is due, or Time::max() if it is not.
-  Time next() const;
+  Time next_timer_at() const;
 
   // ---- actions for the owner to carry out, in order
   using Action = std::pair<std::size_t, Session::Action>;  // index of the router, action
--- a/src/settings/group_file.h
+++ b/src/settings/group_file.h
@@ -29,7 +29,7 @@
   std::uint32_t as = 0;
 };
 
-struct BgpFile {
+struct BgpSettings {
   bgp::SpeakerSettings speaker;  // without its sessions
   bgp::SessionSettings session;  // without the router's AS
   std::string source;            // local address of outgoing connections to routers; empty: any
@@ -37,21 +37,21 @@
   std::vector<BgpRouter> routers;
 };
 
-struct GroupFile {
+struct GroupSettings {
   std::string name;                   // of this instance
   std::string listen;                 // IP and port for datagrams
   std::string announce;               // IP and port that other members send to; default: `listen`
   std::vector<std::string> networks;  // datagrams from other networks are dropped
   std::string key_file;
-  Duration key_change{std::chrono::seconds(60)};  // within which all members read a new key
+  Duration key_change_time{std::chrono::seconds(60)};  // within which all members read a new key
   std::string folder;  // for the voter's record and the socket for `balancer address`
-  lease::VoterSet founding;
+  lease::VoterSet initial_voters;
   membership::MembershipSettings membership;  // includes the seeds
   lease::LeaseManagerSettings lease_manager;  // includes the addresses
   lease::EligibilitySettings eligibility;
   Duration drain{std::chrono::seconds(3)};  // of a service address's connections after a hand-over
   std::vector<ServiceAddress> addresses;
-  std::optional<BgpFile> bgp;
+  std::optional<BgpSettings> bgp;
   // Name of the service address of the platform's memcache listener, which is open only while this
   // instance holds the address; empty: always open.
   std::string memcache_service;
@@ -61,10 +61,10 @@
   const ServiceAddress* address(const std::string& name) const;
 };
 
-class Keys;
+class TomlTable;
 // Reads the group's tables from the file's root table. `process_name`: the instance's name if
 // [group] states none. Returns nullopt without [group], where [[address]] and [bgp] are errors.
 // Throws FileError.
-std::optional<GroupFile> read_group(Keys& root, const std::string& process_name);
+std::optional<GroupSettings> read_group(TomlTable& root, const std::string& process_name);
 
 }  // namespace balancer
--- a/src/settings/json.h
+++ b/src/settings/json.h
@@ -18,7 +18,7 @@
 using simdjson::dom::element;
 using simdjson::dom::object;
 
-[[noreturn]] inline void bad(std::string_view field, std::string_view what) {
+[[noreturn]] inline void throw_field_error(std::string_view field, std::string_view what) {
   throw FieldError("field '" + std::string(field) + "' " + std::string(what));
 }
 
@@ -32,7 +32,7 @@
 template <typename T>
 T as(element e, std::string_view field) {
   T value;
-  if (e.get(value)) bad(field, "has the wrong type");
+  if (e.get(value)) throw_field_error(field, "has the wrong type");
   return value;
 }
 
@@ -44,22 +44,22 @@
   double real;
   if (!e.is_double() || e.get(real) || !(real > -9e18 && real < 9e18) ||
       real != static_cast<double>(static_cast<std::int64_t>(real)))
-    bad(field, "is not a whole number");
+    throw_field_error(field, "is not a whole number");
   return static_cast<std::int64_t>(real);
 }
 
 template <>
 inline double as(element e, std::string_view field) {
   double value;
-  if (!e.is_number() || e.get(value)) bad(field, "is not a number");
+  if (!e.is_number() || e.get(value)) throw_field_error(field, "is not a number");
   return value;
 }
 
 // Reads a required field.
 template <typename T>
-T need(object o, std::string_view field) {
+T require(object o, std::string_view field) {
   const auto e = find(o, field);
-  if (!e) bad(field, "is missing");
+  if (!e) throw_field_error(field, "is missing");
   return as<T>(*e, field);
 }
 
@@ -75,8 +75,8 @@
 }
 
 // Checks that `value` lies in [0, end).
-inline int small(std::int64_t value, std::string_view field, std::int64_t end = 1 << 30) {
-  if (value < 0 || value >= end) bad(field, "is out of range");
+inline int bounded_int(std::int64_t value, std::string_view field, std::int64_t end = 1 << 30) {
+  if (value < 0 || value >= end) throw_field_error(field, "is out of range");
   return static_cast<int>(value);
 }
 
--- a/src/settings/operator.h
+++ b/src/settings/operator.h
@@ -22,7 +22,7 @@
   std::string name;
   std::vector<std::string> commands;  // upper case; "READ" and "WRITE" stand for all of that kind
   std::string prefix;                 // of the command's first key; empty: any
-  cluster::Reads reads = cluster::Reads::kPrimary;
+  cluster::ReadPreference reads = cluster::ReadPreference::kPrimary;
   std::size_t key_argument = 0;  // index of the argument with the idempotency key; 0: none
 };
 
@@ -64,22 +64,22 @@
   std::size_t sockets = 4096;  // descriptors
 };
 
-struct Operator {
+struct OperatorSettings {
   std::string file;
   ProcessSettings process;
   std::vector<RespPool> pools;
   std::vector<RespListener> listeners;
-  std::optional<GroupFile> group;
+  std::optional<GroupSettings> group;
 
   const RespPool* pool(const std::string& name) const;
   // Applies the settings of a reload that may change while requests are in flight: passwords, and
   // whether they are required. Returns the pools and listeners, and the group, whose other
   // settings differ: those take effect after a restart.
-  std::vector<std::string> apply_reload(const Operator& changed);
+  std::vector<std::string> apply_reload(const OperatorSettings& changed);
 };
 
 // Throws FileError.
-Operator load_operator(const std::string& file);
-Operator parse_operator(const std::string& text, const std::string& file);
+OperatorSettings load_operator(const std::string& file);
+OperatorSettings parse_operator(const std::string& text, const std::string& file);
 
 }  // namespace balancer
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -39,12 +39,12 @@
 }
 
 void read_classes(object o, SiteSettings& site) {
-  for (const element e : need<array>(o, "classes")) {
+  for (const element e : require<array>(o, "classes")) {
     const auto c = as<object>(e, "classes");
     site.policy.classes.push_back(read_class(c));
     site.classes.emplace_back(get_or<std::string_view>(c, "name", ""));
   }
-  if (site.policy.classes.empty()) bad("classes", "is empty");
+  if (site.policy.classes.empty()) throw_field_error("classes", "is empty");
 }
 
 void read_tenants(object o, SiteSettings& site) {
@@ -71,14 +71,14 @@
   const auto limits = as<object>(*e, "policyLimits");
   Settings& policy = site.policy;
   policy.hedging = get_or(limits, "secondCopies", false);
-  policy.max_attempts = small(get_or<std::int64_t>(limits, "maxAttempts", 1), "maxAttempts");
+  policy.max_attempts = bounded_int(get_or<std::int64_t>(limits, "maxAttempts", 1), "maxAttempts");
   if (get_or(limits, "retryAfter", false))
     policy.max_retry_after = get_time(limits, "maxRetryAfter");
   site.connect_timeout = get_time(limits, "connectTimeout");
   site.idle_close = get_time(limits, "connIdle");
   site.streams_per_connection =
-      std::max(1, small(get_or<std::int64_t>(limits, "streamsPerConn", 1), "streamsPerConn"));
-  site.max_held = get_or<std::int64_t>(limits, "mostHeld", 0);
+      std::max(1, bounded_int(get_or<std::int64_t>(limits, "streamsPerConn", 1), "streamsPerConn"));
+  site.max_open_requests = get_or<std::int64_t>(limits, "mostHeld", 0);
 }
 
 void read_rules(object o, Settings& policy) {
@@ -97,7 +97,8 @@
   SiteSettings site;
   read_classes(o, site);
   read_tenants(o, site);
-  site.policy.balancers = std::max(1, small(get_or<std::int64_t>(o, "balancers", 1), "balancers"));
+  site.policy.balancers =
+      std::max(1, bounded_int(get_or<std::int64_t>(o, "balancers", 1), "balancers"));
   site.zones = read_names(o, "localities");
   site.kinds = read_names(o, "kinds");
   read_specifics(o, site);
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -24,9 +24,9 @@
   bool shared_connections = false;
   Duration slow_after{std::chrono::milliseconds(2)};  // faster answers never count as slow
   // Limit of non-idempotent attempts in flight on one connection.
-  std::size_t max_unsafe = SIZE_MAX;
+  std::size_t max_non_idempotent_per_connection = SIZE_MAX;
   std::size_t max_connections = SIZE_MAX;  // to all hosts together
-  std::int64_t max_held = 0;               // limit of open requests; 0: unlimited
+  std::int64_t max_open_requests = 0;      // limit of open requests; 0: unlimited
 };
 
 // Throws FieldError.
--- a/src/settings/toml_keys.h
+++ b/src/settings/toml_keys.h
@@ -17,8 +17,8 @@
 // keys are errors.
 namespace balancer {
 
-[[noreturn]] inline void wrong(const std::string& file, int line, std::string_view key,
-                               const std::string& reason) {
+[[noreturn]] inline void throw_file_error(const std::string& file, int line, std::string_view key,
+                                          const std::string& reason) {
   throw FileError(file + ":" + std::to_string(line) + ": " +
                   (key.empty() ? "" : std::string(key) + ": ") + reason);
 }
@@ -31,15 +31,16 @@
 
 // Reads the keys of one table. finish() reports each key that was not read as an error. All readers
 // throw FileError if a value is missing, has the wrong type or is out of bounds.
-class Keys {
+class TomlTable {
  public:
-  Keys(const toml::table& table, const std::string& file) : table_(table), file_(file) {}
+  TomlTable(const toml::table& table, const std::string& file) : table_(table), file_(file) {}
 
   int line() const { return static_cast<int>(table_.source().begin.line); }
   bool has(std::string_view key) const { return table_.contains(key); }
-  [[noreturn]] void bad(std::string_view key, const std::string& reason) const {
+  [[noreturn]] void fail(std::string_view key, const std::string& reason) const {
     const toml::node* node = table_.get(key);
-    wrong(file_, node ? static_cast<int>(node->source().begin.line) : line(), key, reason);
+    throw_file_error(file_, node ? static_cast<int>(node->source().begin.line) : line(), key,
+                     reason);
   }
 
   // Returns the value, or null if the key is missing, and marks the key as read.
@@ -47,20 +48,20 @@
     read_keys_.emplace(key);
     return table_.get(key);
   }
-  double real(std::string_view key, double fallback, double low, double high) {
+  double number(std::string_view key, double fallback, double low, double high) {
     const toml::node* node = get(key);
     if (!node) return fallback;
     return check(key, *node, low, high);
   }
-  int whole(std::string_view key, int fallback, int low, int high) {
+  int integer(std::string_view key, int fallback, int low, int high) {
     const toml::node* node = get(key);
     if (!node) return fallback;
-    if (!node->is_integer()) bad(key, "must be a whole number");
+    if (!node->is_integer()) fail(key, "must be a whole number");
     return static_cast<int>(check(key, *node, low, high));
   }
   // Reads a time in units of `unit` seconds, which apply to the other arguments too.
   Duration time(std::string_view key, double unit, double fallback, double low, double high) {
-    return from_seconds(unit * real(key, fallback, low, high));
+    return from_seconds(unit * number(key, fallback, low, high));
   }
   // Reads a number or [low, high]. `Range` has the members `low` and `high`.
   template <typename Range>
@@ -68,9 +69,9 @@
     const toml::node* node = get(key);
     if (!node) return fallback;
     if (const toml::array* pair = node->as_array()) {
-      if (pair->size() != 2) bad(key, "must be a number or [low, high]");
+      if (pair->size() != 2) fail(key, "must be a number or [low, high]");
       const Range r{check(key, *pair->get(0), low, high), check(key, *pair->get(1), low, high)};
-      if (r.low > r.high) bad(key, "has its ends in the wrong order");
+      if (r.low > r.high) fail(key, "has its ends in the wrong order");
       return r;
     }
     const double value = check(key, *node, low, high);
@@ -81,7 +82,7 @@
     const toml::node* node = get(key);
     if (!node) return std::vector<double>(size, 1.0);
     const toml::array* all = node->as_array();
-    if (!all || all->size() != size) bad(key, "must hold a number for each zone");
+    if (!all || all->size() != size) fail(key, "must hold a number for each zone");
     std::vector<double> out;
     for (const toml::node& n : *all) out.push_back(check(key, n, 0, 1e6));
     return out;
@@ -89,13 +90,13 @@
   std::string text(std::string_view key, const std::string& fallback) {
     const toml::node* node = get(key);
     if (!node) return fallback;
-    if (!node->is_string()) bad(key, "must be text");
+    if (!node->is_string()) fail(key, "must be text");
     return **node->as_string();
   }
   bool flag(std::string_view key, bool fallback) {
     const toml::node* node = get(key);
     if (!node) return fallback;
-    if (!node->is_boolean()) bad(key, "must be true or false");
+    if (!node->is_boolean()) fail(key, "must be true or false");
     return **node->as_boolean();
   }
   std::vector<std::string> strings(std::string_view key) {
@@ -103,9 +104,9 @@
     std::vector<std::string> out;
     if (!node) return out;
     const toml::array* all = node->as_array();
-    if (!all) bad(key, "must be a list of strings");
+    if (!all) fail(key, "must be a list of strings");
     for (const toml::node& n : *all) {
-      if (!n.is_string()) bad(key, "must be a list of strings");
+      if (!n.is_string()) fail(key, "must be a list of strings");
       out.push_back(**n.as_string());
     }
     return out;
@@ -113,11 +114,11 @@
   // Reads a required name.
   std::string name(std::string_view key) {
     std::string value = text(key, "");
-    if (value.empty()) bad(key, "is missing");
+    if (value.empty()) fail(key, "is missing");
     if (value.find_first_not_of(
             "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.") !=
         std::string::npos)
-      bad(key, "may hold letters, digits, '-', '_' and '.' only");
+      fail(key, "may hold letters, digits, '-', '_' and '.' only");
     return value;
   }
   template <typename T, std::size_t N>
@@ -130,15 +131,15 @@
       if (value == word) return meaning;
       names += (names.empty() ? "" : ", ") + std::string(word);
     }
-    bad(key, "is none of " + names);
+    fail(key, "is none of " + names);
   }
   // Calls `read` with the table of this name, or with an empty table if there is none.
   template <typename Read>
   void table(std::string_view key, Read&& read) {
     static const toml::table kEmpty;
     const toml::node* node = get(key);
-    if (node && !node->is_table()) bad(key, "must be a table");
-    Keys keys(node ? *node->as_table() : kEmpty, file_);
+    if (node && !node->is_table()) fail(key, "must be a table");
+    TomlTable keys(node ? *node->as_table() : kEmpty, file_);
     read(keys);
     keys.finish();
   }
@@ -149,9 +150,9 @@
     if (!node) return;
     const toml::array* all = node->as_array();
     if (!all || !all->is_array_of_tables())
-      bad(key, "must be tables: [[" + std::string(key) + "]]");
+      fail(key, "must be tables: [[" + std::string(key) + "]]");
     for (const toml::node& n : *all) {
-      Keys keys(*n.as_table(), file_);
+      TomlTable keys(*n.as_table(), file_);
       read(keys);
       keys.finish();
     }
@@ -164,7 +165,7 @@
       if (toml::array* all = node.as_array())
         for (toml::node& n : *all)
           if (toml::table* t = n.as_table()) t->erase(omitted);
-    return Keys(copy, file_).serialize();
+    return TomlTable(copy, file_).serialize();
   }
   std::string serialize() const {
     std::ostringstream out;
@@ -175,16 +176,17 @@
   void finish() const {
     for (const auto& [key, node] : table_)
       if (!read_keys_.count(std::string(key.str())))
-        wrong(file_, static_cast<int>(node.source().begin.line), key.str(), "is not known here");
+        throw_file_error(file_, static_cast<int>(node.source().begin.line), key.str(),
+                         "is not known here");
   }
 
  private:
   double check(std::string_view key, const toml::node& node, double low, double high) const {
     const auto value = node.value<double>();
-    if (!value || !node.is_number()) bad(key, "must be a number");
+    if (!value || !node.is_number()) fail(key, "must be a number");
     if (!(*value >= low && *value <= high))
-      bad(key, "is " + format_number(*value) + "; it must lie from " + format_number(low) + " to " +
-                   format_number(high));
+      fail(key, "is " + format_number(*value) + "; it must lie from " + format_number(low) +
+                    " to " + format_number(high));
     return *value;
   }
 
--- a/src/simulator_adapter/wire.cc
+++ b/src/simulator_adapter/wire.cc
@@ -20,11 +20,11 @@
 // ---- parsing
 
 RequestId read_id(object o) {
-  const auto text = need<std::string_view>(o, "handle");
+  const auto text = require<std::string_view>(o, "handle");
   RequestId id = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), id, 16);
   if (text.size() != 16 || error != std::errc{} || end != text.data() + text.size())
-    bad("handle", "is not 16 hex digits");
+    throw_field_error("handle", "is not 16 hex digits");
   return id;
 }
 
@@ -69,7 +69,7 @@
     text_ += ",\"time\":" + std::to_string(at.count());
     end_with("tag", static_cast<std::int64_t>(tag));
   }
-  void subscribe() override {
+  void poll_endpoint_list() override {
     begin("keepInformed");
     text_ += ",\"enable\":true}";
   }
@@ -153,28 +153,29 @@
 };
 
 void Wire::Instance::on_provision(Time now, object e) {
-  options = read_settings(need<object>(e, "options"));
-  const element entropy = need<element>(e, "entropy");
+  options = read_settings(require<object>(e, "options"));
+  const element entropy = require<element>(e, "entropy");
   std::uint64_t seed;
   if (entropy.get(seed)) seed = static_cast<std::uint64_t>(as<std::int64_t>(entropy, "entropy"));
   policy = std::make_unique<Policy>(options->policy, seed, now, decisions);
 }
 
 void Wire::Instance::on_fleet(Time now, object e) {
-  const auto kind = need<std::string_view>(e, "kind");
+  const auto kind = require<std::string_view>(e, "kind");
   if (kind == "refused") return policy->on_hosts(now, ListKind::kRejected, {});
-  if (kind != "changes" && kind != "all" && kind != "remembered") bad("kind", "is unknown");
+  if (kind != "changes" && kind != "all" && kind != "remembered")
+    throw_field_error("kind", "is unknown");
   std::vector<HostEntry> entries;
-  for (const element row : need<array>(e, "rowsIn")) {
+  for (const element row : require<array>(e, "rowsIn")) {
     const auto r = as<object>(row, "rowsIn");
     HostEntry entry;
-    entry.id = need<std::string_view>(r, "host");
+    entry.id = require<std::string_view>(r, "host");
     const auto started = get_or<std::int64_t>(r, "startedAt", 0);
     if (started != 0) entry.start = HostStart::exactly(Time{started});
-    entry.origin = get_or<std::int64_t>(r, "hw", -2) == options->origin_kind;
-    entry.zone = small(get_or<std::int64_t>(r, "rackZone", 0), "rackZone");
-    entry.cell = small(get_or<std::int64_t>(r, "pack", 0), "pack");
-    entry.state = read_state(need<std::string_view>(r, "availability"));
+    entry.is_origin = get_or<std::int64_t>(r, "hw", -2) == options->origin_kind;
+    entry.zone = bounded_int(get_or<std::int64_t>(r, "rackZone", 0), "rackZone");
+    entry.cell = bounded_int(get_or<std::int64_t>(r, "pack", 0), "pack");
+    entry.state = read_state(require<std::string_view>(r, "availability"));
     entry.weight = get_or(r, "scale", 1.0);
     entries.push_back(entry);
   }
@@ -185,29 +186,29 @@
   constexpr std::int64_t kHintValid = 1, kWrite = 4;
   Request request;
   request.id = read_id(e);
-  request.request_class = small(need<std::int64_t>(e, "priority"), "priority",
-                                static_cast<std::int64_t>(options->policy.classes.size()));
-  request.tenant = small(get_or<std::int64_t>(e, "clientGroup", 0), "clientGroup");
+  request.request_class = bounded_int(require<std::int64_t>(e, "priority"), "priority",
+                                      static_cast<std::int64_t>(options->policy.classes.size()));
+  request.tenant = bounded_int(get_or<std::int64_t>(e, "clientGroup", 0), "clientGroup");
   const auto bits = get_or<std::int64_t>(e, "stateBits", 0);
-  request.write = (bits & kWrite) != 0;
+  request.is_write = (bits & kWrite) != 0;
   if (const auto key = find(e, "item")) request.key = as<std::string_view>(*key, "item");
   if (const auto hint = find(e, "predicted"); hint && (bits & kHintValid) != 0)
     request.work = Duration{as<std::int64_t>(*hint, "predicted")};
-  request.time_left = Duration{need<std::int64_t>(e, "budget")};
+  request.time_left = Duration{require<std::int64_t>(e, "budget")};
   policy->on_request(now, request);
 }
 
 void Wire::Instance::on_completed(Time now, object e) {
   Outcome outcome;
   outcome.id = read_id(e);
-  outcome.attempt = small(need<std::int64_t>(e, "sendNo"), "sendNo");
-  outcome.result = read_result(need<std::int64_t>(e, "status"));
-  outcome.finished = need<bool>(e, "complete");
+  outcome.attempt = bounded_int(require<std::int64_t>(e, "sendNo"), "sendNo");
+  outcome.result = read_result(require<std::int64_t>(e, "status"));
+  outcome.finished = require<bool>(e, "complete");
   policy->on_outcome(now, outcome);
 }
 
 void Wire::Instance::on_event(Time now, object e) {
-  const auto type = need<std::string_view>(e, "t");
+  const auto type = require<std::string_view>(e, "t");
   try {
     if (type == "provision") return on_provision(now, e);
     if (!policy) throw WireError("the instance was never provisioned");
@@ -215,9 +216,9 @@
     if (type == "submit") return on_submit(now, e);
     if (type == "completed") return on_completed(now, e);
     if (type == "ackFirst") return policy->on_first_byte(now, read_id(e));
-    if (type == "withdrawn") return policy->on_withdrawn(now, read_id(e));
+    if (type == "withdrawn") return policy->on_request_cancelled(now, read_id(e));
     if (type == "wakeup") {
-      const auto tag = need<std::int64_t>(e, "tag");
+      const auto tag = require<std::int64_t>(e, "tag");
       return policy->on_timer(now, static_cast<std::uint64_t>(tag));
     }
     if (type == "exit") {
@@ -240,16 +241,16 @@
     throw WireError(std::string("not JSON: ") + simdjson::error_message(error));
   if (!root.is_object()) throw WireError("the batch is not an object");
   const auto batch = as<object>(root, "batch");
-  const Time now{need<std::int64_t>(batch, "moment")};
+  const Time now{require<std::int64_t>(batch, "moment")};
   std::string reply = "{\"balancers\":[";
   bool first = true;
-  for (const element group : need<array>(batch, "balancers")) {
+  for (const element group : require<array>(batch, "balancers")) {
     const auto g = as<object>(group, "balancers");
-    const auto number = need<std::int64_t>(g, "who");
+    const auto number = require<std::int64_t>(g, "who");
     auto& instance = instances_[number];
     if (!instance) instance = std::make_unique<Instance>();
     try {
-      for (const element e : need<array>(g, "events"))
+      for (const element e : require<array>(g, "events"))
         instance->on_event(now, as<object>(e, "events"));
     } catch (const WireError& error) {
       throw WireError("instance " + std::to_string(number) + ": " + error.what());
--- a/src/store/store.cc
+++ b/src/store/store.cc
@@ -112,8 +112,8 @@
   // synced with each commit.
   execute("PRAGMA locking_mode = EXCLUSIVE");
   execute("PRAGMA journal_mode = WAL");
-  execute(durability_ == Durability::kEach ? "PRAGMA synchronous = FULL"
-                                           : "PRAGMA synchronous = OFF");
+  execute(durability_ == Durability::kSyncEachPut ? "PRAGMA synchronous = FULL"
+                                                  : "PRAGMA synchronous = OFF");
   execute("BEGIN IMMEDIATE");
   const auto query_number = [this](const char* sql) {
     sqlite3_stmt* s = nullptr;
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -29,13 +29,13 @@
 class Store {
  public:
   // Whether each put() waits for the disk. kNone is for tests and measurements only.
-  enum class Durability { kEach, kNone };
+  enum class Durability { kSyncEachPut, kNoSync };
 
   // Opens or creates FOLDER/NAME.db. A file that cannot be read is renamed to NAME.db.bad-N and
-  // replaced with an empty one; aside() then returns its new name. Throws StoreError if the folder
-  // or file cannot be written, the disk is full, or another process has the file open.
+  // replaced with an empty one; moved_aside_to() then returns its new name. Throws StoreError if
+  // the folder or file cannot be written, the disk is full, or another process has the file open.
   Store(const std::string& folder, const std::string& name,
-        Durability durability = Durability::kEach);
+        Durability durability = Durability::kSyncEachPut);
   ~Store();
   Store(const Store&) = delete;
   Store& operator=(const Store&) = delete;
@@ -55,10 +55,10 @@
 
   const std::string& file() const { return file_; }
   // Whether the file was created, or replaced, by this object.
-  bool fresh() const { return fresh_; }
+  bool is_new() const { return fresh_; }
   // Path of the unreadable file that was moved away, and why it could not be read; empty if the
   // file could be read.
-  const std::string& aside() const { return aside_; }
+  const std::string& moved_aside_to() const { return aside_; }
 
  private:
   void open();
--- a/src/testbed/failover_test.cc
+++ b/src/testbed/failover_test.cc
@@ -119,10 +119,10 @@
   asio::steady_timer timer_;
   std::function<void(const Answer&)> done_;
   Answer answer_;
-  const std::string out_ =
-      resp::Command::of({"CLUSTER", "MYID"}).wire() + resp::Command::of({"GET", "probe"}).wire();
+  const std::string out_ = resp::Command::from_args({"CLUSTER", "MYID"}).wire() +
+                           resp::Command::from_args({"GET", "probe"}).wire();
   std::array<char, 512> in_{};
-  resp::ReplyReader reader_{resp::Bounds{}};
+  resp::ReplyReader reader_{resp::InputLimits{}};
   std::string reply_;
 };
 
--- a/src/testbed/load/resp_clients.cc
+++ b/src/testbed/load/resp_clients.cc
@@ -17,7 +17,7 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-constexpr resp::Bounds kBounds{};
+constexpr resp::InputLimits kBounds{};
 
 // "-TRYAGAIN busy, nothing has run; come back in 250 ms"
 constexpr std::string_view kRefused = "-TRYAGAIN busy, nothing has run";
@@ -57,7 +57,7 @@
           self->socket_.set_option(tcp::no_delay(true), ignored);
           self->connected_ = true;
           if (self->clients_.spec_.by_slot) {
-            self->out_ = resp::Command::of({"CLUSTER", "SLOTS"}).wire() + self->out_;
+            self->out_ = resp::Command::from_args({"CLUSTER", "SLOTS"}).wire() + self->out_;
             self->slots_pending_ = true;
           }
           self->flush();
--- a/src/testbed/servers/bgp_router.cc
+++ b/src/testbed/servers/bgp_router.cc
@@ -96,7 +96,7 @@
   bool handle(const bgp::Message& message) {
     last_received_ = router_->clock_();
     if (const auto* open = std::get_if<bgp::Open>(&message)) {
-      reader_.set_four_octets(open->four_octets);
+      reader_.set_four_octet_as(open->four_octet_as);
       send(encode(bgp::Keepalive{}));
       return true;
     }
@@ -128,7 +128,7 @@
   tcp::socket socket_;
   asio::steady_timer timer_;
   const Address peer_;
-  bgp::Reader reader_;
+  bgp::MessageReader reader_;
   std::array<char, 4096> in_{};
   Time last_received_{0}, last_keepalive_{0};
   bool reading_ = false, stream_broken_ = false;
--- a/src/testbed/servers/resp_cluster.cc
+++ b/src/testbed/servers/resp_cluster.cc
@@ -10,13 +10,13 @@
 namespace {
 
 using boost::system::error_code;
+using cluster::equals_ignore_case;
 using cluster::kSlots;
-using cluster::same_word;
 using cluster::Slot;
 using resp::Command;
 using tcp = asio::ip::tcp;
 
-const resp::Bounds kBounds{
+const resp::InputLimits kBounds{
     .bulk = 1u << 20, .elements = 1u << 16, .total = 4u << 20, .line = 64u << 10, .depth = 8};
 constexpr std::size_t kMaxUnsent = 8u << 20;
 
@@ -95,7 +95,7 @@
     while (node_ && !silent_ && !paused_) {
       auto item = reader_.next();
       if (!item) return;
-      if (const auto* protocol_error = std::get_if<resp::Fault>(&*item)) {
+      if (const auto* protocol_error = std::get_if<resp::ProtocolError>(&*item)) {
         send(error("ERR " + protocol_error->reason));
         return close_when_sent();
       }
@@ -143,7 +143,7 @@
   // redirection; empty if there is none.
   std::string placement_error(const std::vector<std::string_view>& keys, bool write, bool asking);
   std::string run(const cluster::CommandInfo& info, const Command& c);
-  std::vector<std::string_view> keys_of(const cluster::CommandInfo& info, const Command& c);
+  std::vector<std::string_view> key_positions(const cluster::CommandInfo& info, const Command& c);
 
   Node* node_;  // null once closed
   tcp::socket socket_;
@@ -177,7 +177,7 @@
 // ---- commands
 
 void RespCluster::Connection::handle_command(const Command& c) {
-  const auto is = [&c](std::string_view word) { return same_word(c[0], word); };
+  const auto is = [&c](std::string_view word) { return equals_ignore_case(c[0], word); };
   if (is("HELLO")) return send(hello(c));
   if (is("AUTH")) return send("+OK\r\n");
   if (is("PING")) return send(c.size() > 1 ? error("ERR") : "+PONG\r\n");
@@ -235,20 +235,20 @@
 }
 
 std::string RespCluster::Connection::execute_command(const Command& c, bool& ran) {
-  const auto is = [&c](std::string_view word) { return same_word(c[0], word); };
+  const auto is = [&c](std::string_view word) { return equals_ignore_case(c[0], word); };
   auto& all = node_->all_;
   const int number = node_->number_;
   const Fault injected = all.fault ? all.fault(number, c) : Fault::kNone;
   if (injected == Fault::kCloseBefore) return close(), std::string();
   std::string reply;
-  if (injected == Fault::kLie && c.size() > 1) {
+  if (injected == Fault::kWrongRedirection && c.size() > 1) {
     reply = error("MOVED " + std::to_string(cluster::slot_of(c[1])) + " " + node_->address());
   } else if (is("EXEC")) {
     reply = exec();
   } else if (const auto* info = cluster::find_command(c[0]); !info) {
     reply = error("ERR unknown command '" + std::string(c[0].substr(0, 128)) + "'");
     transaction_failed_ = true;
-  } else if (!cluster::arity_fits(*info, c.size())) {
+  } else if (!cluster::has_valid_arity(*info, c.size())) {
     std::string name(info->name);
     std::transform(name.begin(), name.end(), name.begin(),
                    [](unsigned char ch) { return static_cast<char>(std::tolower(ch)); });
@@ -256,7 +256,8 @@
     transaction_failed_ = true;
   } else {
     const bool asking = std::exchange(asking_, false);
-    reply = placement_error(keys_of(*info, c), info->kind == cluster::Kind::kWrite, asking);
+    reply = placement_error(key_positions(*info, c), info->kind == cluster::CommandKind::kWrite,
+                            asking);
     if (!reply.empty()) {
       transaction_failed_ = true;
     } else if (in_multi_) {
@@ -298,10 +299,10 @@
   return reply;
 }
 
-std::vector<std::string_view> RespCluster::Connection::keys_of(const cluster::CommandInfo& info,
-                                                               const Command& c) {
+std::vector<std::string_view> RespCluster::Connection::key_positions(
+    const cluster::CommandInfo& info, const Command& c) {
   std::vector<std::string_view> keys;
-  if (const auto places = cluster::keys_of(info, c))
+  if (const auto places = cluster::key_positions(info, c))
     for (const auto p : *places) keys.push_back(c[p]);
   return keys;
 }
@@ -342,12 +343,12 @@
   Node& n = *node_;
   auto reply = n.store_->run(n.all_.now(), c, version_);
   if (!reply) return error("ERR '" + std::string(info.name) + "' is not emulated here");
-  if (info.kind == cluster::Kind::kWrite) {
+  if (info.kind == cluster::CommandKind::kWrite) {
     if (!reply->starts_with('-'))
       n.all_.runs_.push_back({n.number_, std::string(info.name),
                               c.size() > 1 ? std::string(c[1]) : std::string(),
                               c.size() > 2 ? std::string(c[2]) : std::string()});
-    for (const auto key : keys_of(info, c)) n.all_.replicate(n, key);
+    for (const auto key : key_positions(info, c)) n.all_.replicate(n, key);
   }
   return std::move(*reply);
 }
@@ -361,8 +362,8 @@
   std::vector<std::string_view> keys;
   bool write = false;
   for (const auto& [info, c] : queued) {
-    for (const auto key : keys_of(*info, c)) keys.push_back(key);
-    write = write || info->kind == cluster::Kind::kWrite;
+    for (const auto key : key_positions(*info, c)) keys.push_back(key);
+    write = write || info->kind == cluster::CommandKind::kWrite;
   }
   if (auto failure = placement_error(keys, write, false); !failure.empty()) return failure;
   std::string out;
@@ -373,7 +374,7 @@
 
 std::string RespCluster::Connection::hello(const Command& c) {
   if (c.size() > 1) {
-    const auto version = resp::parse_integer(c[1]);
+    const auto version = resp::parse_int64(c[1]);
     if (!version || *version < 2 || *version > 3)
       return error("NOPROTO unsupported protocol version");
     version_ = static_cast<int>(*version);
@@ -389,7 +390,9 @@
 
 std::string RespCluster::Connection::cluster(const Command& c) {
   Node& n = *node_;
-  const auto is = [&c](std::string_view word) { return c.size() >= 2 && same_word(c[1], word); };
+  const auto is = [&c](std::string_view word) {
+    return c.size() >= 2 && equals_ignore_case(c[1], word);
+  };
   std::string out;
   if (is("MYID")) {
     resp::append_bulk(out, id_of(n.number_));
@@ -636,7 +639,7 @@
   return next;
 }
 
-void RespCluster::tell(int node) {
+void RespCluster::update_node(int node) {
   Node& n = *nodes_[static_cast<std::size_t>(node)];
   int new_primary = -1;
   for (std::uint32_t s = 0; s < kSlots; ++s) {
@@ -655,7 +658,7 @@
 }
 
 void RespCluster::spread() {
-  for (int i = 0; i < size(); ++i) tell(i);
+  for (int i = 0; i < size(); ++i) update_node(i);
 }
 
 void RespCluster::kill(int node) { nodes_[static_cast<std::size_t>(node)]->stop(); }
--- a/src/testbed/servers/resp_cluster.h
+++ b/src/testbed/servers/resp_cluster.h
@@ -57,7 +57,7 @@
   void spread();
   // Gives one node the current slot map. A primary that has lost all slots becomes a replica of the
   // node that took them over.
-  void tell(int node);
+  void update_node(int node);
   void kill(int node);  // closes its connections; its data stays
   void restart(int node, bool clear_map = false);
 
@@ -65,13 +65,13 @@
 
   enum class Fault {
     kNone,
-    kCloseBefore,  // closes the connection without running the command
-    kCloseAfter,   // runs the command and closes without a reply
-    kHalfReply,    // runs the command, sends half of the reply and closes
-    kSilent,       // runs the command and never replies
-    kGarbage,      // sends garbage before the reply
-    kLie,          // replies MOVED to itself
-    kSlow,         // replies after `slow_reply_delay`; later commands on the connection wait
+    kCloseBefore,       // closes the connection without running the command
+    kCloseAfter,        // runs the command and closes without a reply
+    kHalfReply,         // runs the command, sends half of the reply and closes
+    kSilent,            // runs the command and never replies
+    kGarbage,           // sends garbage before the reply
+    kWrongRedirection,  // replies MOVED to itself
+    kSlow,              // replies after `slow_reply_delay`; later commands on the connection wait
   };
   Duration slow_reply_delay{std::chrono::milliseconds(50)};
   std::function<Fault(int node, const resp::Command& command)> fault;
--- a/src/testbed/servers/resp_fleet.cc
+++ b/src/testbed/servers/resp_fleet.cc
@@ -49,7 +49,7 @@
       prefixes.push_back(c.prefix);
   for (const auto& prefix : prefixes)
     for (const auto& key : keys)
-      cluster_.fill(resp::Command::of({"RPUSH", prefix + key, "first of " + key}));
+      cluster_.fill(resp::Command::from_args({"RPUSH", prefix + key, "first of " + key}));
 }
 
 // ---- requests
@@ -57,13 +57,13 @@
 resp::Command RespFleet::command(const Context& context, const ClassSpec& request_class,
                                  RequestNumber r, std::string_view key) {
   const std::string name = request_class.prefix + std::string(key);
-  if (request_class.write()) return resp::Command::of({"RPUSH", name, context.wire_id(r)});
-  return resp::Command::of({"LRANGE", name, "-3", std::to_string(kReadBase + r)});
+  if (request_class.write()) return resp::Command::from_args({"RPUSH", name, context.wire_id(r)});
+  return resp::Command::from_args({"LRANGE", name, "-3", std::to_string(kReadBase + r)});
 }
 
 std::optional<RequestNumber> RespFleet::request_of(const resp::Command& c) const {
   if (c.size() == 3) return context_.number_of(c[2]);
-  const auto n = c.size() == 4 ? resp::parse_integer(c[3]) : std::nullopt;
+  const auto n = c.size() == 4 ? resp::parse_int64(c[3]) : std::nullopt;
   if (!n || *n < kReadBase || *n - kReadBase > UINT32_MAX) return std::nullopt;
   const auto r = static_cast<RequestNumber>(*n - kReadBase);
   return context_.auditor.known(r) ? std::optional(r) : std::nullopt;
@@ -156,7 +156,7 @@
 void RespFleet::propagate_later() {
   context_.after(kPropagationDelay, [this] {
     for (int n = 0; n < cluster_.size(); ++n)
-      if (!uninformed_.count(n)) cluster_.tell(n);
+      if (!uninformed_.count(n)) cluster_.update_node(n);
   });
 }
 
@@ -174,7 +174,7 @@
   uninformed_.insert(old);
   const auto update_map = [this, old] {
     uninformed_.erase(old);
-    cluster_.tell(old);
+    cluster_.update_node(old);
   };
   if (i.length > Duration{0}) {
     cluster_.fail_over(old);
--- a/src/testbed/servers/resp_store.cc
+++ b/src/testbed/servers/resp_store.cc
@@ -8,7 +8,7 @@
 namespace balancer::testbed {
 namespace {
 
-using cluster::same_word;
+using cluster::equals_ignore_case;
 using resp::Command;
 
 const std::string kWrongType =
@@ -104,8 +104,9 @@
 // SCAN cursor [COUNT n]. Returns keys in the order of their hashes, so that adding or removing a
 // key does not change the position of the others. The cursor is the last hash that was returned.
 std::string RespStore::scan(const Command& c) const {
-  const auto cursor = resp::parse_integer(c.size() > 1 ? c[1] : "");
-  const auto count = c.size() > 3 && same_word(c[2], "COUNT") ? resp::parse_integer(c[3]) : 10;
+  const auto cursor = resp::parse_int64(c.size() > 1 ? c[1] : "");
+  const auto count =
+      c.size() > 3 && equals_ignore_case(c[2], "COUNT") ? resp::parse_int64(c[3]) : 10;
   if (!cursor || !count || *count < 1) return kSyntax;
   std::multimap<std::int64_t, std::string_view> by_hash;
   for (const auto& [key, entry] : entries_) {
@@ -133,17 +134,18 @@
   bool nx = false, xx = false, get = false, keep_ttl = false;
   std::optional<Time> expires;
   for (std::size_t i = 3; i < c.size(); ++i) {
-    if (same_word(c[i], "NX")) {
+    if (equals_ignore_case(c[i], "NX")) {
       nx = true;
-    } else if (same_word(c[i], "XX")) {
+    } else if (equals_ignore_case(c[i], "XX")) {
       xx = true;
-    } else if (same_word(c[i], "GET")) {
+    } else if (equals_ignore_case(c[i], "GET")) {
       get = true;
-    } else if (same_word(c[i], "KEEPTTL")) {
+    } else if (equals_ignore_case(c[i], "KEEPTTL")) {
       keep_ttl = true;
-    } else if ((same_word(c[i], "EX") || same_word(c[i], "PX")) && i + 1 < c.size()) {
-      const bool ms = same_word(c[i], "PX");
-      const auto n = resp::parse_integer(c[++i]);
+    } else if ((equals_ignore_case(c[i], "EX") || equals_ignore_case(c[i], "PX")) &&
+               i + 1 < c.size()) {
+      const bool ms = equals_ignore_case(c[i], "PX");
+      const auto n = resp::parse_int64(c[++i]);
       if (!n) return kNoInteger;
       if (*n <= 0) return "-ERR invalid expire time in 'set' command\r\n";
       expires = now + (ms ? Duration(std::chrono::milliseconds(*n)) : std::chrono::seconds(*n));
@@ -168,7 +170,7 @@
 std::string RespStore::increment(Time now, const Command& c, std::int64_t delta) {
   auto* text = find_or_create<std::string>(now, c[1]);
   if (!text) return kWrongType;
-  const auto old = text->empty() ? std::optional<std::int64_t>(0) : resp::parse_integer(*text);
+  const auto old = text->empty() ? std::optional<std::int64_t>(0) : resp::parse_int64(*text);
   std::int64_t sum = 0;
   if (!old || __builtin_add_overflow(*old, delta, &sum)) return kNoInteger;
   *text = std::to_string(sum);
@@ -177,9 +179,9 @@
 
 // NOLINTNEXTLINE(readability-function-size): one branch for each command.
 std::optional<std::string> RespStore::run(Time now, const Command& c, int version) {
-  if (same_word(c[0], "SCAN")) return scan(c);
-  if (same_word(c[0], "DBSIZE")) return ":" + std::to_string(entries_.size()) + "\r\n";
-  const auto is = [&c](std::string_view word) { return same_word(c[0], word); };
+  if (equals_ignore_case(c[0], "SCAN")) return scan(c);
+  if (equals_ignore_case(c[0], "DBSIZE")) return ":" + std::to_string(entries_.size()) + "\r\n";
+  const auto is = [&c](std::string_view word) { return equals_ignore_case(c[0], word); };
   const auto array = [](const std::vector<std::string>& items) {
     std::string out;
     resp::append_array(out, items.size());
@@ -212,7 +214,7 @@
   if (is("INCR")) return increment(now, c, 1);
   if (is("DECR")) return increment(now, c, -1);
   if (is("INCRBY") || is("DECRBY")) {
-    const auto delta = resp::parse_integer(c[2]);
+    const auto delta = resp::parse_int64(c[2]);
     if (!delta || *delta == std::numeric_limits<std::int64_t>::min()) return kNoInteger;
     return increment(now, c, is("INCRBY") ? *delta : -*delta);
   }
@@ -245,7 +247,7 @@
     return "+" + std::string(e ? kNames[e->value.index()] : "none") + "\r\n";
   }
   if (is("EXPIRE") || is("PEXPIRE")) {
-    const auto n = resp::parse_integer(c[2]);
+    const auto n = resp::parse_int64(c[2]);
     if (!n) return kNoInteger;
     Entry* e = find(now, c[1]);
     if (!e) return integer(0);
@@ -273,9 +275,9 @@
     if (!hash) return kWrongType;
     std::string reply;
     if (is("HINCRBY")) {
-      const auto delta = resp::parse_integer(c[3]);
+      const auto delta = resp::parse_int64(c[3]);
       auto& text = (*hash)[std::string(c[2])];
-      const auto old = text.empty() ? std::optional<std::int64_t>(0) : resp::parse_integer(text);
+      const auto old = text.empty() ? std::optional<std::int64_t>(0) : resp::parse_int64(text);
       std::int64_t sum = 0;
       if (!delta || !old || __builtin_add_overflow(*old, *delta, &sum)) return kNoInteger;
       text = std::to_string(sum);
@@ -329,7 +331,7 @@
     if (!list) return kWrongType;
     if (is("LLEN")) return integer(static_cast<std::int64_t>(list->size()));
     if (is("LRANGE")) {
-      const auto from = resp::parse_integer(c[2]), to = resp::parse_integer(c[3]);
+      const auto from = resp::parse_int64(c[2]), to = resp::parse_int64(c[3]);
       if (!from || !to) return kNoInteger;
       std::vector<std::string> items;
       const auto size = static_cast<std::int64_t>(list->size());
@@ -339,7 +341,7 @@
       return array(items);
     }
     if (is("LINDEX")) {
-      const auto index = resp::parse_integer(c[2]);
+      const auto index = resp::parse_int64(c[2]);
       if (!index) return kNoInteger;
       const std::int64_t i = *index < 0 ? *index + static_cast<std::int64_t>(list->size()) : *index;
       if (i < 0 || i >= static_cast<std::int64_t>(list->size())) return null(version);
--- a/tests/admin_test.cc
+++ b/tests/admin_test.cc
@@ -99,7 +99,7 @@
     discovery.hosts = hosts;
     begin();
   }
-  std::shared_ptr<Peer> connect_admin() { return Peer::dial(io, balancer->admin()); }
+  std::shared_ptr<Peer> connect_admin() { return Peer::connect(io, balancer->admin()); }
   // Sends `text` on a new connection. Returns the status of the response, or 0 if there is none.
   int call(const std::string& text) {
     auto c = connect_admin();
--- a/tests/bgp_test.cc
+++ b/tests/bgp_test.cc
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using Way = Session::Way;
+using Direction = Session::Direction;
 using Kind = Session::Action::Kind;
 
 std::string bytes(std::initializer_list<int> all) {
@@ -26,20 +26,20 @@
 }
 
 // Returns the first message or fault that the bytes decode to.
-std::variant<Message, Fault> read(const std::string& all, bool four_octets = true) {
-  Reader reader;
-  reader.set_four_octets(four_octets);
+std::variant<Message, ProtocolError> read(const std::string& all, bool four_octets = true) {
+  MessageReader reader;
+  reader.set_four_octet_as(four_octets);
   reader.feed(all);
   auto item = reader.next();
   EXPECT_TRUE(item.has_value());
-  return item ? *item : std::variant<Message, Fault>(Fault{});
+  return item ? *item : std::variant<Message, ProtocolError>(ProtocolError{});
 }
 
-Fault fault_of(const std::string& all, bool four_octets = true) {
+ProtocolError fault_of(const std::string& all, bool four_octets = true) {
   const auto item = read(all, four_octets);
-  const auto* fault = std::get_if<Fault>(&item);
+  const auto* fault = std::get_if<ProtocolError>(&item);
   EXPECT_NE(fault, nullptr) << "the message was accepted";
-  return fault ? *fault : Fault{};
+  return fault ? *fault : ProtocolError{};
 }
 
 // ---- messages
@@ -58,7 +58,7 @@
   EXPECT_EQ(back.as, open.as);
   EXPECT_EQ(back.hold_time, 9);
   EXPECT_EQ(back.id, open.id);
-  EXPECT_TRUE(back.four_octets);
+  EXPECT_TRUE(back.four_octet_as);
 }
 
 // The bytes were encoded by hand after sections 4.3 and 5 of RFC 4271 and RFC 1997.
@@ -105,10 +105,11 @@
   update.announced = {{0x0a090001, 32}};
   update.attributes = Attributes{0, {64512}, 7, 1, 2, {3, 4}};
   const std::string all = encode(Open{64512, 9, 5, true}) + encode(Keepalive{}) +
-                          encode(update, true) + encode(Notification{Code::kCease, 2, "\x03why"});
+                          encode(update, true) +
+                          encode(Notification{ErrorCode::kCease, 2, "\x03why"});
   for (std::size_t cut = 0; cut <= all.size(); ++cut) {
-    Reader reader;
-    reader.set_four_octets(true);
+    MessageReader reader;
+    reader.set_four_octet_as(true);
     std::size_t messages = 0;
     for (const auto& part : {all.substr(0, cut), all.substr(cut)}) {
       reader.feed(part);
@@ -125,7 +126,7 @@
 struct MalformedMessage {
   const char* what;
   std::string wire;
-  Code code;
+  ErrorCode code;
   int subcode;
 };
 
@@ -140,36 +141,38 @@
   std::string unmarked = encode(Keepalive{});
   unmarked[3] = 0;
   const std::vector<MalformedMessage> all = {
-      {"marker", unmarked, Code::kHeader, 1},
-      {"too long", std::string(16, '\xff') + bytes({0x10, 1, 2}), Code::kHeader, 2},
-      {"too short", std::string(16, '\xff') + bytes({0, 18, 4}), Code::kHeader, 2},
-      {"keepalive with a body", framed(4, "x"), Code::kHeader, 2},
-      {"type", framed(9, ""), Code::kHeader, 3},
-      {"version", open({3, 0, 1, 0, 9, 1, 1, 1, 1, 0}), Code::kOpen, 1},
-      {"hold time", open({4, 0, 1, 0, 2, 1, 1, 1, 1, 0}), Code::kOpen, 6},
-      {"identifier", open({4, 0, 1, 0, 9, 0, 0, 0, 0, 0}), Code::kOpen, 3},
-      {"parameter", open({4, 0, 1, 0, 9, 1, 1, 1, 1, 2, 1, 0}), Code::kOpen, 4},
-      {"parameters' length", open({4, 0, 1, 0, 9, 1, 1, 1, 1, 7}), Code::kOpen, 0},
-      {"no origin", update(path + hop), Code::kUpdate, 3},
-      {"no path", update(origin + hop), Code::kUpdate, 3},
-      {"no next hop", update(origin + path), Code::kUpdate, 3},
-      {"origin 7", update(bytes({0x40, 1, 1, 7}) + path + hop), Code::kUpdate, 6},
-      {"flags", update(bytes({0xc0, 1, 1, 0}) + path + hop), Code::kUpdate, 4},
-      {"length", update(origin + path + bytes({0x40, 3, 3, 10, 0, 0})), Code::kUpdate, 5},
-      {"next hop 0", update(origin + path + bytes({0x40, 3, 4, 0, 0, 0, 0})), Code::kUpdate, 8},
+      {"marker", unmarked, ErrorCode::kHeader, 1},
+      {"too long", std::string(16, '\xff') + bytes({0x10, 1, 2}), ErrorCode::kHeader, 2},
+      {"too short", std::string(16, '\xff') + bytes({0, 18, 4}), ErrorCode::kHeader, 2},
+      {"keepalive with a body", framed(4, "x"), ErrorCode::kHeader, 2},
+      {"type", framed(9, ""), ErrorCode::kHeader, 3},
+      {"version", open({3, 0, 1, 0, 9, 1, 1, 1, 1, 0}), ErrorCode::kOpen, 1},
+      {"hold time", open({4, 0, 1, 0, 2, 1, 1, 1, 1, 0}), ErrorCode::kOpen, 6},
+      {"identifier", open({4, 0, 1, 0, 9, 0, 0, 0, 0, 0}), ErrorCode::kOpen, 3},
+      {"parameter", open({4, 0, 1, 0, 9, 1, 1, 1, 1, 2, 1, 0}), ErrorCode::kOpen, 4},
+      {"parameters' length", open({4, 0, 1, 0, 9, 1, 1, 1, 1, 7}), ErrorCode::kOpen, 0},
+      {"no origin", update(path + hop), ErrorCode::kUpdate, 3},
+      {"no path", update(origin + hop), ErrorCode::kUpdate, 3},
+      {"no next hop", update(origin + path), ErrorCode::kUpdate, 3},
+      {"origin 7", update(bytes({0x40, 1, 1, 7}) + path + hop), ErrorCode::kUpdate, 6},
+      {"flags", update(bytes({0xc0, 1, 1, 0}) + path + hop), ErrorCode::kUpdate, 4},
+      {"length", update(origin + path + bytes({0x40, 3, 3, 10, 0, 0})), ErrorCode::kUpdate, 5},
+      {"next hop 0", update(origin + path + bytes({0x40, 3, 4, 0, 0, 0, 0})), ErrorCode::kUpdate,
+       8},
       {"next hop of a group", update(origin + path + bytes({0x40, 3, 4, 224, 0, 0, 1})),
-       Code::kUpdate, 8},
-      {"twice", update(origin + origin + path + hop), Code::kUpdate, 1},
-      {"path", update(origin + bytes({0x40, 2, 2, 9, 1}) + hop), Code::kUpdate, 11},
-      {"communities", update(origin + path + hop + bytes({0xc0, 8, 3, 1, 2, 3})), Code::kUpdate, 5},
-      {"well-known and unknown", update(origin + path + hop + bytes({0x40, 99, 0})), Code::kUpdate,
-       2},
+       ErrorCode::kUpdate, 8},
+      {"twice", update(origin + origin + path + hop), ErrorCode::kUpdate, 1},
+      {"path", update(origin + bytes({0x40, 2, 2, 9, 1}) + hop), ErrorCode::kUpdate, 11},
+      {"communities", update(origin + path + hop + bytes({0xc0, 8, 3, 1, 2, 3})),
+       ErrorCode::kUpdate, 5},
+      {"well-known and unknown", update(origin + path + hop + bytes({0x40, 99, 0})),
+       ErrorCode::kUpdate, 2},
       {"network", framed(2, bytes({0, 0, 0, 14}) + origin + path + hop + bytes({33, 1, 1, 1, 1})),
-       Code::kUpdate, 10},
-      {"withdrawn beyond its end", framed(2, bytes({0, 9, 0, 0})), Code::kUpdate, 1},
+       ErrorCode::kUpdate, 10},
+      {"withdrawn beyond its end", framed(2, bytes({0, 9, 0, 0})), ErrorCode::kUpdate, 1},
   };
   for (const MalformedMessage& w : all) {
-    const Fault f = fault_of(w.wire);
+    const ProtocolError f = fault_of(w.wire);
     EXPECT_EQ(static_cast<int>(f.notification.code), static_cast<int>(w.code)) << w.what;
     EXPECT_EQ(f.notification.subcode, w.subcode) << w.what;
     EXPECT_FALSE(f.reason.empty()) << w.what;
@@ -213,18 +216,19 @@
     }
   }
   void execute(int i, const Session::Action& action) {
-    const Way theirs = action.way == Way::kOut ? Way::kIn : Way::kOut;
+    const Direction theirs =
+        action.way == Direction::kOutbound ? Direction::kInbound : Direction::kOutbound;
     Session& other = sides[1 - i];
-    bool& open = link[i][action.way == Way::kIn];
-    bool& open_there = link[1 - i][theirs == Way::kIn];
+    bool& open = link[i][action.way == Direction::kInbound];
+    bool& open_there = link[1 - i][theirs == Direction::kInbound];
     switch (action.kind) {
       case Kind::kDial:
         ++dials[i];
-        if (!reachable) return sides[i].on_closed(now, Way::kOut, "refused");
+        if (!reachable) return sides[i].on_closed(now, Direction::kOutbound, "refused");
         if (dial_pending[i]) return;
         open = open_there = true;
-        other.on_connected(now, Way::kIn);
-        sides[i].on_connected(now, Way::kOut);
+        other.on_connected(now, Direction::kInbound);
+        sides[i].on_connected(now, Direction::kOutbound);
         return;
       case Kind::kSend:
         sent[i] += action.bytes;
@@ -247,10 +251,10 @@
     const Time end = now + length;
     run_actions();
     while (now < end) {
-      now = std::min(end,
-                     std::max(now + milliseconds(1), std::min(sides[0].next(), sides[1].next())));
+      now = std::min(end, std::max(now + milliseconds(1),
+                                   std::min(sides[0].next_timer_at(), sides[1].next_timer_at())));
       for (Session& s : sides)
-        if (s.next() <= now) s.on_timer(now);
+        if (s.next_timer_at() <= now) s.on_timer(now);
       run_actions();
     }
   }
@@ -284,16 +288,16 @@
     p.dial_pending[0] = p.dial_pending[1] = false;
     p.link[0][0] = p.link[1][1] = p.link[1][0] = p.link[0][1] = true;
     // Both TCP connections come up before either side has received a message.
-    for (const Way way : {Way::kOut, Way::kIn}) {
+    for (const Direction way : {Direction::kOutbound, Direction::kInbound}) {
       p.sides[0].on_connected(p.now, way);
       p.sides[1].on_connected(p.now, way);
     }
     p.run_actions();
     p.run(seconds(20));
     ASSERT_TRUE(p.sides[0].established() && p.sides[1].established());
-    const bool first_dialled = p.sides[0].has(Way::kOut);
+    const bool first_dialled = p.sides[0].has(Direction::kOutbound);
     EXPECT_EQ(first_dialled, low > 5);
-    EXPECT_EQ(p.sides[0].has(Way::kIn), !first_dialled) << "only one connection is left";
+    EXPECT_EQ(p.sides[0].has(Direction::kInbound), !first_dialled) << "only one connection is left";
     EXPECT_EQ(p.ups[0], 1);
   }
 }
@@ -353,7 +357,8 @@
   Pair p(settings(1), settings(2));
   p.run(seconds(5));
   ASSERT_TRUE(p.sides[0].established());
-  const Way way = p.sides[0].has(Way::kOut) ? Way::kOut : Way::kIn;
+  const Direction way =
+      p.sides[0].has(Direction::kOutbound) ? Direction::kOutbound : Direction::kInbound;
   p.sent[0].clear();
   p.sides[0].on_bytes(p.now, way, framed(2, bytes({0, 9, 0, 0})));
   p.run_actions();
@@ -370,7 +375,7 @@
   p.run_actions();
   EXPECT_NE(p.sent[0].find("maintenance"), std::string::npos);
   EXPECT_EQ(p.downs[1], 1);
-  EXPECT_EQ(p.sides[0].next(), Time::max()) << "it never dials again";
+  EXPECT_EQ(p.sides[0].next_timer_at(), Time::max()) << "it never dials again";
 }
 
 // Random bytes and messages at random moments must not crash the session, which recovers
@@ -396,7 +401,7 @@
         default:
           input = framed(static_cast<int>(random() % 6), std::string(random() % 30, 'x'));
       }
-      p.sides[0].on_bytes(p.now, random() % 2 ? Way::kOut : Way::kIn, input);
+      p.sides[0].on_bytes(p.now, random() % 2 ? Direction::kOutbound : Direction::kInbound, input);
       p.run_actions();
     }
     p.run(seconds(120));
@@ -414,7 +419,7 @@
     s.local_as = 64512;
     s.next_hop = 0x7f00000b;
     s.communities = {0xfc000064};
-    s.routers_needed = needed;
+    s.min_routers = needed;
     std::vector<SessionSettings> all(routers, settings(11));
     if (routers > 1) all[1].remote_as = 65000;
     speaker.emplace(s, all, 1, now);
@@ -423,14 +428,14 @@
   }
   void bring_up(std::size_t r) {
     ASSERT_TRUE(std::exchange(dialled[r], false));
-    speaker->on_connected(now, r, Way::kOut);
-    speaker->on_bytes(now, r, Way::kOut,
+    speaker->on_connected(now, r, Direction::kOutbound);
+    speaker->on_bytes(now, r, Direction::kOutbound,
                       encode(Open{r == 1 ? 65000u : 64512u, 180, 1, true}) + encode(Keepalive{}));
     execute();
     ASSERT_TRUE(speaker->session(r).established());
   }
   void take_down(std::size_t r) {
-    speaker->on_closed(now, r, Way::kOut, "closed");
+    speaker->on_closed(now, r, Direction::kOutbound, "closed");
     execute();
   }
   // Executes the actions and collects events. A router acknowledges at once unless it is stuck.
@@ -450,8 +455,8 @@
   std::vector<std::string> take_events() { return std::exchange(events, {}); }
   // Returns the last UPDATE that was sent to the router.
   Update last_update(std::size_t r) {
-    Reader reader;
-    reader.set_four_octets(true);
+    MessageReader reader;
+    reader.set_four_octet_as(true);
     reader.feed(sent[r]);
     Update out;
     for (auto item = reader.next(); item; item = reader.next())
@@ -506,7 +511,7 @@
   speaker->announce(now, "svc", prefix, 1);
   execute();
   EXPECT_TRUE(take_events().empty());
-  EXPECT_LE(speaker->next(), now + milliseconds(500));
+  EXPECT_LE(speaker->next_timer_at(), now + milliseconds(500));
   now += milliseconds(500);
   speaker->on_timer(now);
   execute();
@@ -532,7 +537,7 @@
   execute();
   EXPECT_TRUE(take_events().empty()) << "the withdrawal is not acknowledged yet";
   stuck[0] = false;
-  speaker->on_unacknowledged(now, 0, Way::kOut, 0);
+  speaker->on_unacknowledged(now, 0, Direction::kOutbound, 0);
   execute();
   EXPECT_EQ(take_events(), Events{"withdrawn svc"});
 }
--- a/tests/cluster_test.cc
+++ b/tests/cluster_test.cc
@@ -51,7 +51,7 @@
 }
 
 TEST(ClusterView, ParsesClusterSlotsAndShards) {
-  const resp::Bounds bounds;
+  const resp::InputLimits bounds;
   const std::string slots =
       "*3\r\n"
       "*4\r\n:0\r\n:5460\r\n*3\r\n$9\r\n127.0.0.1\r\n:30001\r\n$1\r\na\r\n"
@@ -163,7 +163,7 @@
   // The nodes offered, in order.
   std::vector<std::string> offered(const std::string& text, RequestId request) {
     std::vector<std::string> out;
-    router->walk(router->point(text), request, [&](Placement::Host h) {
+    router->visit_candidates(router->point(text), request, [&](Placement::Host h) {
       for (const auto& [name, host] : names)
         if (host == h) out.push_back(name);
       return false;
@@ -185,33 +185,33 @@
 
 TEST_F(RouterTest, FollowsAskOnceAndMovedForAllRequestsOfTheSlot) {
   merge(view_of("a:1", 2, {{"a:1", 0, 16383, 1}, {"b:1", 1, 0, 2}}));
-  router->begin(1, slot_of(key), Reads::kPrimary);
+  router->begin(1, slot_of(key), ReadPreference::kPrimary);
   EXPECT_EQ(offered(key, 1), Names{"a:1"});
   EXPECT_EQ(error(1, "a:1", "ASK 12182 b:1"), Verdict::kRedirected);
   EXPECT_EQ(offered(key, 1), Names{"b:1"});
   EXPECT_TRUE(router->asking(1, "b:1"));
   EXPECT_FALSE(router->asking(1, "a:1"));
-  router->begin(2, slot_of(key), Reads::kPrimary);
+  router->begin(2, slot_of(key), ReadPreference::kPrimary);
   EXPECT_EQ(offered(key, 2), Names{"a:1"}) << "ASK must apply to one request only";
   EXPECT_EQ(error(2, "a:1", "MOVED 12182 b:1"), Verdict::kRedirected);
   EXPECT_FALSE(router->asking(2, "b:1"));
-  router->begin(3, slot_of(key), Reads::kPrimary);
+  router->begin(3, slot_of(key), ReadPreference::kPrimary);
   EXPECT_EQ(offered(key, 3), Names{"b:1"}) << "MOVED must apply to the slot";
   EXPECT_EQ(offered("bar", 3), Names{"a:1"}) << "MOVED must not apply to other slots";
 }
 
 TEST_F(RouterTest, DetectsRedirectionLoopsAndBoundsRedirections) {
   merge(view_of("a:1", 2, {{"a:1", 0, 16383, 1}, {"b:1", 1, 0, 2}}));
-  router->begin(1, 12182, Reads::kPrimary);
+  router->begin(1, 12182, ReadPreference::kPrimary);
   EXPECT_EQ(error(1, "a:1", "MOVED 12182 a:1"), Verdict::kUnavailable) << "the node names itself";
   EXPECT_TRUE(offered(key, 1).empty());
-  router->begin(1, 12182, Reads::kPrimary);
+  router->begin(1, 12182, ReadPreference::kPrimary);
   EXPECT_EQ(error(1, "a:1", "MOVED 12182 b:1"), Verdict::kRedirected);
   EXPECT_EQ(error(1, "b:1", "MOVED 12182 a:1"), Verdict::kRedirected)
       << "the slot may have moved back";
   EXPECT_EQ(error(1, "a:1", "MOVED 12182 b:1"), Verdict::kUnavailable) << "a names b and b names a";
   EXPECT_EQ(router->counters().loops, 2u);
-  router->begin(2, 12182, Reads::kPrimary);
+  router->begin(2, 12182, ReadPreference::kPrimary);
   int hops = 0;
   while (error(2, "n" + std::to_string(hops) + ":1",
                "MOVED 12182 n" + std::to_string(hops + 1) + ":1") == Verdict::kRedirected)
@@ -226,7 +226,7 @@
 
 TEST_F(RouterTest, ClassifiesErrorReplies) {
   merge(view_of("a:1", 2, {{"a:1", 0, 16383, 1}}));
-  router->begin(1, 12182, Reads::kPrimary);
+  router->begin(1, 12182, ReadPreference::kPrimary);
   EXPECT_EQ(error(1, "a:1", "ERR no such key"), Verdict::kAnswer);
   EXPECT_EQ(error(1, "a:1", "WRONGTYPE Operation"), Verdict::kAnswer);
   EXPECT_EQ(error(1, "a:1", "MOVEDON 1 b:1"), Verdict::kAnswer);
@@ -236,7 +236,7 @@
     EXPECT_EQ(error(1, "a:1", text), Verdict::kMalformed) << text;
   for (const std::string text : {"TRYAGAIN x", "CLUSTERDOWN x", "LOADING x", "READONLY x"})
     EXPECT_EQ(error(1, "a:1", text), Verdict::kUnavailable) << text;
-  router->begin(1, 12182, Reads::kPrimary);
+  router->begin(1, 12182, ReadPreference::kPrimary);
   EXPECT_EQ(offered(key, 1), Names{"a:1"})
       << "malformed redirections must not change the slot table";
   EXPECT_EQ(error(1, "a:1", "MOVED 12182 :7"), Verdict::kRedirected)
@@ -247,7 +247,7 @@
 // The old owner is now a replica, or believes that it is.
 TEST_F(RouterTest, GoesToTheOwnerAfterReadonlyFromAReplica) {
   merge(view_of("a:1", 2, {{"a:1", 0, 16383, 1}}));
-  router->begin(1, 12182, Reads::kPrimary);
+  router->begin(1, 12182, ReadPreference::kPrimary);
   merge(view_of("b:1", 3, {{"b:1", 0, 16383, 3}, {"a:1", 1, 0, 1}}));
   EXPECT_EQ(error(1, "a:1", "READONLY You can't write against a read only replica."),
             Verdict::kRedirected);
@@ -258,11 +258,11 @@
   View view = view_of("a:1", 2, {{"a:1", 0, 16383, 1}});
   view.shards[0].replicas = {"r:1", "s:1"};
   merge(view);
-  router->begin(1, 12182, Reads::kPrimary);
+  router->begin(1, 12182, ReadPreference::kPrimary);
   EXPECT_EQ(offered(key, 1), Names{"a:1"});
   std::set<std::string> first;
   for (RequestId id = 10; id < 16; ++id) {
-    router->begin(id, 12182, Reads::kReplica);
+    router->begin(id, 12182, ReadPreference::kReplica);
     const auto order = offered(key, id);
     ASSERT_EQ(order.size(), 2u);
     first.insert(order.front());
@@ -272,7 +272,7 @@
   EXPECT_EQ(first.size(), 2u);
   first.clear();
   for (RequestId id = 20; id < 26; ++id) {
-    router->begin(id, 12182, Reads::kAny);
+    router->begin(id, 12182, ReadPreference::kAny);
     first.insert(offered(key, id).front());
   }
   EXPECT_EQ(first.size(), 3u);
@@ -280,7 +280,7 @@
 
 TEST_F(RouterTest, OffersAnyNodeIfTheOwnerIsUnknown) {
   insert_new_nodes();
-  router->begin(1, 12182, Reads::kPrimary);
+  router->begin(1, 12182, ReadPreference::kPrimary);
   EXPECT_EQ(offered(key, 1), Names{"a:1"});
 }
 
@@ -291,7 +291,7 @@
   for (int ms = 0; ms < 1000; ++ms) {
     now += milliseconds(1);
     for (RequestId id = 1; id <= 20; ++id) {
-      router->begin(id, 12182, Reads::kPrimary);
+      router->begin(id, 12182, ReadPreference::kPrimary);
       error(id, ms % 2 ? "a:1" : "b:1", ms % 2 ? "MOVED 12182 b:1" : "MOVED 12182 a:1");
       router->end(id);
     }
@@ -393,11 +393,11 @@
     int served = 0;
     // Returns the number of nodes that were tried; 0 if none served the request.
     const auto send_request = [&](Slot slot) {
-      router->begin(++id, slot, Reads::kPrimary);
+      router->begin(++id, slot, ReadPreference::kPrimary);
       int node = -1, hops = 0;
       while (true) {
         std::string target;
-        router->walk(slot, id, [&](Placement::Host h) {
+        router->visit_candidates(slot, id, [&](Placement::Host h) {
           for (const auto& [name, host] : names)
             if (host == h) target = name;
           return true;
--- a/tests/command_announcer_test.cc
+++ b/tests/command_announcer_test.cc
@@ -93,7 +93,8 @@
   runner.execute_actions();
   for (int i = 0; i < 30 && runner.announcer.state() != State::kIdle; ++i) {
     runner.end_command(false);
-    if (runner.announcer.next() != Time::max()) runner.now = runner.announcer.next();
+    if (runner.announcer.next_timer_at() != Time::max())
+      runner.now = runner.announcer.next_timer_at();
     runner.announcer.on_timer(runner.now);
     runner.execute_actions();
   }
@@ -125,7 +126,7 @@
           runner.end_command(false);
           break;
         default:
-          if (runner.announcer.next() <= runner.now) runner.announcer.on_timer(runner.now);
+          if (runner.announcer.next_timer_at() <= runner.now) runner.announcer.on_timer(runner.now);
       }
       events += std::to_string(c % kEvents);
       runner.execute_actions();
--- a/tests/crossings_test.cc
+++ b/tests/crossings_test.cc
@@ -22,13 +22,13 @@
 
 TEST_P(ClientDisconnectTest, DropsRequestWaitingForAConnect) {
   begin();
-  list({listed("h", cache.server.local())});
+  apply_list({listed("h", cache.server.local())});
   cache.server.pause_accepting();
   auto c = client(), other = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return limits->upstreams.used() == 1; }));
   const std::size_t bytes = limits->bytes.used();
-  ASSERT_TRUE(gone(c, GetParam()));
+  ASSERT_TRUE(disconnect_client(c, GetParam()));
   ASSERT_TRUE(wait([&] { return pool->open_requests() == 0; }));
   EXPECT_LE(limits->bytes.used(), bytes);
   other->send(get("k", "2"));
@@ -43,7 +43,7 @@
 // the event loop.
 TEST_P(ClientDisconnectTest, SendsNothingAfterADisconnectInTheTurnOfTheConnect) {
   begin();
-  list({listed("h", cache.server.local())});
+  apply_list({listed("h", cache.server.local())});
   auto c = client(), other = client();
   c->send(get("k", "1"));
   while (limits->upstreams.used() == 0) io.run_one();
@@ -61,7 +61,7 @@
 TEST_P(ClientDisconnectTest, DropsRequestQueuedAtTheConnectionLimit) {
   site.max_connections = 1;
   begin();
-  list({listed("h", cache.server.local())});
+  apply_list({listed("h", cache.server.local())});
   auto first = client(), c = client(), last = client();
   first->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return cache.saw("1"); }));
@@ -69,7 +69,7 @@
   ASSERT_TRUE(wait([&] { return pool->open_requests() == 2; }));
   last->send(get("k", "3"));
   ASSERT_TRUE(wait([&] { return pool->open_requests() == 3; }));
-  ASSERT_TRUE(gone(c, GetParam()));
+  ASSERT_TRUE(disconnect_client(c, GetParam()));
   cache.answer("1", "v");
   ASSERT_TRUE(wait([&] { return cache.saw("3"); }));
   EXPECT_EQ(cache.ids, (std::vector<std::string>{"1", "3"}));
@@ -82,7 +82,7 @@
   site.streams_per_connection = 8;
   site.slow_after = std::chrono::hours(1);  // not overdue even on a slow machine
   begin();
-  list({listed("h", cache.server.local())});
+  apply_list({listed("h", cache.server.local())});
   auto first = client(), c = client(), last = client();
   first->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return cache.saw("1"); }));
@@ -90,7 +90,7 @@
   ASSERT_TRUE(wait([&] { return cache.saw("2"); }));
   last->send(get("k", "3"));
   ASSERT_TRUE(wait([&] { return cache.saw("3"); }));
-  ASSERT_TRUE(gone(c, GetParam()));
+  ASSERT_TRUE(disconnect_client(c, GetParam()));
   for (const char* id : {"1", "2", "3"}) cache.answer(id, std::string("v") + id);
   ASSERT_TRUE(wait([&] { return first->in == FakeCache::value("1", "v1"); }));
   ASSERT_TRUE(wait([&] { return last->in == FakeCache::value("3", "v3"); }));
@@ -100,14 +100,14 @@
 TEST_P(ClientDisconnectTest, DropsRequestWaitingForACoalescedFetch) {
   cache.on_command = [&](Peer&, const std::string& id) { cache.miss(id); };
   begin();
-  list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
+  apply_list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
   auto leader = client(), c = client();
   leader->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return origin.saw("1"); }));
   c->send(get("k", "2"));
   ASSERT_TRUE(wait([&] { return cache.saw("2"); }));
   ASSERT_TRUE(wait([&] { return pool->open_requests() == 2; }));
-  ASSERT_TRUE(gone(c, GetParam()));
+  ASSERT_TRUE(disconnect_client(c, GetParam()));
   origin.answer("1", "v");
   ASSERT_TRUE(wait([&] { return leader->in == FakeCache::value("1", "v"); }));
   leader->send(get("other", "3"));  // sent after anything that the answer triggers
@@ -121,14 +121,14 @@
 TEST_P(ClientDisconnectTest, PromotesAFollowerToLeaderOfAnUnsentFetch) {
   cache.on_command = [&](Peer&, const std::string& id) { cache.miss(id); };
   begin();
-  list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
+  apply_list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
   origin.server.pause_accepting();
   auto c = client(), follower = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return limits->upstreams.used() == 2; }));
   follower->send(get("k", "2"));
   ASSERT_TRUE(wait([&] { return cache.saw("2") && pool->open_requests() == 2; }));
-  ASSERT_TRUE(gone(c, GetParam()));
+  ASSERT_TRUE(disconnect_client(c, GetParam()));
   origin.server.resume_accepting();
   ASSERT_TRUE(wait([&] { return origin.saw("2"); }));
   EXPECT_EQ(origin.ids, std::vector<std::string>{"2"});
@@ -138,7 +138,7 @@
 
 TEST_P(ClientDisconnectTest, SendsNoRetryAfterABackOff) {
   begin();
-  list({listed("o", origin.server.local(), true)});
+  apply_list({listed("o", origin.server.local(), true)});
   auto c = client();
   origin.on_request = [&](Peer&, const std::string& id) {
     origin.never_ran(id);
@@ -161,7 +161,7 @@
   ScriptedOrigin slow(io, 4096);
   slow.server.reads = false;
   begin();
-  list({listed("o", slow.server.local(), true)});
+  apply_list({listed("o", slow.server.local(), true)});
   auto c = client();
   constexpr std::size_t kLong = 4u << 20;
   bool written = false;
@@ -169,7 +169,7 @@
   asio::async_write(c->socket, asio::buffer(text), [&](auto e, auto) { written = !e; });
   ASSERT_TRUE(wait([&] { return written && slow.server.peers.size() == 1; }));
   ASSERT_TRUE(wait([&] { return pool->open_requests() == 1; }));
-  ASSERT_TRUE(gone(c, GetParam()));
+  ASSERT_TRUE(disconnect_client(c, GetParam()));
   Peer& p = *slow.server.peers.at(0);
   p.read();
   ASSERT_TRUE(wait([&] { return p.closed; }));
@@ -181,7 +181,7 @@
 // The attempt is held after a stall when the client disconnects, and is never sent.
 TEST_P(ClientDisconnectTest, DropsRequestHeldAfterAStall) {
   begin();
-  list({listed("h", cache.server.local())});
+  apply_list({listed("h", cache.server.local())});
   bool is_discovery_polled = false;
   pool->enable_stall_guard([&] { is_discovery_polled = true; }, [](const std::string&) {});
   auto c = client(), other = client();
@@ -189,7 +189,7 @@
   c->send(get("k", "1"));
   std::this_thread::sleep_for(milliseconds(1100));  // stalls this process
   ASSERT_TRUE(wait([&] { return is_discovery_polled && pool->open_requests() == 1; }));
-  ASSERT_TRUE(gone(c, GetParam()));
+  ASSERT_TRUE(disconnect_client(c, GetParam()));
   pool->on_discovery_answer(Duration{0});
   other->send(get("k", "2"));
   ASSERT_TRUE(wait([&] { return cache.saw("2"); }));
@@ -213,7 +213,7 @@
   const auto [unread, by_reset] = GetParam();
   site.max_connections = 1;
   begin();
-  list({listed("h", cache.server.local())});
+  apply_list({listed("h", cache.server.local())});
   auto first = client();
   first->send(get("k", "first"));
   ASSERT_TRUE(wait([&] { return cache.saw("first"); }));
@@ -230,7 +230,7 @@
     c->send(get("k", "unread"));
     run_for(io, milliseconds(20));
   }
-  ASSERT_TRUE(gone(c, by_reset));
+  ASSERT_TRUE(disconnect_client(c, by_reset));
   limits->bytes.set_max(16u << 20);
   ASSERT_TRUE(wait([&] { return pool->open_requests() == 1; }));
   cache.answer("first", "v");
@@ -245,7 +245,7 @@
 // command that was accepted would be sent immediately.
 TEST_P(ClientDisconnectTest, DropsAnUnreadCommand) {
   begin();
-  list({listed("h", cache.server.local())});
+  apply_list({listed("h", cache.server.local())});
   auto other = client(), c = client();
   other->send(get("k", "0"));
   ASSERT_TRUE(wait([&] { return cache.saw("0") && limits->clients.used() == 2; }));
@@ -255,7 +255,7 @@
   ASSERT_TRUE(delivered(*c));
   if (!GetParam()) c->socket.shutdown(tcp::socket::shutdown_send);
   ASSERT_TRUE(GetParam() || delivered(*c));
-  ASSERT_TRUE(gone(c, GetParam()));
+  ASSERT_TRUE(disconnect_client(c, GetParam()));
   other->send(get("k", "2"));
   ASSERT_TRUE(wait([&] { return cache.saw("2"); }));
   EXPECT_EQ(cache.ids, (std::vector<std::string>{"0", "2"}));
@@ -266,7 +266,7 @@
 // client used the last descriptor.
 TEST_P(ClientDisconnectTest, DropsTheCommandOfAnUnacceptedClient) {
   begin();
-  list({listed("h", cache.server.local())});
+  apply_list({listed("h", cache.server.local())});
   auto busy = client();
   busy->send(get("k", "0"));
   ASSERT_TRUE(wait([&] { return cache.saw("0"); }));
@@ -293,23 +293,23 @@
   // address of the original host.
   void change() {
     const Endpoint to = replacement.server.local();
-    ListedHost h = listed("h", original.server.local());
+    EndpointListEntry h = listed("h", original.server.local());
     switch (GetParam()) {
       case Change::kDrained:
         h.state = HostState::kDraining;
-        return list({h, listed("g", to)});
+        return apply_list({h, listed("g", to)});
       case Change::kRemoved:
-        return list({listed("g", to)});
+        return apply_list({listed("g", to)});
       case Change::kRestarted:
-        h.born = UnixTime(std::chrono::hours(1));
-        h.dial = to;
-        return list({h});
+        h.started_at = UnixTime(std::chrono::hours(1));
+        h.endpoint = to;
+        return apply_list({h});
       case Change::kMoved:
-        h.dial = to;
-        return list({h});
+        h.endpoint = to;
+        return apply_list({h});
       case Change::kOutOfService:
-        list({h, listed("g", to)});
-        ASSERT_TRUE(pool->maintain("h", true));
+        apply_list({h, listed("g", to)});
+        ASSERT_TRUE(pool->set_out_of_service("h", true));
     }
   }
   ScriptedCache original{io}, replacement{io};
@@ -323,7 +323,7 @@
 TEST_P(EndpointListChangeTest, ReroutesAnAttemptWaitingForAConnect) {
   site.policy.max_attempts = 1;
   begin();
-  list({listed("h", original.server.local())});
+  apply_list({listed("h", original.server.local())});
   original.server.pause_accepting();
   auto c = client();
   c->send(get("k", "1"));
@@ -342,7 +342,7 @@
   site.policy.max_attempts = 1;
   site.max_connections = 1;
   begin();
-  list({listed("h", original.server.local())});
+  apply_list({listed("h", original.server.local())});
   auto first = client(), c = client();
   first->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return original.saw("1"); }));
@@ -359,7 +359,7 @@
 // and must not be used again.
 TEST_P(EndpointListChangeTest, AssignsNoAttemptToAnOldConnection) {
   begin();
-  list({listed("h", original.server.local())});
+  apply_list({listed("h", original.server.local())});
   auto c = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return original.saw("1"); }));
@@ -379,13 +379,13 @@
   site.shared_connections = true;
   site.streams_per_connection = 4;
   begin();
-  list({listed("h", cache.server.local())});
+  apply_list({listed("h", cache.server.local())});
   auto c = client();
   ASSERT_TRUE(wait([&] { return limits->clients.used() == 1; }));
   c->send(get("k", "1"));
   std::this_thread::sleep_for(milliseconds(60));
   while (limits->upstreams.used() == 0) io.run_one();
-  list({listed("g", remaining.server.local())});
+  apply_list({listed("g", remaining.server.local())});
   ASSERT_TRUE(wait([&] { return remaining.saw("1"); }));
   remaining.answer("1", "v");
   ASSERT_TRUE(wait([&] { return c->in == FakeCache::value("1", "v"); }));
@@ -397,12 +397,12 @@
 TEST_F(DispatchTest, SendsAWaitingWriteToTheMovedOrigin) {
   ScriptedOrigin original(io), replacement(io);
   begin();
-  list({listed("o", original.server.local(), true)});
+  apply_list({listed("o", original.server.local(), true)});
   original.server.pause_accepting();
   auto c = client();
   c->send(put("k", "1"));
   ASSERT_TRUE(wait([&] { return limits->upstreams.used() == 1; }));
-  list({listed("o", replacement.server.local(), true)});
+  apply_list({listed("o", replacement.server.local(), true)});
   original.server.resume_accepting();
   ASSERT_TRUE(wait([&] { return replacement.saw("1"); }));
   replacement.answer("1", "r");
@@ -417,12 +417,12 @@
   ScriptedOrigin original(io), replacement(io);
   cache.on_command = [&](Peer&, const std::string& id) { cache.miss(id); };
   begin();
-  list({listed("h", cache.server.local()), listed("o", original.server.local(), true)});
+  apply_list({listed("h", cache.server.local()), listed("o", original.server.local(), true)});
   original.server.pause_accepting();
   auto c = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return limits->upstreams.used() == 2; }));
-  list({listed("h", cache.server.local()), listed("o", replacement.server.local(), true)});
+  apply_list({listed("h", cache.server.local()), listed("o", replacement.server.local(), true)});
   ASSERT_TRUE(wait([&] { return replacement.saw("1"); }));
   replacement.answer("1", "v");
   ASSERT_TRUE(wait([&] { return c->in == FakeCache::value("1", "v"); }));
@@ -434,13 +434,13 @@
   ScriptedOrigin origin(io, 4096);
   origin.server.reads = false;
   begin();
-  list({listed("o", origin.server.local(), true)});
+  apply_list({listed("o", origin.server.local(), true)});
   auto c = client();
   const std::string text = put("k", "1", 4u << 20);
   asio::async_write(c->socket, asio::buffer(text), [](auto, auto) {});
   ASSERT_TRUE(wait([&] { return pool->open_requests() == 1 && origin.server.peers.size() == 1; }));
   ASSERT_TRUE(wait([&] { return origin.server.peers[0]->socket.available() > 0; }));
-  list({listed("o", origin.server.local(), true, HostState::kDraining)});
+  apply_list({listed("o", origin.server.local(), true, HostState::kDraining)});
   origin.server.peers[0]->read();
   ASSERT_TRUE(wait([&] { return origin.saw("1"); }));
   origin.answer("1", "r");
@@ -455,7 +455,7 @@
   ScriptedOrigin origin(io);
   cache.on_command = [&](Peer&, const std::string& id) { cache.miss(id); };
   begin();
-  list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
+  apply_list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
   auto c = client();
   bool is_in_time = false;
   for (int i = 0; i < 50 && !is_in_time; ++i) {
@@ -485,7 +485,7 @@
   ScriptedOrigin origin(io, 4096);
   origin.server.reads = false;
   begin();
-  list({listed("o", origin.server.local(), true)});
+  apply_list({listed("o", origin.server.local(), true)});
   auto c = client();
   const std::string text = put("k", "1", 4u << 20);
   asio::async_write(c->socket, asio::buffer(text), [](auto, auto) {});
@@ -503,7 +503,7 @@
 TEST_F(DispatchTest, WritesNoKeyedRetryAfterItsDeduplicationWindow) {
   ScriptedOrigin origin(io);
   begin();
-  list({listed("o", origin.server.local(), true)});
+  apply_list({listed("o", origin.server.local(), true)});
   origin.on_request = [&](Peer& p, const std::string&) {
     if (origin.ids.size() > 1) return;
     origin.server.pause_accepting();
@@ -526,7 +526,7 @@
 TEST_F(DispatchTest, SendsNoNonIdempotentWriteOnAClosedConnection) {
   ScriptedOrigin origin(io);
   begin();
-  list({listed("o", origin.server.local(), true)});
+  apply_list({listed("o", origin.server.local(), true)});
   origin.on_request = [&](Peer&, const std::string& id) { origin.answer(id, "r" + id); };
   auto c = client();
   c->send(put("k", "1"));
@@ -547,7 +547,7 @@
 TEST_F(DispatchTest, RetriesNoNonIdempotentWriteThatCrossedAClose) {
   ScriptedOrigin origin(io);
   begin();
-  list({listed("o", origin.server.local(), true)});
+  apply_list({listed("o", origin.server.local(), true)});
   origin.on_request = [&](Peer& p, const std::string& id) {
     if (id == "1") return origin.answer(id, "r1");
     p.close();
@@ -626,7 +626,7 @@
 TEST_F(DispatchTest, AnswersClientsInTheBacklogOnceDescriptorsAreFree) {
   ScriptedCache cache(io);
   begin();
-  list({listed("h", cache.server.local())});
+  apply_list({listed("h", cache.server.local())});
   auto busy = client();
   busy->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return cache.saw("1"); }));
@@ -713,7 +713,7 @@
     for (RequestClass& request_class : site.policy.classes)
       request_class.deadline = milliseconds(1000);
     begin();
-    list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
+    apply_list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
     hold = Reservation(limits->bytes, limits->bytes.max());
   }
   void expect_rejected(const std::string& request) {
--- a/tests/customer_test.cc
+++ b/tests/customer_test.cc
@@ -154,7 +154,7 @@
     }
   };
   begin();
-  list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
+  apply_list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
   int request_count = 0;
   for (int round = 0; round < 3; ++round) {
     for (const ClassSpec& k : random_settings.classes) {
--- a/tests/deadline_test.cc
+++ b/tests/deadline_test.cc
@@ -64,7 +64,7 @@
 
 TEST_F(DeadlineTest, SendsTimeLeftWithFirstAttemptAtACacheHost) {
   begin();
-  list({listed("h", cache.server.local())});
+  apply_list({listed("h", cache.server.local())});
   auto c = client();
   const Time from = clock.now();
   c->send(get("k", "1"));
@@ -76,7 +76,7 @@
 
 TEST_F(DeadlineTest, SendsTimeLeftWithFirstWriteAtTheOrigin) {
   begin();
-  list({listed("o", origin.server.local(), true)});
+  apply_list({listed("o", origin.server.local(), true)});
   auto c = client();
   const Time from = clock.now();
   c->send(put("k", "1"));
@@ -87,7 +87,7 @@
 
 TEST_F(DeadlineTest, SendsTimeLeftWithFetchAfterAMiss) {
   begin();
-  list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
+  apply_list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
   auto c = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return cache.saw("1"); }));
@@ -104,7 +104,7 @@
 TEST_F(DeadlineTest, SendsTimeLeftAfterAConnectTimeout) {
   site.connect_timeout = kDelay;
   begin();
-  list({listed("a", cache.server.local()), listed("o", origin.server.local(), true)});
+  apply_list({listed("a", cache.server.local()), listed("o", origin.server.local(), true)});
   cache.server.pause_accepting();
   auto c = client();
   c->send(get("k", "1"));
@@ -115,7 +115,7 @@
 // After a reset the attempt is retried at the same host.
 TEST_F(DeadlineTest, SendsTimeLeftWithRetryAfterAReset) {
   begin();
-  list({listed("h", cache.server.local())});
+  apply_list({listed("h", cache.server.local())});
   auto c = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return cache.saw("1"); }));
@@ -128,7 +128,7 @@
 // The retry at the host is reset too, and the value is fetched from the origin.
 TEST_F(DeadlineTest, SendsTimeLeftWithFetchAfterResets) {
   begin();
-  list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
+  apply_list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
   auto c = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return cache.saw("1"); }));
@@ -143,7 +143,7 @@
 // The origin rejects the write without running it; the retry is sent with the remaining time.
 TEST_F(DeadlineTest, SendsTimeLeftWithWriteAfterARejection) {
   begin();
-  list({listed("o", origin.server.local(), true)});
+  apply_list({listed("o", origin.server.local(), true)});
   auto c = client();
   c->send(put("k", "1"));
   ASSERT_TRUE(wait([&] { return origin.saw("1"); }));
@@ -158,7 +158,7 @@
 TEST_F(DeadlineTest, SendsTimeLeftWithAHedgedRequest) {
   site.policy.hedging = true;
   begin();
-  list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
+  apply_list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
   Time first_at{0}, second_at{0};
   cache.on_command = [&](Peer&, const std::string&) { first_at = clock.now(); };
   origin.on_request = [&](Peer&, const std::string&) { second_at = clock.now(); };
@@ -178,7 +178,7 @@
 
 TEST_F(DeadlineTest, SendsTimeLeftAfterASlowConnect) {
   begin();
-  list({listed("h", cache.server.local())});
+  apply_list({listed("h", cache.server.local())});
   cache.server.pause_accepting();
   auto c = client();
   c->send(get("k", "1"));
@@ -191,7 +191,7 @@
 
 TEST_F(DeadlineTest, SendsTimeLeftWithWriteAfterASlowConnect) {
   begin();
-  list({listed("o", origin.server.local(), true)});
+  apply_list({listed("o", origin.server.local(), true)});
   origin.server.pause_accepting();
   auto c = client();
   c->send(put("k", "1"));
@@ -205,14 +205,14 @@
 // The host starts draining before a byte of the attempt has been sent, and another host is chosen.
 TEST_F(DeadlineTest, SendsTimeLeftWhenReroutedAfterADrain) {
   begin();
-  list({listed("a", cache.server.local())});
+  apply_list({listed("a", cache.server.local())});
   cache.server.pause_accepting();
   auto c = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return limits->upstreams.used() == 1; }));
   const auto passed = run_for_delay();
-  list({listed("a", cache.server.local(), false, HostState::kDraining),
-        listed("b", second.server.local())});
+  apply_list({listed("a", cache.server.local(), false, HostState::kDraining),
+              listed("b", second.server.local())});
   ASSERT_TRUE(wait([&] { return second.saw("1"); }));
   expect_deadline_at_cache(second, passed);
   EXPECT_FALSE(cache.saw("1"));
@@ -221,7 +221,7 @@
 // No attempt is started with less than a millisecond left, as `d` would be 0.
 TEST_F(DeadlineTest, StartsNoAttemptWithLessThanAMillisecondLeft) {
   begin();
-  list({listed("h", cache.server.local())});
+  apply_list({listed("h", cache.server.local())});
   auto c = client(), other = client();
   c->send("mg k v O1 Pc=read,t=acme,d=1\r\n");
   ASSERT_TRUE(wait([&] { return !c->in.empty(); }));
@@ -263,7 +263,7 @@
 
 TEST_P(DeadlinePropsTest, ChangesOnlyTheDeadline) {
   begin();
-  list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
+  apply_list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
   auto c = client();
   const std::string props = GetParam().sent;
   c->send("mg k v O1 P" + props + "\r\n");
@@ -281,7 +281,7 @@
 // A key that looks like a list of properties is not parsed as one.
 TEST_F(DeadlineTest, ReadsNoDeadlineFromAKeyThatLooksLikeProperties) {
   begin();
-  list({listed("h", cache.server.local())});
+  apply_list({listed("h", cache.server.local())});
   auto c = client();
   c->send("mg Pc=read,d=5000 v O1 Pc=read,d=5000\r\n");
   ASSERT_TRUE(wait([&] { return cache.saw("1"); }));
--- a/tests/discovery_poll_scheduler_test.cc
+++ b/tests/discovery_poll_scheduler_test.cc
@@ -76,7 +76,7 @@
   Time received_at() const { return received_at_; }
   // Returns the end of the wait of the watch in flight; 0 if there is none.
   Time watch_end() const {
-    return is_in_flight_ && !call_.whole ? call_began_at_ + call_.wait : Time{0};
+    return is_in_flight_ && !call_.wants_complete_list ? call_began_at_ + call_.wait : Time{0};
   }
 
   void set_fault(Fault fault) {
@@ -87,8 +87,8 @@
   }
   void change(std::uint64_t seq) {
     seq_ = seq;
-    if (is_in_flight_ && !call_.whole && fault_ == Fault::kNone && !is_affected_ &&
-        seq_ > call_.index)
+    if (is_in_flight_ && !call_.wants_complete_list && fault_ == Fault::kNone && !is_affected_ &&
+        seq_ > call_.known_version)
       answer_at(now_ + scenario_.latency);
   }
   // Moves the service to another address.
@@ -117,7 +117,7 @@
   }
 
   void set_timer(Time at, std::uint64_t tag) override { policy_timers_.emplace(at, tag); }
-  void subscribe() override { scheduler_.start(now_); }
+  void poll_endpoint_list() override { scheduler_.start(now_); }
 
   Time next() const {
     Time first = scheduler_.next();
@@ -156,7 +156,7 @@
     if (fault_ != Fault::kNone) return apply_fault();
     if (!is_connected_) answers_.emplace(now_, Event::kConnected);
     is_connected_ = true;
-    const bool has_answer = call_.whole || seq_ > call_.index;
+    const bool has_answer = call_.wants_complete_list || seq_ > call_.known_version;
     answer_at(now_ + scenario_.latency + (has_answer ? Duration{0} : call_.wait));
   }
   void answer_at(Time at) {
@@ -207,8 +207,8 @@
     }
   }
   void on_answer() {
-    const bool whole =
-        call_.whole || (scenario_.versions == Versions::kWhole && seq_ > call_.index);
+    const bool whole = call_.wants_complete_list ||
+                       (scenario_.versions == Versions::kWhole && seq_ > call_.known_version);
     is_in_flight_ = false;
     if (scheduler_.on_list(seq_, whole)) {
       if (seq_ != received_seq_) received_at_ = now_;
--- a/tests/discovery_test.cc
+++ b/tests/discovery_test.cc
@@ -71,7 +71,7 @@
   Discovery* self = nullptr;
   Discovery discovery(io, server.local(), settings, 0, 1, kMaxListBytes,
                       {[&](const HostList& list) {
-                         if (list.whole) received.push_back(list.seq);
+                         if (list.is_complete) received.push_back(list.seq);
                        },
                        [&] { self->start(); }, nullptr, nullptr});
   self = &discovery;
--- a/tests/dispatch_harness.h
+++ b/tests/dispatch_harness.h
@@ -38,7 +38,7 @@
 
   // Fills the backlog, so that the kernel drops further connection attempts.
   void pause_accepting() {
-    take_waiting();
+    accept_backlog();
     paused_ = true;
     boost::system::error_code ignored;
     acceptor_.cancel(ignored);
@@ -76,7 +76,7 @@
     }
   }
   // Accepts the clients in the backlog immediately.
-  void take_waiting() {
+  void accept_backlog() {
     boost::system::error_code e;
     while (!paused_) {
       tcp::socket s(io_);
@@ -95,7 +95,7 @@
   void accept() {
     acceptor_.async_wait(tcp::acceptor::wait_read, [this](auto e) {
       if (e || paused_) return;
-      take_waiting();
+      accept_backlog();
       accept();
     });
   }
@@ -206,12 +206,12 @@
   }
 };
 
-inline ListedHost listed(const std::string& id, const Endpoint& dial, bool origin = false,
-                         HostState state = HostState::kServing) {
-  ListedHost h;
+inline EndpointListEntry listed(const std::string& id, const Endpoint& dial, bool origin = false,
+                                HostState state = HostState::kServing) {
+  EndpointListEntry h;
   h.id = id;
-  h.dial = dial;
-  h.origin = origin;
+  h.endpoint = dial;
+  h.is_origin = origin;
   h.state = state;
   return h;
 }
@@ -227,23 +227,26 @@
         io, clock, site, seed, *limits,
         [this](bool origin, AttemptEvents& events,
                UpstreamOwner& owner) -> std::shared_ptr<UpstreamConnection> {
-          AttemptEvents& receiver = between ? between(events) : events;
+          AttemptEvents& receiver = wrap_events ? wrap_events(events) : events;
           if (origin) return std::make_shared<OriginConnection>(io, *limits, receiver, owner);
           return std::make_shared<CacheConnection>(io, *limits, receiver, owner);
         },
         [] {});
     RequestSink& sink = core();
-    front = std::make_unique<MemcacheFront>(site, sink);
+    front = std::make_unique<MemcacheFrontend>(site, sink);
     listener = std::make_unique<ClientListener>(
         io, Endpoint(asio::ip::make_address("127.0.0.1"), 0), *limits, clock, sink,
-        [this] { return front->make(); }, times);
+        [this] { return front->make_handler(); }, times);
     listener->open();
   }
   virtual RequestSink& core() { return *pool; }  // the sink to which frontends submit
-  void list(std::vector<ListedHost> hosts) { pool->on_list({++seq, true, std::move(hosts)}); }
-  std::shared_ptr<Peer> client() { return Peer::dial(io, listener->local()); }
+  void apply_list(std::vector<EndpointListEntry> hosts) {
+    pool->on_list({++seq, true, std::move(hosts)});
+  }
+  std::shared_ptr<Peer> client() { return Peer::connect(io, listener->local()); }
   // Closes the client's connection and waits until the balancer has detected it.
-  ::testing::AssertionResult gone(const std::shared_ptr<Peer>& c, bool by_reset = false) {
+  ::testing::AssertionResult disconnect_client(const std::shared_ptr<Peer>& c,
+                                               bool by_reset = false) {
     if (by_reset) c->socket.set_option(asio::socket_base::linger(true, 0));
     const std::size_t before = limits->clients.used();
     c->close();
@@ -278,13 +281,13 @@
       "connIdle":15000000000,"streamsPerConn":1,"mostHeld":1000}})");
   std::uint64_t seed = 1, seq = 0;
   std::size_t sockets = 256, memory_mb = 32;
-  SessionTimes times;
+  SessionTimeouts times;
   Clock clock;
   std::unique_ptr<Limits> limits;  // outlives the loop
   asio::io_context io{1};
-  WrapEvents between;  // wraps the receiver of the connections' events, if set
+  WrapEvents wrap_events;  // wraps the receiver of the connections' events, if set
   std::unique_ptr<ServerPool> pool;
-  std::unique_ptr<MemcacheFront> front;
+  std::unique_ptr<MemcacheFrontend> front;
   std::unique_ptr<ClientListener> listener;
 };
 
--- a/tests/eligibility_test.cc
+++ b/tests/eligibility_test.cc
@@ -18,7 +18,7 @@
   EXPECT_TRUE(eligibility.eligible(now));
   eligibility.on_condition(now, Condition::kRoutersConnected, false);
   EXPECT_TRUE(eligibility.eligible(now + milliseconds(299)));
-  EXPECT_EQ(eligibility.next(), now + milliseconds(300));
+  EXPECT_EQ(eligibility.next_timer_at(), now + milliseconds(300));
   EXPECT_FALSE(eligibility.eligible(now + milliseconds(300)));
   EXPECT_NE(eligibility.reason().find("routers"), std::string::npos);
 }
@@ -41,8 +41,8 @@
     eligibility.on_condition(now, Condition::kListenerOpen, true);
     const Time recovery_start = now;
     while (!eligibility.eligible(now)) {
-      ASSERT_GT(eligibility.next(), now);
-      now = eligibility.next();
+      ASSERT_GT(eligibility.next_timer_at(), now);
+      now = eligibility.next_timer_at();
     }
     EXPECT_GE(now - recovery_start, last_recovery);
     EXPECT_LE(now - recovery_start, milliseconds(500) * 16);
@@ -71,13 +71,14 @@
   EXPECT_NE(eligibility.reason().find("late"), std::string::npos);
   const Time ineligible_since = now;
   while (!eligibility.eligible(now) && now < ineligible_since + seconds(20))
-    now = std::max(now + milliseconds(1), eligibility.next());
+    now = std::max(now + milliseconds(1), eligibility.next_timer_at());
   EXPECT_GE(now - ineligible_since, seconds(2));
   EXPECT_LE(now - ineligible_since, seconds(5));
 }
 
 // The instance is ineligible if a condition has been unmet for longer than its grace period, and
-// eligible within the documented times if all conditions are met. next() never misses a change.
+// eligible within the documented times if all conditions are met. next_timer_at() never misses a
+// change.
 TEST(EligibilityTest, KeepsItsTimeBoundsUnderRandomReports) {
   for (std::uint32_t seed = 1; seed <= 300; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
@@ -90,10 +91,10 @@
     Time last_unmet_at = now;
     for (int i = 0; i < 200; ++i) {
       const Time until = now + milliseconds(random() % 1500);
-      // Changes without a report happen no earlier than next() has returned.
+      // Changes without a report happen no earlier than next_timer_at() has returned.
       while (true) {
         const bool before = eligibility.eligible(now);
-        const Time next = eligibility.next();
+        const Time next = eligibility.next_timer_at();
         const Time step = std::min(until, std::max(next, now + milliseconds(1)));
         if (step - now > milliseconds(2)) {
           ASSERT_EQ(eligibility.eligible(step - milliseconds(1)), before)
@@ -115,7 +116,7 @@
       bool unmet = false;
       for (std::size_t p = 0; p < Eligibility::kConditions; ++p) {
         const bool has_grace = p == 0 || p == 2;
-        unmet = unmet || (!met[p] && (!has_grace || now - since[p] >= s.grace));
+        unmet = unmet || (!met[p] && (!has_grace || now - since[p] >= s.grace_period));
       }
       if (unmet) {
         EXPECT_FALSE(eligible);
@@ -126,9 +127,9 @@
     for (std::size_t p = 0; p < Eligibility::kConditions; ++p)
       eligibility.on_condition(now, static_cast<Condition>(p), true);
     EXPECT_TRUE(eligibility.eligible(now) || [&] {
-      const Time end = now + s.late_window + s.steady * 16 + milliseconds(10);
+      const Time end = now + s.late_window + s.recovery_time * 16 + milliseconds(10);
       while (now < end && !eligibility.eligible(now))
-        now = std::max(now + milliseconds(1), eligibility.next());
+        now = std::max(now + milliseconds(1), eligibility.next_timer_at());
       return eligibility.eligible(now);
     }());
   }
--- a/tests/fake_sink.h
+++ b/tests/fake_sink.h
@@ -28,7 +28,7 @@
   }
   void fail(RequestId id) override { failed.push_back(id); }
   void set_timer(Time at, std::uint64_t tag) override { timers.push_back({at, tag}); }
-  void subscribe() override { ++subscribed; }
+  void poll_endpoint_list() override { ++subscribed; }
   void close_idle(std::string_view host) override { closed.emplace_back(host); }
 
   std::vector<Sent> sent;
--- a/tests/fuzz/bgp_fuzz.cc
+++ b/tests/fuzz/bgp_fuzz.cc
@@ -24,8 +24,8 @@
   if (const auto* u = std::get_if<Update>(&m)) {
     const std::string wire = encode(*u, four_octets);
     if (wire.size() <= kMaxMessage) {
-      Reader second_reader;
-      second_reader.set_four_octets(four_octets);
+      MessageReader second_reader;
+      second_reader.set_four_octet_as(four_octets);
       second_reader.feed(wire);
       const auto item = second_reader.next();
       require(item && std::holds_alternative<Message>(*item));
@@ -44,11 +44,11 @@
 
 std::vector<std::string> read(std::string_view bytes, std::size_t step, bool four_octets) {
   std::vector<std::string> out;
-  Reader reader;
-  reader.set_four_octets(four_octets);
+  MessageReader reader;
+  reader.set_four_octet_as(four_octets);
   while (true) {
     while (auto item = reader.next()) {
-      if (const auto* fault = std::get_if<Fault>(&*item)) {
+      if (const auto* fault = std::get_if<ProtocolError>(&*item)) {
         require(!fault->reason.empty());
         out.push_back("fault " + std::to_string(static_cast<int>(fault->notification.code)) + "/" +
                       std::to_string(fault->notification.subcode));
@@ -70,16 +70,17 @@
   Session session(s, 1, now);
   session.announce({0x0a090001, 32}, Attributes{});
   session.on_timer(now);
-  session.on_connected(now, Session::Way::kOut);
-  session.on_bytes(now, Session::Way::kOut, encode(Open{64512, 9, 2, true}) + encode(Keepalive{}));
+  session.on_connected(now, Session::Direction::kOutbound);
+  session.on_bytes(now, Session::Direction::kOutbound,
+                   encode(Open{64512, 9, 2, true}) + encode(Keepalive{}));
   require(session.established());
   for (std::size_t at = 0; at < bytes.size(); at += 7) {
-    session.on_bytes(now, Session::Way::kOut, bytes.substr(at, 7));
+    session.on_bytes(now, Session::Direction::kOutbound, bytes.substr(at, 7));
     now += std::chrono::milliseconds(500);
     session.on_timer(now);
     for (const auto& a : session.take_actions()) require(a.bytes.size() <= 2 * kMaxMessage);
   }
-  require(session.next() > Time{0});
+  require(session.next_timer_at() > Time{0});
 }
 
 }  // namespace
--- a/tests/fuzz/hot_restart_fuzz.cc
+++ b/tests/fuzz/hot_restart_fuzz.cc
@@ -28,7 +28,7 @@
     require(s->listeners.size() <= kMaxDescriptors);
     Snapshot assembled;
     for (int i = 0; i < 100; ++i)
-      if (!append(assembled, *s)) break;
+      if (!merge_part(assembled, *s)) break;
     require(assembled.hosts.size() <= kMaxHosts && assembled.overrides.size() <= kMaxOverrides);
     HotRestartState state({1000, 1000000});
     state.on_predecessor(s->resources_held);
--- a/tests/fuzz/resp_fuzz.cc
+++ b/tests/fuzz/resp_fuzz.cc
@@ -14,7 +14,7 @@
 
 using namespace balancer::resp;
 
-const Bounds kBounds{.bulk = 256, .elements = 64, .total = 2048, .line = 128, .depth = 5};
+const InputLimits kBounds{.bulk = 256, .elements = 64, .total = 2048, .line = 128, .depth = 5};
 
 void require(bool condition) {
   if (!condition) std::abort();
@@ -26,13 +26,13 @@
   CommandReader reader(kBounds);
   while (true) {
     while (auto item = reader.next()) {
-      if (const auto* fault = std::get_if<Fault>(&*item)) {
+      if (const auto* fault = std::get_if<ProtocolError>(&*item)) {
         out.push_back("fault " + fault->reason);
         return out;
       }
       const Command& c = std::get<Command>(*item);
       require(c.size() > 0 && c.size() <= std::max(kBounds.elements, kBounds.line));
-      CommandReader second_reader(Bounds{});
+      CommandReader second_reader(InputLimits{});
       second_reader.feed(c.wire());
       const auto second = second_reader.next();
       require(second && std::holds_alternative<Command>(*second) &&
--- a/tests/group_runtime_test.cc
+++ b/tests/group_runtime_test.cc
@@ -77,7 +77,7 @@
     EXPECT_TRUE(wait([&] {
       if (!listens()) return false;
       c = connect();
-      return c->ask({"GET", "none"}).starts_with("$-1");
+      return c->send_and_receive({"GET", "none"}).starts_with("$-1");
     }));
     return c;
   }
@@ -90,7 +90,7 @@
     std::atomic<bool> done = false;
     std::thread status_client([&] {
       try {
-        answer = group_runtime::ask_member(folder + "/n0.sock", line);
+        answer = group_runtime::send_status_command(folder + "/n0.sock", line);
       } catch (const std::exception& e) {
         answer = json{{"error", e.what()}}.dump();
       }
@@ -110,11 +110,11 @@
   start_member();
   EXPECT_FALSE(listens()) << "a voter that has just started without a record waits before it votes";
   auto c = connect_served();
-  EXPECT_EQ(c->ask({"SET", "k", "v"}), "+OK\r\n");
+  EXPECT_EQ(c->send_and_receive({"SET", "k", "v"}), "+OK\r\n");
   // The member renews its lease: it holds the address for several lease durations.
   const Time until = lease_holder().valid_until() + seconds(3);
   EXPECT_TRUE(wait([&] { return lease_holder().valid_until() > until; }));
-  EXPECT_EQ(c->ask({"GET", "k"}), "$1\r\nv\r\n");
+  EXPECT_EQ(c->send_and_receive({"GET", "k"}), "$1\r\nv\r\n");
 }
 
 // The event loop is blocked for longer than the lease, as in a stopped process, and then reads
@@ -122,18 +122,18 @@
 TEST_F(MemberTest, RejectsRequestsReadAfterTheLeaseExpired) {
   start_member();
   auto c = connect_served();
-  ASSERT_EQ(c->ask({"RPUSH", "k", "before"}), ":1\r\n");
+  ASSERT_EQ(c->send_and_receive({"RPUSH", "k", "before"}), ":1\r\n");
   c->send(wire({"RPUSH", "k", "late"}) + wire({"GET", "other"}));
   std::this_thread::sleep_for(milliseconds(2100));
   EXPECT_TRUE(c->next().starts_with("-TRYAGAIN"));
   EXPECT_TRUE(c->next().starts_with("-TRYAGAIN"));
-  EXPECT_EQ(ran("late"), 0);
-  EXPECT_EQ(ran("before"), 1);
+  EXPECT_EQ(count_runs("late"), 0);
+  EXPECT_EQ(count_runs("before"), 1);
   // The member closes its clients' connections and acquires the address again.
   EXPECT_TRUE(wait([&] { return c->closed(); }));
   ASSERT_TRUE(wait([this] { return lease_holder().elections_won() >= 2 && listens(); }));
   auto again = connect_served();
-  EXPECT_EQ(again->ask({"RPUSH", "k", "after"}), ":2\r\n");
+  EXPECT_EQ(again->send_and_receive({"RPUSH", "k", "after"}), ":2\r\n");
 }
 
 // A request whose attempt was sent before the lease expired is answered on the client's connection.
@@ -145,10 +145,10 @@
                                                       : RespCluster::Fault::kNone;
   };
   c->send(wire({"RPUSH", "k", "slow"}));
-  ASSERT_TRUE(wait([this] { return ran("slow") == 1; }));
+  ASSERT_TRUE(wait([this] { return count_runs("slow") == 1; }));
   std::this_thread::sleep_for(milliseconds(2100));
   EXPECT_EQ(c->next(), ":1\r\n");
-  EXPECT_EQ(ran("slow"), 1);
+  EXPECT_EQ(count_runs("slow"), 1);
 }
 
 TEST_F(MemberTest, IsNoHolderAfterTheClaimCommandFailed) {
@@ -172,9 +172,9 @@
 TEST_F(MemberTest, ReleasesTheAddressBeforeItStopsOnDrain) {
   start_member("true", "touch " + std::string("$PWD/released; true"));
   auto c = connect_served();
-  ASSERT_EQ(c->ask({"SET", "k", "v"}), "+OK\r\n");
+  ASSERT_EQ(c->send_and_receive({"SET", "k", "v"}), "+OK\r\n");
   balancer->drain();
-  EXPECT_EQ(c->ask({"GET", "k"}), "$1\r\nv\r\n") << "accepted connections continue";
+  EXPECT_EQ(c->send_and_receive({"GET", "k"}), "$1\r\nv\r\n") << "accepted connections continue";
   EXPECT_TRUE(wait([this] { return !lease_holder().should_listen(); }));
   EXPECT_TRUE(wait([&] { return c->closed(); }));
   EXPECT_TRUE(wait([this] { return io.stopped(); }));
@@ -223,7 +223,7 @@
   std::string why;
   Limits others(512, 64, 64);
   try {
-    Operator second = parse_operator(text, "test.toml");
+    OperatorSettings second = parse_operator(text, "test.toml");
     second.group->listen = here.to_string() + ":" + std::to_string(addresses.next_port());
     Balancer other(io, std::nullopt, others, std::move(second));
   } catch (const std::exception& e) {
--- a/tests/group_sim_test.cc
+++ b/tests/group_sim_test.cc
@@ -19,7 +19,7 @@
   void begin(std::uint64_t seed = 1, int instances = 5, int addresses = 1,
              lease::LeaseManagerSettings lease_manager = {}) {
     sim = std::make_unique<GroupSim>(seed, instances, addresses, 3, lease_manager);
-    sim->check = [this, addresses] {
+    sim->invariant_check = [this, addresses] {
       for (int a = 0; a < addresses; ++a)
         for (const auto& names :
              {sim->holders("svc" + std::to_string(a)), sim->serving("svc" + std::to_string(a))})
@@ -29,7 +29,7 @@
   }
   std::string describe_group() const {
     std::string all;
-    for (const auto& line : sim->lines()) all += line + "\n";
+    for (const auto& line : sim->log_lines()) all += line + "\n";
     for (const auto& name : sim->names()) {
       const auto* i = sim->instance(name);
       if (!i) continue;
@@ -44,7 +44,7 @@
     return all;
   }
   ::testing::AssertionResult gets_owner(Duration limit = seconds(5)) {
-    if (sim->run_until([&] { return sim->answered(kSvc); }, limit))
+    if (sim->run_until([&] { return sim->is_served(kSvc); }, limit))
       return ::testing::AssertionSuccess();
     return ::testing::AssertionFailure() << "no holder answers on the address\n"
                                          << describe_group();
@@ -53,7 +53,7 @@
   Duration time_to_new_owner(const std::string& old) {
     const Time from = sim->now();
     EXPECT_TRUE(sim->run_until(
-        [&] { return sim->answered(kSvc) && sim->router.owner(kSvc) != old; }, seconds(10)))
+        [&] { return sim->is_served(kSvc) && sim->router.owner(kSvc) != old; }, seconds(10)))
         << describe_group();
     return sim->now() - from;
   }
@@ -117,7 +117,7 @@
         << describe_group();
     EXPECT_EQ(sim->instance(old)->lease_manager().lease_holder(kSvc)->state(),
               lease::LeaseHolder::State::kPartitioned);
-    sim->heal();
+    sim->restore_network();
     sim->run(seconds(20));
     const auto state = sim->instance(old)->lease_manager().lease_holder(kSvc)->state();
     EXPECT_TRUE(state == lease::LeaseHolder::State::kIdle ||
@@ -163,7 +163,7 @@
         },
         seconds(5)))
         << describe_group();
-    EXPECT_TRUE(sim->answered(kSvc)) << describe_group();
+    EXPECT_TRUE(sim->is_served(kSvc)) << describe_group();
     EXPECT_LE(both, milliseconds(320)) << "announced by both for longer than the overlap";
     EXPECT_NE(sim->router.owner(kSvc), old);
   }
@@ -200,13 +200,13 @@
     const auto part_of = [](const std::string& n) { return (n.back() - '0') / 2; };
     for (const auto& a : sim->names())
       for (const auto& b : sim->names())
-        if (part_of(a) != part_of(b)) sim->cut.insert({a, b});
+        if (part_of(a) != part_of(b)) sim->dropped_links.insert({a, b});
     sim->run(seconds(5));
     const auto holder = sim->holder(kSvc);
     EXPECT_TRUE(holder == "n000" || holder == "n001") << holder << "\n" << describe_group();
-    sim->heal();
+    sim->restore_network();
     sim->run(seconds(5));
-    EXPECT_TRUE(sim->answered(kSvc));
+    EXPECT_TRUE(sim->is_served(kSvc));
   }
 }
 
@@ -217,7 +217,7 @@
   const auto old = sim->holder(kSvc);
   // The holder receives from all nodes, but none receives from it.
   for (const auto& other : sim->names())
-    if (other != old) sim->cut.insert({old, other});
+    if (other != old) sim->dropped_links.insert({old, other});
   EXPECT_LT(time_to_new_owner(old), seconds(2)) << describe_group();
 }
 
@@ -233,7 +233,7 @@
   ASSERT_GE(old, "n003");
   for (const char* voter : {"n000", "n001", "n002"}) sim->kill(voter);
   sim->run(milliseconds(500));
-  EXPECT_TRUE(sim->answered(kSvc)) << "the address is held until the lease ends";
+  EXPECT_TRUE(sim->is_served(kSvc)) << "the address is held until the lease ends";
   sim->run(milliseconds(700));
   EXPECT_TRUE(sim->router.owner(kSvc).empty()) << "the address is released when the lease ends";
   for (const char* voter : {"n000", "n001"}) sim->restart(voter);
@@ -254,7 +254,7 @@
       sim->run(milliseconds(sim->random()() % 1500));
     }
     sim->run(seconds(5));
-    EXPECT_TRUE(sim->answered(kSvc)) << describe_group();
+    EXPECT_TRUE(sim->is_served(kSvc)) << describe_group();
   }
 }
 
@@ -270,7 +270,7 @@
   sim->run(seconds(5));
   EXPECT_EQ(sim->holder(kSvc), "") << "no voter can store a new grant";
   bool logged = false;
-  for (const auto& line : sim->lines())
+  for (const auto& line : sim->log_lines())
     logged = logged || line.find("grants no votes") != std::string::npos;
   EXPECT_TRUE(logged);
   for (const char* voter : {"n000", "n001", "n002"}) sim->set_disk_full(voter, false);
@@ -369,7 +369,7 @@
   sim->kill("n000");
   sim->kill("n001");
   sim->run(seconds(5));
-  EXPECT_TRUE(sim->answered(kSvc)) << "three of four voters are left\n" << describe_group();
+  EXPECT_TRUE(sim->is_served(kSvc)) << "three of four voters are left\n" << describe_group();
   sim->restart("n000");
   sim->restart("n001");
   sim->run(seconds(8));
@@ -419,7 +419,7 @@
           sim->isolate(name, random() % 2, random() % 4 > 0);
           break;
         case 5:
-          sim->heal();
+          sim->restore_network();
           break;
         case 6:
           if (up && !sim->paused(name)) sim->set_eligible(name, random() % 2);
@@ -437,7 +437,7 @@
       }
       sim->run(milliseconds(random() % 1200));
     }
-    sim->heal();
+    sim->restore_network();
     sim->faults = {};
     for (const auto& name : sim->names()) {
       sim->set_disk_full(name, false);
--- a/tests/hash_ring_test.cc
+++ b/tests/hash_ring_test.cc
@@ -12,7 +12,7 @@
 
 HashRing::Host owner(const HashRing& ring, int key) {
   HashRing::Host found = 9999;
-  ring.walk(stable_hash("key" + std::to_string(key)), 0, [&](HashRing::Host h) {
+  ring.visit_candidates(stable_hash("key" + std::to_string(key)), 0, [&](HashRing::Host h) {
     found = h;
     return true;
   });
@@ -76,13 +76,13 @@
 TEST(HashRingTest, OffersEachHostExactlyOnce) {
   const HashRing ring = ring_of({0, 1, 2, 3, 4});
   std::map<HashRing::Host, int> offered;
-  EXPECT_FALSE(ring.walk(7, 0, [&](HashRing::Host h) {
+  EXPECT_FALSE(ring.visit_candidates(7, 0, [&](HashRing::Host h) {
     ++offered[h];
     return false;
   }));
   EXPECT_EQ(offered.size(), 5u);
   for (const auto& [host, n] : offered) EXPECT_EQ(n, 1) << host;
-  EXPECT_FALSE(HashRing().walk(7, 0, [](HashRing::Host) { return true; }));
+  EXPECT_FALSE(HashRing().visit_candidates(7, 0, [](HashRing::Host) { return true; }));
 }
 
 }  // namespace
--- a/tests/hiredis_test.cc
+++ b/tests/hiredis_test.cc
@@ -46,7 +46,7 @@
 // The cluster and the balancer run on the fixture's event loop in a separate thread; the blocking
 // calls of the library run in the test's thread.
 TEST_F(RespNodeTest, HiredisReceivesTheRepliesOfANode) {
-  begin(1);
+  start_cluster(1);
   const int node = std::atoi(cluster->address(0).substr(10).c_str());
   const int through = balancer->local(0).port();
   std::atomic<bool> stop = false;
--- a/tests/host_registry_test.cc
+++ b/tests/host_registry_test.cc
@@ -73,9 +73,9 @@
   registry.on_list(ListKind::kComplete, {});
   EXPECT_EQ(kinds(registry.on_list(ListKind::kComplete, {entry("a")})),
             (std::vector{Kind::kTakenOutOfService, Kind::kJoined}));
-  EXPECT_FALSE(registry[*registry.find("a")].takes_new());
+  EXPECT_FALSE(registry[*registry.find("a")].accepts_attempts());
   registry.restore("a", {false, seconds(5)});
-  EXPECT_TRUE(registry[*registry.find("a")].takes_new());
+  EXPECT_TRUE(registry[*registry.find("a")].accepts_attempts());
   // The override is removed after the retention time.
   EXPECT_EQ(registry.overrides().size(), 1u);
   EXPECT_TRUE(registry.prepare_override(seconds(16), "a"));
@@ -114,7 +114,7 @@
       std::vector<HostEntry> list;
       for (const std::string& name : names) {
         list.push_back(entry(name, static_cast<HostState>(random() % 3)));
-        list.back().origin = name == "h0";
+        list.back().is_origin = name == "h0";
         list.back().weight = static_cast<double>(random() % 40) - 2;
         if (random() % 3 == 0) list.back().start = HostStart::exactly(seconds(step));
       }
--- a/tests/hot_restart_state_test.cc
+++ b/tests/hot_restart_state_test.cc
@@ -71,7 +71,7 @@
   EXPECT_FALSE(decode(encode(Hello{1, std::string(257, 'n')})));
   EXPECT_FALSE(decode(encode(OperatorOverride{"", true, seconds(1)})));
   EXPECT_FALSE(decode(encode(OperatorOverride{"a", true, seconds(-1)})));
-  EXPECT_FALSE(decode(encode(PassedConnection{"l", std::string(kMaxInput + 1, 'x'), 0})));
+  EXPECT_FALSE(decode(encode(PassedConnection{"l", std::string(kMaxPassedInput + 1, 'x'), 0})));
   for (const int kind : {0, 1, 2, 3}) {
     Snapshot s;
     HostRecord h = host("s-1");
@@ -110,14 +110,14 @@
   for (const Snapshot& p : parts) {
     const std::string bytes = encode(p);
     EXPECT_LE(bytes.size(), kMaxMessage);
-    ASSERT_TRUE(append(decoded, std::get<Snapshot>(*decode(bytes))));
+    ASSERT_TRUE(merge_part(decoded, std::get<Snapshot>(*decode(bytes))));
   }
   EXPECT_EQ(decoded, whole);
   Snapshot endless;
   endless.hosts.assign(kEntriesPerPart, host("s"));
   Snapshot sum;
   std::size_t taken = 0;
-  while (append(sum, endless)) ++taken;
+  while (merge_part(sum, endless)) ++taken;
   EXPECT_EQ(taken, kMaxHosts / kEntriesPerPart);
 }
 
--- a/tests/hot_restart_test.cc
+++ b/tests/hot_restart_test.cc
@@ -330,7 +330,7 @@
 TEST_F(HotRestartTest, PassesAConnectionWithAPartialCommand) {
   auto old = start();
   ASSERT_TRUE(serving(*old));
-  auto slow = Peer::dial(io_, listen_), idle = Peer::dial(io_, listen_);
+  auto slow = Peer::connect(io_, listen_), idle = Peer::connect(io_, listen_);
   EXPECT_TRUE(request_key(*idle, "k").starts_with("VA 1 "));
   const std::string line = get("slowly");
   slow->send(line.substr(0, 9));
@@ -354,7 +354,7 @@
   ::kill(old->pid, SIGSTOP);
   std::vector<std::shared_ptr<Peer>> waiting;
   for (int i = 0; i < 50; ++i) {
-    waiting.push_back(Peer::dial(io_, listen_));
+    waiting.push_back(Peer::connect(io_, listen_));
     waiting.back()->send(get("k" + std::to_string(i)));
   }
   ::kill(old->pid, SIGTERM);
@@ -383,7 +383,7 @@
   discovery_.hosts = again + "," + host_entry("s-2", cache_2_.server.dial());
   auto last = restart(*next);
   lines_.clear();
-  auto c = Peer::dial(io_, listen_);
+  auto c = Peer::connect(io_, listen_);
   for (int i = 0; i < 30; ++i) request_key(*c, "k" + std::to_string(i));
   EXPECT_EQ(lines_.size(), 0u) << lines_[0];
   EXPECT_EQ(call(*last, "POST /cache-hosts/s-3/maint"), 404);
@@ -404,7 +404,7 @@
   auto next = start();
   ASSERT_TRUE(serving(*next));
   lines_.clear();
-  auto c = Peer::dial(io_, listen_);
+  auto c = Peer::connect(io_, listen_);
   for (int i = 0; i < 30; ++i) request_key(*c, "k" + std::to_string(i));
   EXPECT_EQ(lines_.size(), 0u) << "a host that is out of service received requests";
 }
@@ -441,7 +441,7 @@
   auto old = start();
   ASSERT_TRUE(serving(*old));
   auto persistent_client =
-      Peer::dial(io_, listen_);  // stays at the predecessor until it receives SIGTERM
+      Peer::connect(io_, listen_);  // stays at the predecessor until it receives SIGTERM
   ASSERT_TRUE(request_key(*persistent_client, "k").starts_with("VA 1 "));
   auto next = start();
   ASSERT_TRUE(serving(*next));
@@ -452,7 +452,7 @@
   for (int i = 0; i < 30; ++i) request_key(*persistent_client, "k" + std::to_string(i));
   EXPECT_EQ(lines_.size(), 0u);
   EXPECT_EQ(call(*old, "POST /healthcheck/fail"), 200);
-  auto probe = Peer::dial(io_, listen_);
+  auto probe = Peer::connect(io_, listen_);
   ASSERT_TRUE(
       wait([&] { return next->logged("drain: clients are asked to reconnect elsewhere"); }));
   probe->send("mn\r\n");
@@ -469,7 +469,7 @@
     ASSERT_TRUE(serving(*next));
     ::kill(next->pid, SIGKILL);
     ASSERT_TRUE(wait([&] { return next->exited(); }));
-    auto c = Peer::dial(io_, listen_);
+    auto c = Peer::connect(io_, listen_);
     EXPECT_TRUE(request_key(*c, "k").starts_with("VA 1 "));
   }
   auto next = restart(*old);  // a further successor finds the predecessor
@@ -489,7 +489,7 @@
   EXPECT_EQ(std::count(bad->log.begin(), bad->log.end(), '\n'), 1) << bad->log;
   EXPECT_TRUE(bad->logged("listen")) << bad->log;
   EXPECT_FALSE(old->logged("hot restart: successor connected"));
-  auto c = Peer::dial(io_, listen_);
+  auto c = Peer::connect(io_, listen_);
   EXPECT_TRUE(request_key(*c, "k").starts_with("VA 1 "));
 }
 
@@ -531,7 +531,7 @@
     ::kill(old->pid, SIGTERM);
     ASSERT_TRUE(wait([&] { return old->exited(); }));
     EXPECT_TRUE(old->exited_cleanly());
-    auto c = Peer::dial(io_, listen_);
+    auto c = Peer::connect(io_, listen_);
     EXPECT_TRUE(request_key(*c, "k").starts_with("VA 1 "));
   }
 }
@@ -546,8 +546,8 @@
   void begin() {
     old = start();
     ASSERT_TRUE(serving(*old));
-    blocked_client = Peer::dial(io_, listen_);
-    c = Peer::dial(io_, listen_);
+    blocked_client = Peer::connect(io_, listen_);
+    c = Peer::connect(io_, listen_);
     for (auto& p : {blocked_client, c}) ASSERT_TRUE(request_key(*p, "k").starts_with("VA 1 "));
     blocked_client->send(get("held"));
     ASSERT_TRUE(wait([&] { return cache_.ids.size() + cache_2_.ids.size() > 2; }));
@@ -617,7 +617,7 @@
     if (by_reset) c->socket.set_option(asio::socket_base::linger(true, 0));
     c->close();
     ::kill(next->pid, SIGCONT);
-    auto other = Peer::dial(io_, listen_);
+    auto other = Peer::connect(io_, listen_);
     EXPECT_TRUE(request_key(*other, "k").starts_with("VA 1 "));
     end_old();
     EXPECT_TRUE(request_key(*other, "k").starts_with("VA 1 "));
@@ -646,7 +646,7 @@
   send_many_requests();
   ::kill(next->pid, SIGCONT);
   ASSERT_TRUE(many_answered()) << c->in << next->log;
-  auto other = Peer::dial(io_, listen_);
+  auto other = Peer::connect(io_, listen_);
   EXPECT_TRUE(request_key(*other, "k").starts_with("VA 1 "));
 }
 
@@ -656,7 +656,7 @@
   ::kill(next->pid, SIGKILL);
   ASSERT_TRUE(wait([&] { return c->closed; }));
   EXPECT_EQ(c->in, "");
-  auto again = Peer::dial(io_, listen_);  // the predecessor serves it, though it is draining
+  auto again = Peer::connect(io_, listen_);  // the predecessor serves it, though it is draining
   EXPECT_TRUE(request_key(*again, "k").starts_with("VA 1 "));
   end_old();
 }
@@ -670,7 +670,7 @@
   for (const int signal : {SIGTERM, SIGKILL}) {
     auto old = start();
     ASSERT_TRUE(serving(*old));
-    auto c = Peer::dial(io_, listen_);
+    auto c = Peer::connect(io_, listen_);
     ASSERT_TRUE(request_key(*c, "k").starts_with("VA 1 "));
     // A successor that began to serve before it was stopped is replaced by another one.
     std::unique_ptr<Process> next;
@@ -687,13 +687,13 @@
     ASSERT_TRUE(next) << "every successor served before it was stopped";
     ::kill(old->pid, signal);
     if (signal == SIGTERM) {
-      auto fresh = Peer::dial(io_, listen_);
+      auto fresh = Peer::connect(io_, listen_);
       EXPECT_TRUE(request_key(*fresh, "k").starts_with("VA 1 "));
       EXPECT_TRUE(request_key(*c, "k").starts_with("VA 1 "));
     }
     ASSERT_TRUE(wait([&] { return old->exited(); }));
     EXPECT_EQ(old->exited_cleanly(), signal == SIGTERM) << old->log;
-    auto late = Peer::dial(io_, listen_);  // waits in the accept queue of the passed socket
+    auto late = Peer::connect(io_, listen_);  // waits in the accept queue of the passed socket
     late->send(get("k"));
     ::kill(next->pid, SIGCONT);
     ASSERT_TRUE(wait([&] { return answered(*late) || late->closed; }));
--- a/tests/lease_model_test.cc
+++ b/tests/lease_model_test.cc
@@ -114,14 +114,14 @@
     for (std::size_t c = 0; c < kCandidates; ++c) {
       if (paused[c]) continue;
       if (std::exchange(withdrawing[c], false)) candidates[c]->on_withdrawn(local(c));
-      for (int i = 0; i < 8 && candidates[c]->next() <= local(c); ++i)
+      for (int i = 0; i < 8 && candidates[c]->next_timer_at() <= local(c); ++i)
         candidates[c]->on_timer(local(c));
       if (candidates[c]->state() == LeaseHolder::State::kIdle)
         candidates[c]->set_candidacy(local(c), true, static_cast<int>(c));
       collect(c);
     }
     for (std::size_t d = 0; d < kCandidates; ++d) {
-      if (!drivers[d] || drivers[d]->next() > voter_now()) continue;
+      if (!drivers[d] || drivers[d]->next_timer_at() > voter_now()) continue;
       drivers[d]->on_timer(voter_now());
       collect_driver(d);
     }
--- a/tests/leaving_client_test.cc
+++ b/tests/leaving_client_test.cc
@@ -53,11 +53,11 @@
   // the host has received it.
   void begin_and_disconnect() {
     begin();
-    list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
+    apply_list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
     auto c = client();
     c->send(get("k", "1"));
     ASSERT_TRUE(wait([&] { return cache.saw("1"); }));
-    ASSERT_TRUE(gone(c, GetParam()));
+    ASSERT_TRUE(disconnect_client(c, GetParam()));
   }
 
   ScriptedCache cache{io};
@@ -68,7 +68,7 @@
 TEST_P(ClosedClientTest, StartsNoCommandLeftUnprocessedAtTheClose) {
   site.max_connections = 1;
   begin();
-  list({listed("h", cache.server.local())});
+  apply_list({listed("h", cache.server.local())});
   auto c = client();
   ASSERT_TRUE(wait([&] { return limits->clients.used() == 1; }));
   std::string text;
@@ -91,13 +91,13 @@
 
 TEST_P(ClosedClientTest, ForwardsNoPartlyWrittenCommand) {
   begin();
-  list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
+  apply_list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
   auto other = client();
   for (const std::string& text : {get("k", "1"), put("k", "1", 6000)}) {
     auto c = client();
     c->send(text.substr(0, text.size() - 1));
     ASSERT_TRUE(wait([&] { return limits->clients.used() == 2; }));
-    ASSERT_TRUE(gone(c, GetParam()));
+    ASSERT_TRUE(disconnect_client(c, GetParam()));
   }
   other->send(get("k", "2"));
   ASSERT_TRUE(wait([&] { return cache.saw("2"); }));
@@ -143,12 +143,12 @@
 TEST_P(ClosedClientTest, StartsNoRetryOfAConnectTimeoutAfterTheClose) {
   site.connect_timeout = milliseconds(200);
   begin();
-  list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
+  apply_list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
   cache.server.pause_accepting();
   auto c = client(), other = client();
   c->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return limits->upstreams.used() == 1; }));
-  ASSERT_TRUE(gone(c, GetParam()));
+  ASSERT_TRUE(disconnect_client(c, GetParam()));
   other->send(get("j", "2"));
   ASSERT_TRUE(wait([&] { return origin.saw("2"); }));
   EXPECT_EQ(origin.ids, Ids{"2"});
@@ -165,7 +165,7 @@
   // once.
   void begin_warm(int at_each = 2) {
     begin();
-    list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
+    apply_list({listed("h", cache.server.local()), listed("o", origin.server.local(), true)});
     std::vector<std::shared_ptr<Peer>> first;
     for (int i = 0; i < at_each; ++i) {
       const std::string read = "r" + std::to_string(i), write = "w" + std::to_string(i);
@@ -179,7 +179,7 @@
     for (const std::string& id : origin.ids) origin.answer(id, "r");
     for (const auto& c : first) {
       ASSERT_TRUE(wait([&] { return !c->in.empty(); }));
-      ASSERT_TRUE(gone(c));
+      ASSERT_TRUE(disconnect_client(c));
     }
     // An origin connection is not reused for a short time after an answer.
     run_for(io, milliseconds(30));
@@ -227,7 +227,7 @@
 TEST_P(UnreadCloseTest, StartsNoAttemptOnAConnectionFreedBeforeTheClose) {
   site.max_connections = 1;
   begin();
-  list({listed("h", cache.server.local())});
+  apply_list({listed("h", cache.server.local())});
   auto first = client(), c = client();
   first->send(get("k", "1"));
   ASSERT_TRUE(wait([&] { return cache.saw("1"); }));
@@ -272,17 +272,18 @@
  protected:
   void SetUp() override {
     for (ScriptedNode* node : {&a, &b})
-      node->on_command = [this](Peer& p, const ScriptedNode::Words& w) {
+      node->on_command = [this](Peer& p, const ScriptedNode::Arguments& w) {
         if (w[1] == "waits") {
           waiting_at = p.shared_from_this();
         } else {
           p.send("$1\r\nv\r\n");
         }
       };
-    Operator added = parse_operator("[[pool]]\nname = \"p\"\nseeds = [\"" + a.server.dial() +
-                                        "\"]\nrefresh_interval_ms = 20\n[[listener]]\nname = "
-                                        "\"l\"\naddress = \"127.0.0.1:0\"\npool = \"p\"\n",
-                                    "test.toml");
+    OperatorSettings added =
+        parse_operator("[[pool]]\nname = \"p\"\nseeds = [\"" + a.server.dial() +
+                           "\"]\nrefresh_interval_ms = 20\n[[listener]]\nname = "
+                           "\"l\"\naddress = \"127.0.0.1:0\"\npool = \"p\"\n",
+                       "test.toml");
     limits = std::make_unique<Limits>(config.sockets, config.memory_mb);
     balancer = std::make_unique<Balancer>(io, config, *limits, std::move(added));
     ASSERT_TRUE(wait(
@@ -296,7 +297,7 @@
   void warm() {
     std::vector<std::pair<std::shared_ptr<Peer>, std::string>> requests;
     const auto answer = a.on_command;
-    a.on_command = b.on_command = [&](Peer& p, const ScriptedNode::Words& w) {
+    a.on_command = b.on_command = [&](Peer& p, const ScriptedNode::Arguments& w) {
       requests.emplace_back(p.shared_from_this(), w[1]);
     };
     std::vector<std::unique_ptr<RespClient>> clients;
@@ -326,12 +327,12 @@
     close_connection(c.peer(), GetParam());
     std::this_thread::sleep_for(milliseconds(150));
     RespClient last(io, balancer->local(0));
-    EXPECT_EQ(last.ask({"GET", "last"}), "$1\r\nv\r\n");
+    EXPECT_EQ(last.send_and_receive({"GET", "last"}), "$1\r\nv\r\n");
   }
   // Returns how often the waiting request was received by the node.
   static std::ptrdiff_t attempts_at(const ScriptedNode& node) {
     return std::count(node.commands.begin(), node.commands.end(),
-                      ScriptedNode::Words{"GET", "waits"});
+                      ScriptedNode::Arguments{"GET", "waits"});
   }
 
   std::unique_ptr<Limits> limits;  // outlives the loop
--- a/tests/mixed_versions_test.cc
+++ b/tests/mixed_versions_test.cc
@@ -51,7 +51,7 @@
   };
 
   void connect(bool is_persistent) {
-    clients_.push_back({Peer::dial(io_, address_), is_persistent, false});
+    clients_.push_back({Peer::connect(io_, address_), is_persistent, false});
     send_request(clients_.back());
   }
   void send_request(Client& client) {
--- a/tests/node_harness.h
+++ b/tests/node_harness.h
@@ -45,7 +45,7 @@
     socket.set_option(tcp::no_delay(true), ignored);
   }
 
-  static std::shared_ptr<Peer> dial(asio::io_context& io, const Endpoint& to) {
+  static std::shared_ptr<Peer> connect(asio::io_context& io, const Endpoint& to) {
     auto peer = std::make_shared<Peer>(tcp::socket(io));
     peer->socket.connect(to);
     peer->read();
@@ -205,7 +205,7 @@
     balancer = std::make_unique<Balancer>(io, config, *limits);
     ASSERT_TRUE(run_until(io, [&] { return discovery.calls > 1; }));
   }
-  std::shared_ptr<Peer> client() { return Peer::dial(io, balancer->local()); }
+  std::shared_ptr<Peer> client() { return Peer::connect(io, balancer->local()); }
   ::testing::AssertionResult wait(const std::function<bool()>& done) {
     if (run_until(io, done)) return ::testing::AssertionSuccess();
     return ::testing::AssertionFailure() << "the condition was not met in time";
--- a/tests/operator_test.cc
+++ b/tests/operator_test.cc
@@ -103,11 +103,12 @@
     "\"10.0.0.2:179\"\nas = 64513\n";
 
 TEST(OperatorFileTest, ReadsGroupAddressAndBgpTables) {
-  const Operator all = parse_operator(kGroup + kAddress + "prefer = [\"a\"]\n" + kBgp, "o.toml");
+  const OperatorSettings all =
+      parse_operator(kGroup + kAddress + "prefer = [\"a\"]\n" + kBgp, "o.toml");
   ASSERT_TRUE(all.group);
   EXPECT_EQ(all.group->name, "silverpin") << "defaults to the process's name";
   EXPECT_EQ(all.group->announce, "127.0.0.1:7946");
-  EXPECT_EQ(all.group->founding.names, (std::vector<std::string>{"a", "b"}));
+  EXPECT_EQ(all.group->initial_voters.names, (std::vector<std::string>{"a", "b"}));
   ASSERT_EQ(all.group->lease_manager.addresses.size(), 1u);
   EXPECT_EQ(all.group->lease_manager.addresses[0].preferred_instances,
             std::vector<std::string>{"a"});
@@ -170,12 +171,13 @@
 
 // No default and no bound of member or node counts may be below the size of the largest fleets.
 TEST(OperatorFileTest, AcceptsThousandsOfBalancersAndNodes) {
-  const Operator defaults = parse_operator(kGroup + kAddress + kBgp + kPool, "o.toml");
+  const OperatorSettings defaults = parse_operator(kGroup + kAddress + kBgp + kPool, "o.toml");
   EXPECT_GE(defaults.group->membership.max_members, 1024u);
   EXPECT_GE(defaults.pools[0].cluster.max_nodes, 1024u);
-  const Operator largest = parse_operator(kGroup + "most_members = 16384\n" + kAddress + kBgp +
-                                              kPool + "most_nodes = 16384\nbalancers = 16384\n",
-                                          "o.toml");
+  const OperatorSettings largest =
+      parse_operator(kGroup + "most_members = 16384\n" + kAddress + kBgp + kPool +
+                         "most_nodes = 16384\nbalancers = 16384\n",
+                     "o.toml");
   EXPECT_EQ(largest.group->membership.max_members, 16384u);
   EXPECT_EQ(largest.pools[0].cluster.max_nodes, 16384u);
   EXPECT_EQ(largest.pools[0].site.policy.balancers, 16384);
--- a/tests/pipeline_test.cc
+++ b/tests/pipeline_test.cc
@@ -26,7 +26,7 @@
   void SetUp() override { begin(); }
   void begin() {
     a.on_command = b.on_command = [this](Peer& p, const Words& w) { answer(p, w); };
-    Operator added = parse_operator(
+    OperatorSettings added = parse_operator(
         "[[pool]]\nname = \"p\"\nseeds = [\"" + a.server.dial() +
             "\"]\nrefresh_interval_ms = 20\nslow_after_ms = " + std::to_string(kSlow.count()) +
             "\n[[pool.class]]\nname = \"any\"\ncommands = "
@@ -111,7 +111,7 @@
       if (w[0] == "RPUSH") ++runs[w[2]];
       ++commands_received;
     };
-    a.cut_after(whole + cut);
+    a.close_after(whole + cut);
     auto c = client();
     c->send(out);
     ASSERT_TRUE(wait([&] { return commands_received >= 39; }));
@@ -150,7 +150,7 @@
   // Neither another client's requests nor this client's next one are sent on that connection.
   for (int i = 0; i < 10; ++i) {
     const std::string key = "x" + std::to_string(i);
-    EXPECT_EQ(other->ask({"GET", key}), bulk(key));
+    EXPECT_EQ(other->send_and_receive({"GET", key}), bulk(key));
   }
   c->send(wire({"GET", "late"}));
   run_for(io, std::chrono::milliseconds(20));
@@ -171,7 +171,7 @@
   a.on_command = [&](Peer& p, const Words& w) {
     if (++received <= 6) return answer(p, w);
     if (received <= 10 || received > 12) {
-      a.owner = b.owner = b.server.dial();
+      a.slot_owner = b.slot_owner = b.server.dial();
       return p.send("-MOVED " + std::to_string(cluster::slot_of(w[1])) + " " + b.server.dial() +
                     "\r\n");
     }
@@ -244,11 +244,11 @@
   settings.selector.shared = true;
   settings.selector.max_depth = 8;
   Upstreams upstreams(io, limits, events, settings, [&](bool, AttemptEvents& e, UpstreamOwner& o) {
-    return std::make_shared<RespConnection>(io, limits, e, o, login, resp::Bounds{});
+    return std::make_shared<RespConnection>(io, limits, e, o, login, resp::InputLimits{});
   });
   HostList list;
-  list.whole = true;
-  list.hosts.push_back({.id = "n", .dial = node.server.local(), .born = {}, .age = {}});
+  list.is_complete = true;
+  list.hosts.push_back({.id = "n", .endpoint = node.server.local(), .started_at = {}, .age = {}});
   upstreams.apply(list);
   const auto ask = [&](const std::string& key) {
     auto payload = std::make_shared<RespPayload>();
@@ -275,15 +275,15 @@
 class MapCommandTest : public PipelineTest,
                        public ::testing::WithParamInterface<std::vector<std::string>> {
   void SetUp() override {
-    a.map_commands = GetParam();
+    a.topology_subcommands = GetParam();
     begin();
   }
 };
 
 TEST_P(MapCommandTest, UsesASubcommandThatTheNodeSupports) {
   auto c = client();
-  EXPECT_EQ(c->ask({"GET", "k"}), bulk("k"));
-  for (int i = 0; i < 10; ++i) EXPECT_EQ(c->ask({"HGET", "k", "f"}), bulk("k"));
+  EXPECT_EQ(c->send_and_receive({"GET", "k"}), bulk("k"));
+  for (int i = 0; i < 10; ++i) EXPECT_EQ(c->send_and_receive({"HGET", "k", "f"}), bulk("k"));
 }
 
 INSTANTIATE_TEST_SUITE_P(SupportedSubcommands, MapCommandTest,
@@ -298,7 +298,7 @@
   int ran_at_a = 0, ran_at_b = 0;
   bool closes_connection = false;
   a.on_command = [&](Peer& p, const Words& w) {
-    if (a.owner != a.server.dial())
+    if (a.slot_owner != a.server.dial())
       return p.send("-MOVED " + std::to_string(cluster::slot_of(w[3])) + " " + b.server.dial() +
                     "\r\n");
     ++ran_at_a;
@@ -311,17 +311,18 @@
     p.send(":2\r\n");
   };
   auto c = client();
-  EXPECT_EQ(c->ask({"EVALSHA", "sha", "1", "k"}), ":1\r\n");
+  EXPECT_EQ(c->send_and_receive({"EVALSHA", "sha", "1", "k"}), ":1\r\n");
   closes_connection = true;
-  EXPECT_TRUE(c->ask({"EVALSHA", "sha", "1", "k"}).starts_with("-ERR failed"));
+  EXPECT_TRUE(c->send_and_receive({"EVALSHA", "sha", "1", "k"}).starts_with("-ERR failed"));
   EXPECT_EQ(ran_at_a, 2);
-  a.owner = b.owner = b.server.dial();
-  EXPECT_TRUE(c->ask({"EVALSHA", "sha", "1", "k"}).starts_with("-NOSCRIPT"));
-  EXPECT_EQ(c->ask({"EVAL", "return 2", "1", "k"}), ":2\r\n");
+  a.slot_owner = b.slot_owner = b.server.dial();
+  EXPECT_TRUE(c->send_and_receive({"EVALSHA", "sha", "1", "k"}).starts_with("-NOSCRIPT"));
+  EXPECT_EQ(c->send_and_receive({"EVAL", "return 2", "1", "k"}), ":2\r\n");
   EXPECT_EQ(ran_at_a, 2);
   EXPECT_EQ(ran_at_b, 1);
-  EXPECT_TRUE(c->ask({"EVAL", "return 2", "2", "k", "other"}).starts_with("-CROSSSLOT"));
-  EXPECT_TRUE(c->ask({"EVAL", "return 2", "x"}).starts_with("-ERR syntax error"));
+  EXPECT_TRUE(
+      c->send_and_receive({"EVAL", "return 2", "2", "k", "other"}).starts_with("-CROSSSLOT"));
+  EXPECT_TRUE(c->send_and_receive({"EVAL", "return 2", "x"}).starts_with("-ERR syntax error"));
 }
 
 // Writes and reads of one key in a pipeline are sent without waiting for each other, in order.
@@ -358,7 +359,7 @@
       << "commands were forwarded though their answers are not read";
   EXPECT_LT(limits->bytes.used(), 4u << 20);
   auto c = client();
-  EXPECT_EQ(c->ask({"GET", "x"}), bulk("x"));
+  EXPECT_EQ(c->send_and_receive({"GET", "x"}), bulk("x"));
   non_reading_client.close();
   c.reset();
   EXPECT_TRUE(wait([&] { return limits->bytes.used() == 0; })) << limits->bytes.used();
--- a/tests/policy_test.cc
+++ b/tests/policy_test.cc
@@ -42,7 +42,7 @@
   }
   static HostEntry origin() {
     HostEntry e = entry("origin");
-    e.origin = true;
+    e.is_origin = true;
     return e;
   }
   static Request request(RequestId id, int request_class, bool write, std::string_view key = "k") {
@@ -50,7 +50,7 @@
     q.id = id;
     q.request_class = request_class;
     q.key = key;
-    q.write = write;
+    q.is_write = write;
     q.time_left = request_class == 0 ? milliseconds(700) : seconds(5);
     return q;
   }
@@ -85,8 +85,8 @@
 TEST_F(PolicyTest, SendsNoNewAttemptsToAHostThatIsOutOfService) {
   policy.on_request(seconds(2), request(1, 0, false));
   const std::string owner = sink.sent.at(0).host;
-  EXPECT_TRUE(policy.on_maintenance(seconds(2), owner, true));
-  EXPECT_TRUE(policy.on_maintenance(seconds(2), owner, true))
+  EXPECT_TRUE(policy.set_out_of_service(seconds(2), owner, true));
+  EXPECT_TRUE(policy.set_out_of_service(seconds(2), owner, true))
       << "repeating the override has no effect";
   EXPECT_EQ(sink.closed.back(), owner) << "its idle connections were not closed";
   // Attempts in flight at the host may end; the retry is sent to another host.
@@ -104,7 +104,7 @@
     policy.on_request(seconds(6), request(id, 0, false, "k" + std::to_string(id)));
   for (std::size_t i = 2; i < sink.sent.size(); ++i) EXPECT_NE(sink.sent[i].host, owner);
   // One return to service is enough after two requests to take the host out of service.
-  EXPECT_TRUE(policy.on_maintenance(seconds(60), owner, false));
+  EXPECT_TRUE(policy.set_out_of_service(seconds(60), owner, false));
   const auto before = sink.sent.size();
   for (RequestId id = 100; id < 140; ++id)
     policy.on_request(seconds(90), request(id, 0, false, "k" + std::to_string(id)));
@@ -113,16 +113,16 @@
 }
 
 TEST_F(PolicyTest, RejectsOverridesOfUnknownHosts) {
-  EXPECT_FALSE(policy.on_maintenance(seconds(2), "nobody", true));
-  EXPECT_FALSE(policy.on_maintenance(seconds(2), "nobody", false));
-  EXPECT_FALSE(policy.on_maintenance(seconds(2), "origin", true))
+  EXPECT_FALSE(policy.set_out_of_service(seconds(2), "nobody", true));
+  EXPECT_FALSE(policy.set_out_of_service(seconds(2), "nobody", false));
+  EXPECT_FALSE(policy.set_out_of_service(seconds(2), "origin", true))
       << "the origin is not a cache host";
-  EXPECT_TRUE(policy.on_maintenance(seconds(2), "a", true));
+  EXPECT_TRUE(policy.set_out_of_service(seconds(2), "a", true));
   policy.on_hosts(seconds(3), ListKind::kComplete, {entry("b"), origin()});
-  EXPECT_TRUE(policy.on_maintenance(seconds(4), "a", false)) << "the host has an override";
+  EXPECT_TRUE(policy.set_out_of_service(seconds(4), "a", false)) << "the host has an override";
   EXPECT_TRUE(policy.overrides().contains("a"));
   // The override is removed once the warm-up time after the return to service has passed.
-  EXPECT_FALSE(policy.on_maintenance(seconds(100), "a", true));
+  EXPECT_FALSE(policy.set_out_of_service(seconds(100), "a", true));
   EXPECT_TRUE(policy.overrides().empty());
 }
 
@@ -135,8 +135,8 @@
     policy.on_request(seconds(2), request(id, 0, false));
     policy.on_outcome(seconds(2), {id, 0, Result::kConnectFailed, false});
   }
-  policy.on_maintenance(seconds(2), owner, true);
-  policy.on_maintenance(seconds(3), owner, false);
+  policy.set_out_of_service(seconds(2), owner, true);
+  policy.set_out_of_service(seconds(3), owner, false);
   // At a fifth of its capacity the host receives some of its keys, but not all.
   int sent_to_owner = 0, all = 0;
   for (RequestId id = 1000; id < 1400; ++id) {
@@ -171,7 +171,7 @@
   for (int i = 0; i < 6000; ++i) {
     const std::string id = "h" + std::to_string(i);
     policy.on_hosts(seconds(2), ListKind::kComplete, {entry(id), origin()});
-    accepted += policy.on_maintenance(seconds(2), id, true);
+    accepted += policy.set_out_of_service(seconds(2), id, true);
   }
   EXPECT_EQ(policy.overrides().size(), static_cast<std::size_t>(accepted));
   EXPECT_EQ(accepted, 4096);
@@ -188,7 +188,9 @@
     erased += hosts.size();
   }
   std::uint64_t point(std::string_view) const override { return 0; }
-  bool walk(std::uint64_t, std::uint64_t, Accept) const override { return false; }
+  bool visit_candidates(std::uint64_t, std::uint64_t, CandidateVisitor) const override {
+    return false;
+  }
   int inserts = 0, erases = 0;
   std::size_t erased = 0;
 };
@@ -403,7 +405,7 @@
     return std::hash<std::string_view>()(key);
   }
   bool keys_are_sticky() const override { return true; }
-  bool walk(std::uint64_t, std::uint64_t, Accept accept) const override {
+  bool visit_candidates(std::uint64_t, std::uint64_t, CandidateVisitor accept) const override {
     for (const Host h : hosts)
       if (accept(h)) return true;
     return false;
--- a/tests/previous_version_test.cc
+++ b/tests/previous_version_test.cc
@@ -83,8 +83,8 @@
 TEST_F(PreviousVersionStorageTest, OpensTheStoreWithItsContents) {
   copy("group.db");
   store::Store store(folder_, "group");
-  EXPECT_FALSE(store.fresh());
-  EXPECT_EQ(store.aside(), "");
+  EXPECT_FALSE(store.is_new());
+  EXPECT_EQ(store.moved_aside_to(), "");
   EXPECT_EQ(store.get("life"), "4102444800124");
   EXPECT_TRUE(store.get("voter"));
 }
--- a/tests/program_harness.h
+++ b/tests/program_harness.h
@@ -101,7 +101,7 @@
                           : ",\"known\":{\"seq\":1,\"whole\":true,\"hosts\":[" + known + "]}") +
            "}";
   }
-  std::shared_ptr<Peer> client() { return Peer::dial(io, processes.at(0)->address()); }
+  std::shared_ptr<Peer> client() { return Peer::connect(io, processes.at(0)->address()); }
   ::testing::AssertionResult wait(const std::function<bool()>& done,
                                   std::chrono::seconds limit = std::chrono::seconds(30)) {
     if (run_until(io, done, limit)) return ::testing::AssertionSuccess();
--- a/tests/program_test.cc
+++ b/tests/program_test.cc
@@ -84,7 +84,7 @@
   std::shared_ptr<Peer> client(const std::string& mark = "listening on 127.0.0.1:") {
     const auto at = log_.find(mark);
     const auto port = std::strtoul(log_.c_str() + at + mark.size(), nullptr, 10);
-    return Peer::dial(
+    return Peer::connect(
         io_, Endpoint(asio::ip::make_address("127.0.0.1"), static_cast<std::uint16_t>(port)));
   }
 
--- a/tests/resp_harness.h
+++ b/tests/resp_harness.h
@@ -25,7 +25,7 @@
 
 class RespClient {
  public:
-  RespClient(asio::io_context& io, const Endpoint& to) : io_(io), peer_(Peer::dial(io, to)) {
+  RespClient(asio::io_context& io, const Endpoint& to) : io_(io), peer_(Peer::connect(io, to)) {
     peer_->on_data = [this](Peer& p) { split(p); };
   }
   explicit RespClient(asio::io_context& io, const std::string& address)
@@ -37,7 +37,7 @@
 
   void send(const std::string& bytes) { peer_->send(bytes); }
   // Sends one command and returns the reply; empty if none arrives.
-  std::string ask(const Words& words) {
+  std::string send_and_receive(const Words& words) {
     send(wire(words));
     return next();
   }
@@ -71,8 +71,8 @@
 
   asio::io_context& io_;
   std::shared_ptr<Peer> peer_;
-  resp::ReplyReader reader_{
-      resp::Bounds{.bulk = 8u << 20, .elements = 1u << 20, .total = 64u << 20, .line = 64u << 10}};
+  resp::ReplyReader reader_{resp::InputLimits{
+      .bulk = 8u << 20, .elements = 1u << 20, .total = 64u << 20, .line = 64u << 10}};
   std::string current_;
 };
 
@@ -81,12 +81,12 @@
   using RespCluster = testbed::RespCluster;
   using Fault = RespCluster::Fault;
 
-  void begin(int primaries = 3, int replicas = 0, const std::string& pool = "",
-             const std::string& listener = "") {
+  void start_cluster(int primaries = 3, int replicas = 0, const std::string& pool = "",
+                     const std::string& listener = "") {
     cluster = std::make_unique<RespCluster>(io, primaries, replicas);
     std::string seeds;
     for (const auto& a : cluster->addresses()) seeds += (seeds.empty() ? "\"" : ", \"") + a + "\"";
-    Operator added = parse_operator(
+    OperatorSettings added = parse_operator(
         "[[pool]]\nname = \"history\"\nseeds = [" + seeds + "]\n" +
             (pool.find("refresh_interval_ms") == std::string::npos ? "refresh_interval_ms = 20\n"
                                                                    : "") +
@@ -113,7 +113,7 @@
     return all;
   }
   // Returns how many writes with this argument ran.
-  int ran(const std::string& argument) const {
+  int count_runs(const std::string& argument) const {
     int n = 0;
     for (const auto& r : cluster->runs()) n += r.argument == argument;
     return n;
