--- a/tests/rules_test.cc
+++ b/tests/rules_test.cc
@@ -152,7 +152,7 @@
       request.id = next++;
       const std::string key = "k" + std::to_string(pick(6));
       request.key = key;
-      request.write = pick(3) == 0;
+      request.is_write = pick(3) == 0;
       request.time_left = milliseconds(50 + pick(2000));
       check.records[request.id] = {request, check.now + request.time_left, {}, false};
       policy.on_request(check.now, request);
