--- a/src/testbed/main.cc
+++ b/src/testbed/main.cc
@@ -69,9 +69,7 @@
 
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
-  CLI::App app{
-      "Tests balancer on one machine with emulated hosts, clients and faults, and checks "
-      "four invariants of every request. Uses loopback addresses only."};
+  CLI::App app{"Tests balancer with emulated hosts, clients and faults on loopback addresses only"};
   app.require_subcommand(1);
   std::string file, folder;
   RehearsalOptions options;
@@ -84,18 +82,14 @@
   };
   const auto add_run = [&](const char* name, const char* what) {
     CLI::App* sub = add(name, what);
-    sub->add_option("--out", options.folder,
-                    "folder for report and logs (default: rehearsals/NAME)");
+    sub->add_option("--out", options.folder, "folder (default: rehearsals/NAME)");
     sub->add_flag("--quiet", quiet, "do not print progress");
     return sub;
   };
-  CLI::App* check =
-      add("check", "check a scenario, and whether this machine has the resources for it");
-  CLI::App* rehearse =
-      add_run("rehearse", "run fleet, balancers and clients together, and write a report");
-  rehearse->add_option(
-      "--program", options.program,
-      "path of the balancer executable (default: balancer in this program's directory)");
+  CLI::App* check = add("check", "check a scenario and the resources of this machine");
+  CLI::App* rehearse = add_run("rehearse", "run fleet, balancers and clients, and write a report");
+  rehearse->add_option("--program", options.program,
+                       "balancer executable (default: next to this program)");
   CLI::App* fleet = add_run("fleet", "run only the emulated fleet, for balancers that you start");
   CLI::App* load = add_run("load", "run only the clients");
   load->add_option("--to", balancers, "ADDRESS:PORT of each balancer")->required();
@@ -116,9 +110,7 @@
   }
   balancer::fleet_simulation::TableOptions table;
   bool brief = false;
-  CLI::App* simulate = add(
-      "plant",
-      "run the scenario in simulated time and print the inputs and outputs of all control loops");
+  CLI::App* simulate = add("plant", "run the scenario in simulated time; print all control loops");
   simulate->add_option("--balancers", count, "override the scenario's number of balancers")
       ->check(CLI::Range(1, 1000));
   simulate->add_option("--seed", seed, "first seed")->check(CLI::PositiveNumber);
@@ -140,19 +132,16 @@
   FailoverOptions failover;
   CLI::App* move =
       app.add_subcommand("moves", "move the service address of a group of balancers repeatedly");
-  move->add_option("--rounds", failover.rounds,
-                   "number of moves; each injects the next fault of the list")
+  move->add_option("--rounds", failover.rounds, "number of moves, each with the next fault")
       ->check(CLI::Range(1, 100000));
   move->add_option("--instances", failover.instances)->check(CLI::Range(2, 20));
   move->add_option("--voters", failover.voters, "number of voters")->check(CLI::Range(1, 7));
   move->add_option("--only", failover.only, "inject only this fault, named as in the report");
   move->add_option("--seed", failover.seed);
   move->add_option("--faults", failover.faults, "fault plan for each process");
-  move->add_option("--out", failover.folder,
-                   "folder for state and logs (default: rehearsals/moves)");
-  move->add_option(
-      "--program", failover.program,
-      "path of the balancer executable (default: balancer in this program's directory)");
+  move->add_option("--out", failover.folder, "folder (default: rehearsals/moves)");
+  move->add_option("--program", failover.program,
+                   "balancer executable (default: next to this program)");
   move->add_flag("--quiet", quiet, "do not print progress");
   scale::SweepOptions sweep;
   std::string sweep_name, sweep_names;
@@ -161,14 +150,11 @@
   CLI::App* measure = app.add_subcommand(
       "scale", "measure a cost at several sizes, fit a curve, and write CSV files and charts");
   measure->add_option("SWEEP", sweep_name, sweep_names)->required();
-  measure->add_flag("--short", sweep.quick,
-                    "run fewer sizes; only the counts are meaningful, not the measured times");
+  measure->add_flag("--short", sweep.quick, "run fewer sizes; measured times are not meaningful");
   measure->add_option("--seeds", sweep.seeds, "one run of each size for each seed");
-  measure->add_option("--out", sweep.folder,
-                      "folder for tables, charts and logs (default: rehearsals/scale)");
-  measure->add_option(
-      "--program", sweep.program,
-      "path of the balancer executable (default: balancer in this program's directory)");
+  measure->add_option("--out", sweep.folder, "folder (default: rehearsals/scale)");
+  measure->add_option("--program", sweep.program,
+                      "balancer executable (default: next to this program)");
   measure->add_flag("--quiet", quiet, "do not print progress");
   try {
     app.parse(argc, argv);
